--- /dev/null
+++ b/tests/test_golden.py
@@ -0,0 +1,139 @@
+"""What must not change: frames, files on disk, texts and numbers are those of revision 878089b."""
+
+from __future__ import annotations
+
+import json
+import shutil
+import tomllib
+from pathlib import Path
+
+import pytest
+
+import fawngw.feed.wire as feed_wire
+import fawngw.members.wire as member_wire
+from fawngw.feed.config import load as load_feed
+from fawngw.feed.ledger import Ledger, Writers
+from fawngw.feed.model import FeedError
+from fawngw.feed.shelf import Shelf
+from fawngw.lab.scenario import load as load_scenario
+from fawngw.members.config import load as load_members
+from fawngw.node.kept import read
+from fawngw.store.carrier import look, open_locked
+from fawngw.store.config import load as load_state
+from tests.golden import build
+from tests.golden.build import HERE, ROOT
+
+
+def recorded(name: str) -> dict[str, bytes]:
+    lines: dict[str, str] = json.loads((HERE / name).read_text())
+    return {key: bytes.fromhex(line) for key, line in lines.items()}
+
+
+def tree(folder: Path) -> dict[str, bytes]:
+    return {path.name: path.read_bytes() for path in folder.iterdir()}
+
+
+def test_frames_of_members_are_written_as_before() -> None:
+    assert build.member_frames() == recorded("frames-members.json")
+
+
+def test_datagrams_of_members_are_read_and_written_again_as_before() -> None:
+    cluster = member_wire.tag(build.CLUSTER)
+    frames = [frame for key, frame in recorded("frames-members.json").items() if key.startswith("datagram")]
+    assert len(frames) == 5
+    for frame in frames:
+        message = member_wire.read_datagram(frame, cluster, 2_000)
+        rows = [member_wire.pack(member_wire.claim_row(claim)) for claim in message.claims]
+        assert member_wire.datagram(message, cluster, rows) == frame
+
+
+def test_frames_of_the_feed_are_written_as_before() -> None:
+    assert build.feed_frames() == recorded("frames-feed.json")
+
+
+def test_frames_of_the_feed_are_read_and_written_again_as_before() -> None:
+    frames = recorded("frames-feed.json")
+    assert len(frames) == 13
+    for frame in frames.values():
+        message = feed_wire.decode(frame[4:], feed_wire.tag(build.CLUSTER))
+        assert feed_wire.encode(message, feed_wire.tag(build.CLUSTER)) == frame
+
+
+def test_the_module_answers_the_simulator_as_before() -> None:
+    replies = build.simulator_replies()
+    assert build.reply_count(replies) > 100
+    assert replies == (HERE / "simulator-replies.bin").read_bytes()
+
+
+def test_a_state_directory_is_read_as_before(tmp_path: Path) -> None:
+    shutil.copytree(HERE / "state", tmp_path / "state")
+    printed = build.command_output(("state", "show", str(tmp_path / "state"), "--json"))
+    assert json.loads(printed) == json.loads((HERE / "state.json").read_text())
+
+
+def test_a_state_directory_gives_the_snapshot_that_it_holds(tmp_path: Path) -> None:
+    shutil.copytree(HERE / "state", tmp_path / "state")
+    opened = open_locked(tmp_path / "state", build.OWNER)
+    try:
+        assert list(read(opened.found).pieces()) == opened.found.snapshot
+        assert [record.payload for record in opened.found.records] == build.node_records()
+        assert opened.found.snapshot == build.node_snapshot()
+    finally:
+        opened.disk.close()
+
+
+def test_a_publishers_ledger_is_read_as_before(tmp_path: Path) -> None:
+    shutil.copytree(HERE / "ledger", tmp_path / "ledger")
+    found = look(tmp_path / "ledger", "pub-n")
+    records, snapshot = build.ledger_records()
+    assert found.snapshot == snapshot
+    assert [record.payload for record in found.records] == records
+    writers = Writers("pub-n", "north", {"north": "pub-n"})
+    ledger = Ledger(writers, lambda scope, body: None, found.snapshot)
+    assert list(ledger.snapshot()) == snapshot
+
+
+def test_a_followers_cache_is_read_and_written_again_as_before(tmp_path: Path) -> None:
+    shutil.copytree(HERE / "follower", tmp_path / "read")
+    documents, notes = Shelf(tmp_path / "read", (build.CLUSTER, build.OWNER)).read()
+    assert documents == build.shelf_documents() and notes == []
+    again = Shelf(tmp_path / "again", (build.CLUSTER, build.OWNER))
+    again.read()
+    for document in documents:
+        again.write(document)
+    assert tree(tmp_path / "again") == tree(HERE / "follower")
+    with pytest.raises(FeedError, match="belongs to"):
+        Shelf(tmp_path / "again", (build.CLUSTER, "n4")).read()
+
+
+def test_the_telemetry_text_is_as_before() -> None:
+    assert build.telemetry() == (HERE / "telemetry.txt").read_bytes()
+
+
+@pytest.mark.parametrize("page", build.PAGES)
+def test_the_toml_examples_of_the_pages_say_the_same(page: str) -> None:
+    blocks = build.toml_blocks(ROOT / page)
+    files = sorted((HERE / "toml").glob(f"{Path(page).stem}-*.toml"))
+    assert blocks and len(blocks) == len(files)
+    for block, file in zip(blocks, files, strict=True):
+        assert tomllib.loads(block) == tomllib.loads(file.read_text())
+
+
+def test_every_toml_example_is_still_understood() -> None:
+    examples = HERE / "toml"
+    members = load_members(str(examples / "membership-1.toml"), "n0")
+    assert members.cluster == "caerdydd"
+    assert str(load_state(str(examples / "recovery-1.toml"), "n0").directory) == "/var/lib/crowpost/n3"
+    assert load_feed(str(examples / "feed-1.toml"), "n3").cluster == "c1"
+    assert load_feed(str(examples / "feed-2.toml"), "").cluster == "c1"
+    assert load_scenario(str(examples / "lab-1.toml")).duration_s == 30.0
+
+
+def test_a_config_json_is_read_as_before() -> None:
+    assert build.settings_of(HERE / "config.json") == json.loads((HERE / "config-read.json").read_text())
+
+
+@pytest.mark.parametrize("name", build.RUNS)
+def test_equal_seeds_give_the_numbers_of_before(name: str) -> None:
+    printed = build.command_output(build.RUNS[name])
+    assert build.numbers(printed) == json.loads((HERE / f"{name}.json").read_text())
