--- a/fawngw/__main__.py
+++ b/crowpost/__main__.py
@@ -1,4 +1,4 @@
-"""python -m fawngw: one real node; its environment says where it listens and whom it serves."""
+"""python -m crowpost: one real node; its environment says where it listens and whom it serves."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 import uvloop
 
-from fawngw.node.config import Config, ConfigError, load
-from fawngw.node.node import Node
+from crowpost.node.config import Config, ConfigError, load
+from crowpost.node.node import Node
 
 
 async def _serve(config: Config) -> None:
@@ -28,10 +28,10 @@
         config = load(os.environ)
         uvloop.run(_serve(config))
     except ConfigError as error:
-        print(f"fawngw: {error}", file=sys.stderr)
+        print(f"crowpost: {error}", file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"fawngw: NODE_LISTEN cannot be used: {error}", file=sys.stderr)
+        print(f"crowpost: NODE_LISTEN cannot be used: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/fawngw/cli/capacity.py
+++ b/crowpost/cli/capacity.py
@@ -23,8 +23,8 @@
 
     Example: crowpost lab capacity --check
     """
-    from fawngw.lab.capacity import page, records
-    from fawngw.lab.scale.target import load
+    from crowpost.lab.capacity import page, records
+    from crowpost.lab.scale.target import load
 
     if write and check:
         raise typer.BadParameter("--write and --check: one of them")
--- a/fawngw/cli/demo.py
+++ b/crowpost/cli/demo.py
@@ -7,16 +7,16 @@
 import typer
 from rich.table import Table
 
-from fawngw.cli.terminal import console
+from crowpost.cli.terminal import console
 
 BAR = 24  # columns of the longest bar
 
 
 def demo(seed: Annotated[int, typer.Option(min=0)] = 1) -> None:
     """Start servers, discovery and nodes on loopback, send traffic, kill a server, show what nodes did."""
-    from fawngw.cli.lab import show, stories
-    from fawngw.lab.live.play import play_live
-    from fawngw.lab.scenario import load
+    from crowpost.cli.lab import show, stories
+    from crowpost.lab.live.play import play_live
+    from crowpost.lab.scenario import load
 
     out = console()
     scenario = load("demo")
@@ -37,7 +37,7 @@
 
 def _by_second(result: dict[str, Any]) -> Table:
     """Requests that each front server received, by second; the killed one falls to nothing and comes back."""
-    from fawngw.lab.measure import ENDS
+    from crowpost.lab.measure import ENDS
 
     names = result["servers"][0]
     table = Table("second", *names, "served", box=None)
--- a/fawngw/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -14,13 +14,13 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from fawngw.cli.capacity import capacity
-from fawngw.cli.feedsim import feed
-from fawngw.cli.overhead import overhead
-from fawngw.cli.scale import scale
-from fawngw.cli.terminal import console
-from fawngw.lab.runs import Folder, RunFolderError
-from fawngw.lab.scenario import Scenario, load, shipped
+from crowpost.cli.capacity import capacity
+from crowpost.cli.feedsim import feed
+from crowpost.cli.overhead import overhead
+from crowpost.cli.scale import scale
+from crowpost.cli.terminal import console
+from crowpost.lab.runs import Folder, RunFolderError
+from crowpost.lab.scenario import Scenario, load, shipped
 
 app = typer.Typer(
     help="Scenarios of a whole platform: simulated, or on loopback sockets.", no_args_is_help=True
@@ -52,7 +52,7 @@
 @app.command()
 def policies() -> None:
     """The policies that may be played."""
-    from fawngw.lab import baselines
+    from crowpost.lab import baselines
 
     about = {
         "module": "the decision module as it stands",
@@ -85,7 +85,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Play one run in simulated time; exit code 1 if a rule was broken."""
-    from fawngw.lab.runs import play
+    from crowpost.lab.runs import play
 
     played = load(scenario)
     kept = _kept(folder, played)
@@ -151,7 +151,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Play policies on the same seeds; differences from the first with a 95% interval."""
-    from fawngw.lab import compare as tool
+    from crowpost.lab import compare as tool
 
     played = load(scenario)
     names = [name.strip() for name in policy.split(",")]
@@ -209,7 +209,7 @@
     ] = None,
 ) -> None:
     """Write one HTML page with plots of a run folder."""
-    from fawngw.lab.report import page as render
+    from crowpost.lab.report import page as render
 
     kept = Folder(folder)
     runs = kept.read()
@@ -232,7 +232,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Play a scenario on loopback sockets around real node processes; exit code 1 if a rule was broken."""
-    from fawngw.lab.live.play import play_live
+    from crowpost.lab.live.play import play_live
 
     played = load(scenario)
     kept = _kept(folder, played)
@@ -264,9 +264,9 @@
 
     Example: crowpost lab storm small --seed 3 --out kept
     """
-    from fawngw.lab.rig import plan
-    from fawngw.lab.rig.processes import ProcessError
-    from fawngw.lab.rig.storm import play
+    from crowpost.lab.rig import plan
+    from crowpost.lab.rig.processes import ProcessError
+    from crowpost.lab.rig.storm import play
 
     if name == "list":
         table = Table("name", "processes", "seconds", "about", box=None)
@@ -313,8 +313,8 @@
 
     Example: crowpost lab powerloss --seeds 1-20
     """
-    from fawngw.lab import compare as tool
-    from fawngw.lab.powerloss import report
+    from crowpost.lab import compare as tool
+    from crowpost.lab.powerloss import report
 
     try:
         numbers = tool.seeds(seeds)
@@ -360,7 +360,7 @@
 
     Example: crowpost lab disk /var/tmp/store-measure
     """
-    from fawngw.lab.powerloss import speed
+    from crowpost.lab.powerloss import speed
 
     rows = speed.measure(directory)
     if as_json:
@@ -386,7 +386,7 @@
 
     Example: crowpost lab swarm --members 1000 --loss 0.2
     """
-    from fawngw.lab.swim import measure_all
+    from crowpost.lab.swim import measure_all
 
     if kills >= members:
         raise typer.BadParameter(f"{kills} kills of {members} members")
@@ -405,9 +405,9 @@
     as_json: AsJson = False,
 ) -> None:
     """What a decision costs by the size of the fleet: processor time and memory of the module alone."""
-    from fawngw import Balancer
-    from fawngw.lab.bench import cost
-    from fawngw.lab.policies import revision
+    from crowpost import Balancer
+    from crowpost.lab.bench import cost
+    from crowpost.lab.revisions import revision
 
     try:
         sizes = [int(text) for text in servers.split(",")]
--- a/fawngw/cli/main.py
+++ b/crowpost/cli/main.py
@@ -6,11 +6,11 @@
 
 import typer
 
-from fawngw.cli.demo import demo
-from fawngw.cli.feed import app as feed
-from fawngw.cli.lab import app as lab
-from fawngw.cli.members import app as members
-from fawngw.cli.state import app as state
+from crowpost.cli.demo import demo
+from crowpost.cli.feed import app as feed
+from crowpost.cli.lab import app as lab
+from crowpost.cli.members import app as members
+from crowpost.cli.state import app as state
 
 app = typer.Typer(
     name="crowpost",
@@ -27,12 +27,12 @@
 
 def main() -> None:
     """Exit code 0 if all went well, 1 if a rule was broken, 2 with one plain line for what cannot be used."""
-    from fawngw.feed.model import FeedError
-    from fawngw.lab.policies import PolicyError
-    from fawngw.lab.runs import RunFolderError
-    from fawngw.lab.scenario import ScenarioError
-    from fawngw.members.model import MemberError
-    from fawngw.store.model import StoreError
+    from crowpost.feed.model import FeedError
+    from crowpost.lab.revisions import PolicyError
+    from crowpost.lab.runs import RunFolderError
+    from crowpost.lab.scenario import ScenarioError
+    from crowpost.members.model import MemberError
+    from crowpost.store.model import StoreError
 
     try:
         app()
--- a/fawngw/cli/overhead.py
+++ b/crowpost/cli/overhead.py
@@ -10,7 +10,7 @@
 import typer
 from rich.table import Table
 
-from fawngw.cli.terminal import console
+from crowpost.cli.terminal import console
 
 EFFECTS = ("safe", "keyed", "unsafe")
 
@@ -61,9 +61,9 @@
 
     Example: crowpost lab overhead --servers 10 --rates 41 --against HEAD~3
     """
-    from fawngw.lab.overhead.platform import Case, How
-    from fawngw.lab.overhead.play import play
-    from fawngw.lab.overhead.versions import OverheadError
+    from crowpost.lab.overhead.platform import Case, How
+    from crowpost.lab.overhead.play import play
+    from crowpost.lab.overhead.versions import OverheadError
 
     if effect not in EFFECTS:
         unusable(f"--effect: {effect!r} is none of {', '.join(EFFECTS)}")
@@ -105,7 +105,7 @@
 
 
 def _table(runs: list[dict[str, Any]]) -> Table:
-    from fawngw.lab.overhead.report import HEADS, row
+    from crowpost.lab.overhead.report import HEADS, row
 
     table = Table(*HEADS, box=None)
     for run in runs:
@@ -130,7 +130,7 @@
 
 
 def _keep(folder: Path, record: dict[str, Any], slices: list[list[dict[str, Any]]]) -> None:
-    from fawngw.lab.overhead.report import page
+    from crowpost.lab.overhead.report import page
 
     try:
         folder.mkdir(parents=True, exist_ok=True)
--- a/fawngw/cli/scale.py
+++ b/crowpost/cli/scale.py
@@ -12,7 +12,7 @@
 from rich.progress import Progress, SpinnerColumn, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from fawngw.cli.terminal import console
+from crowpost.cli.terminal import console
 
 
 def scale(
@@ -31,10 +31,10 @@
     Examples: crowpost lab scale --short --out kept
     crowpost lab scale --duties membership --sizes 790 --troubles none --out kept --add
     """
-    from fawngw.lab.scale import record as records
-    from fawngw.lab.scale.page import page
-    from fawngw.lab.scale.run import Choice, play
-    from fawngw.lab.scale.target import ScaleError, load
+    from crowpost.lab.scale import record as records
+    from crowpost.lab.scale.page import page
+    from crowpost.lab.scale.run import Choice, play
+    from crowpost.lab.scale.target import ScaleError, load
 
     target = load(file or None)
     choice = Choice(short, _sizes(sizes), _names(duties), _names(troubles), seed)
@@ -71,7 +71,7 @@
 
 
 def _sizes(text: str) -> tuple[int, ...] | None:
-    from fawngw.lab.scale.target import MOST_MEMBERS, ScaleError
+    from crowpost.lab.scale.target import MOST_MEMBERS, ScaleError
 
     if not text:
         return None
@@ -92,7 +92,7 @@
 
 def show(record: dict[str, Any]) -> None:
     """The record as tables."""
-    from fawngw.lab.scale.page import table
+    from crowpost.lab.scale.page import table
 
     out = console()
     fits = Table("duty", "measure", "at x = 0", "slope", "for each", "from", "form", box=None)
--- a/fawngw/decide/automaton.py
+++ b/crowpost/decide/automaton.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Mapping, Sequence
 
-from fawngw.interface import ServerId
-from fawngw.parts import Vector, floored
+from crowpost.interface import ServerId
+from crowpost.parts import Vector, floored
 
 # A copy sees few calls over many servers, so both steps are far above the paper's.
 ALPHA = 0.15  # an average spans about seven of its server's calls
--- a/fawngw/decide/balancer.py
+++ b/crowpost/decide/balancer.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import Any
 
-import fawngw.interface as api
-from fawngw.decide.admission import Admission
-from fawngw.decide.fleet import Fleet
-from fawngw.decide.health import RETURN, Health
-from fawngw.decide.outcomes import Judge
-from fawngw.decide.placing import Placing
-from fawngw.interface import ListKind, Outcome, RequestId
-from fawngw.parts import Timers
-from fawngw.records import Attempt, Request, Server
+import crowpost.interface as api
+from crowpost.decide.admission import Admission
+from crowpost.decide.fleet import Fleet
+from crowpost.decide.health import RETURN, Health
+from crowpost.decide.outcomes import Judge
+from crowpost.decide.placing import Placing
+from crowpost.interface import ListKind, Outcome, RequestId
+from crowpost.parts import Timers
+from crowpost.records import Attempt, Request, Server
 
 HOLD = 0.1  # part of the aim that a request may wait here for a place: a refused client tries again in time
 AGAIN = 0.02  # part of the aim between looks at waiting requests
--- a/fawngw/decide/fleet.py
+++ b/crowpost/decide/fleet.py
@@ -6,10 +6,10 @@
 import random
 from collections.abc import Sequence
 
-import fawngw.interface as api
-from fawngw.decide.automaton import Automaton
-from fawngw.parts import Rate, deal
-from fawngw.records import Reports, Server
+import crowpost.interface as api
+from crowpost.decide.automaton import Automaton
+from crowpost.parts import Rate, deal
+from crowpost.records import Reports, Server
 
 HOME = 6  # servers that a node keeps to, up to twice as many: of so few half may fail and leave a choice
 HOME_COVER = 3  # nodes that must share each server at the least, for their walks to cancel out
--- a/fawngw/decide/health.py
+++ b/crowpost/decide/health.py
@@ -5,10 +5,10 @@
 import math
 from itertools import islice
 
-from fawngw.decide.fleet import Fleet
-from fawngw.interface import Action, CloseIdle, Log, Outcome, Probe, ProbeEnded, ServerId
-from fawngw.parts import Spread, Timers
-from fawngw.records import Server
+from crowpost.decide.fleet import Fleet
+from crowpost.interface import Action, CloseIdle, Log, Outcome, Probe, ProbeEnded, ServerId
+from crowpost.parts import Spread, Timers
+from crowpost.records import Server
 
 FAIL_STEP = 0.3  # two failures in a row cross FAIL_EJECT, one never does
 FAIL_EJECT = 0.45
--- a/fawngw/decide/placing.py
+++ b/crowpost/decide/placing.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from fawngw.decide.admission import Admission
-from fawngw.decide.fleet import Fleet
-from fawngw.decide.health import Health
-from fawngw.interface import Effect, RepeatGroup
-from fawngw.records import Request, Server
+from crowpost.decide.admission import Admission
+from crowpost.decide.fleet import Fleet
+from crowpost.decide.health import Health
+from crowpost.interface import Effect, RepeatGroup
+from crowpost.records import Request, Server
 
 # A node's calls on one server may exceed its share of all calls out by this much before it is skipped.
 BUDGET_TIMES = 1.25
--- a/fawngw/drill.py
+++ b/crowpost/drill.py
@@ -1,12 +1,12 @@
-"""python -m fawngw.drill: hosts many independent instances of the module on the simulator's wire."""
+"""python -m crowpost.drill: hosts many independent instances of the module on the simulator's wire."""
 
 from __future__ import annotations
 
 import sys
 from typing import BinaryIO
 
-from fawngw.decide import Balancer
-from fawngw.wire import BATCH_HEADER, Decoder, Start, Stop, WireError, encode, encode_fault, reply
+from crowpost.decide import Balancer
+from crowpost.wire import BATCH_HEADER, Decoder, Start, Stop, WireError, encode, encode_fault, reply
 
 
 class Host:
@@ -71,7 +71,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"fawngw.drill: {error}", file=sys.stderr)
+        print(f"crowpost.drill: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/fawngw/feed/__main__.py
+++ b/crowpost/feed/__main__.py
@@ -1,4 +1,4 @@
-"""python -m fawngw.feed FILE: a publisher or a relay, until SIGTERM."""
+"""python -m crowpost.feed FILE: a publisher or a relay, until SIGTERM."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 import uvloop
 
-from fawngw.feed.carrier import Carrier
-from fawngw.feed.config import FeedConfig, load
-from fawngw.feed.ledger import Check
-from fawngw.feed.model import FeedError
+from crowpost.feed.carrier import Carrier
+from crowpost.feed.config import FeedConfig, load
+from crowpost.feed.ledger import Check
+from crowpost.feed.model import FeedError
 
 
 async def serve(config: FeedConfig, check: Check, restored: bool) -> None:
@@ -22,7 +22,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, leaving.set)
     if config.role == "publisher":
-        from fawngw.feed.publishing import Publisher
+        from crowpost.feed.publishing import Publisher
 
         publisher = Publisher(config, check, restored=restored)
         await publisher.start()
@@ -38,22 +38,22 @@
 
 def main(arguments: list[str]) -> int:
     """Exit code 0 after an orderly end, 2 with one line for what cannot be used."""
-    from fawngw.node.overlays import checker  # the node's own check: only here do the two meet
+    from crowpost.node.overlays import checker  # the node's own check: only here do the two meet
 
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     restored = "--restored" in arguments
     files = [argument for argument in arguments if argument != "--restored"]
     if len(files) != 1:
-        print("usage: python -m fawngw.feed FILE [--restored]", file=sys.stderr)
+        print("usage: python -m crowpost.feed FILE [--restored]", file=sys.stderr)
         return 2
     try:
         config = load(files[0], roles=("relay", "publisher"))
         uvloop.run(serve(config, checker(config.sample), restored))
     except FeedError as error:
-        print(f"fawngw.feed: {error}", file=sys.stderr)
+        print(f"crowpost.feed: {error}", file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"fawngw.feed: feed.listen cannot be used: {error}", file=sys.stderr)
+        print(f"crowpost.feed: feed.listen cannot be used: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/fawngw/feed/carrier.py
+++ b/crowpost/feed/carrier.py
@@ -10,12 +10,12 @@
 from random import Random
 from typing import Any, cast
 
-from fawngw.feed import follower as watching
-from fawngw.feed import hub as serving
-from fawngw.feed import messages, wire
-from fawngw.feed.config import FeedConfig, split_address
-from fawngw.feed.model import Document, FeedError, Head
-from fawngw.feed.table import Table
+from crowpost.feed import follower as watching
+from crowpost.feed import hub as serving
+from crowpost.feed import messages, wire
+from crowpost.feed.config import FeedConfig, split_address
+from crowpost.feed.model import Document, FeedError, Head
+from crowpost.feed.table import Table
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/feed/config.py
+++ b/crowpost/feed/config.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.feed.model import FeedError, Interest, Server, Tuning, split_scope
-from fawngw.tables import Table, TableError, numbers, read_file
+from crowpost.feed.model import FeedError, Interest, Server, Tuning, split_scope
+from crowpost.tables import Table, TableError, numbers, read_file
 
 ROLES = ("node", "relay", "publisher")
 SNAPSHOT_BYTES = 4 << 20
--- a/fawngw/feed/follower.py
+++ b/crowpost/feed/follower.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fawngw.feed.bucket import Bucket
-from fawngw.feed.clock import Clock
-from fawngw.feed.fetching import Fetches
-from fawngw.feed.messages import Absent, Beat, Body, Bye, Fetch, Heads, Hello, Message, Report
-from fawngw.feed.model import (
+from crowpost.feed.bucket import Bucket
+from crowpost.feed.clock import Clock
+from crowpost.feed.fetching import Fetches
+from crowpost.feed.messages import Absent, Beat, Body, Bye, Fetch, Heads, Hello, Message, Report
+from crowpost.feed.model import (
     HEADERS,
     Conflict,
     Dial,
@@ -35,9 +35,9 @@
     order,
     shorten,
 )
-from fawngw.feed.table import Table
-from fawngw.feed.watching import Link, Watches
-from fawngw.feed.wire import Foreign, encode, tag
+from crowpost.feed.table import Table
+from crowpost.feed.watching import Link, Watches
+from crowpost.feed.wire import Foreign, encode, tag
 
 
 @dataclass
--- a/fawngw/feed/hub.py
+++ b/crowpost/feed/hub.py
@@ -11,14 +11,14 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from fawngw.feed import messages
-from fawngw.feed.bucket import Bucket
-from fawngw.feed.clock import Clock
-from fawngw.feed.messages import Absent, Beat, Body, Fetch, Heads, Hello, Message, Publish, Refused, Report
-from fawngw.feed.model import HEADERS, Document, Event, Head, Interest, Tuning, scopes_of
-from fawngw.feed.status import Wall, hub_status
-from fawngw.feed.table import Table
-from fawngw.feed.wire import HEADS, Foreign, Reader, encode, tag
+from crowpost.feed import messages
+from crowpost.feed.bucket import Bucket
+from crowpost.feed.clock import Clock
+from crowpost.feed.messages import Absent, Beat, Body, Fetch, Heads, Hello, Message, Publish, Refused, Report
+from crowpost.feed.model import HEADERS, Document, Event, Head, Interest, Tuning, scopes_of
+from crowpost.feed.status import Wall, hub_status
+from crowpost.feed.table import Table
+from crowpost.feed.wire import HEADS, Foreign, Reader, encode, tag
 
 SLICES = 8  # a beat goes to an eighth of the links at a time
 JOBS = 64  # fetches of one link that wait
--- a/fawngw/feed/ledger.py
+++ b/crowpost/feed/ledger.py
@@ -12,9 +12,9 @@
 
 import msgpack
 
-from fawngw.feed.messages import Publish
-from fawngw.feed.model import Document, FeedError, Head, Tuning, make_document, order, split_scope
-from fawngw.feed.table import Table
+from crowpost.feed.messages import Publish
+from crowpost.feed.model import Document, FeedError, Head, Tuning, make_document, order, split_scope
+from crowpost.feed.table import Table
 
 DOCUMENT, ERA = 1, 2  # kinds of records
 FIRST_ERA = 1
--- a/fawngw/feed/messages.py
+++ b/crowpost/feed/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fawngw.feed.model import Head, Mark, Standing
+from crowpost.feed.model import Head, Mark, Standing
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawngw/feed/publishing.py
+++ b/crowpost/feed/publishing.py
@@ -5,14 +5,14 @@
 import asyncio
 from contextlib import suppress
 
-from fawngw.feed.carrier import Carrier
-from fawngw.feed.config import FeedConfig
-from fawngw.feed.ledger import Check, Ledger, Writers
-from fawngw.feed.messages import Publish, Published, Refused
-from fawngw.feed.model import Document, FeedError
-from fawngw.store.carrier import Keeper, Opened, open_locked
-from fawngw.store.core import Pace
-from fawngw.store.model import Durability, StoreError
+from crowpost.feed.carrier import Carrier
+from crowpost.feed.config import FeedConfig
+from crowpost.feed.ledger import Check, Ledger, Writers
+from crowpost.feed.messages import Publish, Published, Refused
+from crowpost.feed.model import Document, FeedError
+from crowpost.store.carrier import Keeper, Opened, open_locked
+from crowpost.store.core import Pace
+from crowpost.store.model import Durability, StoreError
 
 BYTES_PER_S = 4_000_000.0  # that snapshots take in the mean; what is acknowledged never waits
 
--- a/fawngw/feed/shelf.py
+++ b/crowpost/feed/shelf.py
@@ -13,7 +13,7 @@
 
 import msgpack
 
-from fawngw.feed.model import Document, FeedError, Head
+from crowpost.feed.model import Document, FeedError, Head
 
 SUFFIX, NEW = ".document", ".new"
 FORMAT = 1
--- a/fawngw/feed/status.py
+++ b/crowpost/feed/status.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fawngw.feed.messages import Hello, Report
-from fawngw.feed.model import Head, Standing
-from fawngw.feed.table import Table
+from crowpost.feed.messages import Hello, Report
+from crowpost.feed.model import Head, Standing
+from crowpost.feed.table import Table
 
 
 @dataclass(slots=True)
--- a/fawngw/feed/wire.py
+++ b/crowpost/feed/wire.py
@@ -13,7 +13,7 @@
 import google_crc32c
 import msgpack
 
-from fawngw.feed.messages import (
+from crowpost.feed.messages import (
     Absent,
     AskStatus,
     Beat,
@@ -29,7 +29,7 @@
     Report,
     Status,
 )
-from fawngw.feed.model import (
+from crowpost.feed.model import (
     NAME_BYTES,
     PREFIX,
     REASON_BYTES,
--- a/fawngw/lab/baselines.py
+++ b/crowpost/lab/baselines.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fawngw.interface import (
+from crowpost.interface import (
     NEVER_RAN,
     Action,
     AnswerStarted,
@@ -34,8 +34,8 @@
     ServerList,
     Settings,
 )
-from fawngw.lab.machines import SimServer
-from fawngw.lab.platform import Platform
+from crowpost.lab.machines import SimServer
+from crowpost.lab.platform import Platform
 
 EWMA_MS = 5000.0  # the time over which a peak EWMA forgets
 
--- a/fawngw/lab/bench.py
+++ b/crowpost/lab/bench.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from fawngw.interface import (
+from crowpost.interface import (
     Arrival,
     AttemptEnded,
     Effect,
@@ -25,7 +25,7 @@
     Settings,
     TimerFired,
 )
-from fawngw.lab.nodes import Policy
+from crowpost.lab.nodes import Policy
 
 OUT = 4  # calls out at once
 STEP_MS = 5.0  # between two requests
--- a/fawngw/lab/capacity/backing.py
+++ b/crowpost/lab/capacity/backing.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from fawngw.lab.capacity.lines import fits, line, points_of, values
-from fawngw.lab.capacity.records import FORMS, SOURCES, Records, Slopes
+from crowpost.lab.capacity.lines import fits, line, points_of, values
+from crowpost.lab.capacity.records import FORMS, SOURCES, Records, Slopes
 
 TOLD_APART = 0.02  # of the largest value: by more a fit is not the one that its points give
 
--- a/fawngw/lab/capacity/connections.py
+++ b/crowpost/lab/capacity/connections.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from fawngw.decide.automaton import FLOOR_SHARE
-from fawngw.decide.fleet import Fleet
-from fawngw.interface import ListKind, RequestClass, ServerEntry, ServerList, Settings
-from fawngw.lab.capacity.records import RecordError
-from fawngw.node.config import _DEFAULT_CONN_IDLE_MS
-from fawngw.node.servers import IDLE_PART
+from crowpost.decide.automaton import FLOOR_SHARE
+from crowpost.decide.fleet import Fleet
+from crowpost.interface import ListKind, RequestClass, ServerEntry, ServerList, Settings
+from crowpost.lab.capacity.records import RecordError
+from crowpost.node.config import _DEFAULT_CONN_IDLE_MS
+from crowpost.node.servers import IDLE_PART
 
 IDLE_S = IDLE_PART * _DEFAULT_CONN_IDLE_MS / 1000.0  # that a node keeps a connection nobody uses
 PLACES = 2  # of nodes whose homes are dealt out for a mean: homes are alike in size but for one server
--- a/fawngw/lab/capacity/demand.py
+++ b/crowpost/lab/capacity/demand.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, replace
 from importlib.util import find_spec
 
-from fawngw.feed.model import scopes_of
-from fawngw.lab.capacity.figures import Figure, Origin, total
-from fawngw.lab.capacity.lines import at, rise
-from fawngw.lab.capacity.records import FeedRun, RecordError, Records
-from fawngw.lab.scale.target import Target
+from crowpost.feed.model import scopes_of
+from crowpost.lab.capacity.figures import Figure, Origin, total
+from crowpost.lab.capacity.lines import at, rise
+from crowpost.lab.capacity.records import FeedRun, RecordError, Records
+from crowpost.lab.scale.target import Target
 
 DAY_S = 86_400.0
 MEASURED = ("core_ms_per_s", "memory_bytes", "bytes_per_s", "messages_per_s")
@@ -47,7 +47,7 @@
         """built: the packages that stand for a mechanism; None: those that this tree has."""
         self.target, self.records = target, records
         known = ("members", "feed", "directory", "shared", "rollout", "collect")
-        found = [name for name in known if find_spec(f"fawngw.{name}") is not None]
+        found = [name for name in known if find_spec(f"crowpost.{name}") is not None]
         self.built = frozenset(found if built is None else built)
         self.used: set[str] = set()  # assumptions that a figure was made with
 
@@ -76,7 +76,7 @@
 
     def _scopes(self) -> Figure:
         """How many scopes have documents for one node."""
-        return self.coded(len(scopes_of("r", "s", "n")), "fawngw.feed.model.scopes_of")
+        return self.coded(len(scopes_of("r", "s", "n")), "crowpost.feed.model.scopes_of")
 
     # -------------------------------------------------------- sizes
 
--- a/fawngw/lab/capacity/events.py
+++ b/crowpost/lab/capacity/events.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Sequence
 
-from fawngw.lab.capacity.demand import DAY_S, Demand
-from fawngw.lab.capacity.figures import Figure, Origin
-from fawngw.lab.capacity.records import FeedRun, Trouble
-from fawngw.lab.capacity.tables import Book, Table
+from crowpost.lab.capacity.demand import DAY_S, Demand
+from crowpost.lab.capacity.figures import Figure, Origin
+from crowpost.lab.capacity.records import FeedRun, Trouble
+from crowpost.lab.capacity.tables import Book, Table
 
 YEAR_DAYS = 365.0
 PROCESSES = ("node", "relay", "publisher")
--- a/fawngw/lab/capacity/lines.py
+++ b/crowpost/lab/capacity/lines.py
@@ -12,8 +12,8 @@
 
 from scipy.special import stdtrit
 
-from fawngw.lab.capacity.figures import Figure, Origin
-from fawngw.lab.capacity.records import FORMS, MEASURES, SOURCES, Duty, Fit, Point, Slopes
+from crowpost.lab.capacity.figures import Figure, Origin
+from crowpost.lab.capacity.records import FORMS, MEASURES, SOURCES, Duty, Fit, Point, Slopes
 
 CONFIDENCE = 0.95
 JOINED, JOINED_DUTY = "just joined", "joined"
--- a/fawngw/lab/capacity/page.py
+++ b/crowpost/lab/capacity/page.py
@@ -9,10 +9,10 @@
 
 import jinja2
 
-from fawngw.lab.capacity import backing, events, lines, machines, ranking, records, roles, tables
-from fawngw.lab.capacity.demand import Demand
-from fawngw.lab.capacity.records import Records
-from fawngw.lab.scale.target import Target
+from crowpost.lab.capacity import backing, events, lines, machines, ranking, records, roles, tables
+from crowpost.lab.capacity.demand import Demand
+from crowpost.lab.capacity.records import Records
+from crowpost.lab.scale.target import Target
 
 PAGE = "CAPACITY.md"
 FOLDER = "capacity"
@@ -21,7 +21,7 @@
 
 def template() -> str:
     """The prose of the page; it holds no number."""
-    return resources.files("fawngw.lab.capacity").joinpath("page.md.j2").read_text(encoding="utf-8")
+    return resources.files("crowpost.lab.capacity").joinpath("page.md.j2").read_text(encoding="utf-8")
 
 
 def _context(target: Target, read: Records, built: tuple[str, ...] | None) -> tuple[dict[str, Any], Demand]:
--- a/fawngw/lab/capacity/ranking.py
+++ b/crowpost/lab/capacity/ranking.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from fawngw.lab.capacity.demand import DAY_S, Cost, Demand, summed
-from fawngw.lab.capacity.figures import Figure
+from crowpost.lab.capacity.demand import DAY_S, Cost, Demand, summed
+from crowpost.lab.capacity.figures import Figure
 
 CONFIGURATION, LISTS = "configuration to all nodes", "lists of servers, written by leases"
 FIGURES, SHARED = "logs and figures, in one place", "facts shared between nodes"
@@ -100,7 +100,7 @@
     return [
         Duty(
             "membership",
-            "fawngw/members: gossip among all",
+            "crowpost/members: gossip among all",
             share(node["membership"], budget),
             _membership(demand, share(node["membership"], budget)),
             asked=True,
@@ -110,12 +110,13 @@
             "load reports",
             "a header of each answer",
             share(node["load reports"], budget),
-            demand.coded(1.0, "fawngw.node.http.load_report"),
+            demand.coded(1.0, "crowpost.node.http.load_report"),
             of_node="load reports",
         ),
         Duty(
             CONFIGURATION,
-            "fawngw/feed: publishers and relays; without it a file replaced and SIGHUP sent, node after node",
+            "crowpost/feed: publishers and relays; "
+            "without it a file replaced and SIGHUP sent, node after node",
             most(
                 share(node["configuration"], budget), of_bytes(burst.over(demand.assumed("burst_s"), "B/s"))
             ),
@@ -165,10 +166,10 @@
 def _membership(demand: Demand, need: Figure) -> Figure:
     """By the members that it takes, and by the node's budget where it needs more than that."""
     if "members" not in demand.built:
-        return demand.coded(0.0, "fawngw.members, not there")
-    from fawngw.members.model import Tuning
+        return demand.coded(0.0, "crowpost.members, not there")
+    from crowpost.members.model import Tuning
 
-    most = demand.coded(Tuning().most_members, "fawngw.members.model.most_members").over(demand.servers())
+    most = demand.coded(Tuning().most_members, "crowpost.members.model.most_members").over(demand.servers())
     within = demand.coded(100.0, "the whole budget").over(need)
     return _at_most_one(min((most, within), key=lambda figure: figure.mid))
 
@@ -195,8 +196,10 @@
 def _built(demand: Demand, package: str, otherwise: Figure | None = None) -> Figure:
     """Whole where the package is there; else what is carried without, or nothing."""
     if package in demand.built:
-        return demand.coded(1.0, f"fawngw.{package}")
-    return demand.coded(0.0, f"fawngw.{package}, not there") if otherwise is None else _at_most_one(otherwise)
+        return demand.coded(1.0, f"crowpost.{package}")
+    return (
+        demand.coded(0.0, f"crowpost.{package}, not there") if otherwise is None else _at_most_one(otherwise)
+    )
 
 
 def node_total(demand: Demand, times: float = 1.0) -> tuple[Cost, bool]:
--- a/fawngw/lab/capacity/records.py
+++ b/crowpost/lab/capacity/records.py
@@ -13,9 +13,9 @@
 import msgspec
 from msgspec import Struct, field
 
-from fawngw.lab.capacity.figures import Figure, Origin
-from fawngw.lab.scenario import ScenarioError
-from fawngw.tables import Table, TableError, read_file
+from crowpost.lab.capacity.figures import Figure, Origin
+from crowpost.lab.scenario import ScenarioError
+from crowpost.tables import Table, TableError, read_file
 
 SOURCES = ("hollow", "real", "simulated")
 FORMS = ("linear", "log", "power", "other")  # other: none of them fits, and the line stands for what is
--- a/fawngw/lab/capacity/tables.py
+++ b/crowpost/lab/capacity/tables.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from functools import partial
 
-from fawngw.decide.automaton import FLOOR_SHARE
-from fawngw.lab.capacity import connections, machines, ranking, roles
-from fawngw.lab.capacity.demand import Cost, Demand, summed
-from fawngw.lab.capacity.figures import NOT_MEASURED, Figure, Origin
-from fawngw.lab.capacity.figures import text as shown
-from fawngw.lab.capacity.records import OverheadRun
+from crowpost.decide.automaton import FLOOR_SHARE
+from crowpost.lab.capacity import connections, machines, ranking, roles
+from crowpost.lab.capacity.demand import Cost, Demand, summed
+from crowpost.lab.capacity.figures import NOT_MEASURED, Figure, Origin
+from crowpost.lab.capacity.figures import text as shown
+from crowpost.lab.capacity.records import OverheadRun
 
 TAGS = {"target": "T", "measured": "R", "assumed": "A", "code": "C"}
 Limits = Callable[[float], list[roles.Limit]]
@@ -269,7 +269,7 @@
         n = int(t.servers * times)
         args = (n, t.services, topology.service_skew, topology.callees_per_service, demand.target.run.seed)
         plain, zoned = connections.wire(*args), connections.wire(*args, zones=t.zones)
-        rule = demand.coded(1.0, "fawngw.decide.fleet")
+        rule = demand.coded(1.0, "crowpost.decide.fleet")
         for name, wiring, homes in (
             ("every server", plain, False),
             ("homes", plain, True),
@@ -311,14 +311,14 @@
 def floor(demand: Demand) -> Floor:
     """By the time that a node keeps a connection, and the least share that the module leaves a server."""
     t, topology = demand.target.target, demand.target.topology
-    idle = demand.coded(connections.IDLE_S, "fawngw.node.servers.IDLE_PART", "s")
+    idle = demand.coded(connections.IDLE_S, "crowpost.node.servers.IDLE_PART", "s")
     calls = demand.calls().over(demand.told(topology.callees_per_service, "callees_per_service"), "/s")
     affordable = demand.assumed("handshakes_affordable")
     even, least = connections.floor_ends(calls.mid, affordable.mid)
     of = connections.sizes(t.servers, t.services, topology.service_skew)
     behind = (
         calls.times(idle).times(affordable).origins
-        + demand.coded(1.0, "fawngw.decide.automaton.FLOOR_SHARE").origins
+        + demand.coded(1.0, "crowpost.decide.automaton.FLOOR_SHARE").origins
     )
     home = connections.home(of[0], of[0])
 
--- a/fawngw/lab/compare.py
+++ b/crowpost/lab/compare.py
@@ -12,10 +12,10 @@
 from hdrh.histogram import HdrHistogram
 from scipy import stats
 
-from fawngw.lab.measure import histogram
-from fawngw.lab.policies import factory
-from fawngw.lab.runs import play
-from fawngw.lab.scenario import Scenario
+from crowpost.lab.measure import histogram
+from crowpost.lab.policies import factory
+from crowpost.lab.runs import play
+from crowpost.lab.scenario import Scenario
 
 CONFIDENCE = 0.95
 
--- a/fawngw/lab/cores.py
+++ b/crowpost/lab/cores.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fawngw.lab.engine import Engine, Planned
-from fawngw.lab.scenario import Crowding
+from crowpost.lab.engine import Engine, Planned
+from crowpost.lab.scenario import Crowding
 
 
 @dataclass(slots=True, eq=False)
--- a/fawngw/lab/faults.py
+++ b/crowpost/lab/faults.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from fawngw.lab.machines import SimServer, Trouble
-from fawngw.lab.platform import Platform
-from fawngw.lab.scenario import Fault
+from crowpost.lab.machines import SimServer, Trouble
+from crowpost.lab.platform import Platform
+from crowpost.lab.scenario import Fault
 
 DRAIN_MS = 2500.0  # a planned end leaves calls this long to finish
 JOIN_DRAIN_MS = 1500.0
--- a/fawngw/lab/feedgossip.py
+++ b/crowpost/lab/feedgossip.py
@@ -8,11 +8,11 @@
 
 from typing import Any
 
-from fawngw.feed.messages import Heads, Report
-from fawngw.feed.model import Standing, State, make_document
-from fawngw.feed.wire import encode
-from fawngw.members.gossip import Gossip
-from fawngw.members.model import Claim, Phase, Profile, Tuning, Verdict
+from crowpost.feed.messages import Heads, Report
+from crowpost.feed.model import Standing, State, make_document
+from crowpost.feed.wire import encode
+from crowpost.members.gossip import Gossip
+from crowpost.members.model import Claim, Phase, Profile, Tuning, Verdict
 
 BODY = 2_000  # bytes of a change
 
--- a/fawngw/lab/feedledger.py
+++ b/crowpost/lab/feedledger.py
@@ -4,11 +4,11 @@
 
 from functools import partial
 
-from fawngw.feed.ledger import Ledger, Writers
-from fawngw.feed.messages import Publish
-from fawngw.feed.model import Document, FeedError
-from fawngw.lab.feedprocess import Process
-from fawngw.lab.feedworld import World
+from crowpost.feed.ledger import Ledger, Writers
+from crowpost.feed.messages import Publish
+from crowpost.feed.model import Document, FeedError
+from crowpost.lab.feedprocess import Process
+from crowpost.lab.feedworld import World
 
 FSYNC_MS = (2.0, 10.0)
 STEPS = ("received", "appended", "synced", "announced")  # of a publish, in order
--- a/fawngw/lab/feednet.py
+++ b/crowpost/lab/feednet.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawngw.lab.engine import Engine
+from crowpost.lab.engine import Engine
 
 SEGMENT = 1_460  # bytes of payload
 HEADERS = 40  # of TCP and IP, counted for each segment; bare acknowledgements are not counted
--- a/fawngw/lab/feedprocess.py
+++ b/crowpost/lab/feedprocess.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawngw.feed.follower import Follower
-from fawngw.feed.hub import Hub
-from fawngw.feed.model import Document, Head, Server
-from fawngw.lab.engine import Planned
-from fawngw.lab.feednet import End
+from crowpost.feed.follower import Follower
+from crowpost.feed.hub import Hub
+from crowpost.feed.model import Document, Head, Server
+from crowpost.lab.engine import Planned
+from crowpost.lab.feednet import End
 
 
 @dataclass
--- a/fawngw/lab/feedreal.py
+++ b/crowpost/lab/feedreal.py
@@ -1,4 +1,4 @@
-"""python -m fawngw.lab.feedreal: the feed with real node processes on this machine, and one relay killed.
+"""python -m crowpost.lab.feedreal: the feed with real node processes on this machine, and one relay killed.
 
 Times are from the publish being asked for to the node's own word that the document is in force, both by the
 machine's monotonic clock.  Only processes that it started are signalled, by their number.
@@ -20,9 +20,9 @@
 
 import uvloop
 
-from fawngw.feed.carrier import ask
-from fawngw.feed.messages import AskStatus, Publish, Published, Status
-from fawngw.lab.feedsim import put_into
+from crowpost.feed.carrier import ask
+from crowpost.feed.messages import AskStatus, Publish, Published, Status
+from crowpost.lab.feedsim import put_into
 
 HOST, CLUSTER = "127.0.0.1", "real"
 STARTS_AT_ONCE = 2
@@ -124,7 +124,7 @@
 
     async def _hub(self, name: str, up: list[Process], **values: object) -> Process:
         file = self._toml(name, name, up, listen=f"{HOST}:0", **values)
-        process = await self._start(name, "-m", "fawngw.feed", file)
+        process = await self._start(name, "-m", "crowpost.feed", file)
         if not await process.until("listens", START_S):
             raise RuntimeError(f"{name} did not start")
         return process
@@ -154,7 +154,7 @@
                 ),
             }
             async with gate:
-                process = await self._start(name, "-m", "fawngw", **environment)
+                process = await self._start(name, "-m", "crowpost", **environment)
                 self.nodes.append(process)
                 if not await process.until("linked", START_S):
                     raise RuntimeError(f"{name} found no two relays")
@@ -281,7 +281,7 @@
 
 def main() -> int:
     """Print each run; exit code 1 if any node was not reached."""
-    parser = argparse.ArgumentParser(prog="python -m fawngw.lab.feedreal", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m crowpost.lab.feedreal", description=__doc__)
     parser.add_argument("--nodes", type=int, default=60, choices=range(1, 151), metavar="1..150")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--into", type=Path, help="put the runs into this record")
--- a/fawngw/lab/feedsim.py
+++ b/crowpost/lab/feedsim.py
@@ -16,12 +16,12 @@
 
 import numpy as np
 
-from fawngw.feed.ledger import Writers
-from fawngw.feed.model import FeedError, Server, Tuning
-from fawngw.lab.feedgossip import cost
-from fawngw.lab.feedledger import Publishing
-from fawngw.lab.feednet import Weather
-from fawngw.lab.feedworld import World
+from crowpost.feed.ledger import Writers
+from crowpost.feed.model import FeedError, Server, Tuning
+from crowpost.lab.feedgossip import cost
+from crowpost.lab.feedledger import Publishing
+from crowpost.lab.feednet import Weather
+from crowpost.lab.feedworld import World
 
 ZONES = (("east", ("e1", "e2", "e3", "e4")), ("west", ("w1", "w2", "w3")))
 SERVICES = 76
--- a/fawngw/lab/feedworld.py
+++ b/crowpost/lab/feedworld.py
@@ -1,4 +1,4 @@
-"""Publishers, relays and nodes of `fawngw.feed` in simulated time: the real cores on simulated connections.
+"""Publishers, relays and nodes of `crowpost.feed` in simulated time: the real cores on simulated connections.
 
 Equal arguments give an equal run.  How publishers publish is in `feedledger`.
 """
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from functools import partial
 
-from fawngw.feed.follower import Follower
-from fawngw.feed.hub import Hub
-from fawngw.feed.model import Document, Head, Interest, Server, Tuning
-from fawngw.feed.table import Table
-from fawngw.lab.engine import Engine
-from fawngw.lab.feednet import Conn, End, Net, Weather
-from fawngw.lab.feedprocess import Change, Process, Spec
+from crowpost.feed.follower import Follower
+from crowpost.feed.hub import Hub
+from crowpost.feed.model import Document, Head, Interest, Server, Tuning
+from crowpost.feed.table import Table
+from crowpost.lab.engine import Engine
+from crowpost.lab.feednet import Conn, End, Net, Weather
+from crowpost.lab.feedprocess import Change, Process, Spec
 
 CLUSTER = "world"
 LATE_MS = 0.001  # that a timer goes off after its time, as timers do; also covers the rounding of clocks
--- a/fawngw/lab/live/play.py
+++ b/crowpost/lab/live/play.py
@@ -14,13 +14,13 @@
 import aiohttp
 import numpy as np
 
-from fawngw.lab.live.processes import NodeError, NodeProcess, settings_json
-from fawngw.lab.live.stand import HOST, Books, Errand, LiveDiscovery, LiveServer, now_ms
-from fawngw.lab.measure import Measure
-from fawngw.lab.runs import Counts, outcome, useful_ms
-from fawngw.lab.scenario import Fault, Scenario
-from fawngw.lab.told import node_settings, request_classes
-from fawngw.lab.traffic import Wish, count, draw, pause_before_next, spread
+from crowpost.lab.live.processes import NodeError, NodeProcess, settings_json
+from crowpost.lab.live.stand import HOST, Books, Errand, LiveDiscovery, LiveServer, now_ms
+from crowpost.lab.measure import Measure
+from crowpost.lab.runs import Counts, outcome, useful_ms
+from crowpost.lab.scenario import Fault, Scenario
+from crowpost.lab.told import node_settings, request_classes
+from crowpost.lab.traffic import Wish, count, draw, pause_before_next, spread
 
 # Faults that the stand-ins cannot show on real sockets.
 SIMULATED_ONLY: frozenset[str] = frozenset({"reports_late"})
--- a/fawngw/lab/live/processes.py
+++ b/crowpost/lab/live/processes.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.interface import Settings
-from fawngw.lab.live.stand import HOST
-from fawngw.lab.scenario import Scenario
+from crowpost.interface import Settings
+from crowpost.lab.live.stand import HOST
+from crowpost.lab.scenario import Scenario
 
 READY_S = 20.0
 LISTENS = re.compile(r"listens on [\d.]+:(\d+)")
@@ -102,7 +102,7 @@
         self.starts = 0
         self.log: deque[str] = deque(maxlen=400)
         self.listener: int | None = None  # a listening socket that every process of it inherits
-        self.command = [sys.executable, "-m", "fawngw"]
+        self.command = [sys.executable, "-m", "crowpost"]
         self._process: asyncio.subprocess.Process | None = None
         self._ending: list[asyncio.subprocess.Process] = []
         self._reader: asyncio.Task[None] | None = None
--- a/fawngw/lab/live/stand.py
+++ b/crowpost/lab/live/stand.py
@@ -12,8 +12,8 @@
 
 from aiohttp import ClientError, web
 
-from fawngw.lab.machines import FALL_SLACK, Pressure, Tally, Trouble
-from fawngw.lab.scenario import Kind, Limits, Tier
+from crowpost.lab.machines import FALL_SLACK, Pressure, Tally, Trouble
+from crowpost.lab.scenario import Kind, Limits, Tier
 
 HOST = "127.0.0.1"
 SLICE_S = 0.02  # work is slept in pieces, so that a change of rate is felt within one
--- a/fawngw/lab/machines.py
+++ b/crowpost/lab/machines.py
@@ -11,13 +11,13 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from fawngw.interface import Outcome, Readiness, ServerEntry
-from fawngw.lab.cores import Cores, Crowd
-from fawngw.lab.engine import Engine
-from fawngw.lab.scenario import Kind, Limits, Tier
+from crowpost.interface import Outcome, Readiness, ServerEntry
+from crowpost.lab.cores import Cores, Crowd
+from crowpost.lab.engine import Engine
+from crowpost.lab.scenario import Kind, Limits, Tier
 
 if TYPE_CHECKING:
-    from fawngw.lab.nodes import Ask, SimNode
+    from crowpost.lab.nodes import Ask, SimNode
 
 ERROR_MS = 1.0  # a quick error takes this long
 COLD_STEPS = 12  # a cold server's rate is set anew this often until it is warm
--- a/fawngw/lab/membership.py
+++ b/crowpost/lab/membership.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from fawngw.interface import NodesPresent
-from fawngw.lab.nodes import SimNode
-from fawngw.lab.platform import Platform
-from fawngw.lab.swim import Process, Swarm, Weather
-from fawngw.members.model import Change
-from fawngw.members.presence import ORDINAL, STAGE, Presence, Share
+from crowpost.interface import NodesPresent
+from crowpost.lab.nodes import SimNode
+from crowpost.lab.platform import Platform
+from crowpost.lab.swim import Process, Swarm, Weather
+from crowpost.members.model import Change
+from crowpost.members.presence import ORDINAL, STAGE, Presence, Share
 
 LOOK_MS = 250.0  # as often as a real node looks at what is due
 WEATHER = Weather(loss=0.01, delay=(0.2, 1.0))
--- a/fawngw/lab/memory.py
+++ b/crowpost/lab/memory.py
@@ -11,11 +11,11 @@
 from random import Random
 from typing import cast
 
-from fawngw.decide import Balancer
-from fawngw.interface import Remembered
-from fawngw.lab.nodes import SimNode
-from fawngw.lab.platform import Platform
-from fawngw.node.kept import Kept, Learned, Limit
+from crowpost.decide import Balancer
+from crowpost.interface import Remembered
+from crowpost.lab.nodes import SimNode
+from crowpost.lab.platform import Platform
+from crowpost.node.kept import Kept, Learned, Limit
 
 EVERY_MS = 1_000.0  # as a real node does by default
 HOUR_MS = 3_600_000.0
--- a/fawngw/lab/nodes.py
+++ b/crowpost/lab/nodes.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from fawngw.interface import (
+from crowpost.interface import (
     Action,
     Arrival,
     AttemptEnded,
@@ -34,12 +34,12 @@
     Subscribe,
     TimerFired,
 )
-from fawngw.lab.engine import Engine, Planned
-from fawngw.lab.machines import Call, SimServer
-from fawngw.lab.rules import Tried
+from crowpost.lab.engine import Engine, Planned
+from crowpost.lab.machines import Call, SimServer
+from crowpost.lab.rules import Tried
 
 if TYPE_CHECKING:
-    from fawngw.lab.platform import Platform
+    from crowpost.lab.platform import Platform
 
 PROBE_TIMEOUT_MS = 400.0
 
--- a/fawngw/lab/overhead/caller.py
+++ b/crowpost/lab/overhead/caller.py
@@ -1,4 +1,4 @@
-"""python -m fawngw.lab.overhead.caller: calls direct and through nodes, in turn.
+"""python -m crowpost.lab.overhead.caller: calls direct and through nodes, in turn.
 
 Open loops of all arms run at once, request by request: each arm's calls are a Poisson process of its own at
 the full rate, so that every node has the calls that it would have alone, and stands idle no longer.  The two
@@ -25,7 +25,7 @@
 from random import Random
 from typing import Any
 
-from fawngw.lab.overhead.stand import HOST, request, whole
+from crowpost.lab.overhead.stand import HOST, request, whole
 
 DIRECT = 2  # arms that are direct, the first ones
 SPIN_S = 0.0001  # before a request is due: less than a timer is late by
--- a/fawngw/lab/overhead/platform.py
+++ b/crowpost/lab/overhead/platform.py
@@ -13,12 +13,12 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.lab.live.processes import NodeProcess
-from fawngw.lab.live.stand import HOST, Books, LiveDiscovery
-from fawngw.lab.overhead import profile
-from fawngw.lab.overhead.caller import Plan
-from fawngw.lab.overhead.stand import CLASSES
-from fawngw.lab.overhead.versions import NOW, OverheadError, Version
+from crowpost.lab.live.processes import NodeProcess
+from crowpost.lab.live.stand import HOST, Books, LiveDiscovery
+from crowpost.lab.overhead import profile
+from crowpost.lab.overhead.caller import Plan
+from crowpost.lab.overhead.stand import CLASSES
+from crowpost.lab.overhead.versions import NOW, OverheadError, Version
 
 STARTS = 4  # nodes at a time
 STARTS_S = 20.0
@@ -132,7 +132,7 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            f"fawngw.lab.overhead.{self._module}",
+            f"crowpost.lab.overhead.{self._module}",
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
@@ -229,8 +229,9 @@
                 )
                 if version.folder is not None:
                     node.environment = {"PYTHONPATH": str(version.folder), "PYTHONSAFEPATH": "1"}
+                    node.command = [sys.executable, "-m", version.package]
                 if self.profiled:
-                    node.command = profile.command(self.folder / f"{name}.profile")
+                    node.command = profile.command(self.folder / f"{name}.profile", version.package)
                 self._stack.push_async_callback(node.kill)
                 nodes.append(node)
         starting = [node for nodes in self.nodes for node in nodes]
--- a/fawngw/lab/overhead/play.py
+++ b/crowpost/lab/overhead/play.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.lab.live.processes import NodeError
-from fawngw.lab.overhead.figures import summary
-from fawngw.lab.overhead.platform import Case, How, Platform
-from fawngw.lab.overhead.stand import CLASSES
-from fawngw.lab.overhead.versions import OverheadError, Version, present, unpack
+from crowpost.lab.live.processes import NodeError
+from crowpost.lab.overhead.figures import summary
+from crowpost.lab.overhead.platform import Case, How, Platform
+from crowpost.lab.overhead.stand import CLASSES
+from crowpost.lab.overhead.versions import OverheadError, Version, present, unpack
 
 
 async def _play_all(
--- a/fawngw/lab/overhead/profile.py
+++ b/crowpost/lab/overhead/profile.py
@@ -12,18 +12,20 @@
 from pathlib import Path
 from typing import Any
 
-CAUSES = {
-    "fawngw/decide": "decision",
-    "fawngw/records.py": "decision",
-    "fawngw/parts.py": "decision",
-    "fawngw/interface.py": "decision",
-    "fawngw/node/http.py": "parsing and rendering",
-    "fawngw/node/callers.py": "callers' side",
-    "fawngw/node/exchange.py": "callers' side",
-    "fawngw/node/servers.py": "servers' side",
-    "fawngw/node/upstream.py": "servers' side",
-    "fawngw/node/node.py": "the node's own events",
-    "fawngw/node/metrics.py": "metrics",
+from crowpost.lab.checkout import PACKAGES
+
+CAUSES = {  # by where a function stands in the package
+    "decide/": "decision",
+    "records.py": "decision",
+    "parts.py": "decision",
+    "interface.py": "decision",
+    "node/http.py": "parsing and rendering",
+    "node/callers.py": "callers' side",
+    "node/exchange.py": "callers' side",
+    "node/servers.py": "servers' side",
+    "node/upstream.py": "servers' side",
+    "node/node.py": "the node's own events",
+    "node/metrics.py": "metrics",
 }
 BELOW = "event loop and kernel"
 LOOP = ("uvloop/__init__.py", "asyncio/runners.py")  # what they call is not seen, so it counts as their own
@@ -31,15 +33,15 @@
 RUN = """import cProfile, runpy, sys, time
 profile = cProfile.Profile(time.process_time)
 try:
-    profile.runcall(runpy.run_module, "fawngw", run_name="__main__", alter_sys=True)
+    profile.runcall(runpy.run_module, sys.argv[2], run_name="__main__", alter_sys=True)
 finally:
     profile.dump_stats(sys.argv[1])
 """
 
 
-def command(file: Path) -> list[str]:
-    """What runs a node so that it leaves a profile of processor time at its end."""
-    return [sys.executable, "-c", RUN, str(file)]
+def command(file: Path, package: str) -> list[str]:
+    """Return what runs a node of this package so that it leaves a profile of processor time at its end."""
+    return [sys.executable, "-c", RUN, str(file), package]
 
 
 def cause(file: str, name: str) -> str | None:
@@ -49,7 +51,7 @@
     if any(part in file or part in name for part in STARTS):
         return None
     for part, found in CAUSES.items():
-        if f"/{part}" in file:
+        if any(f"/{package}/{part}" in file for package in PACKAGES):
             return found
     if "httptools" in name:
         return "parsing and rendering"
--- a/fawngw/lab/overhead/report.py
+++ b/crowpost/lab/overhead/report.py
@@ -10,8 +10,8 @@
 import numpy as np
 from markupsafe import Markup
 
-from fawngw.lab.overhead.figures import by_round, joined
-from fawngw.lab.report import PAGE
+from crowpost.lab.overhead.figures import by_round, joined
+from crowpost.lab.report import PAGE
 
 HEADS = (
     "version",
--- a/fawngw/lab/overhead/stand.py
+++ b/crowpost/lab/overhead/stand.py
@@ -1,4 +1,4 @@
-"""python -m fawngw.lab.overhead.stand: the stand-in servers of a run in one lean process.
+"""python -m crowpost.lab.overhead.stand: the stand-in servers of a run in one lean process.
 
 The servers of the last tier answer at once; those of the tiers before pass a request on, straight to a server
 of the next tier or through that tier's node.  Which way is told by the query (`/api?w=0` is direct), since a
--- a/fawngw/lab/overhead/versions.py
+++ b/crowpost/lab/overhead/versions.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import io
-import subprocess
 import tarfile
 from dataclasses import dataclass
 from pathlib import Path
 
+from crowpost.lab.checkout import PACKAGES, ROOT, GitError, commit_of, git, package_archive, package_of
+
 NOW = "now"
-ROOT = Path(__file__).parent  # of the checkout whose revisions are played
 
 
 class OverheadError(Exception):
@@ -23,36 +23,28 @@
     name: str
     commit: str
     folder: Path | None = None
-
-
-def _git(root: Path, *arguments: str) -> bytes:
-    try:
-        done = subprocess.run(["git", *arguments], cwd=root, capture_output=True, check=True)
-    except FileNotFoundError:
-        raise OverheadError("git is not installed") from None
-    except subprocess.CalledProcessError as error:
-        raise OverheadError(f"git: {' '.join(error.stderr.decode().split())}") from None
-    return done.stdout
+    package: str = PACKAGES[0]  # the name that the package has there
 
 
 def present(root: Path = ROOT) -> Version:
     """The present version, with its commit where it stands in a checkout."""
     try:
-        commit = _git(root, "rev-parse", "--short=12", "HEAD").decode().strip()
-        changed = _git(root, "status", "--porcelain", "--untracked-files=no", ":/").strip()
-    except OverheadError:
+        commit = git(root, "rev-parse", "--short=12", "HEAD").decode().strip()
+        changed = git(root, "status", "--porcelain", "--untracked-files=no", ":/").strip()
+    except GitError:
         return Version(NOW, "unknown")
     return Version(NOW, f"{commit}+changes" if changed else commit)
 
 
 def unpack(revision: str, folder: Path, root: Path = ROOT) -> Version:
     """The package of a git revision; OverheadError if there is none by that name."""
-    top = _git(root, "rev-parse", "--show-toplevel").decode().strip()
-    commit = (
-        _git(root, "rev-parse", "--verify", "--end-of-options", f"{revision}^{{commit}}").decode().strip()
-    )
-    packed = _git(root, "-C", top, "archive", "--format=tar", commit, "fawngw")
+    try:
+        commit = commit_of(root, revision)
+        package = package_of(root, commit)
+        packed = package_archive(root, commit, package)
+    except GitError as error:
+        raise OverheadError(f"git: {error}") from error
     target = folder / commit[:12]
     with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
         archive.extractall(target, filter="data")
-    return Version(revision, commit[:12], target)
+    return Version(revision, commit[:12], target, package)
--- a/fawngw/lab/platform.py
+++ b/crowpost/lab/platform.py
@@ -8,15 +8,15 @@
 
 import numpy as np
 
-from fawngw.interface import ListKind, Outcome, ServerEntry, ServerId, Settings
-from fawngw.lab.engine import Engine
-from fawngw.lab.machines import Call, SimServer
-from fawngw.lab.measure import Measure
-from fawngw.lab.nodes import Ask, Policy, SimNode
-from fawngw.lab.rules import Rules
-from fawngw.lab.scenario import Kind, Scenario
-from fawngw.lab.told import node_settings, request_classes
-from fawngw.lab.traffic import Clients, Wish, draw, spread
+from crowpost.interface import ListKind, Outcome, ServerEntry, ServerId, Settings
+from crowpost.lab.engine import Engine
+from crowpost.lab.machines import Call, SimServer
+from crowpost.lab.measure import Measure
+from crowpost.lab.nodes import Ask, Policy, SimNode
+from crowpost.lab.rules import Rules
+from crowpost.lab.scenario import Kind, Scenario
+from crowpost.lab.told import node_settings, request_classes
+from crowpost.lab.traffic import Clients, Wish, draw, spread
 
 # Builds a node's policy from its settings, a seed of its own, and the node's place on the platform.
 PolicyFactory = Callable[[Settings, int, "Platform", int], Policy]
--- /dev/null
+++ b/crowpost/lab/policies.py
@@ -0,0 +1,43 @@
+"""Policies by name: the module, a baseline, or the module as it stood at a git revision (`rev:NAME`)."""
+
+from __future__ import annotations
+
+from crowpost import Balancer
+from crowpost.interface import Settings
+from crowpost.lab import baselines
+from crowpost.lab.memory import VARIANTS
+from crowpost.lab.nodes import Policy
+from crowpost.lab.platform import Platform, PolicyFactory
+from crowpost.lab.revisions import PolicyError, revision
+
+MODULE = "module"
+MEMBERS = "+members"  # behind a policy's name: its front nodes are members and know how many are present
+
+
+def factory(name: str) -> PolicyFactory:
+    """What builds the nodes' policies; PolicyError if there is none by that name."""
+    for suffix in (MEMBERS, *VARIANTS):
+        name = name.removesuffix(suffix)
+    plain = {
+        "random": baselines.RandomChoice,
+        "round-robin": baselines.RoundRobin,
+        "least-outstanding": baselines.LeastOutstanding,
+        "p2c-peak-ewma": baselines.PeakEwma,
+    }
+    if name == MODULE:
+        return lambda settings, seed, platform, stage: Balancer(settings, seed)
+    if name in plain:
+        return lambda settings, seed, platform, stage: plain[name](settings, seed)
+    if name == "true-state":
+        return _true_state
+    if name.startswith("rev:"):
+        earlier = revision(name.removeprefix("rev:"))
+        return lambda settings, seed, platform, stage: earlier(settings, seed)
+    known = ", ".join(
+        (MODULE, *baselines.names(), "rev:GIT-REVISION", MODULE + MEMBERS, *(MODULE + v for v in VARIANTS))
+    )
+    raise PolicyError(f"{name}: no such policy; known are {known}")
+
+
+def _true_state(settings: Settings, seed: int, platform: Platform, stage: int) -> Policy:
+    return baselines.TrueState(settings, seed, platform)
--- a/fawngw/lab/powerloss/broken.py
+++ b/crowpost/lab/powerloss/broken.py
@@ -7,10 +7,10 @@
 from typing import Any
 from unittest import mock
 
-from fawngw.store import format, recover
-from fawngw.store.core import Store
-from fawngw.store.format import STORE
-from fawngw.store.model import (
+from crowpost.store import format, recover
+from crowpost.store.core import Store
+from crowpost.store.format import STORE
+from crowpost.store.model import (
     Append,
     Create,
     Found,
--- a/fawngw/lab/powerloss/disk.py
+++ b/crowpost/lab/powerloss/disk.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fawngw.store.model import (
+from crowpost.store.model import (
     Append,
     Create,
     Fill,
--- a/fawngw/lab/powerloss/play.py
+++ b/crowpost/lab/powerloss/play.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fawngw.lab.powerloss.broken import BROKEN
-from fawngw.lab.powerloss.disk import TraceDisk
-from fawngw.store.core import Pace, Store
-from fawngw.store.model import Durability, Found, StoreError
-from fawngw.store.recover import recover
+from crowpost.lab.powerloss.broken import BROKEN
+from crowpost.lab.powerloss.disk import TraceDisk
+from crowpost.store.core import Pace, Store
+from crowpost.store.model import Durability, Found, StoreError
+from crowpost.store.recover import recover
 
 OWNER = "n0"
 RECORDS = 36  # of each of two processes, one after the other
--- a/fawngw/lab/powerloss/report.py
+++ b/crowpost/lab/powerloss/report.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from fawngw.lab.powerloss.broken import BROKEN
-from fawngw.lab.powerloss.play import Tally, play, play_broken
+from crowpost.lab.powerloss.broken import BROKEN
+from crowpost.lab.powerloss.play import Tally, play, play_broken
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawngw/lab/powerloss/speed.py
+++ b/crowpost/lab/powerloss/speed.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.interface import ServerMemory
-from fawngw.node.kept import Kept, Learned, ListPart, read
-from fawngw.store.carrier import do, open_locked
-from fawngw.store.core import Pace, Store
-from fawngw.store.disk import words
-from fawngw.store.model import Durability, StoreError
+from crowpost.interface import ServerMemory
+from crowpost.node.kept import Kept, Learned, ListPart, read
+from crowpost.store.carrier import do, open_locked
+from crowpost.store.core import Pace, Store
+from crowpost.store.disk import words
+from crowpost.store.model import Durability, StoreError
 
 RECORD = 256  # bytes
 LONG_LOG = 100_000_000  # bytes
--- /dev/null
+++ b/crowpost/lab/revisions.py
@@ -0,0 +1,261 @@
+"""The decision module of a git revision, played beside the present one.
+
+A revision is loaded whole, under a package name of its own, with the events and actions that it had.  A
+policy translates between those and the present ones, so that types, fields and members may be renamed:
+`ALIASES` holds what they were called before.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import importlib
+import importlib.util
+import io
+import re
+import sys
+import tarfile
+import tomllib
+from collections.abc import Callable, Sequence
+from enum import Enum
+from functools import cache
+from pathlib import Path
+from types import ModuleType
+from typing import Any, cast
+
+import crowpost.interface as api
+from crowpost.interface import Action, Event, ServerMemory, Settings
+from crowpost.lab.checkout import PACKAGES, ROOT, GitError, commit_of, git, package_archive, package_of
+from crowpost.lab.nodes import Policy
+
+INTERFACES = ("interface",)  # modules that have held events and actions, the present one first
+LEFT_OUT = ("lab", "cli")  # subpackages that no decision needs
+
+# Earlier names, by the present one: of a type, or of a field or member as "Type.name".
+ALIASES: dict[str, tuple[str, ...]] = {}
+
+
+class PolicyError(Exception):
+    """No such policy, or a revision whose module cannot be played; one line."""
+
+
+# ---------------------------------------------------------------- loading
+
+
+class _Sources:
+    """Imports modules from sources held in memory: text, and whether it is a package, by dotted name."""
+
+    def __init__(self, sources: dict[str, tuple[str, bool]]) -> None:
+        self._sources = sources
+
+    def find_spec(self, fullname: str, path: object = None, target: object = None) -> Any:
+        """Return the module's spec, or None for a module of another place."""
+        if fullname not in self._sources:
+            return None
+        is_package = self._sources[fullname][1]
+        return importlib.util.spec_from_loader(fullname, cast(Any, self), is_package=is_package)
+
+    def create_module(self, spec: object) -> None:
+        """Leave the making of the module to the import system."""
+
+    def exec_module(self, module: ModuleType) -> None:
+        """Run the module's source."""
+        source, _ = self._sources[module.__name__]
+        exec(compile(source, f"<{module.__name__}>", "exec"), module.__dict__)  # noqa: S102
+
+
+def _dotted(path: str) -> str:
+    return path.removesuffix(".py").removesuffix("/__init__").replace("/", ".")
+
+
+def _package_sources(root: Path, commit: str, package: str) -> dict[str, str]:
+    """Return the revision's Python files by path, without those that no decision needs."""
+    sources: dict[str, str] = {}
+    with tarfile.open(fileobj=io.BytesIO(package_archive(root, commit, package))) as archive:
+        for member in archive:
+            parts = member.name.split("/")
+            file = archive.extractfile(member)
+            if file is None or not member.name.endswith(".py") or parts[1] in LEFT_OUT:
+                continue
+            sources[member.name] = file.read().decode()
+    return sources
+
+
+def _install(sources: dict[str, str], package: str, prefix: str) -> None:
+    """Make the sources importable as the package `prefix`."""
+    renamed = {
+        _dotted(path).replace(package, prefix, 1): (
+            re.sub(rf"\b{package}\b(?!\.py)", prefix, source),
+            path.endswith("/__init__.py"),
+        )
+        for path, source in sources.items()
+    }
+    if prefix not in renamed:
+        renamed[prefix] = ("", True)
+    sys.meta_path.insert(0, cast(Any, _Sources(renamed)))
+
+
+def _first(names: Sequence[str], what: str) -> ModuleType:
+    for name in names:
+        if importlib.util.find_spec(name) is not None:
+            return importlib.import_module(name)
+    raise PolicyError(f"rev: there is no {what} among {', '.join(names)}")
+
+
+@cache
+def revision(name: str, root: Path = ROOT) -> Callable[[Settings, int], Policy]:
+    """Return what builds the policy of a git revision from settings and a seed.
+
+    Its decision module is the class `Balancer` of its policy files, as its own deploy file names them.
+    Raises PolicyError where there is no such revision, or its module cannot be played.
+    """
+    try:
+        commit = commit_of(root, name)
+        files = tomllib.loads(git(root, "show", f"{commit}:deploy/balancer.toml").decode())["policy"]
+        package = package_of(root, commit)
+        sources = _package_sources(root, commit, package)
+    except GitError as error:
+        raise PolicyError(f"rev: {error}") from error
+    prefix = f"{PACKAGES[0]}_{commit[:12]}"
+    _install(sources, package, prefix)
+    listed = [path for path in sources if any(path == f or path.startswith(f"{f}/") for f in files)]
+    try:
+        interface = _first([f"{prefix}.{module}" for module in INTERFACES], "module of events")
+        for path in sorted(listed):
+            module = importlib.import_module(_dotted(path).replace(package, prefix, 1))
+            if hasattr(module, "Balancer"):
+                balancer = module.Balancer
+                return lambda settings, seed: RevisionPolicy(balancer, interface, settings, seed)
+    except ImportError as error:
+        raise PolicyError(f"rev: {name} cannot be loaded: {error}") from error
+    raise PolicyError(f"rev: {name} has no Balancer in {', '.join(files)}")
+
+
+# ---------------------------------------------------------------- translating
+
+
+def _known_as(name: str) -> tuple[str, ...]:
+    """The names that a type, or a field or member of one, has had, the present one first."""
+    return (name.rpartition(".")[2], *ALIASES.get(name, ()))
+
+
+class Translator:
+    """Translates events to a revision's types, and its actions to the present ones, by name."""
+
+    def __init__(self, interface: ModuleType) -> None:
+        self._interface = interface
+        self._to_revision: dict[type[Any], Callable[[Any], Any]] = {}
+        self._to_present: dict[type[Any], Callable[[Any], Any]] = {}
+        self._present_types = {
+            earlier: kind
+            for kind in vars(api).values()
+            if isinstance(kind, type) and kind.__module__ == api.__name__
+            for earlier in _known_as(kind.__name__)
+        }
+
+    def to_revision(self, value: Any) -> Any:
+        """Return the value in the revision's types; None for an event that it does not have."""
+        kind = type(value)
+        if kind not in self._to_revision:
+            self._to_revision[kind] = self._translation(kind, self._revision_type(kind), self.to_revision)
+        return self._to_revision[kind](value)
+
+    def to_present(self, value: Any) -> Any:
+        """Return a value of the revision's in the present types."""
+        kind = type(value)
+        if kind not in self._to_present:
+            present = self._present_types.get(kind.__name__)
+            if present is None and (dataclasses.is_dataclass(kind) or issubclass(kind, Enum)):
+                raise PolicyError(f"rev: {kind.__name__} is unknown now")
+            self._to_present[kind] = self._translation(kind, present, self.to_present)
+        return self._to_present[kind](value)
+
+    def _revision_type(self, kind: type[Any]) -> type[Any] | None:
+        for name in _known_as(kind.__name__):
+            found = getattr(self._interface, name, None)
+            if isinstance(found, type):
+                return found
+        return None
+
+    def _translation(
+        self, source: type[Any], target: type[Any] | None, inner: Callable[[Any], Any]
+    ) -> Callable[[Any], Any]:
+        """Return what turns a value of one type into one of its counterpart."""
+        if issubclass(source, Enum):
+            return lambda value: _member(cast(type[Enum], target), value)
+        if dataclasses.is_dataclass(source):
+            if target is None:
+                return lambda value: None
+            present = source if source.__module__ == api.__name__ else target
+            pairs = _field_pairs(source, target, present)
+            made = target
+            return lambda value: made(**{to: inner(getattr(value, at)) for at, to in pairs})
+        if source is tuple:
+            return lambda value: tuple(inner(item) for item in value)
+        return lambda value: value
+
+
+def _member(target: type[Enum], value: Enum) -> Enum:
+    """The counterpart of an enum's member, by its value, and else by a name that it has had."""
+    try:
+        return target(value.value)
+    except ValueError:
+        pass
+    present = target.__name__ if target.__module__ == api.__name__ else type(value).__name__
+    for name in target.__members__:
+        pair = (name, value.name) if target.__module__ == api.__name__ else (value.name, name)
+        if pair[1] in _known_as(f"{present}.{pair[0]}"):
+            return target[name]
+    raise PolicyError(f"rev: {type(value).__name__}.{value.name} has no counterpart")
+
+
+def _field_pairs(source: type[Any], target: type[Any], present: type[Any]) -> list[tuple[str, str]]:
+    """Pairs of field names, of the source and of the target; a field that the target lacks is left out."""
+    names = {field.name for field in dataclasses.fields(target)}
+    pairs = []
+    for field in dataclasses.fields(source):
+        if source is present:
+            known = _known_as(f"{present.__name__}.{field.name}")
+        else:
+            known = tuple(
+                other.name
+                for other in dataclasses.fields(present)
+                if field.name in _known_as(f"{present.__name__}.{other.name}")
+            )
+        found = next((name for name in known if name in names), None)
+        if found is not None:
+            pairs.append((field.name, found))
+    return pairs
+
+
+class RevisionPolicy:
+    """A revision's decision module behind the present interface.  limit: its limit of concurrent calls."""
+
+    def __init__(self, balancer: Any, interface: ModuleType, settings: Settings, seed: int) -> None:
+        self._translator = Translator(interface)
+        self._balancer = balancer(self._translator.to_revision(settings), seed)
+
+    @property
+    def limit(self) -> float | None:
+        """The limit of concurrent calls; None where the revision has none."""
+        return getattr(self._balancer, "limit", None)
+
+    @property
+    def limit_each(self) -> float:
+        """The limit for each unit of capacity that is this node's part."""
+        return float(self._balancer.limit_each)
+
+    @property
+    def pool_size(self) -> int:
+        """The number of servers that it knows."""
+        return int(self._balancer.pool_size)
+
+    def remember(self, first: int, most: int) -> list[ServerMemory]:
+        """Return what it knows of so many servers, from a place of its order on."""
+        return [self._translator.to_present(memory) for memory in self._balancer.remember(first, most)]
+
+    def handle(self, event: Event, now: float) -> list[Action]:
+        """Return the actions that follow from an event at a time in ms; none for one that it cannot know."""
+        translated = self._translator.to_revision(event)
+        if translated is None:
+            return []
+        return [self._translator.to_present(action) for action in self._balancer.handle(translated, now)]
--- a/fawngw/lab/rig/plan.py
+++ b/crowpost/lab/rig/plan.py
@@ -15,8 +15,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawngw.lab import scenario
-from fawngw.lab.scenario import Count, NotNegative, Positive, ScenarioError, Share
+from crowpost.lab import scenario
+from crowpost.lab.scenario import Count, NotNegative, Positive, ScenarioError, Share
 
 SCHEMA = 1
 BadKind = Literal[
--- a/fawngw/lab/rig/processes.py
+++ b/crowpost/lab/rig/processes.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.lab.rig.history import History
-from fawngw.lab.rig.plan import Storm
-from fawngw.lab.rig.relays import own_ip
+from crowpost.lab.rig.history import History
+from crowpost.lab.rig.plan import Storm
+from crowpost.lab.rig.relays import own_ip
 
 MARK = " members {"
 MANAGED = re.compile(r" is managed on ([0-9.]+):([0-9]+)")
@@ -82,7 +82,7 @@
         self.starts += 1
         members = self._write(address, contacts)
         environment = {**os.environ, "NODE_NAME": self.name, "PYTHONDONTWRITEBYTECODE": "1"}
-        command = [sys.executable, "-m", "fawngw.members", str(members)]
+        command = [sys.executable, "-m", "crowpost.members", str(members)]
         if self.storm.program == "node":
             config = self.folder / f"{self.name}.json"
             config.write_text(json.dumps(node_config(self.index, self.storm.processes)))
@@ -92,7 +92,7 @@
                 file = self.folder / f"{self.name}-state.toml"
                 file.write_text(f"[state]\ndirectory = {json.dumps(str(self.state))}\nevery_ms = 100\n")
                 environment |= {"NODE_STATE": str(file), "NODE_MANAGEMENT": f"{own_ip(self.index)}:0"}
-            command = [sys.executable, "-m", "fawngw"]
+            command = [sys.executable, "-m", "crowpost"]
         self.process = await asyncio.create_subprocess_exec(
             *command, env=environment, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE
         )
--- a/fawngw/lab/rig/relays.py
+++ b/crowpost/lab/rig/relays.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from fawngw.lab.rig.plan import Act
+from crowpost.lab.rig.plan import Act
 
 KEEP = 2_000  # datagrams that are remembered to be replayed
 PIECE = 4_096
--- a/fawngw/lab/rig/storm.py
+++ b/crowpost/lab/rig/storm.py
@@ -14,15 +14,15 @@
 
 import uvloop
 
-from fawngw.lab.rig import torn
-from fawngw.lab.rig.history import History, Verdict, check
-from fawngw.lab.rig.plan import Act, Storm, timetable
-from fawngw.lab.rig.processes import RigProcess
-from fawngw.lab.rig.relays import Relays
-from fawngw.members.carrier import ask_all
-from fawngw.node.kept import read
-from fawngw.store.carrier import look
-from fawngw.store.model import StoreError
+from crowpost.lab.rig import torn
+from crowpost.lab.rig.history import History, Verdict, check
+from crowpost.lab.rig.plan import Act, Storm, timetable
+from crowpost.lab.rig.processes import RigProcess
+from crowpost.lab.rig.relays import Relays
+from crowpost.members.carrier import ask_all
+from crowpost.node.kept import read
+from crowpost.store.carrier import look
+from crowpost.store.model import StoreError
 
 CONTACTS = 3
 AT_ONCE = 8  # processes that start at the same time: a start takes a core
--- a/fawngw/lab/rules.py
+++ b/crowpost/lab/rules.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from fawngw.interface import Effect, Outcome, Readiness, RepeatGroup, ServerEntry, ServerId, Settings
+from crowpost.interface import Effect, Outcome, Readiness, RepeatGroup, ServerEntry, ServerId, Settings
 
 if TYPE_CHECKING:
-    from fawngw.lab.nodes import Ask, SimNode
+    from crowpost.lab.nodes import Ask, SimNode
 
 # The outcomes that prove that an attempt never ran, by the protocol page.
 PROOFS = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
--- a/fawngw/lab/runs.py
+++ b/crowpost/lab/runs.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from fawngw.lab.faults import Faults
-from fawngw.lab.measure import ENDS, Measure
-from fawngw.lab.membership import FrontMembership
-from fawngw.lab.memory import VARIANTS, FrontMemory
-from fawngw.lab.nodes import SimNode
-from fawngw.lab.platform import Platform
-from fawngw.lab.policies import MEMBERS, factory
-from fawngw.lab.scenario import Scenario
-from fawngw.lab.traffic import Wish
+from crowpost.lab.faults import Faults
+from crowpost.lab.measure import ENDS, Measure
+from crowpost.lab.membership import FrontMembership
+from crowpost.lab.memory import VARIANTS, FrontMemory
+from crowpost.lab.nodes import SimNode
+from crowpost.lab.platform import Platform
+from crowpost.lab.policies import MEMBERS, factory
+from crowpost.lab.scenario import Scenario
+from crowpost.lab.traffic import Wish
 
 SCHEMA = 1
 SCENARIO, RUNS = "scenario.json", "runs.jsonl"
--- a/fawngw/lab/scale/changes.py
+++ b/crowpost/lab/scale/changes.py
@@ -6,9 +6,9 @@
 from random import Random
 from statistics import fmean
 
-from fawngw.lab.scale.fleet import Fleet, Reading
-from fawngw.lab.scale.places import places
-from fawngw.lab.scale.slopes import (
+from crowpost.lab.scale.fleet import Fleet, Reading
+from crowpost.lab.scale.places import places
+from crowpost.lab.scale.slopes import (
     FRESH,
     IDLE_S,
     ONE_VIEW_S,
@@ -25,7 +25,7 @@
     tell,
     unfit,
 )
-from fawngw.lab.scale.target import ScaleError
+from crowpost.lab.scale.target import ScaleError
 
 
 async def by_rate(setting: Setting) -> Piece:
--- a/fawngw/lab/scale/configuration.py
+++ b/crowpost/lab/scale/configuration.py
@@ -5,12 +5,12 @@
 import asyncio
 from dataclasses import dataclass
 
-from fawngw.lab import feedreal
-from fawngw.lab.scale.fleet import Fleet
-from fawngw.lab.scale.places import places
-from fawngw.lab.scale.proc import core_ms, memory_bytes
-from fawngw.lab.scale.slopes import ONE_VIEW_S, Piece, Setting, cluster, hollow_points, idle_span, tell
-from fawngw.lab.scale.target import ScaleError
+from crowpost.lab import feedreal
+from crowpost.lab.scale.fleet import Fleet
+from crowpost.lab.scale.places import places
+from crowpost.lab.scale.proc import core_ms, memory_bytes
+from crowpost.lab.scale.slopes import ONE_VIEW_S, Piece, Setting, cluster, hollow_points, idle_span, tell
+from crowpost.lab.scale.target import ScaleError
 
 LINKS = 2  # relays that each follower watches
 LOOK_S = 0.25
--- a/fawngw/lab/scale/fleet.py
+++ b/crowpost/lab/scale/fleet.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fawngw.lab.scale.places import Place
-from fawngw.lab.scale.proc import core_ms, memory_bytes
-from fawngw.lab.scale.target import ScaleError, Topology
+from crowpost.lab.scale.places import Place
+from crowpost.lab.scale.proc import core_ms, memory_bytes
+from crowpost.lab.scale.target import ScaleError, Topology
 
 LINE_BYTES = 1 << 26
 ANSWER_S = 120.0  # for one command
@@ -39,7 +39,7 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "fawngw.lab.scale.worker",
+            "crowpost.lab.scale.worker",
             json.dumps(regions),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
--- a/fawngw/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -1,5 +1,5 @@
-"""A hollow node that follows configuration: the real follower and carrier of `fawngw.feed`, and no node that
-would apply a document: what comes whole is in force at once.
+"""A hollow node that follows configuration: the real follower and carrier of `crowpost.feed`, and no node
+that would apply a document: what comes whole is in force at once.
 """
 
 from __future__ import annotations
@@ -7,11 +7,11 @@
 from collections.abc import Mapping
 from typing import Any
 
-from fawngw.feed.carrier import Carrier
-from fawngw.feed.config import FeedConfig
-from fawngw.feed.model import Document, Server
-from fawngw.lab.scale.hollow import Cut
-from fawngw.lab.scale.places import Place
+from crowpost.feed.carrier import Carrier
+from crowpost.feed.config import FeedConfig
+from crowpost.feed.model import Document, Server
+from crowpost.lab.scale.hollow import Cut
+from crowpost.lab.scale.places import Place
 
 SCOPE = "all"
 
--- a/fawngw/lab/scale/hollow.py
+++ b/crowpost/lab/scale/hollow.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from fawngw.lab.scale.places import Place, zone_of
-from fawngw.members.carrier import FRAME_S, Carrier
-from fawngw.members.config import MembersConfig
-from fawngw.members.gossip import Gossip
-from fawngw.members.model import Phase, split_address
-from fawngw.members.presence import ORDINAL, STAGE
-from fawngw.members.wire import claim_row, pack, read_claim, unpack
+from crowpost.lab.scale.places import Place, zone_of
+from crowpost.members.carrier import FRAME_S, Carrier
+from crowpost.members.config import MembersConfig
+from crowpost.members.gossip import Gossip
+from crowpost.members.model import Phase, split_address
+from crowpost.members.presence import ORDINAL, STAGE
+from crowpost.members.wire import claim_row, pack, read_claim, unpack
 
 CLUSTER = "scale"
 
@@ -219,7 +219,9 @@
 
 
 def _follower(place: Place, cut: Cut) -> Duty:
-    from fawngw.lab.scale.follow import HollowFollower  # only where it is on: it must not weigh on the others
+    from crowpost.lab.scale.follow import (
+        HollowFollower,  # only where it is on: it must not weigh on the others
+    )
 
     return HollowFollower(place, cut)
 
--- a/fawngw/lab/scale/page.py
+++ b/crowpost/lab/scale/page.py
@@ -9,7 +9,7 @@
 import numpy as np
 from markupsafe import Markup
 
-from fawngw.lab.report import PAGE, _axes, _svg
+from crowpost.lab.report import PAGE, _axes, _svg
 
 COLOURS = {"hollow": "#2a7f5f", "real": "#c0392b", "simulated": "#8a6fb0"}
 LABELS = {
--- a/fawngw/lab/scale/places.py
+++ b/crowpost/lab/scale/places.py
@@ -5,7 +5,7 @@
 import os
 from dataclasses import asdict, dataclass
 
-from fawngw.lab.scale.target import ScaleError, Topology
+from crowpost.lab.scale.target import ScaleError, Topology
 
 RUNS = 12  # runs on one machine that have address ranges of their own, by process id
 ZONES_MOST = 16  # second octets that a run may use
--- a/fawngw/lab/scale/proc.py
+++ b/crowpost/lab/scale/proc.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from fawngw.lab.scale.target import ScaleError
+from crowpost.lab.scale.target import ScaleError
 
 SCHED_CLOCK = 2  # CPUCLOCK_SCHED in the kernel's posix-timers.h: all threads of a process, in ns
 SPARE = 200  # descriptors beside sockets
--- a/fawngw/lab/scale/record.py
+++ b/crowpost/lab/scale/record.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.lab.scale.fit import line, mean
-from fawngw.lab.scale.slopes import ABOUT, UNITS, Piece
-from fawngw.lab.scale.target import ScaleError
+from crowpost.lab.scale.fit import line, mean
+from crowpost.lab.scale.slopes import ABOUT, UNITS, Piece
+from crowpost.lab.scale.target import ScaleError
 
 SCHEMA = 1
 FIT_POINTS = 3
--- a/fawngw/lab/scale/run.py
+++ b/crowpost/lab/scale/run.py
@@ -12,10 +12,10 @@
 
 import uvloop
 
-from fawngw.lab.live.processes import NodeError
-from fawngw.lab.scale import changes, simulated, slopes, troubles
-from fawngw.lab.scale.slopes import Piece, Say, Setting
-from fawngw.lab.scale.target import KINDS, Run, ScaleError, Target
+from crowpost.lab.live.processes import NodeError
+from crowpost.lab.scale import changes, simulated, slopes, troubles
+from crowpost.lab.scale.slopes import Piece, Say, Setting
+from crowpost.lab.scale.target import KINDS, Run, ScaleError, Target
 
 PARTS = (
     "idle",
@@ -91,7 +91,7 @@
 
 def _configuration(setting: Setting) -> Callable[[], Coroutine[Any, Any, Piece]]:
     async def work() -> Piece:
-        from fawngw.lab.scale import configuration
+        from crowpost.lab.scale import configuration
 
         return await configuration.by_rate(setting)
 
--- a/fawngw/lab/scale/slopes.py
+++ b/crowpost/lab/scale/slopes.py
@@ -13,11 +13,11 @@
 from statistics import fmean
 from typing import Any
 
-from fawngw.lab.scale.fleet import Fleet, Reading
-from fawngw.lab.scale.places import places
-from fawngw.lab.scale.proc import check_descriptors, check_machine
-from fawngw.lab.scale.real import RealNode, RealNodes, RealReading
-from fawngw.lab.scale.target import Run, ScaleError, Target
+from crowpost.lab.scale.fleet import Fleet, Reading
+from crowpost.lab.scale.places import places
+from crowpost.lab.scale.proc import check_descriptors, check_machine
+from crowpost.lab.scale.real import RealNode, RealNodes, RealReading
+from crowpost.lab.scale.target import Run, ScaleError, Target
 
 Say = Callable[[str], None]
 IDLE_S = 4.0  # that hollow nodes are measured for with nothing on
--- a/fawngw/lab/scale/target.py
+++ b/crowpost/lab/scale/target.py
@@ -10,8 +10,8 @@
 from importlib import resources
 from typing import Any
 
-from fawngw.lab.scenario import ScenarioError
-from fawngw.tables import Table, TableError, read_file
+from crowpost.lab.scenario import ScenarioError
+from crowpost.tables import Table, TableError, read_file
 
 KINDS = ("machine", "rack", "zone", "zone_back", "region_cut", "replacements")
 MOST_MEMBERS = 5_000
@@ -117,7 +117,7 @@
 
 def load(path: str | None = None) -> Target:
     """The file of this path, or the one shipped; ScaleError with one line for what cannot be used."""
-    name = path or str(resources.files("fawngw.lab.scale").joinpath("target.toml"))
+    name = path or str(resources.files("crowpost.lab.scale").joinpath("target.toml"))
     try:
         return _read(read_file(name))
     except TableError as error:
--- a/fawngw/lab/scale/troubles.py
+++ b/crowpost/lab/scale/troubles.py
@@ -11,11 +11,11 @@
 from random import Random
 from typing import Any
 
-from fawngw.lab.scale.fleet import Fleet
-from fawngw.lab.scale.places import Place, places
-from fawngw.lab.scale.real import RealNode, RealNodes
-from fawngw.lab.scale.slopes import LATE_MS, Piece, Setting, cluster, contacts, one_view
-from fawngw.lab.scale.target import ScaleError, Trouble
+from crowpost.lab.scale.fleet import Fleet
+from crowpost.lab.scale.places import Place, places
+from crowpost.lab.scale.real import RealNode, RealNodes
+from crowpost.lab.scale.slopes import LATE_MS, Piece, Setting, cluster, contacts, one_view
+from crowpost.lab.scale.target import ScaleError, Trouble
 
 EVERY_S = 0.5  # between looks
 AFTER_S = 45.0  # that the cluster is watched for at the most, once the trouble is over
--- a/fawngw/lab/scale/worker.py
+++ b/crowpost/lab/scale/worker.py
@@ -1,5 +1,5 @@
-"""python -m fawngw.lab.scale.worker: a process of hollow nodes, told what to do by lines of JSON on standard
-input, which it answers on standard output.  It ends with its input.
+"""python -m crowpost.lab.scale.worker: a process of hollow nodes, told what to do by lines of JSON on
+standard input, which it answers on standard output.  It ends with its input.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 import uvloop
 
-from fawngw.lab.scale.hollow import DUTIES, Cut, Duty
-from fawngw.lab.scale.places import Place
+from crowpost.lab.scale.hollow import DUTIES, Cut, Duty
+from crowpost.lab.scale.places import Place
 
 LINE_BYTES = 1 << 26
 TICK_S = 0.05  # between looks at how late the loop is
--- a/fawngw/lab/scenario.py
+++ b/crowpost/lab/scenario.py
@@ -231,7 +231,7 @@
 
 def shipped(folder: str = "scenarios") -> dict[str, Path]:
     """The scenarios, or other files of such a folder, that come with the package, by name."""
-    found = Path(str(resources.files("fawngw.lab") / folder)).glob("*.toml")
+    found = Path(str(resources.files("crowpost.lab") / folder)).glob("*.toml")
     return {path.stem: path for path in sorted(found)}
 
 
--- a/fawngw/lab/swim.py
+++ b/crowpost/lab/swim.py
@@ -14,11 +14,11 @@
 
 import numpy as np
 
-from fawngw.lab.engine import Engine, Planned
-from fawngw.members import exchange
-from fawngw.members.core import Members
-from fawngw.members.gossip import Gossip
-from fawngw.members.model import Change, MemberError, Phase, Profile, Tuning
+from crowpost.lab.engine import Engine, Planned
+from crowpost.members import exchange
+from crowpost.members.core import Members
+from crowpost.members.gossip import Gossip
+from crowpost.members.model import Change, MemberError, Phase, Profile, Tuning
 
 MAILBOX = 400  # datagrams that wait for a process that does not run; further ones are lost
 
--- a/fawngw/lab/told.py
+++ b/crowpost/lab/told.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from fawngw.interface import Effect, RepeatGroup, RequestClass, Settings, Tenant
-from fawngw.lab.scenario import REPORT_COLUMNS, Scenario
+from crowpost.interface import Effect, RepeatGroup, RequestClass, Settings, Tenant
+from crowpost.lab.scenario import REPORT_COLUMNS, Scenario
 
 
 def request_classes(scenario: Scenario) -> tuple[RequestClass, ...]:
--- a/fawngw/lab/traffic.py
+++ b/crowpost/lab/traffic.py
@@ -8,14 +8,14 @@
 import numpy as np
 from numpy.random import PCG64, Generator, SeedSequence
 
-from fawngw.interface import Effect, RepeatGroup, RequestClass
-from fawngw.lab.measure import Measure
-from fawngw.lab.scenario import Class, Scenario
-from fawngw.lab.scenario import Clients as Habits
+from crowpost.interface import Effect, RepeatGroup, RequestClass
+from crowpost.lab.measure import Measure
+from crowpost.lab.scenario import Class, Scenario
+from crowpost.lab.scenario import Clients as Habits
 
 if TYPE_CHECKING:
-    from fawngw.lab.nodes import Ask, SimNode
-    from fawngw.lab.platform import Platform
+    from crowpost.lab.nodes import Ask, SimNode
+    from crowpost.lab.platform import Platform
 
 
 @dataclass(slots=True, eq=False)
--- a/fawngw/members/__main__.py
+++ b/crowpost/members/__main__.py
@@ -1,4 +1,4 @@
-"""python -m fawngw.members FILE: a member alone, until SIGTERM or until it is asked to leave."""
+"""python -m crowpost.members FILE: a member alone, until SIGTERM or until it is asked to leave."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 import uvloop
 
-from fawngw.members.carrier import Carrier
-from fawngw.members.config import MembersConfig, load
-from fawngw.members.model import MemberError, Phase
+from crowpost.members.carrier import Carrier
+from crowpost.members.config import MembersConfig, load
+from crowpost.members.model import MemberError, Phase
 
 
 async def serve(config: MembersConfig) -> None:
@@ -31,15 +31,15 @@
     """Exit code 0 after an orderly end, 2 with one line for what cannot be used."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     if len(arguments) != 1:
-        print("usage: python -m fawngw.members FILE", file=sys.stderr)
+        print("usage: python -m crowpost.members FILE", file=sys.stderr)
         return 2
     try:
         uvloop.run(serve(load(arguments[0], os.environ.get("NODE_NAME", ""))))
     except MemberError as error:
-        print(f"fawngw.members: {error}", file=sys.stderr)
+        print(f"crowpost.members: {error}", file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"fawngw.members: members.listen cannot be used: {error}", file=sys.stderr)
+        print(f"crowpost.members: members.listen cannot be used: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/fawngw/members/carrier.py
+++ b/crowpost/members/carrier.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from fawngw.members import exchange
-from fawngw.members.config import MembersConfig
-from fawngw.members.core import Members
-from fawngw.members.model import Change, MemberError, Phase, Profile, split_address
-from fawngw.members.wire import FRAME_BYTES, LENGTH, Kind, pack, seal, tag, unpack, unseal
+from crowpost.members import exchange
+from crowpost.members.config import MembersConfig
+from crowpost.members.core import Members
+from crowpost.members.model import Change, MemberError, Phase, Profile, split_address
+from crowpost.members.wire import FRAME_BYTES, LENGTH, Kind, pack, seal, tag, unpack, unseal
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/members/config.py
+++ b/crowpost/members/config.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field, fields
 from typing import Any
 
-from fawngw.members.model import MemberError, Profile, Tuning, split_address
-from fawngw.members.presence import LEAST_PART, SETTLE_MS
-from fawngw.tables import Table, TableError, numbers, read_file
+from crowpost.members.model import MemberError, Profile, Tuning, split_address
+from crowpost.members.presence import LEAST_PART, SETTLE_MS
+from crowpost.tables import Table, TableError, numbers, read_file
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawngw/members/core.py
+++ b/crowpost/members/core.py
@@ -16,13 +16,23 @@
 from collections import Counter
 from dataclasses import dataclass, field, replace
 
-from fawngw.members.claims import Claims
-from fawngw.members.gossip import Gossip
-from fawngw.members.model import Change, Claim, Member, Phase, Profile, Tuning, Verdict
-from fawngw.members.probing import Failed, Prober
-from fawngw.members.schedule import Schedule, Timer
-from fawngw.members.view import View
-from fawngw.members.wire import Foreign, Kind, Message, Sender, claim_row, datagram, pack, read_datagram, tag
+from crowpost.members.claims import Claims
+from crowpost.members.gossip import Gossip
+from crowpost.members.model import Change, Claim, Member, Phase, Profile, Tuning, Verdict
+from crowpost.members.probing import Failed, Prober
+from crowpost.members.schedule import Schedule, Timer
+from crowpost.members.view import View
+from crowpost.members.wire import (
+    Foreign,
+    Kind,
+    Message,
+    Sender,
+    claim_row,
+    datagram,
+    pack,
+    read_datagram,
+    tag,
+)
 
 LATE = 0.5  # part of a period by which a timer may be late before this process calls itself slow
 WINDOW = 512  # datagrams of a sender that may overtake each other; older ones are replays
--- a/fawngw/members/exchange.py
+++ b/crowpost/members/exchange.py
@@ -9,10 +9,10 @@
 
 from typing import Any
 
-from fawngw.members.core import Members
-from fawngw.members.model import MemberError, Verdict
-from fawngw.members.view import BUCKETS
-from fawngw.members.wire import (
+from crowpost.members.core import Members
+from crowpost.members.model import MemberError, Verdict
+from crowpost.members.view import BUCKETS
+from crowpost.members.wire import (
     Foreign,
     Kind,
     claim_row,
--- a/fawngw/members/wire.py
+++ b/crowpost/members/wire.py
@@ -14,7 +14,7 @@
 
 import msgpack
 
-from fawngw.members.model import (
+from crowpost.members.model import (
     NAME_BYTES,
     WHY_BYTES,
     WIRE,
--- a/fawngw/node/callers.py
+++ b/crowpost/node/callers.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from fawngw.interface import Effect, Settings
-from fawngw.node.config import ConfigError
-from fawngw.node.exchange import LONG_BYTES, CallerConnection, Exchange
-from fawngw.node.http import (
+from crowpost.interface import Effect, Settings
+from crowpost.node.config import ConfigError
+from crowpost.node.exchange import LONG_BYTES, CallerConnection, Exchange
+from crowpost.node.http import (
     CLASS,
     COST_HINT,
     DEADLINE,
@@ -25,7 +25,7 @@
     Message,
     MessageError,
 )
-from fawngw.node.metrics import Metrics
+from crowpost.node.metrics import Metrics
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/node/config.py
+++ b/crowpost/node/config.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from fawngw.interface import ImpossibleSettings, Settings
-from fawngw.node.discovery import ListError, Listing, Naming
-from fawngw.settings import SettingsError, read_settings
+from crowpost.interface import ImpossibleSettings, Settings
+from crowpost.node.discovery import ListError, Listing, Naming
+from crowpost.settings import SettingsError, read_settings
 
 if TYPE_CHECKING:
-    from fawngw.feed.config import FeedConfig
-    from fawngw.members.config import MembersConfig
-    from fawngw.node.overlays import Overlays
-    from fawngw.store.config import StateConfig
+    from crowpost.feed.config import FeedConfig
+    from crowpost.members.config import MembersConfig
+    from crowpost.node.overlays import Overlays
+    from crowpost.store.config import StateConfig
 
 _DEFAULT_CONN_IDLE_MS = 15_000.0
 # With fewer no request can be served.  A tight limit is the platform's to set, and no reason not to start:
@@ -170,8 +170,8 @@
     path = environment.get("NODE_MEMBERS", "")
     if not path:
         return None
-    from fawngw.members.config import load as load_members
-    from fawngw.members.model import MemberError
+    from crowpost.members.config import load as load_members
+    from crowpost.members.model import MemberError
 
     try:
         return load_members(path, name)
@@ -184,8 +184,8 @@
     path = environment.get("NODE_STATE", "")
     if not path:
         return None
-    from fawngw.store.config import load as load_state
-    from fawngw.store.model import StoreError
+    from crowpost.store.config import load as load_state
+    from crowpost.store.model import StoreError
 
     try:
         return load_state(path, name)
@@ -198,8 +198,8 @@
     path = environment.get("NODE_FEED", "")
     if not path:
         return None
-    from fawngw.feed.config import load as load_feed
-    from fawngw.feed.model import FeedError
+    from crowpost.feed.config import load as load_feed
+    from crowpost.feed.model import FeedError
 
     try:
         return load_feed(path, name, roles=("node",))
@@ -209,9 +209,9 @@
 
 def _overlays(environment: Mapping[str, str], raw: dict[str, Any], path: str, feed: FeedConfig) -> Overlays:
     """The file and the documents that were last in force on it."""
-    from fawngw.feed.model import FeedError
-    from fawngw.feed.shelf import Shelf
-    from fawngw.node.overlays import Overlays
+    from crowpost.feed.model import FeedError
+    from crowpost.feed.shelf import Shelf
+    from crowpost.node.overlays import Overlays
 
     if feed.directory is None:
         return Overlays(environment, raw, path)
--- a/fawngw/node/discovery.py
+++ b/crowpost/node/discovery.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from fawngw.interface import ListKind, Readiness, ServerEntry, ServerId, ServerList
+from crowpost.interface import ListKind, Readiness, ServerEntry, ServerId, ServerList
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/node/drain.py
+++ b/crowpost/node/drain.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from fawngw.node.callers import Callers
+from crowpost.node.callers import Callers
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/node/exchange.py
+++ b/crowpost/node/exchange.py
@@ -12,7 +12,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, cast
 
-from fawngw.node.http import (
+from crowpost.node.http import (
     EXPECT,
     MAX_BODY,
     TRANSFER_ENCODING,
@@ -26,7 +26,7 @@
 )
 
 if TYPE_CHECKING:
-    from fawngw.node.callers import Callers
+    from crowpost.node.callers import Callers
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/node/feeding.py
+++ b/crowpost/node/feeding.py
@@ -11,12 +11,12 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from fawngw.feed.carrier import Carrier
-from fawngw.feed.config import FeedConfig
-from fawngw.feed.model import WHY_BYTES, Document
-from fawngw.feed.shelf import Shelf
-from fawngw.node.config import ConfigError
-from fawngw.node.overlays import Live, Overlays
+from crowpost.feed.carrier import Carrier
+from crowpost.feed.config import FeedConfig
+from crowpost.feed.model import WHY_BYTES, Document
+from crowpost.feed.shelf import Shelf
+from crowpost.node.config import ConfigError
+from crowpost.node.overlays import Live, Overlays
 
 
 class Feeding:
--- a/fawngw/node/keeping.py
+++ b/crowpost/node/keeping.py
@@ -13,8 +13,8 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-from fawngw.interface import ServerMemory
-from fawngw.node.kept import (
+from crowpost.interface import ServerMemory
+from crowpost.node.kept import (
     PIECE,
     Evacuated,
     Fact,
@@ -26,11 +26,11 @@
     parts,
     read,
 )
-from fawngw.store.carrier import Keeper, Opened, look, open_locked, tell
-from fawngw.store.config import StateConfig
-from fawngw.store.core import Pace
-from fawngw.store.disk import LockedError
-from fawngw.store.model import Durability, ForeignError, StoreError
+from crowpost.store.carrier import Keeper, Opened, look, open_locked, tell
+from crowpost.store.config import StateConfig
+from crowpost.store.core import Pace
+from crowpost.store.disk import LockedError
+from crowpost.store.model import Durability, ForeignError, StoreError
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/node/kept.py
+++ b/crowpost/node/kept.py
@@ -12,8 +12,8 @@
 
 import msgpack
 
-from fawngw.interface import Remembered, ServerId, ServerMemory
-from fawngw.store.model import Found, StoreError
+from crowpost.interface import Remembered, ServerId, ServerMemory
+from crowpost.store.model import Found, StoreError
 
 PIECE = 250  # servers in one record or piece: packing them takes less than a millisecond
 CLOCK_SLACK_MS = 1_000.0  # by which a fact may seem to come from the future
--- a/fawngw/node/management.py
+++ b/crowpost/node/management.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from fawngw.node.http import Message, MessageError, Reader, answer
+from crowpost.node.http import Message, MessageError, Reader, answer
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/node/membership.py
+++ b/crowpost/node/membership.py
@@ -8,11 +8,11 @@
 from collections import Counter
 from collections.abc import Callable
 
-from fawngw.interface import NodesPresent, Settings
-from fawngw.members.carrier import Carrier
-from fawngw.members.config import MembersConfig
-from fawngw.members.model import Change, Phase
-from fawngw.members.presence import ORDINAL, STAGE, Presence, Share
+from crowpost.interface import NodesPresent, Settings
+from crowpost.members.carrier import Carrier
+from crowpost.members.config import MembersConfig
+from crowpost.members.model import Change, Phase
+from crowpost.members.presence import ORDINAL, STAGE, Presence, Share
 
 LOOK_S = 0.25  # between looks at whether this node is ready, and at what is due
 
--- a/fawngw/node/node.py
+++ b/crowpost/node/node.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from fawngw.decide import Balancer
-from fawngw.interface import (
+from crowpost.decide import Balancer
+from crowpost.interface import (
     Action,
     AnswerStarted,
     Arrival,
@@ -44,23 +44,23 @@
     Subscribe,
     TimerFired,
 )
-from fawngw.node import management
-from fawngw.node.callers import Callers, ClientRequest, adopt
-from fawngw.node.config import Config, ConfigError, read_discovery
-from fawngw.node.discovery import Discovery, ListError, Listing
-from fawngw.node.drain import Drain, Phase
-from fawngw.node.exchange import Exchange
-from fawngw.node.http import CLASS, CONTENT_TYPE, REQUEST_ID, Message, Sink, load_report, request_head
-from fawngw.node.management import Management, Reply
-from fawngw.node.metrics import Metrics
-from fawngw.node.servers import Servers
-from fawngw.node.upstream import Call
+from crowpost.node import management
+from crowpost.node.callers import Callers, ClientRequest, adopt
+from crowpost.node.config import Config, ConfigError, read_discovery
+from crowpost.node.discovery import Discovery, ListError, Listing
+from crowpost.node.drain import Drain, Phase
+from crowpost.node.exchange import Exchange
+from crowpost.node.http import CLASS, CONTENT_TYPE, REQUEST_ID, Message, Sink, load_report, request_head
+from crowpost.node.management import Management, Reply
+from crowpost.node.metrics import Metrics
+from crowpost.node.servers import Servers
+from crowpost.node.upstream import Call
 
 if TYPE_CHECKING:
-    from fawngw.node.feeding import Feeding
-    from fawngw.node.keeping import Keeping
-    from fawngw.node.membership import Membership
-    from fawngw.node.overlays import Live
+    from crowpost.node.feeding import Feeding
+    from crowpost.node.keeping import Keeping
+    from crowpost.node.membership import Membership
+    from crowpost.node.overlays import Live
 
 log = logging.getLogger(__name__)
 
@@ -217,8 +217,8 @@
         """The state directory, where it is configured; the newer of its list and the configuration's."""
         if self._config.state is None:
             return known
-        from fawngw.node.keeping import Keeping
-        from fawngw.store.model import StoreError
+        from crowpost.node.keeping import Keeping
+        from crowpost.store.model import StoreError
 
         def drain(evacuated: bool) -> bool:
             return self._drain.evacuate() if evacuated else self._drain.rejoin()
@@ -241,8 +241,8 @@
         """Membership, where it is configured; nothing of it is imported where it is not."""
         if self._config.members is None:
             return
-        from fawngw.members.model import Phase as MemberPhase
-        from fawngw.node.membership import Membership
+        from crowpost.members.model import Phase as MemberPhase
+        from crowpost.node.membership import Membership
 
         def phase() -> MemberPhase:
             if self._drain.phase is not Phase.SERVING:
@@ -261,7 +261,7 @@
         """The feed of configuration, where it is configured; nothing of it is imported where it is not."""
         if self._config.feed is None or self._config.overlays is None:
             return
-        from fawngw.node.feeding import Feeding
+        from crowpost.node.feeding import Feeding
 
         self._feeding = Feeding(self._config.feed, self._config.overlays, self._take_over)
         self._feeding.start()
--- a/fawngw/node/overlays.py
+++ b/crowpost/node/overlays.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fawngw.feed.model import Document, FeedError, Head, make_document, order
-from fawngw.node.config import Config, ConfigError, read_config, read_file
+from crowpost.feed.model import Document, FeedError, Head, make_document, order
+from crowpost.node.config import Config, ConfigError, read_config, read_file
 
 BYTES = 32_768  # of a document: what reads and compares it holds the loop up, and may not for 5 ms
 KEY = 120  # characters of a key that are told
--- a/fawngw/node/servers.py
+++ b/crowpost/node/servers.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from fawngw.interface import Outcome, Readiness, ServerId
-from fawngw.node.discovery import Listing
-from fawngw.node.http import Message, Upload
-from fawngw.node.upstream import Begin, Call, Connection, Done, KeepAlive, MayWrite, Render
+from crowpost.interface import Outcome, Readiness, ServerId
+from crowpost.node.discovery import Listing
+from crowpost.node.http import Message, Upload
+from crowpost.node.upstream import Begin, Call, Connection, Done, KeepAlive, MayWrite, Render
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/node/upstream.py
+++ b/crowpost/node/upstream.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, cast
 
-from fawngw.interface import Outcome
-from fawngw.node.http import NOT_RUN, Message, MessageError, Reader, Sink, Upload, chunk
+from crowpost.interface import Outcome
+from crowpost.node.http import NOT_RUN, Message, MessageError, Reader, Sink, Upload, chunk
 
 if TYPE_CHECKING:
-    from fawngw.node.servers import Peer, Servers
+    from crowpost.node.servers import Peer, Servers
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/records.py
+++ b/crowpost/records.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-import fawngw.interface as api
+import crowpost.interface as api
 
 
 @dataclass(slots=True, eq=False)
--- a/fawngw/settings.py
+++ b/crowpost/settings.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Mapping
 
-from fawngw.interface import Effect, RepeatGroup, RequestClass, Settings, Tenant
+from crowpost.interface import Effect, RepeatGroup, RequestClass, Settings, Tenant
 
 
 class SettingsError(Exception):
--- a/fawngw/store/carrier.py
+++ b/crowpost/store/carrier.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from fawngw.store.core import Pace, Store
-from fawngw.store.disk import Disk, words
-from fawngw.store.model import Durability, Found, Job, StoreError
-from fawngw.store.recover import recover
+from crowpost.store.core import Pace, Store
+from crowpost.store.disk import Disk, words
+from crowpost.store.model import Durability, Found, Job, StoreError
+from crowpost.store.recover import recover
 
 log = logging.getLogger(__name__)
 
--- a/fawngw/store/config.py
+++ b/crowpost/store/config.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.store.model import StoreError
-from fawngw.tables import Table, TableError, read_file
+from crowpost.store.model import StoreError
+from crowpost.tables import Table, TableError, read_file
 
 ON_DAMAGE = ("start", "refuse")
 EVERY_MS, BYTES_PER_S, SNAPSHOT_BYTES = 1_000.0, 65_536.0, 1 << 20
--- a/fawngw/store/core.py
+++ b/crowpost/store/core.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from fawngw.store.format import (
+from crowpost.store.format import (
     HEAD_BYTES,
     LOG,
     NEW,
@@ -23,7 +23,7 @@
     snapshot_name,
     snapshot_pieces,
 )
-from fawngw.store.model import (
+from crowpost.store.model import (
     SNAPSHOTS_KEPT,
     Append,
     Create,
--- a/fawngw/store/disk.py
+++ b/crowpost/store/disk.py
@@ -7,7 +7,7 @@
 import os
 from pathlib import Path
 
-from fawngw.store.model import (
+from crowpost.store.model import (
     Append,
     Create,
     Fill,
--- a/fawngw/store/recover.py
+++ b/crowpost/store/recover.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from fawngw.store.format import (
+from crowpost.store.format import (
     HEAD_BYTES,
     LOG,
     NEW,
@@ -25,7 +25,7 @@
     snapshot_pieces,
     store_text,
 )
-from fawngw.store.model import (
+from crowpost.store.model import (
     FORMAT,
     SNAPSHOTS_KEPT,
     Create,
--- a/fawngw/store/repair.py
+++ b/crowpost/store/repair.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from fawngw.store.disk import Disk, words
-from fawngw.store.format import (
+from crowpost.store.disk import Disk, words
+from crowpost.store.format import (
     HEAD_BYTES,
     LOG,
     NEW,
@@ -32,8 +32,8 @@
     snapshot_pieces,
     store_text,
 )
-from fawngw.store.model import FORMAT, DamagedError, Found, Record, StoreError
-from fawngw.store.recover import Read, log_records, recover
+from crowpost.store.model import FORMAT, DamagedError, Found, Record, StoreError
+from crowpost.store.recover import Read, log_records, recover
 
 
 @dataclass(slots=True)
--- a/fawngw/wire.py
+++ b/crowpost/wire.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from fawngw.interface import (
+from crowpost.interface import (
     Action,
     AnswerStarted,
     Arrival,
@@ -35,7 +35,7 @@
     Subscribe,
     TimerFired,
 )
-from fawngw.settings import SettingsError, read_settings
+from crowpost.settings import SettingsError, read_settings
 
 BATCH_HEADER = struct.Struct("<IdI")
 REPLY_HEADER = struct.Struct("<II")
--- a/tests/capacity_records.py
+++ b/tests/capacity_records.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.lab.capacity.figures import Figure, Origin
-from fawngw.lab.scale.target import Target
+from crowpost.lab.capacity.figures import Figure, Origin
+from crowpost.lab.scale.target import Target
 
 DOCS = Path(__file__).parent.parent / "docs"
 SIZES = (50, 200, 400, 790, 1580)
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from fawngw import Balancer
-from fawngw.interface import (
+from crowpost import Balancer
+from crowpost.interface import (
     Action,
     Arrival,
     AttemptEnded,
--- a/tests/feed_fleet.py
+++ b/tests/feed_fleet.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from fawngw.cli.feed import ask_all, picture
-from fawngw.feed.carrier import ask
-from fawngw.feed.messages import Message, Publish, Published
+from crowpost.cli.feed import ask_all, picture
+from crowpost.feed.carrier import ask
+from crowpost.feed.messages import Message, Publish, Published
 from tests.stubs import (
     HOST,
     PATIENCE_S,
@@ -115,7 +115,7 @@
         file = self._toml(
             name, upstreams, role=role, zone=name, listen=self.at.get(name, f"{HOST}:0"), **more
         )
-        self.processes[name] = process = await Process.start("-m", "fawngw.feed", file)
+        self.processes[name] = process = await Process.start("-m", "crowpost.feed", file)
         self.at[name] = (await process.event("start"))["listens"]
         return process
 
@@ -134,7 +134,7 @@
             "NODE_CONFIG": str(config),
             "NODE_FEED": self._toml(name, relays, zone=zone, service="cart", directory=folder),
         }
-        self.processes[name] = process = await Process.start("-m", "fawngw", **environment)
+        self.processes[name] = process = await Process.start("-m", "crowpost", **environment)
         found = await process.told(r"listens on ([\d.]+):(\d+)")
         return process, (found[1], int(found[2]))
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawngw import Balancer
-from fawngw.interface import (
+from crowpost import Balancer
+from crowpost.interface import (
     Action,
     Arrival,
     AttemptEnded,
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -20,25 +20,25 @@
 from pathlib import Path
 from typing import Any
 
-import fawngw.cli.main as crowpost
-import fawngw.feed.messages as feed_messages
-import fawngw.feed.wire as feed_wire
-import fawngw.members.wire as member_wire
-from fawngw.feed.ledger import Ledger, Writers
-from fawngw.feed.messages import Publish
-from fawngw.feed.model import Document, Standing, State, make_document
-from fawngw.feed.shelf import Shelf
-from fawngw.feed.table import Table
-from fawngw.interface import ServerMemory
-from fawngw.members import exchange
-from fawngw.members.core import Members
-from fawngw.members.model import Claim, Phase, Profile, Verdict
-from fawngw.node.config import load as load_config
-from fawngw.node.kept import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
-from fawngw.node.metrics import Metrics
-from fawngw.store.carrier import do, open_locked
-from fawngw.store.core import Store
-from fawngw.store.model import Durability
+import crowpost.cli.main as crowpost
+import crowpost.feed.messages as feed_messages
+import crowpost.feed.wire as feed_wire
+import crowpost.members.wire as member_wire
+from crowpost.feed.ledger import Ledger, Writers
+from crowpost.feed.messages import Publish
+from crowpost.feed.model import Document, Standing, State, make_document
+from crowpost.feed.shelf import Shelf
+from crowpost.feed.table import Table
+from crowpost.interface import ServerMemory
+from crowpost.members import exchange
+from crowpost.members.core import Members
+from crowpost.members.model import Claim, Phase, Profile, Verdict
+from crowpost.node.config import load as load_config
+from crowpost.node.kept import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
+from crowpost.node.metrics import Metrics
+from crowpost.store.carrier import do, open_locked
+from crowpost.store.core import Store
+from crowpost.store.model import Durability
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent.parent
@@ -215,7 +215,7 @@
 
 def node_snapshot() -> list[bytes]:
     """The snapshot of a node after those records."""
-    from fawngw.node.kept import unpack
+    from crowpost.node.kept import unpack
 
     kept = Kept()
     for record in node_records():
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -11,12 +11,12 @@
 
 import uvloop
 
-from fawngw.members.config import MembersConfig
-from fawngw.node.config import Config, Limits, flat
-from fawngw.node.discovery import Naming
-from fawngw.node.node import Node
-from fawngw.settings import read_settings
-from fawngw.store.config import StateConfig
+from crowpost.members.config import MembersConfig
+from crowpost.node.config import Config, Limits, flat
+from crowpost.node.discovery import Naming
+from crowpost.node.node import Node
+from crowpost.settings import read_settings
+from crowpost.store.config import StateConfig
 
 HOST = "127.0.0.1"
 PATIENCE_S = 20.0  # for what must come; reached only by a failing test
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from fawngw.node import callers, exchange, upstream
-from fawngw.node.exchange import BODY_S, FIRST_S, HEAD_S, CallerConnection
-from fawngw.node.http import MAX_BODY, Message, MessageError, Reader
+from crowpost.node import callers, exchange, upstream
+from crowpost.node.exchange import BODY_S, FIRST_S, HEAD_S, CallerConnection
+from crowpost.node.http import MAX_BODY, Message, MessageError, Reader
 from tests.stubs import (
     HOST,
     PATIENCE_S,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from fawngw.cli.main import main
-from fawngw.lab.capacity import backing, page, records
-from fawngw.lab.scale.target import load
+from crowpost.cli.main import main
+from crowpost.lab.capacity import backing, page, records
+from crowpost.lab.scale.target import load
 from tests.capacity_records import (
     DOCS,
     NOTHING_BUILT,
@@ -256,7 +256,7 @@
     deep = next(line for line in text.splitlines() if line.startswith("| ... times the depth"))
     assert "| 6.25 ms | 18.8 ms |" in deep
     assert cells(text, "calm, 790, simulated")[3] == "4.50 s"
-    assert "Without `fawngw/feed` the same rule names **configuration to all nodes** first" in text
+    assert "Without `crowpost/feed` the same rule names **configuration to all nodes** first" in text
 
 
 def test_a_chain_that_was_run_needs_no_multiple(docs: Path) -> None:
--- a/tests/test_capacity_parts.py
+++ b/tests/test_capacity_parts.py
@@ -14,12 +14,12 @@
 import numpy as np
 import pytest
 
-from fawngw.decide.fleet import Fleet
-from fawngw.interface import ListKind, ServerEntry, ServerList, Settings
-from fawngw.lab.capacity import backing, connections, lines, machines, page, ranking, records, roles, tables
-from fawngw.lab.capacity.demand import Demand
-from fawngw.lab.capacity.figures import Figure, Origin
-from fawngw.lab.scale.target import Target, load
+from crowpost.decide.fleet import Fleet
+from crowpost.interface import ListKind, ServerEntry, ServerList, Settings
+from crowpost.lab.capacity import backing, connections, lines, machines, page, ranking, records, roles, tables
+from crowpost.lab.capacity.demand import Demand
+from crowpost.lab.capacity.figures import Figure, Origin
+from crowpost.lab.scale.target import Target, load
 from tests.capacity_records import (
     NOTHING_BUILT,
     ORIGIN,
--- a/tests/test_carrier.py
+++ b/tests/test_carrier.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from fawngw.cli.members import disagreements
-from fawngw.lab.rig.processes import node_config
-from fawngw.members.carrier import Carrier, ask
-from fawngw.members.config import MembersConfig, load
-from fawngw.members.core import Members
-from fawngw.members.model import Claim, MemberError, Phase, Profile, Tuning, Verdict
-from fawngw.members.presence import Presence, Share, seats
-from fawngw.members.wire import Kind
+from crowpost.cli.members import disagreements
+from crowpost.lab.rig.processes import node_config
+from crowpost.members.carrier import Carrier, ask
+from crowpost.members.config import MembersConfig, load
+from crowpost.members.core import Members
+from crowpost.members.model import Claim, MemberError, Phase, Profile, Tuning, Verdict
+from crowpost.members.presence import Presence, Share, seats
+from crowpost.members.wire import Kind
 from tests.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
 from tests.test_cli import crowpost
 
@@ -130,7 +130,9 @@
 
 
 def test_with_membership_off_nothing_of_it_is_imported() -> None:
-    code = "import sys, fawngw.__main__; print([m for m in sys.modules if 'members' in m or 'msgpack' in m])"
+    code = (
+        "import sys, crowpost.__main__; print([m for m in sys.modules if 'members' in m or 'msgpack' in m])"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
@@ -154,14 +156,14 @@
             "NODE_MEMBERS": str(tmp_path / members),
         }
         done = subprocess.run(
-            [sys.executable, "-m", "fawngw"],
+            [sys.executable, "-m", "crowpost"],
             env=environment,
             capture_output=True,
             text=True,
             timeout=60,
             check=False,
         )
-        assert done.returncode == 2 and done.stderr.splitlines()[-1].startswith(f"fawngw: {said}")
+        assert done.returncode == 2 and done.stderr.splitlines()[-1].startswith(f"crowpost: {said}")
 
 
 # ---------------------------------------------------------------- configuration
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -25,7 +25,7 @@
 
 
 def crowpost(*arguments: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "fawngw.cli.main", *arguments]
+    command = [sys.executable, "-m", "crowpost.cli.main", *arguments]
     return subprocess.run(command, capture_output=True, text=True, timeout=120, check=False)
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from fawngw.interface import Effect, ListKind, Readiness
-from fawngw.node.config import ConfigError, load
-from fawngw.node.discovery import ListError, Naming
-from fawngw.node.node import Clock
+from crowpost.interface import Effect, ListKind, Readiness
+from crowpost.node.config import ConfigError, load
+from crowpost.node.discovery import ListError, Naming
+from crowpost.node.node import Clock
 from tests.stubs import listing, row, settings
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -5,10 +5,10 @@
 import math
 from collections.abc import Iterable
 
-from fawngw import Balancer
-from fawngw.decide.admission import LIMIT_START
-from fawngw.decide.placing import BUDGET_PLUS, BUDGET_TIMES
-from fawngw.interface import (
+from crowpost import Balancer
+from crowpost.decide.admission import LIMIT_START
+from crowpost.decide.placing import BUDGET_PLUS, BUDGET_TIMES
+from crowpost.interface import (
     AnswerStarted,
     Arrival,
     AttemptEnded,
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -11,16 +11,16 @@
 
 import pytest
 
-from fawngw.feed.follower import Follower
-from fawngw.feed.model import (
+from crowpost.feed.follower import Follower
+from crowpost.feed.model import (
     FeedError,
     Tuning,
 )
-from fawngw.feed.status import merge
-from fawngw.feed.wire import FRAME
-from fawngw.lab.feedledger import STEPS
-from fawngw.lab.feednet import Weather
-from fawngw.lab.feedsim import CASES, Fleet, play, put_into
+from crowpost.feed.status import merge
+from crowpost.feed.wire import FRAME
+from crowpost.lab.feedledger import STEPS
+from crowpost.lab.feednet import Weather
+from crowpost.lab.feedsim import CASES, Fleet, play, put_into
 
 RATE, SAVED = Tuning().bytes_per_s, Tuning().bytes_saved
 
@@ -379,7 +379,7 @@
 
 def test_the_command_keeps_a_record_and_says_in_one_line_what_it_cannot_do(tmp_path: Path) -> None:
     def crowpost(*arguments: str) -> subprocess.CompletedProcess[str]:
-        command = [sys.executable, "-m", "fawngw.cli.main", "lab", "feed", *arguments]
+        command = [sys.executable, "-m", "crowpost.cli.main", "lab", "feed", *arguments]
         return subprocess.run(command, capture_output=True, text=True, timeout=120, check=False)
 
     file = tmp_path / "feed.json"
--- a/tests/test_feed_command.py
+++ b/tests/test_feed_command.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from fawngw.cli.feed import ASK_S, ask_all, picture
-from fawngw.feed.__main__ import main as feed_main
+from crowpost.cli.feed import ASK_S, ask_all, picture
+from crowpost.feed.__main__ import main as feed_main
 from tests.feed_fleet import CLUSTER, connect, fleet, version
 from tests.stubs import (
     HOST,
@@ -135,4 +135,4 @@
     file.write_text(head + text + '\npublishers = {south = "q"}\n')
     assert feed_main([str(file)]) == 2
     told = capsys.readouterr().err
-    assert told.startswith(f"fawngw.feed: {file}: {said}") and told.count("\n") == 1
+    assert told.startswith(f"crowpost.feed: {file}: {said}") and told.count("\n") == 1
--- a/tests/test_feed_cores.py
+++ b/tests/test_feed_cores.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from fawngw.feed.follower import Follower
-from fawngw.feed.hub import Hub
-from fawngw.feed.messages import (
+from crowpost.feed.follower import Follower
+from crowpost.feed.hub import Hub
+from crowpost.feed.messages import (
     Absent,
     AskStatus,
     Beat,
@@ -25,7 +25,7 @@
     Report,
     Status,
 )
-from fawngw.feed.model import (
+from crowpost.feed.model import (
     Document,
     FeedError,
     Head,
@@ -39,9 +39,9 @@
     split_scope,
     wanted,
 )
-from fawngw.feed.status import merge
-from fawngw.feed.table import Table
-from fawngw.feed.wire import LENGTH, Foreign, Kind, Reader, decode, encode, tag
+from crowpost.feed.status import merge
+from crowpost.feed.table import Table
+from crowpost.feed.wire import LENGTH, Foreign, Kind, Reader, decode, encode, tag
 
 T = tag("c")
 
--- a/tests/test_feed_ledger.py
+++ b/tests/test_feed_ledger.py
@@ -10,16 +10,16 @@
 
 import pytest
 
-from fawngw.feed.ledger import Ledger, Writers
-from fawngw.feed.messages import Publish
-from fawngw.feed.model import Document, FeedError, Tuning, make_document
-from fawngw.feed.table import Table
-from fawngw.lab.powerloss.disk import TraceDisk
-from fawngw.lab.powerloss.play import do_jobs
-from fawngw.node.overlays import checker
-from fawngw.store.core import Pace, Store
-from fawngw.store.model import Durability, Found
-from fawngw.store.recover import recover
+from crowpost.feed.ledger import Ledger, Writers
+from crowpost.feed.messages import Publish
+from crowpost.feed.model import Document, FeedError, Tuning, make_document
+from crowpost.feed.table import Table
+from crowpost.lab.powerloss.disk import TraceDisk
+from crowpost.lab.powerloss.play import do_jobs
+from crowpost.node.overlays import checker
+from crowpost.store.core import Pace, Store
+from crowpost.store.model import Durability, Found
+from crowpost.store.recover import recover
 
 PUBLISHERS = {"north": "p-n", "south": "p-s"}
 ID = bytes(range(8))
--- a/tests/test_feed_real.py
+++ b/tests/test_feed_real.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from fawngw.cli.feed import ask_all, picture
-from fawngw.feed.carrier import Carrier, ask
-from fawngw.feed.config import FeedConfig
-from fawngw.feed.messages import Message, Publish, Published, Refused
-from fawngw.feed.model import Document, FeedError, Server
-from fawngw.feed.publishing import Publisher
-from fawngw.store.disk import Disk
-from fawngw.store.model import Append, Operation
+from crowpost.cli.feed import ask_all, picture
+from crowpost.feed.carrier import Carrier, ask
+from crowpost.feed.config import FeedConfig
+from crowpost.feed.messages import Message, Publish, Published, Refused
+from crowpost.feed.model import Document, FeedError, Server
+from crowpost.feed.publishing import Publisher
+from crowpost.store.disk import Disk
+from crowpost.store.model import Append, Operation
 from tests.feed_fleet import CLUSTER, connect, fleet, in_force, version
 from tests.stubs import (
     HOST,
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-import fawngw.feed.wire as feed_wire
-import fawngw.members.wire as member_wire
-from fawngw.feed.config import load as load_feed
-from fawngw.feed.ledger import Ledger, Writers
-from fawngw.feed.model import FeedError
-from fawngw.feed.shelf import Shelf
-from fawngw.lab.scenario import load as load_scenario
-from fawngw.members.config import load as load_members
-from fawngw.node.kept import read
-from fawngw.store.carrier import look, open_locked
-from fawngw.store.config import load as load_state
+import crowpost.feed.wire as feed_wire
+import crowpost.members.wire as member_wire
+from crowpost.feed.config import load as load_feed
+from crowpost.feed.ledger import Ledger, Writers
+from crowpost.feed.model import FeedError
+from crowpost.feed.shelf import Shelf
+from crowpost.lab.scenario import load as load_scenario
+from crowpost.members.config import load as load_members
+from crowpost.node.kept import read
+from crowpost.store.carrier import look, open_locked
+from crowpost.store.config import load as load_state
 from tests.golden import build
 from tests.golden.build import HERE, ROOT
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from fawngw.interface import AttemptEnded, Outcome, RequestGone
-from fawngw.node.servers import GROWING_MOST, Peer
+from crowpost.interface import AttemptEnded, Outcome, RequestGone
+from crowpost.node.servers import GROWING_MOST, Peer
 from tests.stubs import (
     PATIENCE_S,
     Behaviour,
@@ -79,7 +79,7 @@
 
 def test_a_call_to_a_fast_server_waits_for_no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against the 10 ms that such a call took at the most; the pool grows, and then suffices."""
-    monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair() as (server, w):
@@ -140,7 +140,7 @@
             await dials.begun()
             await until(lambda: len(server.received) == 2)
             assert server.opened == 1
-            monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", PAST_DEADLINE_S)
+            monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", PAST_DEADLINE_S)
             steps = [dials.release, server.release]
             for step in reversed(steps) if behind_the_answer else steps:
                 step.set()
@@ -159,7 +159,7 @@
 
 def test_a_connection_that_was_passed_over_goes_on_resting(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a call on it that meets what the first answer still brings."""
-    monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(twice, reply("200 OK", b"own")) as (server, w):
@@ -183,7 +183,7 @@
 
 def test_a_stray_answer_during_the_wait_spoils_the_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     """The dial beside it goes on, and carries the call."""
-    monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(twice, reply("200 OK", b"own")) as (server, w):
@@ -205,7 +205,7 @@
 def test_a_call_whose_connection_breaks_is_dialled_for_where_nothing_was(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(then_break, reply("200 OK", b"own")) as (server, w):
@@ -234,7 +234,7 @@
 
 def test_a_call_that_loses_both_has_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection that rests breaks, and the dial beside it fails: nothing was sent."""
-    monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(then_break) as (server, w):
@@ -259,7 +259,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Whichever of the two comes up: both are kept."""
-    monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(cancel=cancel) as (server, w):
@@ -278,7 +278,7 @@
 
 
 def test_a_server_that_drains_during_the_wait_is_sent_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair() as (server, w):
@@ -300,7 +300,7 @@
 def test_a_pool_grows_by_a_few_dials_at_once_and_at_no_other_connection_s_cost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair() as (_, w):
@@ -318,7 +318,7 @@
         async with pair() as (server, w):
             caller = await ask_first(w, FAST_S)
             w.node._servers._most_open = 1
-            monkeypatch.setattr("fawngw.node.servers.REUSE_DELAY_S", 0.01)
+            monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", 0.01)
             assert (await caller.ask("look")).status == 200
             assert server.opened == 1
 
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from fawngw import Balancer
-from fawngw.interface import (
+from crowpost import Balancer
+from crowpost.interface import (
     ListKind,
     NodesPresent,
     Readiness,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import json
+import shutil
 import subprocess
 import sys
+import tarfile
 from collections.abc import Callable
 from pathlib import Path
 from random import Random
@@ -13,7 +15,8 @@
 import msgspec
 import pytest
 
-from fawngw.interface import (
+import crowpost.interface as api
+from crowpost.interface import (
     Action,
     Arrival,
     AttemptEnded,
@@ -21,20 +24,23 @@
     Fail,
     Outcome,
     Readiness,
+    RequestClass,
     Send,
     ServerList,
     Settings,
 )
-from fawngw.lab import compare, runs, scenario
-from fawngw.lab.baselines import LeastOutstanding
-from fawngw.lab.cores import Cores, Crowd
-from fawngw.lab.engine import Engine
-from fawngw.lab.faults import Faults
-from fawngw.lab.nodes import Policy
-from fawngw.lab.platform import Platform
-from fawngw.lab.policies import PolicyError, factory, revision
-from fawngw.lab.report import page
-from fawngw.lab.scenario import Crowding, Fault, Scenario, ScenarioError
+from crowpost.lab import compare, policies, runs, scenario
+from crowpost.lab.baselines import LeastOutstanding
+from crowpost.lab.cores import Cores, Crowd
+from crowpost.lab.engine import Engine
+from crowpost.lab.faults import Faults
+from crowpost.lab.nodes import Policy
+from crowpost.lab.platform import Platform
+from crowpost.lab.policies import factory
+from crowpost.lab.report import page
+from crowpost.lab.revisions import PolicyError, revision
+from crowpost.lab.scenario import Crowding, Fault, Scenario, ScenarioError
+from tests.golden.build import HERE
 
 
 def short(name: str, seconds: float = 6.0, **changes: Any) -> Scenario:
@@ -296,23 +302,54 @@
         runs.Folder(tmp_path).read()
 
 
-def test_a_policy_may_be_a_revision_and_must_be_known(tmp_path: Path) -> None:
-    (tmp_path / "deploy").mkdir()
-    (tmp_path / "deploy" / "balancer.toml").write_text('policy = ["fawngw/old.py"]\n')
-    (tmp_path / "fawngw").mkdir()
-    source = "from fawngw.interface import Fail\n\n\nclass Balancer:\n    made = Fail\n"
-    (tmp_path / "fawngw" / "old.py").write_text(source)
+def _commit(folder: Path) -> None:
     git = ["git", "-c", "user.name=t", "-c", "user.email=t@localhost"]
     for command in (["init", "-q"], ["add", "."], ["commit", "-qm", "old"]):
-        subprocess.run([*git, *command], cwd=tmp_path, check=True)
-    old = revision("HEAD", tmp_path)
-    assert old.made is Fail and old.__module__.startswith("fawngw_")
+        subprocess.run([*git, *command], cwd=folder, check=True)
+
+
+@pytest.mark.parametrize("package", ["crowpost", "fawngw"])
+def test_a_policy_may_be_a_revision_and_must_be_known(tmp_path: Path, package: str) -> None:
+    (tmp_path / "deploy").mkdir()
+    (tmp_path / "deploy" / "balancer.toml").write_text(f'policy = ["{package}/old.py"]\n')
+    (tmp_path / package).mkdir()
+    shutil.copy(Path(api.__file__), tmp_path / package / "interface.py")
+    source = f"""from {package}.interface import Fail
+
+class Balancer:
+    def __init__(self, settings, seed):
+        self.classes = [kind.name for kind in settings.classes]
+
+    def handle(self, event, now):
+        assert type(event).__module__ == Fail.__module__
+        return [Fail(event.request + len(self.classes))]
+"""
+    (tmp_path / package / "old.py").write_text(source)
+    _commit(tmp_path)
+    old = revision("HEAD", tmp_path)(Settings((RequestClass("r", 1.0, 2.0),)), 1)
+    assert old.handle(Arrival(7, 0, 5.0), 1.0) == [Fail(8)]
     with pytest.raises(PolicyError, match="rev: "):
         revision("no-such-name", tmp_path)
     with pytest.raises(PolicyError, match="nonsense: no such policy; known are module, random"):
         factory("nonsense")
 
 
+@pytest.mark.parametrize("suffix", ["", "+members", "+state"])
+def test_the_revision_before_the_package_was_renamed_plays_as_it_did(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, suffix: str
+) -> None:
+    with tarfile.open(HERE / "revision-878089b.tar.gz") as archive:
+        archive.extractall(tmp_path, filter="data")
+    _commit(tmp_path)
+    old = revision("HEAD", tmp_path)
+    assert type(old(Settings((RequestClass("r", 1.0, 2.0),)), 1)).__name__ == "RevisionPolicy"
+    monkeypatch.setattr(policies, "revision", lambda name: old)
+    played = [runs.play(short("restart-60", 8.0), 3, name + suffix) for name in ("rev:878089b", "module")]
+    for result in played:
+        result.pop("policy")
+    assert played[0] == played[1] and played[0]["attempts"] > 500
+
+
 def test_a_node_imports_none_of_the_labs_libraries() -> None:
     tools = (
         "aiohttp",
@@ -324,9 +361,9 @@
         "rich",
         "scipy",
         "typer",
-        "fawngw.lab",
+        "crowpost.lab",
     )
-    code = f"import sys, fawngw.__main__, fawngw.drill; print([m for m in {tools} if m in sys.modules])"
+    code = f"import sys, crowpost.__main__, crowpost.drill; print([m for m in {tools} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fawngw.interface import ListKind, RequestClass, ServerEntry, ServerList, Settings
+from crowpost.interface import ListKind, RequestClass, ServerEntry, ServerList, Settings
 from tests.checker import Surrounding
 
 ASKING = Settings(
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from fawngw.interface import Action, Arrival, AttemptEnded, Cancel, Event, Outcome, Send
-from fawngw.node.management import FIRST_S
-from fawngw.node.metrics import Metrics
+from crowpost.interface import Action, Arrival, AttemptEnded, Cancel, Event, Outcome, Send
+from crowpost.node.management import FIRST_S
+from crowpost.node.metrics import Metrics
 from tests.stubs import (
     HOST,
     PATIENCE_S,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from fawngw.lab.swim import Process, Swarm, Weather
-from fawngw.members import exchange
-from fawngw.members.core import HEAD_ROOM, Members
-from fawngw.members.model import WIRE, Claim, MemberError, Phase, Profile, Verdict
-from fawngw.members.wire import (
+from crowpost.lab.swim import Process, Swarm, Weather
+from crowpost.members import exchange
+from crowpost.members.core import HEAD_ROOM, Members
+from crowpost.members.model import WIRE, Claim, MemberError, Phase, Profile, Verdict
+from crowpost.members.wire import (
     HEAD,
     MAGIC,
     Foreign,
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from fawngw.interface import Action, AttemptEnded, Event, RequestGone
-from fawngw.node.discovery import REWATCH_MOST_S, REWATCH_S
-from fawngw.node.exchange import FIRST_S, CallerConnection
-from fawngw.node.node import ADOPT_WAIT_S
-from fawngw.node.servers import REUSE_DELAY_S
+from crowpost.interface import Action, AttemptEnded, Event, RequestGone
+from crowpost.node.discovery import REWATCH_MOST_S, REWATCH_S
+from crowpost.node.exchange import FIRST_S, CallerConnection
+from crowpost.node.node import ADOPT_WAIT_S
+from crowpost.node.servers import REUSE_DELAY_S
 from tests.stubs import (
     HOST,
     PATIENCE_S,
--- a/tests/test_overhead.py
+++ b/tests/test_overhead.py
@@ -23,16 +23,16 @@
 from hypothesis import strategies as st
 from typer.testing import CliRunner
 
-from fawngw.cli.main import app
-from fawngw.lab.overhead import caller as client
-from fawngw.lab.overhead import figures
-from fawngw.lab.overhead.figures import PERCENTILES, difference, intervals, percentiles, summary
-from fawngw.lab.overhead.platform import Case, How
-from fawngw.lab.overhead.play import play
-from fawngw.lab.overhead.profile import by_cause, cause
-from fawngw.lab.overhead.report import HEADS, page, row
-from fawngw.lab.overhead.stand import request, whole
-from fawngw.lab.overhead.versions import OverheadError, present, unpack
+from crowpost.cli.main import app
+from crowpost.lab.overhead import caller as client
+from crowpost.lab.overhead import figures
+from crowpost.lab.overhead.figures import PERCENTILES, difference, intervals, percentiles, summary
+from crowpost.lab.overhead.platform import Case, How
+from crowpost.lab.overhead.play import play
+from crowpost.lab.overhead.profile import by_cause, cause
+from crowpost.lab.overhead.report import HEADS, page, row
+from crowpost.lab.overhead.stand import request, whole
+from crowpost.lab.overhead.versions import OverheadError, present, unpack
 
 # ---------------------------------------------------------------- figures
 
@@ -258,7 +258,7 @@
 
 def test_sigterm_leaves_no_process_behind() -> None:
     run = subprocess.Popen(
-        [sys.executable, "-m", "fawngw.cli.main", "lab", "overhead", "--servers", "1", "--rates", "20"],
+        [sys.executable, "-m", "crowpost.cli.main", "lab", "overhead", "--servers", "1", "--rates", "20"],
         stdout=subprocess.DEVNULL,
         stderr=subprocess.PIPE,
         text=True,
@@ -276,9 +276,10 @@
 # ---------------------------------------------------------------- versions, profile, command
 
 
-def test_a_revision_is_unpacked_as_it_was_committed(tmp_path: Path) -> None:
+@pytest.mark.parametrize("package", ["crowpost", "fawngw"])
+def test_a_revision_is_unpacked_as_it_was_committed(tmp_path: Path, package: str) -> None:
     root = tmp_path / "checkout"
-    (root / "fawngw").mkdir(parents=True)
+    (root / package).mkdir(parents=True)
 
     def git(*arguments: str) -> None:
         who = ("-c", "user.name=a", "-c", "user.email=a@example.org")
@@ -286,13 +287,13 @@
 
     git("init", "-q")
     for text in ("first", "second"):
-        (root / "fawngw" / "__init__.py").write_text(f'"""{text}"""\n')
+        (root / package / "__init__.py").write_text(f'"""{text}"""\n')
         git("add", "-A")
         git("commit", "-q", "-m", text)
-    inner = root / "fawngw"
+    inner = root / package
     version = unpack("HEAD~1", tmp_path / "unpacked", inner)
-    assert version.folder is not None and len(version.commit) == 12
-    assert (version.folder / "fawngw" / "__init__.py").read_text() == '"""first"""\n'
+    assert version.folder is not None and len(version.commit) == 12 and version.package == package
+    assert (version.folder / package / "__init__.py").read_text() == '"""first"""\n'
     assert "+changes" not in present(inner).commit
     (inner / "__init__.py").write_text("")
     assert present(inner).commit.endswith("+changes")
@@ -302,7 +303,9 @@
 
 
 def test_a_profile_is_told_by_cause(tmp_path: Path) -> None:
-    assert cause("/x/fawngw/decide/placing.py", "draw") == cause("/x/fawngw/records.py", "add") == "decision"
+    assert (
+        cause("/x/crowpost/decide/placing.py", "draw") == cause("/x/crowpost/records.py", "add") == "decision"
+    )
     assert cause("/x/uvloop/__init__.py", "run") == "event loop and kernel"
     assert cause("<frozen importlib._bootstrap>", "_load") is None
     assert cause("~", "<built-in method builtins.len>") == "built-in functions"
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from fawngw.interface import RequestClass, ServerEntry, Settings
+from crowpost.interface import RequestClass, ServerEntry, Settings
 from tests.fleet import Fleet, SimServer, heaviest
 from tests.stubs import (
     HOST,
@@ -182,7 +182,7 @@
                 "NODE_CONFIG": str(config),
             }
             with paths[i].open("wb") as log:  # a file: a pipe that nobody reads would hold the node up
-                command = (sys.executable, "-m", "fawngw")
+                command = (sys.executable, "-m", "crowpost")
                 started.append(await asyncio.create_subprocess_exec(*command, env=environment, stderr=log))
         try:
             addresses = []
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from fawngw.lab.rig.history import check
-from fawngw.lab.rig.plan import Act, Bad, kinds, load, shipped, timetable
-from fawngw.lab.rig.relays import Relays, own_ip
+from crowpost.lab.rig.history import check
+from crowpost.lab.rig.plan import Act, Bad, kinds, load, shipped, timetable
+from crowpost.lab.rig.relays import Relays, own_ip
 from tests.stubs import PATIENCE_S, run
 from tests.test_cli import crowpost
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from fawngw import Balancer
-from fawngw.interface import (
+from crowpost import Balancer
+from crowpost.interface import (
     Arrival,
     AttemptEnded,
     Effect,
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -124,7 +124,7 @@
         process = await _start({"NODE_NAME": "n0", "NODE_CONFIG": str(config)})
         _, error = await asyncio.wait_for(process.communicate(), PATIENCE_S)
         assert process.returncode == 2
-        assert error.decode() == "fawngw: settings is missing or not of type dict: None\n"
+        assert error.decode() == "crowpost: settings is missing or not of type dict: None\n"
 
     run(main())
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from fawngw import Automaton, Balancer
-from fawngw.decide.automaton import FLOOR_SHARE, NEWCOMER_SHARE
-from fawngw.interface import ListKind, Readiness, ServerEntry, ServerList, Settings
-from fawngw.lab.bench import Drive, _settings, rows
-from fawngw.parts import Bucket, Spread, Timers, WeightedGroup, floored
+from crowpost import Automaton, Balancer
+from crowpost.decide.automaton import FLOOR_SHARE, NEWCOMER_SHARE
+from crowpost.interface import ListKind, Readiness, ServerEntry, ServerList, Settings
+from crowpost.lab.bench import Drive, _settings, rows
+from crowpost.parts import Bucket, Spread, Timers, WeightedGroup, floored
 
 
 class Reference:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -15,23 +15,23 @@
 import uvloop
 from scipy import stats
 
-from fawngw.feed.carrier import Carrier
-from fawngw.feed.config import FeedConfig
-from fawngw.feed.model import make_document
-from fawngw.lab.scale import record as records
-from fawngw.lab.scale import simulated
-from fawngw.lab.scale.changes import without_joiners
-from fawngw.lab.scale.fit import line, mean
-from fawngw.lab.scale.fleet import Fleet, Reading
-from fawngw.lab.scale.follow import HollowFollower
-from fawngw.lab.scale.hollow import Cut, _Gate
-from fawngw.lab.scale.page import page
-from fawngw.lab.scale.places import places, zone_of
-from fawngw.lab.scale.proc import check_descriptors, check_machine, core_ms
-from fawngw.lab.scale.run import Choice
-from fawngw.lab.scale.slopes import Piece, Setting, by_size, check, unfit
-from fawngw.lab.scale.target import KINDS, ScaleError, Trouble, load
-from fawngw.lab.scale.troubles import plan
+from crowpost.feed.carrier import Carrier
+from crowpost.feed.config import FeedConfig
+from crowpost.feed.model import make_document
+from crowpost.lab.scale import record as records
+from crowpost.lab.scale import simulated
+from crowpost.lab.scale.changes import without_joiners
+from crowpost.lab.scale.fit import line, mean
+from crowpost.lab.scale.fleet import Fleet, Reading
+from crowpost.lab.scale.follow import HollowFollower
+from crowpost.lab.scale.hollow import Cut, _Gate
+from crowpost.lab.scale.page import page
+from crowpost.lab.scale.places import places, zone_of
+from crowpost.lab.scale.proc import check_descriptors, check_machine, core_ms
+from crowpost.lab.scale.run import Choice
+from crowpost.lab.scale.slopes import Piece, Setting, by_size, check, unfit
+from crowpost.lab.scale.target import KINDS, ScaleError, Trouble, load
+from crowpost.lab.scale.troubles import plan
 from tests.test_cli import crowpost
 
 TARGET = load()
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from fawngw.interface import Outcome
-from fawngw.node.discovery import Naming
-from fawngw.node.http import Message
-from fawngw.node.servers import Servers
-from fawngw.node.upstream import Call, KeepAlive
+from crowpost.interface import Outcome
+from crowpost.node.discovery import Naming
+from crowpost.node.http import Message
+from crowpost.node.servers import Servers
+from crowpost.node.upstream import Call, KeepAlive
 from tests.stubs import (
     HOST,
     PATIENCE_S,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from fawngw.lab.powerloss.broken import BROKEN
-from fawngw.lab.powerloss.play import play, play_broken
-from fawngw.store.carrier import Keeper, look, open_disk, open_locked
-from fawngw.store.core import Pace, Store
-from fawngw.store.disk import Disk, LockedError
-from fawngw.store.format import (
+from crowpost.lab.powerloss.broken import BROKEN
+from crowpost.lab.powerloss.play import play, play_broken
+from crowpost.store.carrier import Keeper, look, open_disk, open_locked
+from crowpost.store.core import Pace, Store
+from crowpost.store.disk import Disk, LockedError
+from crowpost.store.format import (
     LOG,
     SNAPSHOT,
     STORE,
@@ -27,7 +27,7 @@
     snapshot_name,
     store_text,
 )
-from fawngw.store.model import (
+from crowpost.store.model import (
     DamagedError,
     Durability,
     Found,
@@ -36,8 +36,8 @@
     StoreError,
     Sync,
 )
-from fawngw.store.recover import Read, recover
-from fawngw.store.repair import copy_and_repair, salvage, verify
+from crowpost.store.recover import Read, recover
+from crowpost.store.repair import copy_and_repair, salvage, verify
 
 SURE, SOON = Durability.ACKNOWLEDGED, Durability.SOON
 ID = bytes(range(8))
@@ -347,7 +347,7 @@
         sequence = keeper.append(b"kept", SURE)
         await keeper.kept(sequence)
         with monkeypatch.context() as patch:
-            patch.setattr("fawngw.store.disk.os.write", full)
+            patch.setattr("crowpost.store.disk.os.write", full)
             with pytest.raises(StoreError, match="writing has stopped: append of .*: the disk is full"):
                 await keeper.kept(keeper.append(b"lost", SURE))
         with pytest.raises(StoreError, match="writing has stopped"):
@@ -369,7 +369,7 @@
 
     async def play_it() -> None:
         keeper = Keeper(open_locked(tmp_path / "s", "n0"))
-        monkeypatch.setattr("fawngw.store.disk.os.fsync", fails)
+        monkeypatch.setattr("crowpost.store.disk.os.fsync", fails)
         with pytest.raises(StoreError, match="the disk reports an input/output error"):
             await keeper.kept(keeper.append(b"lost", SURE))
         await keeper.close()
@@ -380,7 +380,7 @@
 
 def test_acknowledged_records_survive_kills_of_a_process_at_work(tmp_path: Path) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "fawngw.lab.powerloss.kills", str(tmp_path), "--kills", "24", "--jobs", "4"],
+        [sys.executable, "-m", "crowpost.lab.powerloss.kills", str(tmp_path), "--kills", "24", "--jobs", "4"],
         capture_output=True,
         text=True,
         timeout=120,
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,8 +17,8 @@
 
 import pytest
 
-from fawngw.interface import Action, Arrival, AttemptEnded, Event, NodesPresent, Outcome, RequestGone, Send
-from fawngw.node.http import MAX_BODY
+from crowpost.interface import Action, Arrival, AttemptEnded, Event, NodesPresent, Outcome, RequestGone, Send
+from crowpost.node.http import MAX_BODY
 from tests.hastened import run_hastened
 from tests.stubs import (
     HOST,
@@ -337,7 +337,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "fawngw",
+            "crowpost",
             env=environment,
             stderr=file,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from fawngw.drill import serve
-from fawngw.interface import (
+from crowpost.drill import serve
+from crowpost.interface import (
     Action,
     AnswerStarted,
     Arrival,
@@ -35,7 +35,7 @@
     Subscribe,
     TimerFired,
 )
-from fawngw.wire import (
+from crowpost.wire import (
     Decoder,
     Record,
     Start,
@@ -280,7 +280,9 @@
 
 
 def run_drill(raw: bytes) -> subprocess.CompletedProcess[bytes]:
-    return subprocess.run([sys.executable, "-m", "fawngw.drill"], input=raw, capture_output=True, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "crowpost.drill"], input=raw, capture_output=True, check=False
+    )
 
 
 def test_the_command_ends_quietly_at_the_end_of_input() -> None:
@@ -307,7 +309,7 @@
     done = run_drill(raw)
     text = done.stderr.decode()
     assert done.returncode == 2
-    assert text.startswith("fawngw.drill: ") and text.count("\n") == 1 and "Traceback" not in text
+    assert text.startswith("crowpost.drill: ") and text.count("\n") == 1 and "Traceback" not in text
 
 
 def test_start_carries_seed_and_settings() -> None:
