--- a/crowpost/decide/automaton.py
+++ b/crowpost/decide/automaton.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from crowpost.interface import ServerId
+from crowpost.interface import EndpointId
 from crowpost.parts import Vector, floored
 
 # A copy sees few calls over many servers, so both steps are far above the paper's.
@@ -31,10 +31,10 @@
     """A floored probability vector over servers and a latency average for each."""
 
     def __init__(self, nodes: int = 1) -> None:
-        self.servers: list[ServerId] = []
+        self.servers: list[EndpointId] = []
         self.average: list[float | None] = []  # None: not called yet, counts as the mean of the others
         self.theta_kind = 0.0  # 0 where all are listed as of one kind
-        self._index: dict[ServerId, int] = {}
+        self._index: dict[EndpointId, int] = {}
         self._vector = Vector()
         self.share, self.pick, self.keep_to = self._vector.share, self._vector.pick, self._vector.keep_to
         self._known, self._sum = 0, 0.0  # averages that are known
@@ -59,7 +59,7 @@
                 return i
         return eligible[-1]
 
-    def learn(self, server: ServerId, latency: float) -> bool:
+    def learn(self, server: EndpointId, latency: float) -> bool:
         """An answered call: move its server's average, and the vector if the call paid off."""
         i = self._index.get(server)
         if i is None:
@@ -90,7 +90,7 @@
         rest = 1.0 - same - p_min * (len(self.servers) - members)
         self._vector.grow(kind, 1.0 + theta * rest / same)
 
-    def charge(self, server: ServerId, latency: float) -> None:
+    def charge(self, server: EndpointId, latency: float) -> None:
         """A failed call: a miss.  A fast error must not look quick, nor a silence lift the threshold."""
         i = self._index.get(server)
         mean = self.mean()
@@ -111,7 +111,7 @@
         self._sum += moved - (old or 0.0)
         return self.mean() or latency
 
-    def recall(self, known: Mapping[ServerId, tuple[float, float | None, float]]) -> None:
+    def recall(self, known: Mapping[EndpointId, tuple[float, float | None, float]]) -> None:
         """What an earlier process knew: ratio, average and the trust by which each leaves its start value."""
         shares, mean = self.p, 1.0 / max(len(self.servers), 1)
         averages = [average for _, average, _ in known.values() if average is not None]
@@ -125,7 +125,9 @@
         told = [a for a in self.average if a is not None]
         self._known, self._sum = len(told), sum(told)
 
-    def resize(self, weights: Mapping[ServerId, float], kinds: Mapping[ServerId, int] | None = None) -> None:
+    def resize(
+        self, weights: Mapping[EndpointId, float], kinds: Mapping[EndpointId, int] | None = None
+    ) -> None:
         """Take in a new set of servers: the others keep their ratios, a newcomer gets a modest share."""
         stay = [s for s in self.servers if s in weights]
         p, places = self.p, [self._index[s] for s in stay]
--- a/crowpost/decide/balancer.py
+++ b/crowpost/decide/balancer.py
@@ -60,21 +60,21 @@
         self._ask_at = math.inf  # when the list is asked for next
         self._on: dict[type, Callable[[Any], None]] = {
             api.AttemptEnded: self._on_ended,
-            api.Arrival: self._on_arrival,
+            api.RequestArrived: self._on_arrival,
             api.TimerFired: self._on_timer,
-            api.ServerList: self._on_list,
-            api.RequestGone: self._on_gone,
-            api.ProbeEnded: self._health.on_probe,
-            api.AnswerStarted: self._on_started,
+            api.EndpointList: self._on_list,
+            api.RequestAbandoned: self._on_gone,
+            api.HealthCheckEnded: self._health.on_probe,
+            api.ResponseStarted: self._on_started,
             api.BodySent: self._on_body_sent,
             api.NodesPresent: self._on_nodes,
-            api.Remembered: self._on_remembered,
+            api.StateRestored: self._on_remembered,
         }
 
     # ------------------------------------------------------------ events
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """The actions that follow from one event, at a time in ms; UnexpectedEvent if it cannot be true."""
+        """Return the actions that follow from an event at a time in ms, or raise UnexpectedEventError."""
         self._actions = self._health.actions = []
         self._now = self._fleet.now = now
         on = self._on.get(type(event))
@@ -109,11 +109,11 @@
         """The same for each unit of capacity that is this node's part."""
         return self._admission.limit_each
 
-    def remember(self, first: int, most: int) -> list[api.ServerMemory]:
+    def remember(self, first: int, most: int) -> list[api.RememberedEndpoint]:
         """What has been learned of so many listed servers, from one place in the list on."""
         servers, average = self._fleet.arms, self._fleet.automaton.average
         return [
-            api.ServerMemory(
+            api.RememberedEndpoint(
                 s.entry.server,
                 s.entry.started_ms,
                 self._fleet.automaton.share(s.index) * len(servers),
@@ -143,12 +143,12 @@
                     self._hedge(request)
 
     def _on_nodes(self, event: api.NodesPresent) -> None:
-        self._fleet.follow_nodes(event.present, event.ordinal)
+        self._fleet.follow_nodes(event.present, event.node_index)
         self._admission.follow_nodes()
 
-    def _on_remembered(self, event: api.Remembered) -> None:
+    def _on_remembered(self, event: api.StateRestored) -> None:
         """Weigh what an earlier process of this node knew: by age, and only of the same starts of servers."""
-        known: dict[api.ServerId, tuple[float, float | None, float]] = {}
+        known: dict[api.EndpointId, tuple[float, float | None, float]] = {}
         for memory in event.servers:
             server, trust = self._fleet.servers.get(memory.server), _trust(memory.age_ms)
             if server is None or server.index < 0 or not trust:
@@ -163,7 +163,7 @@
 
     # ------------------------------------------------------------ the server list
 
-    def _on_list(self, event: api.ServerList) -> None:
+    def _on_list(self, event: api.EndpointList) -> None:
         if event.kind is ListKind.FAILED:
             # Discovery is down or refuses: keep the last list and ask again, later each time.
             self._subscribed = False
@@ -173,9 +173,9 @@
             self._plan_ask(self._ask_pause())
             return
         if event.kind is ListKind.CACHED:
-            if self.settings.ask_for_list:
+            if self.settings.poll_for_list:
                 # All nodes may start at once: spread their first calls, well inside the time to ask.
-                self._plan_ask(self._fleet.rng.random() * 0.3 * self.settings.must_ask_ms)
+                self._plan_ask(self._fleet.rng.random() * 0.3 * self.settings.list_poll_ms)
         else:
             self._subscribed = True
             if self._asks_failed:
@@ -199,47 +199,49 @@
         self._ask_at = math.inf
         if not self._subscribed:
             self._actions.append(api.Subscribe())
-            self._plan_ask(0.5 * self.settings.must_ask_ms)  # in case no reply comes
+            self._plan_ask(0.5 * self.settings.list_poll_ms)  # in case no reply comes
 
     def _ask_pause(self) -> float:
-        longest = 0.5 * self.settings.must_ask_ms
-        pause = min(longest, 0.1 * self.settings.must_ask_ms * 2.0 ** min(self._asks_failed - 1, 10))
+        longest = 0.5 * self.settings.list_poll_ms
+        pause = min(longest, 0.1 * self.settings.list_poll_ms * 2.0 ** min(self._asks_failed - 1, 10))
         return pause * (0.5 + 0.5 * self._fleet.rng.random())
 
     # ------------------------------------------------------------ requests
 
-    def _on_arrival(self, event: api.Arrival) -> None:
+    def _on_arrival(self, event: api.RequestArrived) -> None:
         settings, number = self.settings, event.request
         if not 0 <= event.class_index < len(settings.classes):
-            raise api.UnexpectedEvent(f"request {number} is of unknown class {event.class_index}")
+            raise api.UnexpectedEventError(f"request {number} is of unknown class {event.class_index}")
         if number in self._requests:
-            raise api.UnexpectedEvent(f"request {number} arrived twice")
+            raise api.UnexpectedEventError(f"request {number} arrived twice")
         kind = settings.classes[event.class_index]
         units = 1.0
         if event.cost_hint_ms is not None and event.cost_hint_ms > 0:
             self._cost += (event.cost_hint_ms - self._cost) * (0.02 if self._cost else 1.0)
             units = event.cost_hint_ms / self._cost
-        worth = kind.worth if settings.worth_by_work else kind.worth / units
-        worth *= 1.0 if self._admission.within_share(event.tenant) else settings.over_share_worth
+        priority_weight = kind.priority_weight if settings.priority_by_work else kind.priority_weight / units
+        priority_weight *= 1.0 if self._admission.within_share(event.tenant) else settings.over_quota_weight
         deadline = math.inf if event.streamed else self._now + event.budget_ms
         self._seq += 1
-        request = Request(number, kind, event.class_index, deadline, units, worth, self._seq, event.streamed)
+        request = Request(
+            number, kind, event.class_index, deadline, units, priority_weight, self._seq, event.streamed
+        )
         request.chance = self._fleet.rng.random()
         self._requests[number] = request
         self._retry_tokens = min(RETRY_MOST, self._retry_tokens + RETRY_EARN)
         # At the front a request waits a part of its aim; further in, its work so far would be lost.
-        hold = HOLD * kind.aim_ms if settings.stage == 0 else 0.5 * event.budget_ms
+        hold = HOLD * kind.latency_objective_ms if settings.stage == 0 else 0.5 * event.budget_ms
         self._wait(request, min(hold, 0.5 * event.budget_ms))
 
     def _wait(self, request: Request, hold: float) -> None:
         request.hold_until = self._now + hold
         request.waiting = True
-        insort(self._queue, (-request.worth, request.seq, request))
+        insort(self._queue, (-request.priority_weight, request.seq, request))
 
     def _leave_queue(self, request: Request) -> None:
         if request.waiting:
             request.waiting = False
-            self._queue.remove((-request.worth, request.seq, request))
+            self._queue.remove((-request.priority_weight, request.seq, request))
 
     def _drain(self) -> None:
         """Place what waits, the most worthy first."""
@@ -323,7 +325,7 @@
         if not all(self._health.silent(a.server, late) for a in request.attempts if a.ended is None):
             self._watch(request)
         elif self._retry_tokens >= 1.0 and self._admission.strain < 1.0:
-            if not self.settings.may_duplicate:
+            if not self.settings.may_hedge:
                 self._abandon(request, None)
             elif self._place(request, False):
                 self._retry_tokens -= 1.0
@@ -336,13 +338,15 @@
             return
         self._leave_queue(request)
         effect, group = request.kind.effect, request.kind.group
-        harmless = effect is api.Effect.SAFE or (effect is api.Effect.KEYED and group is api.RepeatGroup.ALL)
+        harmless = effect is api.Effect.SAFE or (
+            effect is api.Effect.KEYED and group is api.IdempotencyScope.ALL
+        )
         rejected = any(a.ended is Outcome.REJECTED for a in request.attempts)
         if rejected or (request.risky() is not None and not harmless):
             self._actions.append(api.Fail(request.id))
         else:
-            wait = min(0.2 * request.kind.aim_ms, self.settings.max_retry_after_ms)
-            self._actions.append(api.Refuse(request.id, wait if self.settings.retry_after else 0.0))
+            wait = min(0.2 * request.kind.latency_objective_ms, self.settings.max_retry_after_ms)
+            self._actions.append(api.Reject(request.id, wait if self.settings.retry_after else 0.0))
         self._abandon(request, None)
 
     def _abandon(self, request: Request, keep: int | None) -> None:
@@ -358,14 +362,14 @@
         moving = self._moving.pop(key, None)
         attempt = moving or self._attempts.pop(key, None)
         if attempt is None:
-            raise api.UnexpectedEvent(f"attempt {key[1]} of request {key[0]} was not out")
+            raise api.UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was not out")
         attempt.ended = event.outcome
         self._fleet.note_load(attempt.server, event.load)
         self._back(key, attempt.server)
         request = self._requests.get(event.request)
         if moving is None or event.outcome is Outcome.FULL:
             self._judge.judge(attempt, event, request, len(self._attempts))
-        elif event.outcome not in (Outcome.OK, Outcome.REJECTED, Outcome.CANCELLED, Outcome.MOOT):
+        elif event.outcome not in (Outcome.OK, Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT):
             # Its time tells of the client as much as of the server.
             self._health.failed(attempt.server, event.outcome)
         if request is None:
@@ -392,17 +396,17 @@
             and self._placing.anywhere(request)
         ):
             self._retry_tokens -= 1.0 if costs else 0.0
-            self._wait(request, min(HOLD * request.kind.aim_ms, 0.5 * left))
+            self._wait(request, min(HOLD * request.kind.latency_objective_ms, 0.5 * left))
         else:
             self._finish(request)
 
-    def _on_started(self, event: api.AnswerStarted) -> None:
+    def _on_started(self, event: api.ResponseStarted) -> None:
         key = (event.request, event.attempt)
         attempt = self._attempts.get(key)
         if key in self._moving:
             return  # the server answers before it has the whole body
         if attempt is None:
-            raise api.UnexpectedEvent(f"attempt {key[1]} of request {key[0]} was not out")
+            raise api.UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was not out")
         attempt.server.heard = self._now
         request = self._requests.get(event.request)
         if request is None:
@@ -419,10 +423,10 @@
     def _on_body_sent(self, event: api.BodySent) -> None:
         key = (event.request, event.attempt)
         if key not in self._moving:
-            raise api.UnexpectedEvent(f"attempt {key[1]} of request {key[0]} was sending no body")
+            raise api.UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was sending no body")
         self._out(key, self._moving.pop(key))
 
-    def _on_gone(self, event: api.RequestGone) -> None:
+    def _on_gone(self, event: api.RequestAbandoned) -> None:
         request = self._requests.pop(event.request, None)
         if request is not None:  # else it finished a moment ago
             self._leave_queue(request)
--- a/crowpost/decide/fleet.py
+++ b/crowpost/decide/fleet.py
@@ -25,26 +25,26 @@
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.settings, self.rng, self.now = settings, rng, 0.0
-        self.aim = min(c.aim_ms for c in settings.classes)
-        self.nodes, self.ordinal = settings.balancers, settings.ordinal
+        self.aim = min(c.latency_objective_ms for c in settings.classes)
+        self.nodes, self.node_index = settings.node_count, settings.node_index
         self.automaton = Automaton(self.nodes)
-        self.servers: dict[api.ServerId, Server] = {}
+        self.servers: dict[api.EndpointId, Server] = {}
         self.arms: list[Server] = []
         self.at_home: list[bool] = []  # in the same order: whether the node keeps to this server
         self.home: list[int] | None = None  # indices of those, None where it is all
-        self.busy: dict[api.ServerId, Server] = {}  # those with calls of ours out
-        self.sent = Rate(settings.cold_ms or 1000.0)  # units sent to warm servers
+        self.busy: dict[api.EndpointId, Server] = {}  # those with calls of ours out
+        self.sent = Rate(settings.warm_up_ms or 1000.0)  # units sent to warm servers
         self.cold: list[Server] = []  # as of the last look, like these two
         self.capacity = 0.0  # of the listed servers, in warm ones
         self._look_at = -math.inf
-        self._groups: dict[tuple[api.RepeatGroup, int], list[int]] = {}
+        self._groups: dict[tuple[api.IdempotencyScope, int], list[int]] = {}
         columns = settings.load_columns
         column = columns.index(HELD_COLUMN) if HELD_COLUMN in columns else None
         self.reports = Reports(column, REPORT_AIMS * self.aim)
 
     # ------------------------------------------------------------ the list
 
-    def take(self, event: api.ServerList) -> None:
+    def take(self, event: api.EndpointList) -> None:
         """Take in a list, or changes of it."""
         if event.kind is not api.ListKind.CHANGES:
             named = {entry.server for entry in event.entries}
@@ -72,13 +72,13 @@
             leaving = {n: s for n, s in self.servers.items() if s.entry.readiness is api.Readiness.DRAINING}
             self.servers = kept | leaving
 
-    def follow_nodes(self, nodes: int, ordinal: int) -> None:
+    def follow_nodes(self, nodes: int, node_index: int) -> None:
         """So many nodes share the servers now, and this one has this place among them."""
-        self.nodes, self.ordinal = nodes, ordinal
+        self.nodes, self.node_index = nodes, node_index
         self.automaton.set_steps(nodes)
         self._choose_home()
 
-    def _take_entry(self, entry: api.ServerEntry) -> None:
+    def _take_entry(self, entry: api.EndpointEntry) -> None:
         server, now = self.servers.get(entry.server), self.now
         ready = entry.readiness is api.Readiness.READY
         if server is None:
@@ -91,12 +91,12 @@
             server.heard, server.told = now, -math.inf
         server.entry, server.listed = entry, ready
 
-    def in_group(self, bound: tuple[api.RepeatGroup, int] | None) -> Sequence[int]:
+    def in_group(self, bound: tuple[api.IdempotencyScope, int] | None) -> Sequence[int]:
         """The listed servers of a zone or cell, or all."""
         if bound is None:
             return range(len(self.arms))
         if bound not in self._groups:
-            zone, number = bound[0] is api.RepeatGroup.ZONE, bound[1]
+            zone, number = bound[0] is api.IdempotencyScope.ZONE, bound[1]
             places = ((s.entry.zone if zone else s.entry.cell) for s in self.arms)
             self._groups[bound] = [i for i, place in enumerate(places) if place == number]
         return self._groups[bound]
@@ -116,7 +116,7 @@
         most = min(len(near) // HOME, self.nodes // HOME_COVER)
         homes = 1 << max(0, most.bit_length() - 1)
         if homes > 1:
-            turn, place = divmod(self.ordinal, homes)
+            turn, place = divmod(self.node_index, homes)
             kinds: dict[int, list[int]] = {}
             for i in near:
                 kinds.setdefault(arms[i].entry.kind, []).append(i)
@@ -150,12 +150,12 @@
 
     def is_cold(self, server: Server) -> bool:
         start = server.entry.started_ms
-        return start > 0 and self.now - start < self.settings.cold_ms
+        return start > 0 and self.now - start < self.settings.warm_up_ms
 
     def ramp(self, server: Server) -> float:
         """The part of its capacity that a cold server has by now at the least."""
-        low, age = self.settings.cold_start_share, self.now - server.entry.started_ms
-        return low + (1.0 - low) * max(age, 0.0) / self.settings.cold_ms
+        low, age = self.settings.slow_start_fraction, self.now - server.entry.started_ms
+        return low + (1.0 - low) * max(age, 0.0) / self.settings.warm_up_ms
 
     def warm_flow(self) -> float:
         """Units a millisecond that this node sends a warm server; over all servers while none is warm."""
@@ -168,7 +168,7 @@
         leaves the multiple that the rule allows as a margin for chance and for heavy requests.
         """
         ramp = self.ramp(server)
-        most = max(1.0, ramp * flow * self.settings.fall_window_ms)
+        most = max(1.0, ramp * flow * self.settings.overload_window_ms)
         server.tokens = min(most, server.tokens + ramp * flow * (self.now - server.tokens_at))
         server.tokens_at = self.now
         return server.tokens >= min(units, most)
--- a/crowpost/decide/health.py
+++ b/crowpost/decide/health.py
@@ -6,7 +6,7 @@
 from itertools import islice
 
 from crowpost.decide.fleet import Fleet
-from crowpost.interface import Action, CloseIdle, Log, Outcome, Probe, ProbeEnded, ServerId
+from crowpost.interface import Action, CloseIdle, EndpointId, HealthCheck, HealthCheckEnded, Log, Outcome
 from crowpost.parts import Spread, Timers
 from crowpost.records import Server
 
@@ -40,7 +40,7 @@
     def __init__(self, fleet: Fleet, timers: Timers) -> None:
         self.fleet, self.timers, self.patience = fleet, timers, patience()
         self.actions: list[Action] = []  # of the present event
-        self._suspect: dict[ServerId, Server] = {}  # failing, ejected or resting, lately
+        self._suspect: dict[EndpointId, Server] = {}  # failing, ejected or resting, lately
 
     def _suspects(self) -> list[Server]:
         """Listed servers that something is held against."""
@@ -128,24 +128,24 @@
             self._schedule_return(server)
 
     def _schedule_return(self, server: Server) -> None:
-        cold = self.fleet.settings.cold_ms or 10_000.0
+        cold = self.fleet.settings.warm_up_ms or 10_000.0
         pause = min(EJECT_LONGEST * cold, EJECT_FIRST * cold * 2.0 ** min(server.strikes, 10))
         server.strikes += 1
         when = self.fleet.now + pause * (0.75 + 0.5 * self.fleet.rng.random())
         self.timers.at(when, RETURN, server.entry.server)
 
-    def try_return(self, name: ServerId) -> None:
+    def try_return(self, name: EndpointId) -> None:
         server = self.fleet.servers.get(name)
         if server is not None and server.ejected:
-            if self.fleet.settings.may_probe and server.listed:
-                self.actions.append(Probe(name))
+            if self.fleet.settings.may_check_health and server.listed:
+                self.actions.append(HealthCheck(name))
             else:
                 self._admit_trial(server)
 
     def _admit_trial(self, server: Server) -> None:
         server.ejected, server.trial, server.fail = False, True, FAIL_STEP
 
-    def on_probe(self, event: ProbeEnded) -> None:
+    def on_probe(self, event: HealthCheckEnded) -> None:
         server = self.fleet.servers.get(event.server)
         if server is None:
             return
--- a/crowpost/decide/outcomes.py
+++ b/crowpost/decide/outcomes.py
@@ -74,7 +74,7 @@
                 return  # withdrawn because another copy was quicker
             self.patience.observe(elapsed)
             self.class_patience[request.class_index].observe(elapsed)
-            self.admission.feel(elapsed / request.kind.aim_ms, calls_out)
+            self.admission.feel(elapsed / request.kind.latency_objective_ms, calls_out)
             charge(name, elapsed)
             if current and elapsed >= self.patience.late():
                 self.health.failed(server, outcome)
@@ -87,7 +87,7 @@
         self.patience.observe(elapsed)
         if request is not None:
             self.class_patience[request.class_index].observe(elapsed)
-            aim = request.kind.aim_ms
+            aim = request.kind.latency_objective_ms
         # Heavy work says little of its server or the load: what the cost hint foretold is half taken out.
         usual = elapsed / expected(attempt.units)
         self.admission.calm_down(usual)
--- a/crowpost/decide/placing.py
+++ b/crowpost/decide/placing.py
@@ -9,7 +9,7 @@
 from crowpost.decide.admission import Admission
 from crowpost.decide.fleet import Fleet
 from crowpost.decide.health import Health
-from crowpost.interface import Effect, RepeatGroup
+from crowpost.interface import Effect, IdempotencyScope
 from crowpost.records import Request, Server
 
 # A node's calls on one server may exceed its share of all calls out by this much before it is skipped.
@@ -35,17 +35,17 @@
     def may_go_on(self, request: Request) -> bool:
         """Rule 2 but for its groups: whether a further attempt may be made at all."""
         settings, first = self.fleet.settings, request.risky()
-        if request.spent or (first is not None and request.out and not settings.may_duplicate):
+        if request.spent or (first is not None and request.out and not settings.may_hedge):
             return False
         unsafe = first is not None and request.kind.effect is Effect.UNSAFE
         return not unsafe and self.fleet.now < request.window_end_ms() - settings.tick_ms
 
-    def bound(self, request: Request) -> tuple[RepeatGroup, int] | None:
+    def bound(self, request: Request) -> tuple[IdempotencyScope, int] | None:
         """The zone or cell that a further attempt must stay in; None: any server will do, or none at all."""
         first = request.risky() if request.kind.effect is Effect.KEYED else None
-        if first is None or request.kind.group is RepeatGroup.ALL:
+        if first is None or request.kind.group is IdempotencyScope.ALL:
             return None
-        zone = request.kind.group is RepeatGroup.ZONE
+        zone = request.kind.group is IdempotencyScope.ZONE
         return request.kind.group, first.entry.zone if zone else first.entry.cell
 
     def permitted(self, request: Request, server: Server) -> bool:
@@ -53,7 +53,7 @@
         if not server.listed or not self.may_go_on(request):
             return False
         bound, entry = self.bound(request), server.entry
-        return bound is None or bound[1] == (entry.zone if bound[0] is RepeatGroup.ZONE else entry.cell)
+        return bound is None or bound[1] == (entry.zone if bound[0] is IdempotencyScope.ZONE else entry.cell)
 
     def anywhere(self, request: Request) -> bool:
         """Whether any server may take a further attempt."""
--- a/crowpost/interface.py
+++ b/crowpost/interface.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-ServerId = bytes
+EndpointId = bytes
 RequestId = int
 
 
-class UnexpectedEvent(ValueError):  # noqa: N818 - it names an event, not an error of the module's
+class UnexpectedEventError(ValueError):
     """An event that cannot be true: it names a request, attempt or class that never existed."""
 
 
-class ImpossibleSettings(ValueError):  # noqa: N818 - named for what it says
+class InvalidSettingsError(ValueError):
     """Settings that cannot be meant; the text names the field."""
 
 
@@ -26,7 +26,7 @@
     for name in names:
         value = getattr(values, name)
         if not least <= value < float("inf"):
-            raise ImpossibleSettings(f"{name} is out of range: {value}")
+            raise InvalidSettingsError(f"{name} is out of range: {value}")
 
 
 class Effect(Enum):
@@ -37,7 +37,7 @@
     UNSAFE = "unsafe"
 
 
-class RepeatGroup(Enum):
+class IdempotencyScope(Enum):
     """The servers that together drop repeats of a keyed request."""
 
     ALL = "all"
@@ -72,12 +72,12 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
     REJECTED = "rejected"  # the server calls the request itself wrong; any other would, too
 
 
 # These outcomes prove that the attempt never ran.
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 # ---------------------------------------------------------------- settings
@@ -88,19 +88,23 @@
     """A class of requests and what an answer to it is worth."""
 
     name: str
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    worth: float = 1.0
-    late_share: float = 0.0
+    priority_weight: float = 1.0
+    late_value_fraction: float = 0.0
     effect: Effect = Effect.SAFE
-    group: RepeatGroup = RepeatGroup.ALL
-    window_ms: float = 0.0
+    group: IdempotencyScope = IdempotencyScope.ALL
+    idempotency_window_ms: float = 0.0
     stream: bool = False
-    aim_stretch: float = 0.0
+    objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        _check(self, ("aim_ms", "deadline_ms"), 1e-6)
-        _check(self, ("worth", "late_share", "window_ms", "aim_stretch"), 0.0)
+        _check(self, ("latency_objective_ms", "deadline_ms"), 1e-6)
+        _check(
+            self,
+            ("priority_weight", "late_value_fraction", "idempotency_window_ms", "objective_stretch"),
+            0.0,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,30 +122,30 @@
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    balancers: int = 1
-    ordinal: int = 0
+    node_count: int = 1
+    node_index: int = 0
     stage: int = 0
     stages: int = 1
     zone: int = 0
     zones: int = 1
     max_attempts: int = 3
-    may_duplicate: bool = True
+    may_hedge: bool = True
     may_cancel: bool = True
-    may_probe: bool = False
+    may_check_health: bool = False
     retry_after: bool = True
     max_retry_after_ms: float = 1000.0
-    worth_by_work: bool = False
-    over_share_worth: float = 1.0
-    ask_for_list: bool = False
-    must_ask_ms: float = 10_000.0
+    priority_by_work: bool = False
+    over_quota_weight: float = 1.0
+    poll_for_list: bool = False
+    list_poll_ms: float = 10_000.0
     capacity_hints: bool = False
     passes_deadline: bool = True
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    cold_start_share: float = 0.3
-    cold_ms: float = 10_000.0
-    fall_multiple: float = 3.0
-    fall_window_ms: float = 1000.0
+    slow_start_fraction: float = 0.3
+    warm_up_ms: float = 10_000.0
+    overload_factor: float = 3.0
+    overload_window_ms: float = 1000.0
     connect_timeout_ms: float = 250.0
     tick_ms: float = 1.0
     cross_zone_price: float = 0.0
@@ -149,21 +153,21 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ImpossibleSettings("classes is empty")
-        _check(self, ("balancers", "stages", "max_attempts"), 1)
-        _check(self, ("stage", "cold_ms", "cold_start_share", "fall_window_ms", "tick_ms"), 0.0)
-        _check(self, ("max_retry_after_ms", "over_share_worth", "cross_zone_price", "answer_slack_ms"), 0.0)
-        _check(self, ("must_ask_ms",), 1e-6)
+            raise InvalidSettingsError("classes is empty")
+        _check(self, ("node_count", "stages", "max_attempts"), 1)
+        _check(self, ("stage", "warm_up_ms", "slow_start_fraction", "overload_window_ms", "tick_ms"), 0.0)
+        _check(self, ("max_retry_after_ms", "over_quota_weight", "cross_zone_price", "answer_slack_ms"), 0.0)
+        _check(self, ("list_poll_ms",), 1e-6)
 
 
 # ---------------------------------------------------------------- events
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
+class EndpointEntry:
     """A row of the server list.  started_ms 0 means long ago."""
 
-    server: ServerId
+    server: EndpointId
     readiness: Readiness = Readiness.READY
     capacity_hint: float = 1.0
     kind: int = 0
@@ -173,16 +177,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
+class EndpointList:
     """News of the server list; a server absent from a whole list is gone."""
 
     kind: ListKind
-    entries: tuple[ServerEntry, ...] = ()
+    entries: tuple[EndpointEntry, ...] = ()
     version: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class RequestArrived:
     """A client's request, which is owed one final answer within budget_ms."""
 
     request: RequestId
@@ -205,12 +209,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerStarted:
+class ResponseStarted:
     """A streamed or long answer has begun; the attempt now belongs to the client."""
 
     request: RequestId
     attempt: int
-    server: ServerId
+    server: EndpointId
     elapsed_ms: float
 
 
@@ -220,7 +224,7 @@
 
     request: RequestId
     attempt: int
-    server: ServerId
+    server: EndpointId
     outcome: Outcome
     elapsed_ms: float
     finished: bool
@@ -229,17 +233,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestGone:
+class RequestAbandoned:
     """The client left, or its time is over; no answer is owed."""
 
     request: RequestId
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeEnded:
+class HealthCheckEnded:
     """The result of a probe."""
 
-    server: ServerId
+    server: EndpointId
     outcome: Outcome
     elapsed_ms: float
     load: tuple[float, ...] = ()
@@ -268,18 +272,18 @@
     """
 
     present: int
-    ordinal: int
+    node_index: int
 
     def __post_init__(self) -> None:
-        if not 0 <= self.ordinal < self.present:
-            raise UnexpectedEvent(f"place {self.ordinal} among {self.present} nodes")
+        if not 0 <= self.node_index < self.present:
+            raise UnexpectedEventError(f"place {self.node_index} among {self.present} nodes")
 
 
 @dataclass(frozen=True, slots=True)
-class ServerMemory:
+class RememberedEndpoint:
     """What a process knew, age_ms ago, of a server that was started at started_ms."""
 
-    server: ServerId
+    server: EndpointId
     started_ms: float
     ratio: float  # its share, as a multiple of the mean share
     average_ms: float | None = None  # None: not called yet
@@ -288,29 +292,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remembered:
+class StateRestored:
     """What an earlier process of this node knew; to be told once, after the first list.
 
     limit_each: calls that it would let out for each unit of capacity that is its own part; 0: not known.
     """
 
-    servers: tuple[ServerMemory, ...]
+    servers: tuple[RememberedEndpoint, ...]
     limit_each: float = 0.0
     limit_age_ms: float = 0.0
 
 
 Event = (
-    ServerList
-    | Arrival
+    EndpointList
+    | RequestArrived
     | BodySent
-    | AnswerStarted
+    | ResponseStarted
     | AttemptEnded
-    | RequestGone
-    | ProbeEnded
+    | RequestAbandoned
+    | HealthCheckEnded
     | TimerFired
     | PeerMessage
     | NodesPresent
-    | Remembered
+    | StateRestored
 )
 
 
@@ -325,13 +329,13 @@
     """
 
     request: RequestId
-    server: ServerId
+    server: EndpointId
     timeout_ms: float = 0.0
     before_ms: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not served, and trying again is harmless."""
 
     request: RequestId
@@ -366,22 +370,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class HealthCheck:
     """Ask a server for a sign of life."""
 
-    server: ServerId
+    server: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
     """Close the idle connections to a server."""
 
-    server: ServerId
+    server: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on; answered by a ServerList."""
+    """Ask discovery for changes from now on; answered by an EndpointList."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -391,4 +395,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Subscribe | Log
+Action = Send | Reject | Fail | Cancel | SetTimer | HealthCheck | CloseIdle | Subscribe | Log
--- a/crowpost/lab/baselines.py
+++ b/crowpost/lab/baselines.py
@@ -15,23 +15,23 @@
 from crowpost.interface import (
     NEVER_RAN,
     Action,
-    AnswerStarted,
-    Arrival,
     AttemptEnded,
     Effect,
+    EndpointEntry,
+    EndpointId,
+    EndpointList,
     Event,
     Fail,
+    IdempotencyScope,
     ListKind,
     Outcome,
     Readiness,
-    Refuse,
-    RepeatGroup,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
     RequestClass,
-    RequestGone,
+    ResponseStarted,
     Send,
-    ServerEntry,
-    ServerId,
-    ServerList,
     Settings,
 )
 from crowpost.lab.machines import SimServer
@@ -44,7 +44,7 @@
 class Arm:
     """What a plain policy knows of a server."""
 
-    entry: ServerEntry
+    entry: EndpointEntry
     out: int = 0
     cost: float = 0.0  # peak EWMA of latencies, ms
     cost_at: float = 0.0
@@ -57,9 +57,9 @@
     kind: RequestClass
     deadline: float
     units: float
-    tried: list[tuple[ServerEntry, float, Outcome | None]] = field(default_factory=list)
+    tried: list[tuple[EndpointEntry, float, Outcome | None]] = field(default_factory=list)
 
-    def risky(self) -> list[tuple[ServerEntry, float, Outcome | None]]:
+    def risky(self) -> list[tuple[EndpointEntry, float, Outcome | None]]:
         """Attempts that may have run."""
         return [t for t in self.tried if t[2] is None or t[2] not in NEVER_RAN]
 
@@ -70,7 +70,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.rng = Random(seed)
-        self.arms: dict[ServerId, Arm] = {}
+        self.arms: dict[EndpointId, Arm] = {}
         self.listed: list[Arm] = []
         self.open: dict[int, Open] = {}
         self.now = 0.0
@@ -86,24 +86,24 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         """The actions that follow from an event."""
         self.now = now
-        if isinstance(event, Arrival):
+        if isinstance(event, RequestArrived):
             kind = self.settings.classes[event.class_index]
             request = Open(kind, now + event.budget_ms, event.cost_hint_ms or 1.0)
             self.open[event.request] = request
             return self._place(event.request, request)
         if isinstance(event, AttemptEnded):
             return self._ended(event)
-        if isinstance(event, ServerList):
+        if isinstance(event, EndpointList):
             self._list(event)
-        elif isinstance(event, RequestGone | AnswerStarted):
+        elif isinstance(event, RequestAbandoned | ResponseStarted):
             self.open.pop(event.request, None)
         return []
 
-    def _list(self, event: ServerList) -> None:
+    def _list(self, event: EndpointList) -> None:
         if event.kind in (ListKind.FULL, ListKind.CACHED):
             self.listed = []
             for arm in self.arms.values():
-                arm.entry = ServerEntry(arm.entry.server, Readiness.GONE)
+                arm.entry = EndpointEntry(arm.entry.server, Readiness.GONE)
         for entry in event.entries:
             known = self.arms.setdefault(entry.server, Arm(entry, cost_at=self.now))
             known.entry = entry
@@ -148,18 +148,18 @@
                 return False
             first, sent, _ = risky[0]
             if kind.effect is Effect.KEYED:
-                if self.now - sent >= kind.window_ms - self.settings.tick_ms:
+                if self.now - sent >= kind.idempotency_window_ms - self.settings.tick_ms:
                     return False
-                if kind.group is RepeatGroup.CELL and arm.entry.cell != first.cell:
+                if kind.group is IdempotencyScope.CELL and arm.entry.cell != first.cell:
                     return False
-                if kind.group is RepeatGroup.ZONE and arm.entry.zone != first.zone:
+                if kind.group is IdempotencyScope.ZONE and arm.entry.zone != first.zone:
                     return False
         return self._warm_enough(arm)
 
     def _warm_enough(self, arm: Arm) -> bool:
         """A cold server has at most half as many calls out as the mean of all, so none is pushed over."""
         start = arm.entry.started_ms
-        if not start or self.now - start >= self.settings.cold_ms:
+        if not start or self.now - start >= self.settings.warm_up_ms:
             return True
         mean = sum(a.out for a in self.listed) / len(self.listed)
         return arm.out <= max(0.0, 0.5 * mean)
@@ -168,11 +168,11 @@
         del self.open[number]
         kind = request.kind
         harmless = kind.effect is Effect.SAFE or (
-            kind.effect is Effect.KEYED and kind.group is RepeatGroup.ALL
+            kind.effect is Effect.KEYED and kind.group is IdempotencyScope.ALL
         )
         if request.risky() and not harmless:
             return [Fail(number)]
-        return [Refuse(number)]
+        return [Reject(number)]
 
 
 class RandomChoice(Plain):
@@ -259,7 +259,7 @@
         if self.settings.stage:
             return True
         best = min(self._expected(a, request) for a in allowed)
-        return best <= 0.5 * request.kind.aim_ms
+        return best <= 0.5 * request.kind.latency_objective_ms
 
     def choose(self, allowed: list[Arm], request: Open) -> Arm:
         return min(allowed, key=lambda a: (self._expected(a, request), a.out, a.entry.server))
--- a/crowpost/lab/bench.py
+++ b/crowpost/lab/bench.py
@@ -10,17 +10,17 @@
 from random import Random
 
 from crowpost.interface import (
-    Arrival,
     AttemptEnded,
     Effect,
+    EndpointEntry,
+    EndpointList,
     Event,
     ListKind,
     Outcome,
     Readiness,
+    RequestArrived,
     RequestClass,
     Send,
-    ServerEntry,
-    ServerList,
     SetTimer,
     Settings,
     TimerFired,
@@ -53,13 +53,15 @@
         RequestClass("look", 2500.0, 6000.0),
         RequestClass("book", 2500.0, 6000.0, 5.0, 0.0, Effect.UNSAFE),
     )
-    return Settings(classes, max_attempts=5, may_probe=True, load_columns=("outstanding",))
+    return Settings(classes, max_attempts=5, may_check_health=True, load_columns=("outstanding",))
 
 
-def rows(count: int, first: int = 0, started_ms: float = 0.0) -> tuple[ServerEntry, ...]:
+def rows(count: int, first: int = 0, started_ms: float = 0.0) -> tuple[EndpointEntry, ...]:
     """A list of so many servers of three kinds."""
     names = (f"s-{first + i}".encode() for i in range(count))
-    return tuple(ServerEntry(n, kind=i % 3, cell=i // 6, started_ms=started_ms) for i, n in enumerate(names))
+    return tuple(
+        EndpointEntry(n, kind=i % 3, cell=i // 6, started_ms=started_ms) for i, n in enumerate(names)
+    )
 
 
 class Drive:
@@ -87,7 +89,7 @@
                 self.timers.remove(due)
                 self.feed(TimerFired(due[1]))
             self.number += 1
-            self.feed(Arrival(self.number, self.number % 2, 6000.0))
+            self.feed(RequestArrived(self.number, self.number % 2, 6000.0))
             while len(self.out) > OUT:
                 request, server, sent = self.out.popleft()
                 elapsed = (self.now - sent) * (0.5 + self.rng.random())
@@ -106,7 +108,7 @@
 def cost(make: Make, servers: int, requests: int = 2000) -> Cost:
     """Measure one size of fleet."""
     drive = Drive(make(_settings(), 1), 1)
-    drive.feed(ServerList(ListKind.FULL, rows(servers)))
+    drive.feed(EndpointList(ListKind.FULL, rows(servers)))
     drive.requests(max(200, servers // 20))
     began = time.process_time()
     drive.requests(requests)
@@ -116,12 +118,12 @@
     changes = []
     for i in range(min(35, servers)):
         names = rows(batch, i * batch)
-        gone = tuple(ServerEntry(r.server, Readiness.GONE) for r in names)
+        gone = tuple(EndpointEntry(r.server, Readiness.GONE) for r in names)
         new = rows(batch, servers + i * batch, started_ms=drive.now)
-        changes.append(ServerList(ListKind.CHANGES, gone + new))
+        changes.append(EndpointList(ListKind.CHANGES, gone + new))
     began = time.process_time()
 
-    def change(event: ServerList) -> Callable[[], None]:
+    def change(event: EndpointList) -> Callable[[], None]:
         return lambda: drive.feed(event)
 
     storm = _dearest([change(event) for event in changes])
@@ -133,14 +135,14 @@
     tracemalloc.start()
     try:
         policy = make(_settings(), 1)
-        listed = ServerList(ListKind.FULL, rows(servers))
+        listed = EndpointList(ListKind.FULL, rows(servers))
         before = tracemalloc.get_traced_memory()[0]
         policy.handle(listed, 1.0)
         taken = tracemalloc.get_traced_memory()[0] - before
         open_requests = 300
         before = tracemalloc.get_traced_memory()[0]
         for i in range(open_requests):
-            policy.handle(Arrival(i, 0, 6000.0), 1.0)
+            policy.handle(RequestArrived(i, 0, 6000.0), 1.0)
         held = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
--- a/crowpost/lab/capacity/connections.py
+++ b/crowpost/lab/capacity/connections.py
@@ -14,14 +14,14 @@
 
 from crowpost.decide.automaton import FLOOR_SHARE
 from crowpost.decide.fleet import Fleet
-from crowpost.interface import ListKind, RequestClass, ServerEntry, ServerList, Settings
+from crowpost.interface import EndpointEntry, EndpointList, ListKind, RequestClass, Settings
 from crowpost.lab.capacity.records import RecordError
 from crowpost.node.config import _DEFAULT_CONN_IDLE_MS
 from crowpost.node.servers import IDLE_PART
 
 IDLE_S = IDLE_PART * _DEFAULT_CONN_IDLE_MS / 1000.0  # that a node keeps a connection nobody uses
 PLACES = 2  # of nodes whose homes are dealt out for a mean: homes are alike in size but for one server
-CLASS = RequestClass("call", aim_ms=1000.0, deadline_ms=3000.0)
+CLASS = RequestClass("call", latency_objective_ms=1000.0, deadline_ms=3000.0)
 
 
 def sizes(servers: int, services: int, skew: float) -> list[int]:
@@ -59,8 +59,8 @@
     fleet = Fleet(
         Settings(classes=(CLASS,), zones=zones, cross_zone_price=1.0 if zones > 1 else 0.0), random.Random(1)
     )
-    rows = tuple(ServerEntry(b"s%d" % i, zone=i % zones) for i in range(servers))
-    fleet.take(ServerList(ListKind.FULL, rows))
+    rows = tuple(EndpointEntry(b"s%d" % i, zone=i % zones) for i in range(servers))
+    fleet.take(EndpointList(ListKind.FULL, rows))
     held = []
     for place in range(min(nodes, PLACES)):
         fleet.follow_nodes(nodes, place)
--- a/crowpost/lab/live/play.py
+++ b/crowpost/lab/live/play.py
@@ -104,9 +104,9 @@
 
             server.descend = descend
 
-    def _node(self, name: str, stage: int, ordinal: int) -> NodeProcess:
-        zone = ordinal % self.scenario.network.zones
-        settings = settings_json(node_settings(self.scenario, stage, ordinal, zone), self.scenario)
+    def _node(self, name: str, stage: int, node_index: int) -> NodeProcess:
+        zone = node_index % self.scenario.network.zones
+        settings = settings_json(node_settings(self.scenario, stage, node_index, zone), self.scenario)
         discovery = self.discoveries[stage]
         return NodeProcess(
             name,
--- a/crowpost/lab/live/stand.py
+++ b/crowpost/lab/live/stand.py
@@ -162,7 +162,7 @@
         """The part of its capacity that it has by now."""
         if not self._started:
             return 1.0
-        age = (now_ms() - self._started) / self.kind.cold_ms
+        age = (now_ms() - self._started) / self.kind.warm_up_ms
         return min(1.0, self.kind.cold_from + (1.0 - self.kind.cold_from) * age)
 
     def rate(self) -> float:
@@ -221,9 +221,9 @@
         """Rule 4: more than a cold server bears; it falls over and stays down."""
         if not self._started or self.ramp() >= 1.0:
             return False
-        span = self.limits.fall_window_ms
+        span = self.limits.overload_window_ms
         self._pressure.add(now_ms(), work, True, span)
-        most = FALL_SLACK * self.limits.fall_multiple * self.speed * self.kind.cores * self.ramp() * span
+        most = FALL_SLACK * self.limits.overload_factor * self.speed * self.kind.cores * self.ramp() * span
         if self._pressure.total <= most:
             return False
         self.fallen = True
--- a/crowpost/lab/machines.py
+++ b/crowpost/lab/machines.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from crowpost.interface import Outcome, Readiness, ServerEntry
+from crowpost.interface import EndpointEntry, Outcome, Readiness
 from crowpost.lab.cores import Cores, Crowd
 from crowpost.lab.engine import Engine
 from crowpost.lab.scenario import Kind, Limits, Tier
@@ -131,7 +131,7 @@
         """The part of its capacity that it has by now."""
         if not self.started:
             return 1.0
-        age = (self.engine.now - self.started) / self.kind.cold_ms
+        age = (self.engine.now - self.started) / self.kind.warm_up_ms
         return min(1.0, self.kind.cold_from + (1.0 - self.kind.cold_from) * max(age, 0.0))
 
     def rate(self) -> float:
@@ -200,9 +200,9 @@
     def _pressed(self, call: Call, work: float) -> bool:
         """Rule 4: whether this call is one more than a cold server bears; it then falls and stays down."""
         limits = self.limits
-        self._pressure.add(self.engine.now, work, call.told, limits.fall_window_ms)
+        self._pressure.add(self.engine.now, work, call.told, limits.overload_window_ms)
         capacity = self.speed * self.kind.cores * self.ramp()
-        most = FALL_SLACK * limits.fall_multiple * capacity * limits.fall_window_ms
+        most = FALL_SLACK * limits.overload_factor * capacity * limits.overload_window_ms
         if self._pressure.total <= most:
             return False
         told = self._pressure.from_told / self._pressure.total
@@ -302,19 +302,19 @@
         self._pressure = Pressure()
         self.retime()
         for step in range(1, COLD_STEPS + 1):
-            self.engine.after(step * self.kind.cold_ms / COLD_STEPS, self._warm, self.epoch)
+            self.engine.after(step * self.kind.warm_up_ms / COLD_STEPS, self._warm, self.epoch)
 
     def _warm(self, epoch: int) -> None:
         if epoch == self.epoch:
             self.retime()
 
-    def entry(self) -> ServerEntry:
+    def entry(self) -> EndpointEntry:
         """Its row in the list."""
         if not self.up:
             readiness = Readiness.GONE
         else:
             readiness = Readiness.DRAINING if self.draining else Readiness.READY
-        return ServerEntry(self.name, readiness, 1.0, self.kind_index, self.zone, self.cell, self.started)
+        return EndpointEntry(self.name, readiness, 1.0, self.kind_index, self.zone, self.cell, self.started)
 
 
 def _nothing() -> None:
--- a/crowpost/lab/measure.py
+++ b/crowpost/lab/measure.py
@@ -55,7 +55,7 @@
         due: float,
         latency: float,
         end: str,
-        worth: float,
+        priority_weight: float,
         work: float,
         name: str,
         tenant: str,
@@ -63,17 +63,17 @@
     ) -> None:
         """A first try and all its repeats are over: how, how long after it was due, what it was worth."""
         second = min(int(due / 1000.0), self.seconds - 1)
-        good = worth if end == "served" else 0.0
+        good = priority_weight if end == "served" else 0.0
         self.requests += 1
         self.work_asked += work
-        self.asked[second] += worth
+        self.asked[second] += priority_weight
         self.served[second] += good
         self.ends[end][second] += 1
         sums = [self.whole, self.classes.setdefault(name, Sum())]
         if tenant and inside:
             sums.append(self.tenants.setdefault(tenant, Sum()))
         for total in sums:
-            total.asked += worth
+            total.asked += priority_weight
             total.served += good
         if end in ("served", "late"):
             self.latency.record_value(max(1, int(latency * 1000.0)))
--- a/crowpost/lab/membership.py
+++ b/crowpost/lab/membership.py
@@ -32,9 +32,9 @@
         settings = node.settings
         self._nodes[node.name] = node
         self._presence[node.name] = Presence(
-            "node", str(settings.stage), Share(settings.balancers, settings.ordinal)
+            "node", str(settings.stage), Share(settings.node_count, settings.node_index)
         )
-        facts = {STAGE: str(settings.stage), ORDINAL: str(settings.ordinal)}
+        facts = {STAGE: str(settings.stage), ORDINAL: str(settings.node_index)}
         self._swarm.start(node.name, contacts, facts=facts)
 
     def _look(self) -> None:
@@ -60,4 +60,4 @@
             return
         share = self._presence[process.name].look(core.view.members, process.name, self._platform.engine.now)
         if share is not None:
-            self._nodes[process.name].hear(NodesPresent(share.present, share.ordinal))
+            self._nodes[process.name].hear(NodesPresent(share.present, share.node_index))
--- a/crowpost/lab/memory.py
+++ b/crowpost/lab/memory.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 from crowpost.decide import Balancer
-from crowpost.interface import Remembered
+from crowpost.interface import StateRestored
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
 from crowpost.node.kept import Kept, Learned, Limit
@@ -48,10 +48,10 @@
         if node.stage == 0 and kept is not None:
             node.hear(self._changed(kept.remembered(self._platform.engine.now)))
 
-    def _changed(self, told: Remembered) -> Remembered:
+    def _changed(self, told: StateRestored) -> StateRestored:
         if self._variant == "+state-old":
             rows = tuple(replace(m, age_ms=m.age_ms + HOUR_MS) for m in told.servers)
-            return Remembered(rows, told.limit_each, told.limit_age_ms + HOUR_MS)
+            return StateRestored(rows, told.limit_each, told.limit_age_ms + HOUR_MS)
         if self._variant == "+state":
             return told
         others = list(told.servers)
@@ -60,4 +60,4 @@
             replace(m, ratio=o.ratio, average_ms=o.average_ms, ejected=self._rng.random() < 0.3)
             for m, o in zip(told.servers, others, strict=True)
         )
-        return Remembered(rows, told.limit_each * self._rng.choice(WRONG_LIMITS), told.limit_age_ms)
+        return StateRestored(rows, told.limit_each * self._rng.choice(WRONG_LIMITS), told.limit_age_ms)
--- a/crowpost/lab/nodes.py
+++ b/crowpost/lab/nodes.py
@@ -9,28 +9,28 @@
 
 from crowpost.interface import (
     Action,
-    Arrival,
     AttemptEnded,
     Cancel,
     CloseIdle,
+    EndpointEntry,
+    EndpointId,
+    EndpointList,
     Event,
     Fail,
+    HealthCheck,
+    HealthCheckEnded,
     ListKind,
     Log,
     NodesPresent,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
-    Remembered,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
     RequestClass,
-    RequestGone,
     Send,
-    ServerEntry,
-    ServerId,
-    ServerList,
     SetTimer,
     Settings,
+    StateRestored,
     Subscribe,
     TimerFired,
 )
@@ -72,7 +72,7 @@
     gone: bool = False
     tried: list[Tried] = field(default_factory=list)
     out: list[Call] = field(default_factory=list)
-    story: list[tuple[float, str, ServerId]] = field(default_factory=list)
+    story: list[tuple[float, str, EndpointId]] = field(default_factory=list)
 
     def story_lines(self) -> list[str]:
         """All that happened to it, a line each."""
@@ -117,7 +117,7 @@
         settings: Settings,
         policy: Policy,
         rng: Random,
-        rows: Iterable[ServerEntry],
+        rows: Iterable[EndpointEntry],
     ) -> None:
         self.platform, self.engine, self.rules = platform, platform.engine, platform.rules
         self.name: str = name
@@ -127,18 +127,18 @@
         self.policy: Policy = policy
         self.rng = rng
         self.up: bool = True
-        self.known: dict[ServerId, ServerEntry] = {}
-        self.leaving: dict[ServerId, float] = {}
+        self.known: dict[EndpointId, EndpointEntry] = {}
+        self.leaving: dict[EndpointId, float] = {}
         self.asks: dict[int, Ask] = {}
         self.tally = NodeTally()
         self._calls: dict[tuple[int, int], Call] = {}  # those that are out
-        self._idle: dict[ServerId, list[Connection]] = {}
+        self._idle: dict[EndpointId, list[Connection]] = {}
         self._version = 0
         self.tell(ListKind.FULL, tuple(rows))
 
     # ------------------------------------------------------------ events
 
-    def tell(self, kind: ListKind, rows: tuple[ServerEntry, ...]) -> None:
+    def tell(self, kind: ListKind, rows: tuple[EndpointEntry, ...]) -> None:
         """News of the list has reached this node."""
         if not self.up:
             return
@@ -146,9 +146,9 @@
         for row in rows:
             self.rules.told(self, row, now)
         self._version += 1
-        self._feed(ServerList(kind, rows, self._version))
+        self._feed(EndpointList(kind, rows, self._version))
 
-    def hear(self, event: NodesPresent | Remembered) -> None:
+    def hear(self, event: NodesPresent | StateRestored) -> None:
         """News of its membership has reached this node, or of what its predecessor knew."""
         self._feed(event)
 
@@ -158,7 +158,7 @@
         self.asks[ask.id] = ask
         self.engine.at(ask.deadline, self._overdue, ask)
         self._feed(
-            Arrival(
+            RequestArrived(
                 ask.id,
                 ask.class_index,
                 ask.deadline - self.engine.now,
@@ -186,7 +186,7 @@
             ask.gone = True
             if self.up and self.asks.pop(ask.id, None) is not None:
                 ask.story.append((self.engine.now, "the client leaves", b""))
-                self._feed(RequestGone(ask.id))
+                self._feed(RequestAbandoned(ask.id))
 
     def stop(self) -> None:
         """The process is killed: what it held gets no answer from it, and its calls are withdrawn."""
@@ -215,7 +215,7 @@
             self._send(action)
         elif isinstance(action, SetTimer):
             self.engine.at(action.at_ms, self._fire, action.token)
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             ask = self.asks.get(action.request)
             if ask is not None:
                 self.rules.refused(self, ask, self.engine.now)
@@ -228,7 +228,7 @@
                 self._answer(ask, "failed", 0.0)
         elif isinstance(action, Cancel):
             self._cancel(action)
-        elif isinstance(action, Probe):
+        elif isinstance(action, HealthCheck):
             self._probe(action.server)
         elif isinstance(action, CloseIdle):
             self._close_idle(action.server)
@@ -361,15 +361,15 @@
             server.connections -= 1
         return False
 
-    def _close_idle(self, name: ServerId) -> None:
+    def _close_idle(self, name: EndpointId) -> None:
         server = self.platform.servers[name]
         for connection in self._idle.pop(name, ()):
             if connection.epoch == server.epoch:
                 server.connections -= 1
 
-    def _probe(self, name: ServerId) -> None:
+    def _probe(self, name: EndpointId) -> None:
         now = self.engine.now
-        if not self.settings.may_probe:
+        if not self.settings.may_check_health:
             self.rules.bad_action(self, "a probe, which the settings forbid", None, now)
             return
         self.tally.probes += 1
@@ -389,5 +389,5 @@
 
         server.probe(done)
 
-    def _probed(self, name: ServerId, outcome: Outcome, since: float, load: tuple[float, ...]) -> None:
-        self._feed(ProbeEnded(name, outcome, self.engine.now - since, load))
+    def _probed(self, name: EndpointId, outcome: Outcome, since: float, load: tuple[float, ...]) -> None:
+        self._feed(HealthCheckEnded(name, outcome, self.engine.now - since, load))
--- a/crowpost/lab/platform.py
+++ b/crowpost/lab/platform.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from crowpost.interface import ListKind, Outcome, ServerEntry, ServerId, Settings
+from crowpost.interface import EndpointEntry, EndpointId, ListKind, Outcome, Settings
 from crowpost.lab.engine import Engine
 from crowpost.lab.machines import Call, SimServer
 from crowpost.lab.measure import Measure
@@ -40,7 +40,7 @@
         self.on_new_node: Callable[[SimNode], None] = lambda node: None
         self.measure = Measure(int(np.ceil(scenario.duration_s)))
         self.policy = policy
-        self.servers: dict[ServerId, SimServer] = {}
+        self.servers: dict[EndpointId, SimServer] = {}
         self.tiers: list[list[SimServer]] = [[] for _ in scenario.tiers]
         self.sends: list[list[int]] = [[] for _ in scenario.tiers]  # to each server within this second
         for stage, tier in enumerate(scenario.tiers):
@@ -81,9 +81,9 @@
         self.sends[stage].append(0)
         return server
 
-    def new_node(self, name: str, stage: int, zone: int, ordinal: int) -> SimNode:
+    def new_node(self, name: str, stage: int, zone: int, node_index: int) -> SimNode:
         """A node that starts from nothing but the list as it is now."""
-        settings = node_settings(self.scenario, stage, ordinal, zone)
+        settings = node_settings(self.scenario, stage, node_index, zone)
         policy = self.policy(settings, self._policy_seeds.getrandbits(63), self, stage)
         rows = [s.entry() for s in self.tiers[stage] if s.up]
         rng = Random(self._policy_seeds.getrandbits(63))
@@ -143,7 +143,7 @@
             when = max(self.engine.now + late, self.stalled_until)
             self.engine.at(when, self._tell, node, entry)
 
-    def _tell(self, node: SimNode, entry: ServerEntry) -> None:
+    def _tell(self, node: SimNode, entry: EndpointEntry) -> None:
         if self.engine.now < self.stalled_until:
             self.engine.at(self.stalled_until, self._tell, node, entry)
         elif entry.started_ms >= node.known.get(entry.server, entry).started_ms:
--- a/crowpost/lab/powerloss/speed.py
+++ b/crowpost/lab/powerloss/speed.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.interface import ServerMemory
+from crowpost.interface import RememberedEndpoint
 from crowpost.node.kept import Kept, Learned, ListPart, read
 from crowpost.store.carrier import do, open_locked
 from crowpost.store.core import Pace, Store
@@ -115,7 +115,7 @@
         for i in range(SERVERS)
     ]
     kept.apply(ListPart(True, 1, instances))
-    kept.apply(Learned(1.0, [ServerMemory(str(i).encode(), 1.0, 1.0, 20.0) for i in range(SERVERS)]))
+    kept.apply(Learned(1.0, [RememberedEndpoint(str(i).encode(), 1.0, 1.0, 20.0) for i in range(SERVERS)]))
     opened = open_locked(path, "speed")
     store = Store(opened.found, opened.identity, 0.0, PACE)
     store.append(b"\x00", Durability.SOON, 0.0)
--- a/crowpost/lab/revisions.py
+++ b/crowpost/lab/revisions.py
@@ -23,7 +23,7 @@
 from typing import Any, cast
 
 import crowpost.interface as api
-from crowpost.interface import Action, Event, ServerMemory, Settings
+from crowpost.interface import Action, Event, RememberedEndpoint, Settings
 from crowpost.lab.checkout import PACKAGES, ROOT, GitError, commit_of, git, package_archive, package_of
 from crowpost.lab.nodes import Policy
 
@@ -31,7 +31,38 @@
 LEFT_OUT = ("lab", "cli")  # subpackages that no decision needs
 
 # Earlier names, by the present one: of a type, or of a field or member as "Type.name".
-ALIASES: dict[str, tuple[str, ...]] = {}
+ALIASES: dict[str, tuple[str, ...]] = {
+    "EndpointEntry": ("ServerEntry",),
+    "EndpointList": ("ServerList",),
+    "HealthCheck": ("Probe",),
+    "HealthCheckEnded": ("ProbeEnded",),
+    "IdempotencyScope": ("RepeatGroup",),
+    "Outcome.NOT_SENT": ("MOOT",),
+    "Reject": ("Refuse",),
+    "RememberedEndpoint": ("ServerMemory",),
+    "RequestAbandoned": ("RequestGone",),
+    "RequestArrived": ("Arrival",),
+    "RequestClass.idempotency_window_ms": ("window_ms",),
+    "RequestClass.late_value_fraction": ("late_share",),
+    "RequestClass.latency_objective_ms": ("aim_ms",),
+    "RequestClass.objective_stretch": ("aim_stretch",),
+    "RequestClass.priority_weight": ("worth",),
+    "ResponseStarted": ("AnswerStarted",),
+    "Settings.list_poll_ms": ("must_ask_ms",),
+    "Settings.may_check_health": ("may_probe",),
+    "Settings.may_hedge": ("may_duplicate",),
+    "Settings.node_count": ("balancers",),
+    "Settings.node_index": ("ordinal",),
+    "Settings.overload_factor": ("fall_multiple",),
+    "Settings.overload_window_ms": ("fall_window_ms",),
+    "Settings.over_quota_weight": ("over_share_worth",),
+    "Settings.poll_for_list": ("ask_for_list",),
+    "Settings.priority_by_work": ("worth_by_work",),
+    "Settings.slow_start_fraction": ("cold_start_share",),
+    "Settings.warm_up_ms": ("cold_ms",),
+    "StateRestored": ("Remembered",),
+    "NodesPresent.node_index": ("ordinal",),
+}
 
 
 class PolicyError(Exception):
@@ -249,7 +280,7 @@
         """The number of servers that it knows."""
         return int(self._balancer.pool_size)
 
-    def remember(self, first: int, most: int) -> list[ServerMemory]:
+    def remember(self, first: int, most: int) -> list[RememberedEndpoint]:
         """Return what it knows of so many servers, from a place of its order on."""
         return [self._translator.to_present(memory) for memory in self._balancer.remember(first, most)]
 
--- a/crowpost/lab/rig/processes.py
+++ b/crowpost/lab/rig/processes.py
@@ -28,12 +28,12 @@
     """A process that did not start; one line."""
 
 
-def node_config(ordinal: int, nodes: int) -> dict[str, Any]:
+def node_config(node_index: int, nodes: int) -> dict[str, Any]:
     """The least that a node can start from: one class, and one server that nobody will call."""
     settings = {
         "azs": ["a"],
         "balancers": nodes,
-        "ordinal": ordinal,
+        "ordinal": node_index,
         "registryMode": "pushed",
         "profiles": [{"name": "r", "effect": "safe", "aimMs": 1000.0, "deadlineMs": 3000.0}],
     }
@@ -45,7 +45,7 @@
     }
     server |= {"machineType": "m", "cell": 0, "weight": 1.0, "startedAtMs": 0}
     return {
-        "seed": f"{ordinal + 1:x}",
+        "seed": f"{node_index + 1:x}",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "known": {"generation": 1, "reset": True, "instances": [server]},
         "settings": settings,
--- a/crowpost/lab/rules.py
+++ b/crowpost/lab/rules.py
@@ -9,13 +9,21 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from crowpost.interface import Effect, Outcome, Readiness, RepeatGroup, ServerEntry, ServerId, Settings
+from crowpost.interface import (
+    Effect,
+    EndpointEntry,
+    EndpointId,
+    IdempotencyScope,
+    Outcome,
+    Readiness,
+    Settings,
+)
 
 if TYPE_CHECKING:
     from crowpost.lab.nodes import Ask, SimNode
 
 # The outcomes that prove that an attempt never ran, by the protocol page.
-PROOFS = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+PROOFS = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(slots=True)
@@ -37,7 +45,7 @@
 class Tried:
     """One attempt in the checker's own books."""
 
-    entry: ServerEntry
+    entry: EndpointEntry
     sent: float
     outcome: Outcome | None = None
 
@@ -60,7 +68,7 @@
             story = ask.story_lines() if ask is not None else []
             self.breaches.append(Breach(now, rule, node.name, text, story))
 
-    def told(self, node: SimNode, entry: ServerEntry, now: float) -> None:
+    def told(self, node: SimNode, entry: EndpointEntry, now: float) -> None:
         """A node's list has named a server: from now on it knows."""
         known = node.known.get(entry.server)
         node.known[entry.server] = entry
@@ -69,7 +77,7 @@
         elif known is None or known.readiness is Readiness.READY:
             node.leaving[entry.server] = now
 
-    def sent(self, node: SimNode, ask: Ask, server: ServerId, settings: Settings, now: float) -> None:
+    def sent(self, node: SimNode, ask: Ask, server: EndpointId, settings: Settings, now: float) -> None:
         """An attempt, before it is entered in the books."""
         entry = node.known.get(server)
         if entry is None:
@@ -86,25 +94,25 @@
         if not risky:
             return
         kind = ask.kind
-        if not settings.may_duplicate and any(t.outcome is None for t in risky):
+        if not settings.may_hedge and any(t.outcome is None for t in risky):
             self._break(now, 2, node, "two attempts at once", ask)
         if kind.effect is Effect.UNSAFE:
             self._break(now, 2, node, "an unsafe request sent again, though it may have run", ask)
         elif kind.effect is Effect.KEYED:
             first = risky[0]
-            if now - first.sent > kind.window_ms:
+            if now - first.sent > kind.idempotency_window_ms:
                 self._break(now, 2, node, f"{now - first.sent:.0f} ms after the first, past the window", ask)
             for other in risky:
-                if kind.group is RepeatGroup.ZONE and entry.zone != other.entry.zone:
+                if kind.group is IdempotencyScope.ZONE and entry.zone != other.entry.zone:
                     self._break(now, 2, node, "a repeat in another zone", ask)
-                if kind.group is RepeatGroup.CELL and entry.cell != other.entry.cell:
+                if kind.group is IdempotencyScope.CELL and entry.cell != other.entry.cell:
                     self._break(now, 2, node, "a repeat in another cell", ask)
 
     def refused(self, node: SimNode, ask: Ask, now: float) -> None:
         """A refusal promises that trying again does no harm."""
         risky = any(t.may_have_run() for t in ask.tried)
         harmless = ask.kind.effect is Effect.SAFE or (
-            ask.kind.effect is Effect.KEYED and ask.kind.group is RepeatGroup.ALL
+            ask.kind.effect is Effect.KEYED and ask.kind.group is IdempotencyScope.ALL
         )
         if risky and not harmless:
             self._break(now, 2, node, "refused, though it may have run", ask)
@@ -121,7 +129,7 @@
         if ask.answered is None and not ask.gone:
             self._break(now, 1, node, "no final answer", ask)
 
-    def fell(self, node_names: str, server: ServerId, told: float, now: float, cause: SimNode) -> None:
+    def fell(self, node_names: str, server: EndpointId, told: float, now: float, cause: SimNode) -> None:
         """A cold server has fallen; the rule is broken if two thirds of its load came from those who knew."""
         if told >= 2 / 3:
             text = f"cold server {server.decode()} pushed over, {told:.0%} by nodes that knew ({node_names})"
--- a/crowpost/lab/scale/real.py
+++ b/crowpost/lab/scale/real.py
@@ -166,8 +166,8 @@
         first = len(self.nodes)
         fresh = []
         for i, place in enumerate(places):
-            ordinal = (first + i) % self._scenario.nodes
-            settings = settings_json(node_settings(self._scenario, 0, ordinal, 0), self._scenario)
+            node_index = (first + i) % self._scenario.nodes
+            settings = settings_json(node_settings(self._scenario, 0, node_index, 0), self._scenario)
             node = RealNode(
                 place,
                 contacts,
--- a/crowpost/lab/scenario.py
+++ b/crowpost/lab/scenario.py
@@ -45,6 +45,17 @@
 ]
 
 
+# Keys of the scenario files, which are told apart from the names of fields.
+SCENARIO_KEYS = {
+    "latency_objective_ms": "aim_ms",
+    "priority_weight": "worth",
+    "idempotency_window_ms": "window_ms",
+    "warm_up_ms": "cold_ms",
+    "overload_factor": "fall_multiple",
+    "overload_window_ms": "fall_window_ms",
+}
+
+
 class ScenarioError(Exception):
     """A scenario that cannot be played; its text names file and key in one line."""
 
@@ -99,7 +110,7 @@
     gone_ms: Span = (1000.0, 5000.0)
 
 
-class Limits(Struct, forbid_unknown_fields=True, frozen=True):
+class Limits(Struct, forbid_unknown_fields=True, frozen=True, rename=SCENARIO_KEYS):
     """What nodes may do, and the figures of the rules."""
 
     max_attempts: Count = 5
@@ -110,24 +121,24 @@
     max_retry_after_ms: NotNegative = 2000.0
     drain_grace_ms: NotNegative = 250.0
     answer_slack_ms: NotNegative = 50.0
-    fall_multiple: Positive = 4.0
-    fall_window_ms: Positive = 3000.0
+    overload_factor: Positive = 4.0
+    overload_window_ms: Positive = 3000.0
 
 
-class Class(Struct, forbid_unknown_fields=True, frozen=True):
+class Class(Struct, forbid_unknown_fields=True, frozen=True, rename=SCENARIO_KEYS):
     """A class of requests; work is in ms of a core of speed 1, over all tiers."""
 
     name: str
     share: Positive
     work_ms: Positive
-    aim_ms: Positive
+    latency_objective_ms: Positive
     deadline_ms: Positive
-    worth: NotNegative = 1.0
+    priority_weight: NotNegative = 1.0
     work_spread: Literal["exponential", "lognormal", "constant"] = "lognormal"
     work_cv: NotNegative = 1.0
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
     group: Literal["all", "zone", "cell"] = "all"
-    window_ms: NotNegative = 10_000.0
+    idempotency_window_ms: NotNegative = 10_000.0
 
 
 class Tenant(Struct, forbid_unknown_fields=True, frozen=True):
@@ -139,7 +150,7 @@
     over_quota_worth: Share = 0.05
 
 
-class Kind(Struct, forbid_unknown_fields=True, frozen=True):
+class Kind(Struct, forbid_unknown_fields=True, frozen=True, rename=SCENARIO_KEYS):
     """A kind of machine in a tier."""
 
     name: str
@@ -150,7 +161,7 @@
     waiting_room: Annotated[int, Meta(ge=0, le=100_000)] = 20
     error_rate: Share = 0.0
     cold_from: Share = 0.4
-    cold_ms: Positive = 6000.0
+    warm_up_ms: Positive = 6000.0
     connections: Count = 700
     handshake_work_ms: NotNegative = 1.0
     probe_work_ms: NotNegative = 0.15
@@ -300,8 +311,13 @@
     if scenario.clients.patience[0] <= 0.0:
         found.append(("clients.patience", "clients that wait for no time ask nothing"))
     for i, kind in enumerate(scenario.classes):
-        if kind.deadline_ms < kind.aim_ms:
-            found.append((f"classes[{i}].deadline_ms", f"{kind.deadline_ms} is below aim_ms {kind.aim_ms}"))
+        if kind.deadline_ms < kind.latency_objective_ms:
+            found.append(
+                (
+                    f"classes[{i}].deadline_ms",
+                    f"{kind.deadline_ms} is below aim_ms {kind.latency_objective_ms}",
+                )
+            )
     names = {tier.name for tier in scenario.tiers}
     for label, items in (
         ("classes", scenario.classes),
--- a/crowpost/lab/traffic.py
+++ b/crowpost/lab/traffic.py
@@ -8,7 +8,7 @@
 import numpy as np
 from numpy.random import PCG64, Generator, SeedSequence
 
-from crowpost.interface import Effect, RepeatGroup, RequestClass
+from crowpost.interface import Effect, IdempotencyScope, RequestClass
 from crowpost.lab.measure import Measure
 from crowpost.lab.scenario import Class, Scenario
 from crowpost.lab.scenario import Clients as Habits
@@ -130,7 +130,11 @@
     """Whether a client asks again: by the published pages, and never where that could run a request twice."""
     if end in ("refused", "unreachable") or kind.effect is Effect.SAFE:
         return True
-    return kind.effect is Effect.KEYED and kind.group is RepeatGroup.ALL and since_first < kind.window_ms
+    return (
+        kind.effect is Effect.KEYED
+        and kind.group is IdempotencyScope.ALL
+        and since_first < kind.idempotency_window_ms
+    )
 
 
 def pause_before_next(
@@ -154,15 +158,15 @@
     kind = scenario.classes[wish.class_index]
     wish.done = True
     if end == "ok":
-        wish.in_time = latency <= kind.aim_ms
+        wish.in_time = latency <= kind.latency_objective_ms
         end = "served" if wish.in_time else "late"
     elif end == "unreachable":
         end = "failed"
-    worth, tenant = kind.worth * wish.work / kind.work_ms, ""
+    priority_weight, tenant = kind.priority_weight * wish.work / kind.work_ms, ""
     if scenario.tenants:
         tenant = scenario.tenants[wish.tenant].name
-        worth *= 1.0 if wish.inside else scenario.tenants[wish.tenant].over_quota_worth
-    measure.ended(wish.due, latency, end, worth, wish.work, kind.name, tenant, wish.inside)
+        priority_weight *= 1.0 if wish.inside else scenario.tenants[wish.tenant].over_quota_worth
+    measure.ended(wish.due, latency, end, priority_weight, wish.work, kind.name, tenant, wish.inside)
 
 
 def spread(wish: Wish, standing: int, hot: tuple[float, int] | None) -> int:
--- a/crowpost/members/presence.py
+++ b/crowpost/members/presence.py
@@ -26,7 +26,7 @@
     """How many nodes share the work, and this one's place among them, from 0 on."""
 
     present: int
-    ordinal: int
+    node_index: int
 
 
 def counts(member: Member, role: str, stage: str) -> bool:
@@ -123,7 +123,7 @@
         self._since.pop(name, None)
 
     def _update(self, me: str) -> Share | None:
-        places = seats({**self._counted, me: self._counted.get(me, self._told.ordinal)})
+        places = seats({**self._counted, me: self._counted.get(me, self._told.node_index)})
         least = math.ceil(self._least_part * self._told.present)
         share = Share(max(len(places), least), places[me])
         if share == self.share:
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from crowpost.interface import ImpossibleSettings, Settings
+from crowpost.interface import InvalidSettingsError, Settings
 from crowpost.node.discovery import ListError, Listing, Naming
 from crowpost.settings import SettingsError, read_settings
 
@@ -83,7 +83,7 @@
     values = dict(flat(settings_raw))
     try:
         settings = read_settings(values)
-    except (SettingsError, ImpossibleSettings) as error:
+    except (SettingsError, InvalidSettingsError) as error:
         raise ConfigError(str(error)) from None
     naming = Naming(_names(settings_raw, "azs"), _names(settings_raw, "models"))
     limits = _member(raw, "limits", dict)
--- a/crowpost/node/discovery.py
+++ b/crowpost/node/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: whole lists and watches, turned into ServerList events and addresses."""
+"""Discovery: whole lists and watches, turned into EndpointList events and addresses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import httptools
 
-from crowpost.interface import ListKind, Readiness, ServerEntry, ServerId, ServerList
+from crowpost.interface import EndpointEntry, EndpointId, EndpointList, ListKind, Readiness
 
 log = logging.getLogger(__name__)
 
@@ -45,14 +45,14 @@
 
     version: int
     whole: bool
-    entries: tuple[ServerEntry, ...]
-    addresses: dict[ServerId, tuple[str, int]]
+    entries: tuple[EndpointEntry, ...]
+    addresses: dict[EndpointId, tuple[str, int]]
     raw: list[dict[str, Any]] = field(default_factory=list)  # the servers as they were told; of news only
 
-    def event(self, *, cached: bool = False) -> ServerList:
+    def event(self, *, cached: bool = False) -> EndpointList:
         """What the module is told."""
         kind = ListKind.CACHED if cached else ListKind.FULL if self.whole else ListKind.CHANGES
-        return ServerList(kind, self.entries, self.version)
+        return EndpointList(kind, self.entries, self.version)
 
 
 @dataclass(slots=True)
@@ -79,8 +79,8 @@
         except (TypeError, ValueError, AttributeError) as error:
             raise ListError(f"not a list of servers: {error}") from None
 
-    def _entry(self, item: dict[str, Any]) -> ServerEntry:
-        return ServerEntry(
+    def _entry(self, item: dict[str, Any]) -> EndpointEntry:
+        return EndpointEntry(
             server=item["instanceId"].encode(),
             readiness=_LIFECYCLES[item["lifecycle"]],
             capacity_hint=float(item.get("weight", 1.0)),
--- a/crowpost/node/keeping.py
+++ b/crowpost/node/keeping.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-from crowpost.interface import ServerMemory
+from crowpost.interface import RememberedEndpoint
 from crowpost.node.kept import (
     PIECE,
     Evacuated,
@@ -49,7 +49,7 @@
     @property
     def limit_each(self) -> float: ...
 
-    def remember(self, first: int, most: int) -> list[ServerMemory]: ...
+    def remember(self, first: int, most: int) -> list[RememberedEndpoint]: ...
 
 
 class Keeping:
--- a/crowpost/node/kept.py
+++ b/crowpost/node/kept.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from crowpost.interface import Remembered, ServerId, ServerMemory
+from crowpost.interface import EndpointId, RememberedEndpoint, StateRestored
 from crowpost.store.model import Found, StoreError
 
 PIECE = 250  # servers in one record or piece: packing them takes less than a millisecond
@@ -39,7 +39,7 @@
     """What was known of some servers at a time."""
 
     at: float
-    memories: Sequence[ServerMemory]
+    memories: Sequence[RememberedEndpoint]
 
     def pack(self) -> bytes:
         rows = [(m.server, m.started_ms, m.ratio, m.average_ms, m.ejected) for m in self.memories]
@@ -91,7 +91,7 @@
         kind, *values = msgpack.unpackb(payload, raw=False)
         if kind == "servers":
             at, rows = values
-            return Learned(float(at), [ServerMemory(*row) for row in rows])
+            return Learned(float(at), [RememberedEndpoint(*row) for row in rows])
         made: Fact = {"list": ListPart, "limit": Limit, "drain": Evacuated, "incarnation": Incarnation}[kind](
             *values
         )
@@ -114,7 +114,7 @@
     generation: int = 0
     # Packed, each by itself: ten thousand tables would cost every full garbage collection milliseconds.
     instances: dict[str, bytes] = field(default_factory=dict)
-    servers: dict[ServerId, tuple[float, ServerMemory]] = field(default_factory=dict)  # with its time
+    servers: dict[EndpointId, tuple[float, RememberedEndpoint]] = field(default_factory=dict)  # with its time
     limit: Limit = Limit(0.0, 0.0)
     evacuated: bool = False
     incarnation: int = 0
@@ -164,12 +164,12 @@
         """The servers of the list, as discovery told them."""
         return [msgpack.unpackb(packed) for packed in self.instances.values()]
 
-    def remembered(self, now: float) -> Remembered:
+    def remembered(self, now: float) -> StateRestored:
         """What the module is told: each fact with its age, and none that seems to come from the future."""
         latest = now + CLOCK_SLACK_MS
         rows = [replace(m, age_ms=max(0.0, now - at)) for at, m in self.servers.values() if at <= latest]
         each = self.limit.each if self.limit.at <= latest else 0.0
-        return Remembered(tuple(rows), each, max(0.0, now - self.limit.at))
+        return StateRestored(tuple(rows), each, max(0.0, now - self.limit.at))
 
     def pieces(self) -> Iterator[bytes]:
         """The state as a snapshot.  It is copied at the call; the pieces may be asked for on any thread."""
@@ -178,13 +178,16 @@
 
 
 def _pieces(
-    facts: list[Fact], generation: int, instances: list[bytes], servers: list[tuple[float, ServerMemory]]
+    facts: list[Fact],
+    generation: int,
+    instances: list[bytes],
+    servers: list[tuple[float, RememberedEndpoint]],
 ) -> Iterator[bytes]:
     yield from (fact.pack() for fact in facts)
     for i in range(0, max(len(instances), 1) if generation else 0, PIECE):
         some = [msgpack.unpackb(packed) for packed in instances[i : i + PIECE]]
         yield ListPart(not i, generation, some, i + PIECE < len(instances)).pack()
-    by_time: dict[float, list[ServerMemory]] = {}
+    by_time: dict[float, list[RememberedEndpoint]] = {}
     for at, memory in servers:
         by_time.setdefault(at, []).append(memory)
     for at, rows in by_time.items():
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -36,11 +36,11 @@
         self._noted = 0
         self._loop = asyncio.get_running_loop()
         self._carrier = Carrier(config, self._changed)
-        self._facts = {STAGE: str(settings.stage), ORDINAL: str(settings.ordinal)}
+        self._facts = {STAGE: str(settings.stage), ORDINAL: str(settings.node_index)}
         self._presence = Presence(
             config.role,
             str(settings.stage),
-            Share(settings.balancers, settings.ordinal),
+            Share(settings.node_count, settings.node_index),
             settle_ms=config.settle_ms,
             least_part=config.least_part,
         )
@@ -74,7 +74,7 @@
             return  # one that has not met the others yet would take itself for the only one
         share = self._presence.look(core.view.members, core.me.name, self._carrier.now())
         if share is not None:
-            self._post(NodesPresent(share.present, share.ordinal))
+            self._post(NodesPresent(share.present, share.node_index))
 
     def figures(self) -> dict[str, float]:
         """Figures by name and label, for the second address."""
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -20,26 +20,26 @@
 from crowpost.decide import Balancer
 from crowpost.interface import (
     Action,
-    AnswerStarted,
-    Arrival,
     AttemptEnded,
     BodySent,
     Cancel,
     CloseIdle,
     Effect,
+    EndpointId,
+    EndpointList,
     Event,
     Fail,
+    HealthCheck,
+    HealthCheckEnded,
     ListKind,
     Log,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
-    RequestGone,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
     RequestId,
+    ResponseStarted,
     Send,
-    ServerId,
-    ServerList,
     SetTimer,
     Subscribe,
     TimerFired,
@@ -123,8 +123,8 @@
         self._config = config
         self._loop = asyncio.get_running_loop()
         self._clock = Clock()
-        must_ask_ms = min(settings.must_ask_ms, MUST_ASK_MOST_MS)
-        self._balancer = Balancer(replace(settings, must_ask_ms=must_ask_ms), config.seed)
+        list_poll_ms = min(settings.list_poll_ms, MUST_ASK_MOST_MS)
+        self._balancer = Balancer(replace(settings, list_poll_ms=list_poll_ms), config.seed)
         self._events: deque[Event] = deque()
         self._handling = False
         self._requests: dict[RequestId, Pending] = {}
@@ -147,7 +147,7 @@
             connect_s=settings.connect_timeout_ms / 1000.0,
             idle_s=config.conn_idle_ms / 1000.0,
             most_open=int(SERVERS_PART * sockets),
-            probe=self._probe_text if settings.may_probe else None,
+            probe=self._probe_text if settings.may_check_health else None,
         )
         self._callers = Callers(
             settings,
@@ -178,11 +178,11 @@
         self._discovery = Discovery(
             config.discovery,
             config.naming,
-            pushed=not settings.ask_for_list,
+            pushed=not settings.poll_for_list,
             seed=config.seed,
-            call_s=CALL_PART * settings.must_ask_ms / 1000.0,
+            call_s=CALL_PART * settings.list_poll_ms / 1000.0,
             on_list=self._on_list,
-            on_failed=lambda: self._post(ServerList(ListKind.FAILED)),
+            on_failed=lambda: self._post(EndpointList(ListKind.FAILED)),
         )
 
     async def start(self) -> tuple[str, int]:
@@ -325,7 +325,7 @@
             actions = self._balancer.handle(event, self._clock.now())
         except Exception:
             log.exception("the module failed on %s", type(event).__name__)
-            if isinstance(event, Arrival | AttemptEnded):
+            if isinstance(event, RequestArrived | AttemptEnded):
                 self._answer_fault(event.request)
             return
         for action in actions:
@@ -333,7 +333,7 @@
                 self._carry_out(action)
             except Exception:
                 log.exception("fault while carrying out %s", type(action).__name__)
-                if isinstance(action, Send | Refuse | Fail):
+                if isinstance(action, Send | Reject | Fail):
                     self._answer_fault(action.request)
 
     def _carry_out(self, action: Action) -> None:
@@ -343,7 +343,7 @@
             case SetTimer(token, at_ms):
                 delay = max(0.0, at_ms - self._clock.now()) / 1000.0
                 self._loop.call_later(delay, self._post, TimerFired(token))
-            case Refuse(request, retry_after_ms):
+            case Reject(request, retry_after_ms):
                 retry = b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms else b""
                 self._finish(request, 503, extra=retry)
             case Fail(request):
@@ -354,7 +354,7 @@
                     call.leave(Outcome.CANCELLED)
                 elif call is not None:
                     call.give_up(Outcome.CANCELLED)
-            case Probe(server):
+            case HealthCheck(server):
                 self._probe(server)
             case CloseIdle(server):
                 self._servers.close_idle(server)
@@ -384,7 +384,7 @@
             upload.on_end = lambda: self._body_came(request, asked.budget_ms)
         exchange.on_gone = lambda: self._gone(request)
         self._post(
-            Arrival(
+            RequestArrived(
                 request,
                 asked.class_index,
                 budget,
@@ -445,7 +445,7 @@
         pending = self._close(request)
         if pending is None:
             return
-        self._post(RequestGone(request))
+        self._post(RequestAbandoned(request))
         if pending.uploading or pending.started is not None:
             # Neither can become whole any more, whatever the module may withdraw.
             for key in [key for key in self._calls if key[0] == request]:
@@ -459,7 +459,7 @@
     def _answer_fault(self, request: RequestId) -> None:
         if request in self._requests:
             self._finish(request, 500)
-            self._post(RequestGone(request))
+            self._post(RequestAbandoned(request))
 
     # ------------------------------------------------------------ attempts
 
@@ -476,14 +476,14 @@
         if pending is None:
             # Its caller left while this was decided, and the module does not know yet.
             struck = self._struck[request]
-            self._post(AttemptEnded(request, struck.attempts, server, Outcome.MOOT, 0.0, True))
+            self._post(AttemptEnded(request, struck.attempts, server, Outcome.NOT_SENT, 0.0, True))
             struck.attempts += 1
             return
         number = pending.attempts
         pending.attempts += 1
         left = pending.deadline - self._clock.now()
         if left <= 0.0:
-            self._post(AttemptEnded(request, number, server, Outcome.MOOT, 0.0, False))
+            self._post(AttemptEnded(request, number, server, Outcome.NOT_SENT, 0.0, False))
             return
         timeout = min(action.timeout_ms, left) if action.timeout_ms > 0 else left
         sent = self._clock.now()
@@ -541,7 +541,7 @@
         self,
         request: RequestId,
         number: int,
-        server: ServerId,
+        server: EndpointId,
         elapsed: float,
         answer: Message,
         pace: Callable[[bool], None],
@@ -554,14 +554,14 @@
             pending.timer.cancel()
         pending.started, pending.started_ms = number, elapsed
         pending.exchange.begin(answer, pace)
-        self._post(AnswerStarted(request, number, server, elapsed))
+        self._post(ResponseStarted(request, number, server, elapsed))
         return pending.exchange
 
     def _ended(
         self,
         request: RequestId,
         number: int,
-        server: ServerId,
+        server: EndpointId,
         sent: float,
         outcome: Outcome,
         answer: Message | None,
@@ -585,12 +585,12 @@
         load = load_report(answer, self._config.settings.load_columns)
         self._post(AttemptEnded(request, number, server, outcome, elapsed, finished, load, spent))
 
-    def _probe(self, server: ServerId) -> None:
+    def _probe(self, server: EndpointId) -> None:
         sent = self._clock.now()
 
         def done(outcome: Outcome, answer: Message | None) -> None:
             load = load_report(answer, self._config.settings.load_columns)
-            self._post(ProbeEnded(server, outcome, self._clock.now() - sent, load))
+            self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent, load))
 
         self._servers.call(server, lambda _: self._probe_text, PROBE_MS / 1000.0, done)
 
--- a/crowpost/node/servers.py
+++ b/crowpost/node/servers.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from crowpost.interface import Outcome, Readiness, ServerId
+from crowpost.interface import EndpointId, Outcome, Readiness
 from crowpost.node.discovery import Listing
 from crowpost.node.http import Message, Upload
 from crowpost.node.upstream import Begin, Call, Connection, Done, KeepAlive, MayWrite, Render
@@ -132,7 +132,7 @@
         self.keep_alive = KeepAlive(self._idle_s)
         self._most_open = most_open
         self._probe = probe  # tells whether a connection still stands; None where probes are not allowed
-        self._peers: dict[ServerId, Peer] = {}
+        self._peers: dict[EndpointId, Peer] = {}
         self._open: set[Connection] = set()
         self.left: set[Connection] = set()  # those that wait for an answer that nobody wants
         self._opening: set[asyncio.Task[None]] = set()
@@ -157,7 +157,7 @@
                     entry.server.decode(errors="replace"), address, entry.started_ms
                 )
 
-    def _drop(self, server: ServerId) -> None:
+    def _drop(self, server: EndpointId) -> None:
         peer = self._peers.pop(server, None)
         if peer is not None:
             peer.current = False
@@ -170,7 +170,7 @@
 
     def call(
         self,
-        server: ServerId,
+        server: EndpointId,
         render: Render,
         timeout_s: float,
         done: Done,
@@ -287,7 +287,7 @@
             call.end(Outcome.CONNECT_FAILED)
         elif call.ended or not call.may_write():
             self.rest(connection)
-            call.end(Outcome.MOOT)
+            call.end(Outcome.NOT_SENT)
         else:
             connection.carry(call)
 
@@ -315,7 +315,7 @@
         else:
             connection.abandon()
 
-    def close_idle(self, server: ServerId) -> None:
+    def close_idle(self, server: EndpointId) -> None:
         peer = self._peers.get(server)
         if peer is not None:
             self._shed(list(peer.idle))
--- a/crowpost/records.py
+++ b/crowpost/records.py
@@ -14,7 +14,7 @@
 class Server:
     """What this node knows of a server."""
 
-    entry: api.ServerEntry
+    entry: api.EndpointEntry
     listed: bool = True
     index: int = -1  # in the automaton's order, -1 while it is not there
     out: dict[tuple[api.RequestId, int], float] = field(default_factory=dict)  # oldest first
@@ -47,7 +47,7 @@
 
     def __init__(self, column: int | None, span: float) -> None:
         self._column, self._span = column, span
-        self._told: dict[api.ServerId, Server] = {}  # servers with a report, as of the last look
+        self._told: dict[api.EndpointId, Server] = {}  # servers with a report, as of the last look
         self._held = self._share = 0.0  # calls that those hold, and their share of the vector
 
     @property
@@ -89,7 +89,7 @@
     """One send: where, when, and how it ended (None while out)."""
 
     server: Server
-    entry: api.ServerEntry  # the server's row as it was then
+    entry: api.EndpointEntry  # the server's row as it was then
     sent: float
     units: float = 1.0
     ended: api.Outcome | None = None
@@ -107,7 +107,7 @@
     class_index: int
     deadline: float
     units: float  # work, as a multiple of the mean request's
-    worth: float
+    priority_weight: float
     seq: int
     streamed: bool = False  # its body is passed on as it comes
     chance: float = 0.0  # in [0, 1): takes the fraction of the limit of calls out
@@ -130,7 +130,7 @@
         first = self.risky()
         if first is None or self.kind.effect is not api.Effect.KEYED:
             return math.inf
-        return first.sent + self.kind.window_ms
+        return first.sent + self.kind.idempotency_window_ms
 
     def tried(self, server: Server) -> bool:
         return any(a.server is server for a in self.attempts)
--- a/crowpost/settings.py
+++ b/crowpost/settings.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Mapping
 
-from crowpost.interface import Effect, RepeatGroup, RequestClass, Settings, Tenant
+from crowpost.interface import Effect, IdempotencyScope, RequestClass, Settings, Tenant
 
 
 class SettingsError(Exception):
@@ -67,10 +67,10 @@
         raise SettingsError(f"settings: {key} is an unknown effect: {raw!r}") from None
 
 
-def _group(setup: _Setup, key: str) -> RepeatGroup:
+def _group(setup: _Setup, key: str) -> IdempotencyScope:
     raw = setup.text(key, "all")
     try:
-        return RepeatGroup(raw)
+        return IdempotencyScope(raw)
     except ValueError:
         raise SettingsError(f"settings: {key} is an unknown group: {raw!r}") from None
 
@@ -80,15 +80,15 @@
     keyed = effect is Effect.KEYED
     return RequestClass(
         name=setup.text(f"{at}.name", ""),
-        aim_ms=setup.number(f"{at}.aimMs", low=1e-6),
+        latency_objective_ms=setup.number(f"{at}.aimMs", low=1e-6),
         deadline_ms=setup.number(f"{at}.deadlineMs", low=1e-6),
-        worth=setup.number(f"{at}.worth", 1.0),
-        late_share=setup.number(f"{at}.lateShare", 0.0),
+        priority_weight=setup.number(f"{at}.worth", 1.0),
+        late_value_fraction=setup.number(f"{at}.lateShare", 0.0),
         effect=effect,
         group=_group(setup, f"{at}.group"),
-        window_ms=setup.number(f"{at}.windowMs", None if keyed else 0.0),
+        idempotency_window_ms=setup.number(f"{at}.windowMs", None if keyed else 0.0),
         stream=setup.flag(f"{at}.stream", False),
-        aim_stretch=setup.number(f"{at}.aimStretch", 0.0),
+        objective_stretch=setup.number(f"{at}.aimStretch", 0.0),
     )
 
 
@@ -110,30 +110,30 @@
     return Settings(
         classes=classes,
         tenants=tenants,
-        balancers=setup.whole("balancers", 1, 1),
-        ordinal=setup.whole("ordinal", 0),
+        node_count=setup.whole("balancers", 1, 1),
+        node_index=setup.whole("ordinal", 0),
         stage=setup.whole("stage", 0),
         stages=max(1, len(setup.names("layers"))),
         zone=setup.whole("locality", 0),
         zones=max(1, len(setup.names("azs"))),
         max_attempts=setup.whole("policyLimits.tryLimit", 1, 1),
-        may_duplicate=setup.flag("policyLimits.mayDuplicate", False),
+        may_hedge=setup.flag("policyLimits.mayDuplicate", False),
         may_cancel=setup.flag("policyLimits.cancel", False),
-        may_probe=setup.flag("policyLimits.probes", False),
+        may_check_health=setup.flag("policyLimits.probes", False),
         retry_after=setup.flag("policyLimits.retryAfter", False),
         max_retry_after_ms=setup.number("policyLimits.maxRetryAfterMs", 0.0),
-        worth_by_work=setup.text("worthBy", "request") == "work",
-        over_share_worth=setup.number("overShareWorth", 1.0),
-        ask_for_list=setup.text("registryMode", "pushed") == "on_request",
-        must_ask_ms=setup.number("guarantees.mustAskInMs", 10_000.0, 1.0),
+        priority_by_work=setup.text("worthBy", "request") == "work",
+        over_quota_weight=setup.number("overShareWorth", 1.0),
+        poll_for_list=setup.text("registryMode", "pushed") == "on_request",
+        list_poll_ms=setup.number("guarantees.mustAskInMs", 10_000.0, 1.0),
         capacity_hints=setup.text("weights", "off") != "off",
         passes_deadline=setup.flag("familyInfo.passesDeadline", True),
         answer_slack_ms=setup.number("guarantees.answerSlackMs", 0.0),
         drain_grace_ms=setup.number("guarantees.stopSendingWithinMs", 0.0),
-        cold_start_share=setup.number("guarantees.startCapacity", 0.3),
-        cold_ms=setup.number("guarantees.coldMs", 0.0),
-        fall_multiple=setup.number("guarantees.fallMultiple", 3.0),
-        fall_window_ms=setup.number("guarantees.overloadForMs", 1000.0),
+        slow_start_fraction=setup.number("guarantees.startCapacity", 0.3),
+        warm_up_ms=setup.number("guarantees.coldMs", 0.0),
+        overload_factor=setup.number("guarantees.fallMultiple", 3.0),
+        overload_window_ms=setup.number("guarantees.overloadForMs", 1000.0),
         connect_timeout_ms=setup.number("policyLimits.connectTimeoutMs", 250.0),
         tick_ms=setup.number("tickMs", 1.0),
         cross_zone_price=setup.number("tariffs.crossZone", 0.0),
--- a/crowpost/wire.py
+++ b/crowpost/wire.py
@@ -11,25 +11,25 @@
 
 from crowpost.interface import (
     Action,
-    AnswerStarted,
-    Arrival,
     AttemptEnded,
     Cancel,
     CloseIdle,
+    EndpointEntry,
+    EndpointList,
     Event,
     Fail,
+    HealthCheck,
+    HealthCheckEnded,
     ListKind,
     Log,
     Outcome,
     PeerMessage,
-    Probe,
-    ProbeEnded,
     Readiness,
-    Refuse,
-    RequestGone,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
+    ResponseStarted,
     Send,
-    ServerEntry,
-    ServerList,
     SetTimer,
     Settings,
     Subscribe,
@@ -65,7 +65,7 @@
     521: Outcome.CONNECT_FAILED,
     520: Outcome.RESET,
     444: Outcome.CANCELLED,
-    409: Outcome.MOOT,
+    409: Outcome.NOT_SENT,
 }
 
 
@@ -115,7 +115,7 @@
     return values
 
 
-def _entries(body: bytes) -> tuple[ServerEntry, ...]:
+def _entries(body: bytes) -> tuple[EndpointEntry, ...]:
     count = _TABLE.unpack_from(body)[1]
     if len(body) < _TABLE.size + count * _ENTRY.size:
         raise WireError("a table is shorter than its number of entries")
@@ -124,7 +124,7 @@
         hint, kind, server, zone, cell, readiness, started = _ENTRY.unpack_from(
             body, _TABLE.size + i * _ENTRY.size
         )
-        rows.append(ServerEntry(server, Readiness(readiness), hint, kind, zone, cell, started))
+        rows.append(EndpointEntry(server, Readiness(readiness), hint, kind, zone, cell, started))
     return tuple(rows)
 
 
@@ -132,7 +132,7 @@
     """Reads batches in event order; keeps the numbered tables, which belong to the whole process."""
 
     def __init__(self) -> None:
-        self._tables: dict[int, tuple[ServerEntry, ...]] = {}
+        self._tables: dict[int, tuple[EndpointEntry, ...]] = {}
         self._settings: dict[bytes, Settings] = {}
 
     def records(self, body: bytes, count: int) -> Iterator[Record]:
@@ -164,7 +164,7 @@
         if code == 3:
             node, request, service, tenant, key, budget, cost, marks = _ARRIVAL.unpack_from(body)
             hint = cost if marks & _HINT_VALID else None
-            return node, Arrival(
+            return node, RequestArrived(
                 request, service, budget, tenant, key, hint, bool(marks & _REPEAT), bool(marks & _WRITE)
             )
         if code == 7:
@@ -174,7 +174,7 @@
             node, version, number, mode = _SYNC.unpack_from(body)
             kind = ListKind(mode)
             entries = () if kind is ListKind.FAILED else self._tables[number]
-            return node, ServerList(kind, entries, version)
+            return node, EndpointList(kind, entries, version)
         if code == 11:
             number = _TABLE.unpack_from(body)[0]
             if number >= _TABLES:
@@ -183,13 +183,13 @@
             return None
         if code == 6:
             node, request = _GONE.unpack_from(body)
-            return node, RequestGone(request)
+            return node, RequestAbandoned(request)
         if code == 8:
             node, server, how, elapsed, n = _PING.unpack_from(body)
-            return node, ProbeEnded(server, _OUTCOMES[how], elapsed, _floats(body, _PING.size, n))
+            return node, HealthCheckEnded(server, _OUTCOMES[how], elapsed, _floats(body, _PING.size, n))
         if code == 4:
             node, request, attempt, elapsed, server = _FIRST.unpack_from(body)
-            return node, AnswerStarted(request, attempt, server, elapsed)
+            return node, ResponseStarted(request, attempt, server, elapsed)
         if code == 9:
             node, sender, n = _DATAGRAM.unpack_from(body)
             if len(body) < _DATAGRAM.size + n:
@@ -234,13 +234,13 @@
             return _SEND.pack(65, _sized(_SEND), node, request, server, timeout)
         case SetTimer(token, at):
             return _TIMER.pack(69, _sized(_TIMER), node, token, at)
-        case Refuse(request, retry_after):
+        case Reject(request, retry_after):
             return _REFUSE.pack(66, _sized(_REFUSE), node, request, retry_after)
         case Fail(request):
             return _FAIL.pack(67, _sized(_FAIL), node, request)
         case Cancel(request, attempt, _):
             return _CANCEL.pack(68, _sized(_CANCEL), node, request, attempt)
-        case Probe(server):
+        case HealthCheck(server):
             return _SERVER.pack(70, _sized(_SERVER), node, server)
         case CloseIdle(server):
             return _SERVER.pack(71, _sized(_SERVER), node, server)
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -13,37 +13,37 @@
 from crowpost import Balancer
 from crowpost.interface import (
     Action,
-    Arrival,
     AttemptEnded,
     Cancel,
     Effect,
+    EndpointEntry,
+    EndpointId,
+    EndpointList,
     Event,
     Fail,
+    HealthCheck,
+    HealthCheckEnded,
+    IdempotencyScope,
     ListKind,
     Outcome,
-    Probe,
-    ProbeEnded,
     Readiness,
-    Refuse,
-    RepeatGroup,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
     RequestClass,
-    RequestGone,
     Send,
-    ServerEntry,
-    ServerId,
-    ServerList,
     SetTimer,
     Settings,
     Subscribe,
     TimerFired,
 )
 
-PROOFS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+PROOFS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 @dataclass
 class Tried:
-    entry: ServerEntry
+    entry: EndpointEntry
     sent: float
     limit: float
     ended: Outcome | None = None
@@ -69,9 +69,9 @@
         self.balancer = Balancer(settings, seed)
         self.now = 1000.0
         self.owed: dict[int, Owed] = {}
-        self.rows: dict[ServerId, ServerEntry] = {}
+        self.rows: dict[EndpointId, EndpointEntry] = {}
         self.timers: list[tuple[float, int]] = []
-        self.probes: list[ServerId] = []
+        self.probes: list[EndpointId] = []
         self.subscriptions = 0
         self.log: list[Action] = []
         self.next_id = 1
@@ -91,7 +91,7 @@
         self.next_id += 1
         self.owed[request] = Owed(kind, self.now + budget)
         self.open.add(request)
-        self.feed(Arrival(request, class_index, budget, cost_hint_ms=hint))
+        self.feed(RequestArrived(request, class_index, budget, cost_hint_ms=hint))
         return request
 
     def end(self, request: int, number: int, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
@@ -108,35 +108,35 @@
         """The attempts still out; one that is sent while going through them comes up too."""
         return (number for number, tried in enumerate(self.owed[request].attempts) if tried.ended is None)
 
-    def list_of(self, rows: list[ServerEntry], kind: ListKind = ListKind.FULL) -> None:
+    def list_of(self, rows: list[EndpointEntry], kind: ListKind = ListKind.FULL) -> None:
         if kind is not ListKind.CHANGES:
             self.rows = {}
         self.rows.update({r.server: r for r in rows})
-        self.feed(ServerList(kind, tuple(rows)))
+        self.feed(EndpointList(kind, tuple(rows)))
 
     def _check(self, action: Action) -> None:
         match action:
             case Send(request, server, timeout):
                 self._check_send(request, server, timeout)
-            case Refuse(request, _) | Fail(request):
+            case Reject(request, _) | Fail(request):
                 owed = self.owed[request]
                 assert owed.done_at is None, "rule 1: a second final answer"
                 assert self.now <= owed.deadline + self.settings.answer_slack_ms, "rule 1: answered too late"
                 owed.done_at = self.now
-                if isinstance(action, Refuse) and owed.risky() and owed.kind.effect is not Effect.SAFE:
+                if isinstance(action, Reject) and owed.risky() and owed.kind.effect is not Effect.SAFE:
                     assert owed.kind.effect is Effect.KEYED, "rule 2: refused an unsafe one that may have run"
-                    assert owed.kind.group is RepeatGroup.ALL, "rule 2: refusal needs the group of all"
+                    assert owed.kind.group is IdempotencyScope.ALL, "rule 2: refusal needs the group of all"
             case SetTimer(token, at):
                 self.timers.append((at, token))
             case Cancel(request, number, _):
                 assert self.settings.may_cancel and number < len(self.owed[request].attempts)
-            case Probe(server):
-                assert self.settings.may_probe and server in self.rows
+            case HealthCheck(server):
+                assert self.settings.may_check_health and server in self.rows
                 self.probes.append(server)
             case Subscribe():
                 self.subscriptions += 1
 
-    def _check_send(self, request: int, server: ServerId, timeout: float) -> None:
+    def _check_send(self, request: int, server: EndpointId, timeout: float) -> None:
         owed = self.owed[request]
         assert owed.done_at is None, "rule 1: sent for a finished request"
         assert self.now < owed.deadline and timeout >= 0.0
@@ -147,14 +147,14 @@
         if risky:
             kind = owed.kind
             assert kind.effect is not Effect.UNSAFE, "rule 2: an unsafe request sent twice"
-            if not self.settings.may_duplicate:
+            if not self.settings.may_hedge:
                 assert all(a.ended is not None for a in owed.attempts), "two copies at once"
             if kind.effect is Effect.KEYED:
                 for other in risky:
-                    assert self.now - other.sent < kind.window_ms, "rule 2: outside the window"
-                    if kind.group is RepeatGroup.CELL:
+                    assert self.now - other.sent < kind.idempotency_window_ms, "rule 2: outside the window"
+                    if kind.group is IdempotencyScope.CELL:
                         assert entry.cell == other.entry.cell, "rule 2: another cell"
-                    if kind.group is RepeatGroup.ZONE:
+                    if kind.group is IdempotencyScope.ZONE:
                         assert entry.zone == other.entry.zone, "rule 2: another zone"
         limit = min(owed.deadline, self.now + timeout) if timeout else owed.deadline
         owed.attempts.append(Tried(entry, self.now, limit))
@@ -206,9 +206,9 @@
                 owed = self.owed.get(request)
                 if owed is not None and owed.done_at is None:
                     owed.done_at = self.now
-                self.feed(RequestGone(request))
+                self.feed(RequestAbandoned(request))
             elif what < 0.76 and self.probes:
-                self.feed(ProbeEnded(self.probes.pop(), rng.choice(outcomes), 5.0))
+                self.feed(HealthCheckEnded(self.probes.pop(), rng.choice(outcomes), 5.0))
             else:
                 self.step(rng.choice([0.0, 5.0, 5.0, 10.0, 15.0]))
         for _ in range(2000):
@@ -218,14 +218,14 @@
         rng = self.rng
         kind = rng.choice(list(ListKind))
         if kind is ListKind.FAILED:
-            self.feed(ServerList(kind))
+            self.feed(EndpointList(kind))
             return
         rows = []
         for i in range(12):
             if rng.random() < 0.6:
                 started = rng.choice([0.0, self.now - 200.0])
                 rows.append(
-                    ServerEntry(
+                    EndpointEntry(
                         bytes([i]), rng.choice(list(Readiness)), 1.0 + i % 2, 0, i % 3, i // 4, started
                     )
                 )
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -12,15 +12,15 @@
 from crowpost import Balancer
 from crowpost.interface import (
     Action,
-    Arrival,
     AttemptEnded,
+    EndpointEntry,
+    EndpointId,
+    EndpointList,
     Event,
     ListKind,
     Outcome,
+    RequestArrived,
     Send,
-    ServerEntry,
-    ServerId,
-    ServerList,
     SetTimer,
     Settings,
     TimerFired,
@@ -46,21 +46,21 @@
     mean_ms: float
     queue_most: int
     started: float = 0.0
-    cold_ms: float = 0.0
+    warm_up_ms: float = 0.0
     cold_share: float = 1.0
     busy: int = 0
     queue: deque[Work] = field(default_factory=deque)
     got: list[tuple[float, float]] = field(default_factory=list)  # times in ms, and units of work
 
-    def begin(self, now: float, cold_ms: float, cold_share: float) -> None:
+    def begin(self, now: float, warm_up_ms: float, cold_share: float) -> None:
         """A new process, cold, that holds nothing."""
-        self.started, self.cold_ms, self.cold_share = now, cold_ms, cold_share
+        self.started, self.warm_up_ms, self.cold_share = now, warm_up_ms, cold_share
 
     def speed(self, now: float) -> float:
         """The part of its capacity that it has now."""
-        if not self.cold_ms or now >= self.started + self.cold_ms:
+        if not self.warm_up_ms or now >= self.started + self.warm_up_ms:
             return 1.0
-        return self.cold_share + (1.0 - self.cold_share) * (now - self.started) / self.cold_ms
+        return self.cold_share + (1.0 - self.cold_share) * (now - self.started) / self.warm_up_ms
 
     def per_ms(self) -> float:
         """Units of work that it bears once warm."""
@@ -70,12 +70,12 @@
 class Fleet:
     """The nodes of one tier; times are ms."""
 
-    def __init__(self, settings: list[Settings], servers: dict[ServerId, SimServer], seed: int) -> None:
+    def __init__(self, settings: list[Settings], servers: dict[EndpointId, SimServer], seed: int) -> None:
         self.now = 0.0
         self.servers = servers
         self.rng = random.Random(seed)
         self.nodes = [Balancer(kept, 1000 * seed + i) for i, kept in enumerate(settings)]
-        self.rows: dict[ServerId, ServerEntry] = {}
+        self.rows: dict[EndpointId, EndpointEntry] = {}
         self._plan: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._ids = itertools.count(1)
@@ -94,11 +94,11 @@
             do()
         self.now = until
 
-    def tell(self, *entries: ServerEntry) -> None:
+    def tell(self, *entries: EndpointEntry) -> None:
         """All nodes hear of these servers at once."""
         self.rows |= {entry.server: entry for entry in entries}
         for node in range(len(self.nodes)):
-            self.feed(node, ServerList(ListKind.FULL, tuple(self.rows.values())))
+            self.feed(node, EndpointList(ListKind.FULL, tuple(self.rows.values())))
 
     def feed(self, node: int, event: Event) -> None:
         for action in self.nodes[node].handle(event, self.now):
@@ -119,9 +119,9 @@
         request = next(self._ids)
         self._units[request] = units
         hint = 100.0 * units if hinted else None
-        self.feed(node, Arrival(request, 0, 2000.0, cost_hint_ms=hint))
+        self.feed(node, RequestArrived(request, 0, 2000.0, cost_hint_ms=hint))
 
-    def _take(self, name: ServerId, work: Work) -> None:
+    def _take(self, name: EndpointId, work: Work) -> None:
         server = self.servers[name]
         server.got.append((self.now, work.units))
         if server.busy < server.slots:
@@ -131,7 +131,7 @@
         else:
             self.at(self.now + 1.0, lambda: self._end(name, work, Outcome.FULL))
 
-    def _begin(self, name: ServerId, work: Work) -> None:
+    def _begin(self, name: EndpointId, work: Work) -> None:
         server = self.servers[name]
         server.busy += 1
         took = server.mean_ms * work.units * self.rng.uniform(0.5, 1.5) / server.speed(self.now)
@@ -144,7 +144,7 @@
 
         self.at(self.now + took, done)
 
-    def _end(self, name: ServerId, work: Work, outcome: Outcome) -> None:
+    def _end(self, name: EndpointId, work: Work, outcome: Outcome) -> None:
         event = AttemptEnded(
             work.request, work.attempt, name, outcome, self.now - work.sent, outcome is Outcome.OK
         )
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -29,7 +29,7 @@
 from crowpost.feed.model import Document, Standing, State, make_document
 from crowpost.feed.shelf import Shelf
 from crowpost.feed.table import Table
-from crowpost.interface import ServerMemory
+from crowpost.interface import RememberedEndpoint
 from crowpost.members import exchange
 from crowpost.members.core import Members
 from crowpost.members.model import Claim, Phase, Profile, Verdict
@@ -199,8 +199,8 @@
     """A record of every kind that a node keeps."""
     listed = [instance(f"s-{i}") for i in range(300)]
     memories = [
-        ServerMemory(b"s-1", 5.0, 1.25, 18.5, False),
-        ServerMemory(b"s-2", 5.0, 0.5, None, True),
+        RememberedEndpoint(b"s-1", 5.0, 1.25, 18.5, False),
+        RememberedEndpoint(b"s-2", 5.0, 0.5, None, True),
     ]
     facts: list[Fact] = [
         *parts(True, 41, listed),
--- a/tests/test_capacity_parts.py
+++ b/tests/test_capacity_parts.py
@@ -15,7 +15,7 @@
 import pytest
 
 from crowpost.decide.fleet import Fleet
-from crowpost.interface import ListKind, ServerEntry, ServerList, Settings
+from crowpost.interface import EndpointEntry, EndpointList, ListKind, Settings
 from crowpost.lab.capacity import backing, connections, lines, machines, page, ranking, records, roles, tables
 from crowpost.lab.capacity.demand import Demand
 from crowpost.lab.capacity.figures import Figure, Origin
@@ -407,7 +407,7 @@
 @pytest.mark.parametrize(("servers", "nodes"), [(160, 300), (40, 12), (11, 50), (60, 4)])
 def test_a_home_is_as_large_as_the_modules_own(servers: int, nodes: int) -> None:
     fleet = Fleet(Settings(classes=(connections.CLASS,)), random.Random(2))
-    fleet.take(ServerList(ListKind.FULL, tuple(ServerEntry(b"s%d" % i) for i in range(servers))))
+    fleet.take(EndpointList(ListKind.FULL, tuple(EndpointEntry(b"s%d" % i) for i in range(servers))))
     met = []
     for place in range(nodes):
         fleet.follow_nodes(nodes, place)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -41,7 +41,7 @@
     assert config.discovery == ("127.0.0.1", 8500)
     assert config.seed == 0x8C1F30D27A5BE964
     assert config.settings.classes[1].effect is Effect.KEYED
-    assert config.settings.ask_for_list and config.settings.may_probe
+    assert config.settings.poll_for_list and config.settings.may_check_health
     assert config.settings.tenants[0].name == "acme"
     assert config.known is not None
     event = config.known.event(cached=True)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,14 +18,14 @@
 
 from crowpost.interface import (
     Action,
-    Arrival,
     AttemptEnded,
+    EndpointList,
     Event,
     ListKind,
     Outcome,
-    RequestGone,
+    RequestAbandoned,
+    RequestArrived,
     Send,
-    ServerList,
 )
 from crowpost.node.discovery import REWATCH_MOST_S
 from crowpost.node.exchange import MAX_CONCURRENT, MAX_PIPELINED
@@ -152,10 +152,10 @@
             caller.writer.write(request("look", target="/api/left"))
             await dials.begun()
             caller.close()
-            await told.first(RequestGone)
+            await told.first(RequestAbandoned)
             dials.release.set()
             ended: AttemptEnded = await told.first(AttemptEnded)
-            assert ended.outcome in (Outcome.MOOT, Outcome.CANCELLED)
+            assert ended.outcome in (Outcome.NOT_SENT, Outcome.CANCELLED)
             while w.node._servers._opening:
                 await asyncio.sleep(0)
             assert (await (await w.caller()).ask("look", target="/api/next")).status == 200
@@ -178,7 +178,7 @@
             def decide(event: Event, now: float) -> list[Action]:
                 both = (
                     [Send(event.request, b"a"), Send(event.request, b"b")]
-                    if isinstance(event, Arrival)
+                    if isinstance(event, RequestArrived)
                     else []
                 )
                 return list(both)
@@ -197,7 +197,7 @@
             while sum(isinstance(event, AttemptEnded) for event in told.events) < 2:
                 await asyncio.sleep(0)
             outcomes = {event.outcome for event in told.events if isinstance(event, AttemptEnded)}
-            assert outcomes == {Outcome.OK, Outcome.MOOT}
+            assert outcomes == {Outcome.OK, Outcome.NOT_SENT}
             assert len(two.received) == before
 
     run(main())
@@ -213,7 +213,7 @@
         ):
 
             def decide(event: Event, now: float) -> list[Action]:
-                if isinstance(event, Arrival):
+                if isinstance(event, RequestArrived):
                     return [Send(event.request, b"a", before_ms=now + 2000.0)]
                 return []
 
@@ -224,7 +224,7 @@
             w.node._clock._base += 2.0
             dials.release.set()
             ended: AttemptEnded = await told.first(AttemptEnded)
-            assert ended.outcome is Outcome.MOOT
+            assert ended.outcome is Outcome.NOT_SENT
             assert server.received == []
 
     run(main())
@@ -249,7 +249,7 @@
             while len(server.received) < 2:
                 await asyncio.sleep(0)
             caller.close()
-            await told.first(RequestGone)
+            await told.first(RequestAbandoned)
             server.release.set()
             await told.first(AttemptEnded)
             while not w.node._servers._idle():
@@ -327,7 +327,7 @@
             caller.close()
             while w.node._requests:
                 await asyncio.sleep(0)
-            taken = sum(isinstance(event, Arrival) for event in told.events)
+            taken = sum(isinstance(event, RequestArrived) for event in told.events)
             assert taken == MAX_CONCURRENT, "what waits behind others was handed on"
             server.release.set()
 
@@ -411,7 +411,7 @@
             caller.writer.write(request("look", deadline="0.4") * (MAX_CONCURRENT + 1))
             answers = [(await caller.answer()).status for _ in range(MAX_CONCURRENT + 1)]
             assert set(answers) == {503}
-            arrivals = [event for event in told.events if isinstance(event, Arrival)]
+            arrivals = [event for event in told.events if isinstance(event, RequestArrived)]
             assert arrivals[0].budget_ms > 300.0
             assert arrivals[-1].budget_ms < 100.0
             server.release.set()
@@ -437,7 +437,7 @@
                 caller.close()
             else:
                 caller.writer.close()
-            await told.first(RequestGone)
+            await told.first(RequestAbandoned)
             dials.release.set()
             while w.node._servers._opening:
                 await asyncio.sleep(0)
@@ -463,7 +463,7 @@
             tell(watch, listing(8, reset=False))
             while w.node._discovery._version != 8:
                 await asyncio.sleep(0)
-            assert (await told.first(ServerList)).kind is ListKind.FULL
+            assert (await told.first(EndpointList)).kind is ListKind.FULL
             assert w.discovery.targets == ["/v1/endpoints?watch=1&from=0"]
 
     run(main())
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,26 +9,26 @@
 from crowpost.decide.admission import LIMIT_START
 from crowpost.decide.placing import BUDGET_PLUS, BUDGET_TIMES
 from crowpost.interface import (
-    AnswerStarted,
-    Arrival,
     AttemptEnded,
     BodySent,
     Cancel,
     CloseIdle,
     Effect,
+    EndpointEntry,
+    EndpointList,
     Fail,
+    HealthCheck,
+    HealthCheckEnded,
     ListKind,
     Log,
     Outcome,
-    Probe,
-    ProbeEnded,
     Readiness,
-    Refuse,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
     RequestClass,
-    RequestGone,
+    ResponseStarted,
     Send,
-    ServerEntry,
-    ServerList,
     Settings,
     Subscribe,
     Tenant,
@@ -36,13 +36,13 @@
 from tests.checker import Owed, Surrounding
 
 SAFE = RequestClass("r", 1000, 3000)
-UNSAFE = RequestClass("w", 1000, 3000, worth=3.0, effect=Effect.UNSAFE)
+UNSAFE = RequestClass("w", 1000, 3000, priority_weight=3.0, effect=Effect.UNSAFE)
 
 
 def make(*classes: RequestClass, servers: int = 6, **more: object) -> Surrounding:
     values: dict[str, object] = {"answer_slack_ms": 20.0, "tick_ms": 5.0, "max_attempts": 4, **more}
     play = Surrounding(Settings(classes=classes or (SAFE,), **values), seed=9)  # type: ignore[arg-type]
-    play.list_of([ServerEntry(bytes([i]), zone=i % 3) for i in range(servers)])
+    play.list_of([EndpointEntry(bytes([i]), zone=i % 3) for i in range(servers)])
     return play
 
 
@@ -79,7 +79,7 @@
     mark = len(play.log)
     serve(play, 3000)
     sends = sent_to(play, mark)
-    assert len(sends) == 3000 and not any(isinstance(a, Refuse | Cancel | CloseIdle) for a in play.log)
+    assert len(sends) == 3000 and not any(isinstance(a, Reject | Cancel | CloseIdle) for a in play.log)
     p = play.balancer._fleet.automaton.p
     for server, share in zip(play.balancer._fleet.automaton.servers, p, strict=True):
         assert abs(sends.count(server) / 3000 - share) < 0.08
@@ -87,7 +87,7 @@
 
 
 def test_fast_errors_eject_one_server_and_a_probe_brings_it_back() -> None:
-    play = make(may_probe=True, cold_ms=1000.0)
+    play = make(may_check_health=True, warm_up_ms=1000.0)
     bad = bytes([2])
     serve(play, 60, bad=bad)
     assert any("0x" not in t and t.startswith("server 02 ejected: error") for t in texts(play))
@@ -95,9 +95,9 @@
     for _ in range(60):  # it comes back by a probe and one good trial
         play.step(20)
         while play.probes:
-            play.feed(ProbeEnded(play.probes.pop(), Outcome.OK, 1.0))
+            play.feed(HealthCheckEnded(play.probes.pop(), Outcome.OK, 1.0))
         serve(play, 2)
-    assert Probe(bad) in play.log and "server 02 returns after a good trial" in texts(play)
+    assert HealthCheck(bad) in play.log and "server 02 returns after a good trial" in texts(play)
 
 
 def test_a_rejected_request_fails_at_once_and_says_nothing_of_its_server() -> None:
@@ -115,12 +115,12 @@
 
 
 def test_a_trial_is_never_a_request_that_may_run_only_once() -> None:
-    play = make(SAFE, UNSAFE, may_probe=True, cold_ms=1000.0)
+    play = make(SAFE, UNSAFE, may_check_health=True, warm_up_ms=1000.0)
     bad = bytes([2])
     serve(play, 60, bad=bad)
     play.step(2000)
     play.probes.clear()
-    play.feed(ProbeEnded(bad, Outcome.OK, 1.0))
+    play.feed(HealthCheckEnded(bad, Outcome.OK, 1.0))
     mark = len(play.log)
     for _ in range(40):
         play.end(play.arrive(1), 0, Outcome.OK)
@@ -247,7 +247,7 @@
     assert placed and all(play.owed[r].kind is UNSAFE for r in placed[:10])
     for _ in range(60):
         play.step(20)
-    assert any(isinstance(a, Refuse) for a in play.log)
+    assert any(isinstance(a, Reject) for a in play.log)
 
 
 def test_rising_latency_sets_the_limit_and_calm_lifts_it() -> None:
@@ -269,12 +269,12 @@
 
 def test_traffic_beyond_a_tenants_share_waits_behind() -> None:
     tenants = (Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0))
-    settings = Settings(classes=(SAFE,), tenants=tenants, over_share_worth=0.1)
+    settings = Settings(classes=(SAFE,), tenants=tenants, over_quota_weight=0.1)
     node = Balancer(settings, 5)
-    node.handle(ServerList(ListKind.FULL, (ServerEntry(b"x"),)), 0.0)
+    node.handle(EndpointList(ListKind.FULL, (EndpointEntry(b"x"),)), 0.0)
     for i in range(40):
-        node.handle(Arrival(i, 0, 3000.0, tenant=0), 1.0)
-    node.handle(Arrival(99, 0, 3000.0, tenant=1), 2.0)
+        node.handle(RequestArrived(i, 0, 3000.0, tenant=0), 1.0)
+    node.handle(RequestArrived(99, 0, 3000.0, tenant=1), 2.0)
     placed: list[int] = []
     for i in range(6):
         actions = node.handle(AttemptEnded(i, 0, b"x", Outcome.OK, 1.0, True), 2.0)
@@ -293,19 +293,19 @@
 
 
 def test_the_list_is_asked_for_with_growing_pauses() -> None:
-    play = Surrounding(Settings(classes=(SAFE,), ask_for_list=True, must_ask_ms=10_000.0), seed=4)
-    play.list_of([ServerEntry(b"a")], ListKind.CACHED)
+    play = Surrounding(Settings(classes=(SAFE,), poll_for_list=True, list_poll_ms=10_000.0), seed=4)
+    play.list_of([EndpointEntry(b"a")], ListKind.CACHED)
     times: list[float] = []
     for _ in range(4000):
         before = play.subscriptions
         play.step(10)
         if play.subscriptions > before:
             times.append(play.now)
-            play.feed(ServerList(ListKind.FAILED))
+            play.feed(EndpointList(ListKind.FAILED))
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert times[0] - 1000.0 <= 3000.0 and max(gaps) <= 5000.0 and gaps[3] > gaps[0]
     assert texts(play) == ["server list lost: a call failed or the subscription broke"]
-    play.feed(ServerList(ListKind.CHANGES))
+    play.feed(EndpointList(ListKind.CHANGES))
     assert texts(play)[-1].startswith("server list found again after")
     asked = play.subscriptions
     for _ in range(2000):
@@ -328,7 +328,7 @@
             play.end(request, number, Outcome.OK)
     mark = len(play.log)
     serve(play, 150, latency=150.0)
-    assert not any(isinstance(a, Refuse) for a in play.log[mark:])
+    assert not any(isinstance(a, Reject) for a in play.log[mark:])
     assert not any(isinstance(a, Log) and "admission limit on" in a.text for a in play.log[mark:])
 
 
@@ -390,7 +390,7 @@
 
 def test_the_best_rate_of_few_answers_is_not_taken_at_its_word() -> None:
     """Seen at full size: the luckiest of many short counts, twice the true rate, held the limit up."""
-    play = make(balancers=100)
+    play = make(node_count=100)
     node = play.balancer._admission
     serve(play, 60, latency=400.0)  # two and a half answers a second
     true_rate = 1 / 400.0
@@ -430,7 +430,7 @@
 
 def test_in_a_jam_the_limit_falls_within_a_few_aims() -> None:
     """Seen at full size: with all calls overdue a tenth was cut every five seconds, too slow to drain."""
-    play = make(balancers=600)
+    play = make(node_count=600)
     node = play.balancer
     serve(play, 12, latency=50.0)
     before = node.limit
@@ -474,7 +474,7 @@
 
 
 def test_a_server_that_holds_much_for_other_nodes_is_left_alone() -> None:
-    play = make(load_columns=("outstanding",), balancers=8)
+    play = make(load_columns=("outstanding",), node_count=8)
     crowded = b"\x02"
     _held_elsewhere(play, {crowded: 15.0})
     mark = len(play.log)
@@ -485,10 +485,10 @@
 
 
 def test_an_old_load_report_keeps_no_server_out() -> None:
-    play = make(load_columns=("outstanding",), balancers=8)
+    play = make(load_columns=("outstanding",), node_count=8)
     crowded = b"\x02"
     _held_elsewhere(play, {crowded: 15.0})
-    play.step(1.5 * SAFE.aim_ms)
+    play.step(1.5 * SAFE.latency_objective_ms)
     mark = len(play.log)
     serve(play, 200, latency=2.0)
     assert crowded in sent_to(play, mark)
@@ -497,13 +497,13 @@
 def test_the_limit_follows_the_capacity_of_servers_that_leave_and_warm_up() -> None:
     """Ten servers may hold sixty calls; five of them, half of that, before any latency has told."""
     for stay, half_warm, part in ((10, 0, 1.0), (5, 0, 0.5), (5, 5, 0.8)):
-        play = make(servers=10, cold_ms=10_000.0, cold_start_share=0.2)
+        play = make(servers=10, warm_up_ms=10_000.0, slow_start_fraction=0.2)
         play.step(20_000.0)
         rows = [
-            ServerEntry(bytes([i]), Readiness.READY if i < stay else Readiness.DRAINING) for i in range(10)
+            EndpointEntry(bytes([i]), Readiness.READY if i < stay else Readiness.DRAINING) for i in range(10)
         ]
         play.list_of(rows, ListKind.CHANGES)
-        new = [ServerEntry(bytes([20 + i]), started_ms=play.now - 5000.0) for i in range(half_warm)]
+        new = [EndpointEntry(bytes([20 + i]), started_ms=play.now - 5000.0) for i in range(half_warm)]
         play.list_of(new, ListKind.CHANGES)
         assert abs(play.balancer.limit - LIMIT_START * 10 * part) < 1e-6
 
@@ -511,7 +511,7 @@
 def test_a_node_whose_peer_is_away_may_fill_what_reports_show_to_be_unused() -> None:
     """Until calm is known the limit is a guess for all nodes together: what the others hold is told."""
     for others, expected in ((0.0, LIMIT_START * 4), (0.5 * LIMIT_START, 0.5 * LIMIT_START * 4)):
-        play = make(servers=4, balancers=2, load_columns=("outstanding",))
+        play = make(servers=4, node_count=2, load_columns=("outstanding",))
         for _ in range(8):
             request = play.arrive()
             play.step(2.0)
@@ -522,8 +522,8 @@
 
 
 def test_a_nodes_part_of_a_small_fleet_may_be_less_than_one_server() -> None:
-    play = make(servers=10, balancers=10)
-    gone = [ServerEntry(bytes([i]), Readiness.DRAINING) for i in range(6)]
+    play = make(servers=10, node_count=10)
+    gone = [EndpointEntry(bytes([i]), Readiness.DRAINING) for i in range(6)]
     play.list_of(gone, ListKind.CHANGES)
     assert abs(play.balancer.limit - LIMIT_START * 0.4) < 1e-6
 
@@ -536,7 +536,7 @@
     play.next_id += 1
     play.owed[request] = Owed(kind, math.inf)
     play.open.add(request)
-    play.feed(Arrival(request, 0, kind.deadline_ms, streamed=True))
+    play.feed(RequestArrived(request, 0, kind.deadline_ms, streamed=True))
     return request
 
 
@@ -547,7 +547,7 @@
     assert not play.balancer._attempts, "it takes a place among the calls that wait"
     mark = len(play.log)
     play.step(2 * SAFE.deadline_ms)  # its time has not begun
-    assert not sent_to(play, mark) and not any(isinstance(a, Refuse | Fail) for a in play.log[mark:])
+    assert not sent_to(play, mark) and not any(isinstance(a, Reject | Fail) for a in play.log[mark:])
     play.feed(BodySent(request, 0))
     assert len(play.balancer._attempts) == 1
     play.end(request, 0, Outcome.OK)
@@ -564,7 +564,7 @@
         play.owed[request].attempts[number].ended = Outcome.CONNECT_FAILED
         play.feed(AttemptEnded(request, number, server, Outcome.CONNECT_FAILED, 5.0, False, spent=spent))
         assert bool(sent_to(play, mark)) is not spent
-        assert any(isinstance(a, Refuse) for a in play.log[mark:]) is spent
+        assert any(isinstance(a, Reject) for a in play.log[mark:]) is spent
 
 
 def test_a_long_answer_that_has_begun_frees_its_place_and_its_end_asks_for_nothing() -> None:
@@ -575,7 +575,7 @@
         (number,) = play.live(request)
         server = play.owed[request].attempts[number].entry.server
         play.step(20.0)
-        play.feed(AnswerStarted(request, number, server, 20.0))
+        play.feed(ResponseStarted(request, number, server, 20.0))
         play.owed[request].deadline = play.owed[request].attempts[number].limit = math.inf
         assert not play.balancer._attempts and not play.balancer._fleet.servers[server].out
         play.step(10 * SAFE.deadline_ms)
@@ -620,7 +620,7 @@
 
 def test_a_repeat_says_by_when_it_must_have_been_written() -> None:
     """Rule 2's window runs from the first attempt that may have run; a dial may end after it."""
-    keyed = RequestClass("k", 1000, 9000, effect=Effect.KEYED, window_ms=2000.0)
+    keyed = RequestClass("k", 1000, 9000, effect=Effect.KEYED, idempotency_window_ms=2000.0)
     play = make(SAFE, keyed)
     for kind in (0, 1):
         request = play.arrive(class_index=kind)
@@ -640,8 +640,8 @@
     play.end(request, 0, Outcome.FULL)
     assert not list(play.live(request)), "it did not have to wait"
     play.owed[request].done_at = play.now
-    play.feed(RequestGone(request))
+    play.feed(RequestAbandoned(request))
     mark = len(play.log)
     play.step(5000)
-    assert not any(isinstance(action, Send | Refuse | Fail) for action in play.log[mark:])
+    assert not any(isinstance(action, Send | Reject | Fail) for action in play.log[mark:])
     assert play.arrive() in {a.request for a in play.log[mark:] if isinstance(a, Send)}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crowpost.interface import AttemptEnded, Outcome, RequestGone
+from crowpost.interface import AttemptEnded, Outcome, RequestAbandoned
 from crowpost.node.servers import GROWING_MOST, Peer
 from tests.stubs import (
     PATIENCE_S,
@@ -268,7 +268,7 @@
             caller.writer.write(request("book", target="/api/left"))
             await dials.begun()
             caller.close()
-            await told.first(RequestGone)
+            await told.first(RequestAbandoned)
             dials.release.set()
             await told.first(AttemptEnded)
             await until(lambda: len(w.node._servers._idle()) == 2)
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -8,29 +8,29 @@
 
 from crowpost import Balancer
 from crowpost.interface import (
+    EndpointEntry,
+    EndpointList,
     ListKind,
     NodesPresent,
     Readiness,
     RequestClass,
-    ServerEntry,
-    ServerList,
     Settings,
     Tenant,
-    UnexpectedEvent,
+    UnexpectedEventError,
 )
 
 KIND = RequestClass("r", 1000, 3000)
 
 
 def node(
-    ordinal: int, nodes: int, servers: int, gone: frozenset[int] = frozenset(), **more: float
+    node_index: int, nodes: int, servers: int, gone: frozenset[int] = frozenset(), **more: float
 ) -> Balancer:
-    settings = Settings(classes=(KIND,), balancers=nodes, ordinal=ordinal, **more)  # type: ignore[arg-type]
-    balancer = Balancer(settings, seed=ordinal)
+    settings = Settings(classes=(KIND,), node_count=nodes, node_index=node_index, **more)  # type: ignore[arg-type]
+    balancer = Balancer(settings, seed=node_index)
     rows = [
-        ServerEntry(i.to_bytes(2, "big"), kind=i % 2, zone=i % 3) for i in range(servers) if i not in gone
+        EndpointEntry(i.to_bytes(2, "big"), kind=i % 2, zone=i % 3) for i in range(servers) if i not in gone
     ]
-    balancer.handle(ServerList(ListKind.FULL, tuple(rows)), 1.0)
+    balancer.handle(EndpointList(ListKind.FULL, tuple(rows)), 1.0)
     return balancer
 
 
@@ -42,8 +42,8 @@
 def test_all_servers_are_met_alike_and_both_kinds_in_every_home() -> None:
     """Seen at full size: with sixty arms a node met a server twice a minute and learned nothing in time."""
     met: Counter[bytes] = Counter()
-    for ordinal in range(400):
-        mine = home(node(ordinal, 400, 60))
+    for node_index in range(400):
+        mine = home(node(node_index, 400, 60))
         assert 6 <= len(mine) <= 12
         assert {s[-1] % 2 for s in mine} == {0, 1}
         met.update(mine)
@@ -54,8 +54,8 @@
 def test_a_dozen_nodes_share_a_large_tier_by_larger_homes() -> None:
     """Seen with eleven nodes: each opened connections to all of 37 servers, a third of all handshakes."""
     met: Counter[bytes] = Counter()
-    for ordinal in range(12):
-        mine = home(node(ordinal, 12, 37))
+    for node_index in range(12):
+        mine = home(node(node_index, 12, 37))
         assert len(mine) < 12
         met.update(mine)
     assert len(met) == 37 and all(2 <= n <= 5 for n in met.values())
@@ -75,16 +75,16 @@
 
 def test_a_change_of_the_list_moves_few_servers_of_a_home() -> None:
     moved = 0
-    for ordinal in range(60):
-        moved += len(home(node(ordinal, 400, 60)) - home(node(ordinal, 400, 60, frozenset({5}))))
+    for node_index in range(60):
+        moved += len(home(node(node_index, 400, 60)) - home(node(node_index, 400, 60, frozenset({5}))))
     assert moved < 60  # less than one of six or more each
 
 
 def test_a_home_that_is_gone_leaves_the_others() -> None:
     balancer = node(7, 400, 60)
     for number, server in enumerate(sorted(home(balancer))):
-        row = ServerEntry(server, Readiness.DRAINING)
-        balancer.handle(ServerList(ListKind.CHANGES, (row,)), 2.0 + number)
+        row = EndpointEntry(server, Readiness.DRAINING)
+        balancer.handle(EndpointList(ListKind.CHANGES, (row,)), 2.0 + number)
     assert len(balancer._placing.near(list(range(len(balancer._fleet.arms))))) >= 2
 
 
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("nodes", [1, 2, 7, 12, 13, 31, 64])
 def test_the_least_and_the_most_met_server_differ_by_one_at_the_most(nodes: int, servers: int) -> None:
     """Seen from twelve nodes on: a server was met by two to five of them, as hashes fell."""
-    met = Counter(s for ordinal in range(nodes) for s in home(node(ordinal, nodes, servers)))
+    met = Counter(s for node_index in range(nodes) for s in home(node(node_index, nodes, servers)))
     counts = [met[i.to_bytes(2, "big")] for i in range(servers)]
     assert max(counts) - min(counts) <= 1
 
@@ -101,10 +101,10 @@
     """Pairs of node and server that are new when one server goes, by the size of its own part."""
     for nodes, servers in ((24, 60), (64, 200), (200, 500)):
         new = own = 0
-        for ordinal in range(nodes):
-            before = home(node(ordinal, nodes, servers))
+        for node_index in range(nodes):
+            before = home(node(node_index, nodes, servers))
             own += (5).to_bytes(2, "big") in before
-            new += len(home(node(ordinal, nodes, servers, frozenset({5}))) - before)
+            new += len(home(node(node_index, nodes, servers, frozenset({5}))) - before)
         assert own and new <= 8 * own
 
 
@@ -119,10 +119,10 @@
 
 
 def test_the_limit_and_the_quotas_follow_the_nodes_that_are_present() -> None:
-    settings = Settings(classes=(KIND,), tenants=(Tenant("t", 1.0, 80.0),), balancers=8)
+    settings = Settings(classes=(KIND,), tenants=(Tenant("t", 1.0, 80.0),), node_count=8)
     balancer = Balancer(settings, seed=1)
-    rows = tuple(ServerEntry(bytes([i])) for i in range(40))
-    balancer.handle(ServerList(ListKind.FULL, rows), 1.0)
+    rows = tuple(EndpointEntry(bytes([i])) for i in range(40))
+    balancer.handle(EndpointList(ListKind.FULL, rows), 1.0)
     before = balancer.limit
     balancer.handle(NodesPresent(4, 0), 2.0)
     assert balancer.limit == pytest.approx(2 * before)
@@ -133,5 +133,5 @@
 
 
 def test_a_place_beyond_the_nodes_present_is_no_event() -> None:
-    with pytest.raises(UnexpectedEvent, match="place 3 among 3 nodes"):
+    with pytest.raises(UnexpectedEventError, match="place 3 among 3 nodes"):
         NodesPresent(3, 3)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -20,13 +20,13 @@
 from crowpost import Balancer
 from crowpost.cli.main import main
 from crowpost.interface import (
+    EndpointEntry,
+    EndpointList,
     ListKind,
-    Remembered,
+    RememberedEndpoint,
     RequestClass,
-    ServerEntry,
-    ServerList,
-    ServerMemory,
     Settings,
+    StateRestored,
 )
 from crowpost.node.config import ConfigError
 from crowpost.node.kept import (
@@ -54,13 +54,13 @@
 
 def module(servers: int = 4, started: float = 5.0) -> Balancer:
     balancer = Balancer(Settings(classes=(KIND,)), seed=1)
-    rows = tuple(ServerEntry(bytes([i]), started_ms=started) for i in range(servers))
-    balancer.handle(ServerList(ListKind.FULL, rows), 100_000.0)
+    rows = tuple(EndpointEntry(bytes([i]), started_ms=started) for i in range(servers))
+    balancer.handle(EndpointList(ListKind.FULL, rows), 100_000.0)
     return balancer
 
 
-def memory(i: int, ratio: float, average: float = 20.0, **more: Any) -> ServerMemory:
-    return ServerMemory(bytes([i]), more.pop("started", 5.0), ratio, average, **more)
+def memory(i: int, ratio: float, average: float = 20.0, **more: Any) -> RememberedEndpoint:
+    return RememberedEndpoint(bytes([i]), more.pop("started", 5.0), ratio, average, **more)
 
 
 def shares(balancer: Balancer) -> list[float]:
@@ -74,8 +74,8 @@
     fresh, older, old = module(), module(), module()
     told = [memory(0, 2.0, 10.0), *(memory(i, 2 / 3, 30.0) for i in (1, 2, 3))]
     for balancer, age in ((fresh, 0.0), (older, MINUTE), (old, 60 * MINUTE)):
-        rows = tuple(ServerMemory(m.server, 5.0, m.ratio, m.average_ms, age_ms=age) for m in told)
-        balancer.handle(Remembered(rows, 12.0, age), 100_001.0)
+        rows = tuple(RememberedEndpoint(m.server, 5.0, m.ratio, m.average_ms, age_ms=age) for m in told)
+        balancer.handle(StateRestored(rows, 12.0, age), 100_001.0)
     assert shares(fresh)[0] == pytest.approx(2.0) and shares(older)[0] == pytest.approx(1.5)
     assert shares(old) == pytest.approx([1.0] * 4)
     assert [m.average_ms for m in fresh.remember(0, 2)] == [10.0, 30.0]
@@ -88,7 +88,7 @@
 def test_a_server_that_has_started_since_is_met_as_a_newcomer() -> None:
     balancer = module()
     rows = (memory(0, 3.0), memory(1, 1 / 3, started=4.0, ejected=True), memory(9, 5.0))
-    balancer.handle(Remembered(rows), 100_001.0)
+    balancer.handle(StateRestored(rows), 100_001.0)
     known = balancer.remember(0, 4)
     assert known[0].average_ms == 20.0 and known[1].average_ms is None and not known[1].ejected
     assert len(known) == 4  # hearing of a server is not enough to send there
@@ -97,21 +97,21 @@
 def test_ejections_are_remembered_up_to_a_third_of_the_fleet() -> None:
     balancer = module(9)
     rows = tuple(memory(i, 1.0, ejected=i < 6) for i in range(9))
-    balancer.handle(Remembered(rows), 100_001.0)
+    balancer.handle(StateRestored(rows), 100_001.0)
     assert sum(m.ejected for m in balancer.remember(0, 9)) == 3
 
 
 def test_a_limit_that_is_far_off_is_not_followed_far() -> None:
     for each, limit in ((1000.0, 48.0), (0.01, 12.0), (0.0, 24.0)):
         balancer = module()
-        balancer.handle(Remembered((), each), 100_001.0)
+        balancer.handle(StateRestored((), each), 100_001.0)
         assert balancer.limit == pytest.approx(limit)
 
 
 def test_shares_that_were_remembered_wrong_keep_to_the_floor_and_the_sum() -> None:
     balancer = module()
     rows = (memory(0, 1e9), memory(1, 0.0), memory(2, 0.0), memory(3, 0.0, 1e9))
-    balancer.handle(Remembered(rows), 100_001.0)
+    balancer.handle(StateRestored(rows), 100_001.0)
     assert sum(shares(balancer)) == pytest.approx(4.0) and min(shares(balancer)) >= 0.4 - 1e-9
 
 
@@ -127,7 +127,7 @@
     max_size=5,
 )
 memories = st.builds(
-    ServerMemory,
+    RememberedEndpoint,
     names.map(str.encode),
     st.floats(0, 1e12),
     st.floats(0, 100),
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,15 +18,15 @@
 import crowpost.interface as api
 from crowpost.interface import (
     Action,
-    Arrival,
     AttemptEnded,
+    EndpointList,
     Event,
     Fail,
     Outcome,
     Readiness,
+    RequestArrived,
     RequestClass,
     Send,
-    ServerList,
     Settings,
 )
 from crowpost.lab import compare, policies, runs, scenario
@@ -206,7 +206,7 @@
 class Deaf(LeastOutstanding):
     """Goes on sending to servers that drain."""
 
-    def _list(self, event: ServerList) -> None:
+    def _list(self, event: EndpointList) -> None:
         super()._list(event)
         self.listed = [a for a in self.arms.values() if a.entry.readiness is not Readiness.GONE]
 
@@ -223,7 +223,7 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         actions = super().handle(event, now)
-        if isinstance(event, Arrival) and event.request == 40:
+        if isinstance(event, RequestArrived) and event.request == 40:
             return [Fail(event.request), *actions]
         return actions
 
@@ -327,7 +327,7 @@
     (tmp_path / package / "old.py").write_text(source)
     _commit(tmp_path)
     old = revision("HEAD", tmp_path)(Settings((RequestClass("r", 1.0, 2.0),)), 1)
-    assert old.handle(Arrival(7, 0, 5.0), 1.0) == [Fail(8)]
+    assert old.handle(RequestArrived(7, 0, 5.0), 1.0) == [Fail(8)]
     with pytest.raises(PolicyError, match="rev: "):
         revision("no-such-name", tmp_path)
     with pytest.raises(PolicyError, match="nonsense: no such policy; known are module, random"):
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crowpost.interface import Action, Arrival, AttemptEnded, Cancel, Event, Outcome, Send
+from crowpost.interface import Action, AttemptEnded, Cancel, Event, Outcome, RequestArrived, Send
 from crowpost.node.management import FIRST_S
 from crowpost.node.metrics import Metrics
 from tests.stubs import (
@@ -102,7 +102,7 @@
 
     async def _ask_both(w: World, one: StubServer, two: StubServer) -> None:
         def both(event: Event, now: float) -> list[Action]:
-            if isinstance(event, Arrival):
+            if isinstance(event, RequestArrived):
                 return [Send(event.request, b"a"), Send(event.request, b"b")]
             if isinstance(event, AttemptEnded) and event.outcome is Outcome.OK:
                 return [Cancel(event.request, 0, answered=True)]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crowpost.interface import Action, AttemptEnded, Event, RequestGone
+from crowpost.interface import Action, AttemptEnded, Event, RequestAbandoned
 from crowpost.node.discovery import REWATCH_MOST_S, REWATCH_S
 from crowpost.node.exchange import FIRST_S, CallerConnection
 from crowpost.node.node import ADOPT_WAIT_S
@@ -116,7 +116,7 @@
             caller.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             caller.close()
-            while not any(isinstance(event, RequestGone) for event in events):
+            while not any(isinstance(event, RequestAbandoned) for event in events):
                 await asyncio.sleep(0)
             server.release.set()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
@@ -208,7 +208,7 @@
                 assert not inside, "an event came while the module was deciding"
                 inside, seen = True, seen + 1
                 if seen == 1:
-                    w.node._post(RequestGone(99))
+                    w.node._post(RequestAbandoned(99))
                 actions = handle(event, now)
                 inside = False
                 return actions
@@ -645,7 +645,7 @@
     async def main() -> None:
         async with world(row("a", f"{HOST}:1")) as w:
             assert {c.name for c in w.node._config.settings.classes} == names
-            assert w.node._config.settings.ask_for_list
+            assert w.node._config.settings.poll_for_list
 
     run(main())
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from crowpost.interface import RequestClass, ServerEntry, Settings
+from crowpost.interface import EndpointEntry, RequestClass, Settings
 from tests.fleet import Fleet, SimServer, heaviest
 from tests.stubs import (
     HOST,
@@ -91,14 +91,14 @@
     servers = {name: SimServer(play.slots, play.mean_ms, play.queue_most) for name in names}
     kept = Settings(
         classes=(RequestClass("look", 1000.0, 2000.0),),
-        balancers=NODES,
-        cold_ms=COLD_MS,
-        cold_start_share=play.share,
-        fall_multiple=play.times,
-        fall_window_ms=play.span_ms,
+        node_count=NODES,
+        warm_up_ms=COLD_MS,
+        slow_start_fraction=play.share,
+        overload_factor=play.times,
+        overload_window_ms=play.span_ms,
     )
-    fleet = Fleet([replace(kept, ordinal=i) for i in range(NODES)], servers, seed)
-    fleet.tell(*[ServerEntry(name) for name in names[: play.warm]])
+    fleet = Fleet([replace(kept, node_index=i) for i in range(NODES)], servers, seed)
+    fleet.tell(*[EndpointEntry(name) for name in names[: play.warm]])
     rng = random.Random(seed)
 
     def asking(node: int, per_ms: float) -> None:
@@ -113,7 +113,7 @@
     def start() -> None:
         for name in names[play.warm :]:
             servers[name].begin(fleet.now, COLD_MS, play.share)
-        fleet.tell(*[ServerEntry(name, started_ms=fleet.now) for name in names[play.warm :]])
+        fleet.tell(*[EndpointEntry(name, started_ms=fleet.now) for name in names[play.warm :]])
 
     for node, weight in enumerate(play.weights()):
         asking(node, play.per_ms() * weight)
@@ -171,7 +171,7 @@
     async with StubDiscovery() as discovery:
         started, paths = [], [tmp_path / f"{i}.log" for i in range(NODES)]
         for i in range(NODES):
-            told = settings(registryMode="pushed", balancers=NODES, ordinal=i, guarantees=guarantees)
+            told = settings(registryMode="pushed", node_count=NODES, node_index=i, guarantees=guarantees)
             raw = {"seed": str(i), "limits": {"memory_mb": 96, "sockets": 256}, "settings": told}
             config = tmp_path / f"{i}.json"
             config.write_text(json.dumps({**raw, "known": listing(1, *rows)}))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,32 +8,38 @@
 
 from crowpost import Balancer
 from crowpost.interface import (
-    Arrival,
     AttemptEnded,
     Effect,
+    EndpointEntry,
     Fail,
-    ImpossibleSettings,
+    IdempotencyScope,
+    InvalidSettingsError,
     ListKind,
     Outcome,
     Readiness,
-    Refuse,
-    RepeatGroup,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
     RequestClass,
-    RequestGone,
     Send,
-    ServerEntry,
     Settings,
     TimerFired,
-    UnexpectedEvent,
+    UnexpectedEventError,
 )
 from tests.checker import Surrounding
 
 EFFECTS = [
     RequestClass("safe", 1000, 3000, effect=Effect.SAFE),
     RequestClass("unsafe", 1000, 3000, effect=Effect.UNSAFE),
-    RequestClass("all", 1000, 3000, effect=Effect.KEYED, group=RepeatGroup.ALL, window_ms=1500),
-    RequestClass("zone", 1000, 3000, effect=Effect.KEYED, group=RepeatGroup.ZONE, window_ms=1500),
-    RequestClass("cell", 1000, 3000, effect=Effect.KEYED, group=RepeatGroup.CELL, window_ms=400),
+    RequestClass(
+        "all", 1000, 3000, effect=Effect.KEYED, group=IdempotencyScope.ALL, idempotency_window_ms=1500
+    ),
+    RequestClass(
+        "zone", 1000, 3000, effect=Effect.KEYED, group=IdempotencyScope.ZONE, idempotency_window_ms=1500
+    ),
+    RequestClass(
+        "cell", 1000, 3000, effect=Effect.KEYED, group=IdempotencyScope.CELL, idempotency_window_ms=400
+    ),
 ]
 
 
@@ -41,15 +47,15 @@
     values: dict[str, object] = {
         "answer_slack_ms": 20.0,
         "tick_ms": 5.0,
-        "may_probe": True,
+        "may_check_health": True,
         "max_attempts": 4,
     }
     values.update(more)
     return Surrounding(Settings(classes=(kind,), **values), seed=3)  # type: ignore[arg-type]
 
 
-def rows(n: int) -> list[ServerEntry]:
-    return [ServerEntry(bytes([i]), zone=i % 2, cell=i // 2) for i in range(n)]
+def rows(n: int) -> list[EndpointEntry]:
+    return [EndpointEntry(bytes([i]), zone=i % 2, cell=i // 2) for i in range(n)]
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -62,9 +68,9 @@
             stages=2,
             answer_slack_ms=20.0,
             tick_ms=5.0,
-            may_duplicate=duplicate,
-            may_probe=True,
-            ask_for_list=bool(seed % 2),
+            may_hedge=duplicate,
+            may_check_health=True,
+            poll_for_list=bool(seed % 2),
             max_attempts=2 + seed % 4,
         )
         play = Surrounding(settings, seed)
@@ -79,7 +85,7 @@
     play.arrive()
     for _ in range(400):
         play.step(10)
-    assert [type(a) for a in play.log if isinstance(a, Refuse | Fail)] == [Refuse]
+    assert [type(a) for a in play.log if isinstance(a, Reject | Fail)] == [Reject]
 
 
 def test_unsafe_request_is_failed_after_a_timeout_and_resent_after_a_proof() -> None:
@@ -92,14 +98,14 @@
     assert isinstance(play.log[-1], Fail) and len(play.owed[first].attempts) == 2
 
 
-@pytest.mark.parametrize(("index", "answer"), [(2, Refuse), (3, Fail), (4, Fail)])
+@pytest.mark.parametrize(("index", "answer"), [(2, Reject), (3, Fail), (4, Fail)])
 def test_keyed_request_stays_in_its_group_and_window(index: int, answer: type) -> None:
-    play = make(EFFECTS[index], may_duplicate=False)
+    play = make(EFFECTS[index], may_hedge=False)
     play.list_of(rows(6))
     request = play.arrive()
     play.end(request, 0, Outcome.ERROR)
     assert len(play.owed[request].attempts) == 2  # the checker has seen to the group
-    play.now += EFFECTS[index].window_ms
+    play.now += EFFECTS[index].idempotency_window_ms
     play.end(request, 1, Outcome.ERROR)
     assert len(play.owed[request].attempts) == 2
     assert any(isinstance(a, answer) for a in play.log)
@@ -107,7 +113,7 @@
 
 def test_no_second_copy_where_copies_are_forbidden() -> None:
     for duplicate in (False, True):
-        play = make(EFFECTS[0], may_duplicate=duplicate)
+        play = make(EFFECTS[0], may_hedge=duplicate)
         play.list_of(rows(4))
         for _ in range(20):
             done = play.arrive()
@@ -125,7 +131,7 @@
 def test_drained_gone_and_unlisted_servers_get_nothing() -> None:
     play = make(EFFECTS[0])
     play.list_of(rows(4))
-    drained = [ServerEntry(bytes([0]), Readiness.DRAINING), ServerEntry(bytes([1]), Readiness.GONE)]
+    drained = [EndpointEntry(bytes([0]), Readiness.DRAINING), EndpointEntry(bytes([1]), Readiness.GONE)]
     play.list_of(drained, ListKind.CHANGES)
     for _ in range(40):
         play.end(play.arrive(), 0, Outcome.OK)
@@ -137,14 +143,14 @@
 
 
 def test_a_burst_on_a_fleet_with_a_cold_server_keeps_the_cold_budget() -> None:
-    cold_ms, start_share = 8000.0, 0.3
-    play = make(EFFECTS[0], cold_ms=cold_ms, cold_start_share=start_share, balancers=1)
+    warm_up_ms, start_share = 8000.0, 0.3
+    play = make(EFFECTS[0], warm_up_ms=warm_up_ms, slow_start_fraction=start_share, node_count=1)
     play.list_of(rows(4))
     sent_cold: list[tuple[float, float]] = []
     warm_per_s = 0.0
     for step in itertools.count():
         if step == 400:  # a warmed-up flow of one call each 5 ms, then one server restarts and calls burst
-            play.list_of([ServerEntry(bytes([0]), started_ms=play.now)], ListKind.CHANGES)
+            play.list_of([EndpointEntry(bytes([0]), started_ms=play.now)], ListKind.CHANGES)
             warm_per_s = 200 / 4
         if step == 800:
             break
@@ -158,22 +164,22 @@
     assert sent_cold  # it does get its part
     for at, _ in sent_cold:
         window = [age for t, age in sent_cold if at <= t < at + 1000]
-        capacity = start_share + (1 - start_share) * window[0] / cold_ms
+        capacity = start_share + (1 - start_share) * window[0] / warm_up_ms
         # The flow a warm server bore before the burst stands in for what it can do.
         assert len(window) <= 3 * capacity * 3 * warm_per_s
 
 
 def test_unlikely_news_is_ignored_and_impossible_news_is_an_error() -> None:
     balancer = Balancer(Settings(classes=(EFFECTS[0],)), seed=1)
-    assert balancer.handle(RequestGone(77), 1.0) == []
+    assert balancer.handle(RequestAbandoned(77), 1.0) == []
     assert balancer.handle(TimerFired(9), 1.0) == []
-    with pytest.raises(UnexpectedEvent, match="was not out"):
+    with pytest.raises(UnexpectedEventError, match="was not out"):
         balancer.handle(AttemptEnded(5, 0, b"x", Outcome.OK, 1.0, True), 2.0)
-    with pytest.raises(UnexpectedEvent, match="unknown class"):
-        balancer.handle(Arrival(6, 9, 100.0), 2.0)
-    balancer.handle(Arrival(7, 0, 100.0), 2.0)
-    with pytest.raises(UnexpectedEvent, match="twice"):
-        balancer.handle(Arrival(7, 0, 100.0), 2.0)
+    with pytest.raises(UnexpectedEventError, match="unknown class"):
+        balancer.handle(RequestArrived(6, 9, 100.0), 2.0)
+    balancer.handle(RequestArrived(7, 0, 100.0), 2.0)
+    with pytest.raises(UnexpectedEventError, match="twice"):
+        balancer.handle(RequestArrived(7, 0, 100.0), 2.0)
 
 
 def test_identical_events_give_identical_actions() -> None:
@@ -189,12 +195,12 @@
 def test_the_sending_guard_stands_by_itself() -> None:
     """No caller asks for these today; the one path that sends must refuse them all the same."""
     for duplicate in (False, True):
-        play = make(EFFECTS[0], may_duplicate=duplicate, max_attempts=2)
+        play = make(EFFECTS[0], may_hedge=duplicate, max_attempts=2)
         play.list_of(rows(3))
         node = play.balancer
         request = node._requests[play.arrive()]
         other, drained = (s for s in node._fleet.arms if s.entry.server != request.attempts[0].entry.server)
-        play.list_of([ServerEntry(drained.entry.server, Readiness.DRAINING)], ListKind.CHANGES)
+        play.list_of([EndpointEntry(drained.entry.server, Readiness.DRAINING)], ListKind.CHANGES)
         assert not node._send(request, drained)
         assert node._send(request, other) is duplicate  # a second copy while the first is out
         assert not duplicate or not node._send(request, other)  # and no more than the attempts allowed
@@ -209,11 +215,17 @@
 
 @pytest.mark.parametrize(
     ("field", "value"),
-    [("classes", ()), ("max_attempts", 0), ("balancers", 0), ("cold_ms", -1.0), ("tick_ms", float("nan"))],
+    [
+        ("classes", ()),
+        ("max_attempts", 0),
+        ("node_count", 0),
+        ("warm_up_ms", -1.0),
+        ("tick_ms", float("nan")),
+    ],
 )
 def test_impossible_settings_name_the_field(field: str, value: object) -> None:
     values: dict[str, object] = {"classes": (EFFECTS[0],), field: value}
-    with pytest.raises(ImpossibleSettings, match=field):
+    with pytest.raises(InvalidSettingsError, match=field):
         Settings(**values)  # type: ignore[arg-type]
-    with pytest.raises(ImpossibleSettings, match="aim_ms"):
+    with pytest.raises(InvalidSettingsError, match="latency_objective_ms"):
         RequestClass("x", -5.0, 100.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 
 from crowpost import Automaton, Balancer
 from crowpost.decide.automaton import FLOOR_SHARE, NEWCOMER_SHARE
-from crowpost.interface import ListKind, Readiness, ServerEntry, ServerList, Settings
+from crowpost.interface import EndpointEntry, EndpointList, ListKind, Readiness, Settings
 from crowpost.lab.bench import Drive, _settings, rows
 from crowpost.parts import Bucket, Spread, Timers, WeightedGroup, floored
 
@@ -126,7 +126,7 @@
 def _calls(servers: int, settings: Settings) -> float:
     """Calls of Python functions a request, a measure of cost that no other load on the machine moves."""
     drive = Drive(Balancer(settings, 1), 1)
-    drive.feed(ServerList(ListKind.FULL, rows(servers)))
+    drive.feed(EndpointList(ListKind.FULL, rows(servers)))
     drive.requests(100)
     count = 0
 
@@ -151,8 +151,8 @@
 def test_servers_that_are_gone_for_good_are_forgotten() -> None:
     node = Balancer(_settings(), 1)
     for i in range(0, 4000, 40):
-        gone = tuple(ServerEntry(r.server, Readiness.GONE) for r in rows(40, i - 40)) if i else ()
-        node.handle(ServerList(ListKind.CHANGES, gone + rows(40, i)), float(i))
+        gone = tuple(EndpointEntry(r.server, Readiness.GONE) for r in rows(40, i - 40)) if i else ()
+        node.handle(EndpointList(ListKind.CHANGES, gone + rows(40, i)), float(i))
     assert node.pool_size == 40 and len(node._fleet.servers) <= 2 * 40 + 140
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,7 +17,16 @@
 
 import pytest
 
-from crowpost.interface import Action, Arrival, AttemptEnded, Event, NodesPresent, Outcome, RequestGone, Send
+from crowpost.interface import (
+    Action,
+    AttemptEnded,
+    Event,
+    NodesPresent,
+    Outcome,
+    RequestAbandoned,
+    RequestArrived,
+    Send,
+)
 from crowpost.node.http import MAX_BODY
 from tests.hastened import run_hastened
 from tests.stubs import (
@@ -175,14 +184,14 @@
         async with world(row("a", f"{host}:{port}"), policyLimits=limits()) as w:
 
             def decide(event: Event, now: float) -> list[Action]:
-                place = Arrival if waits_for == "a dial" else NodesPresent
+                place = RequestArrived if waits_for == "a dial" else NodesPresent
                 return [Send(1, b"a")] if isinstance(event, place) else []
 
             w.node._callers._sweeper.cancel()
             dials, told = HeldDials(w), Told(w, decide)
             caller = await w.caller()
             caller.writer.write(request("book", body=b"x" * (8 * MAX_BODY))[: 2 * MAX_BODY])
-            await told.first(Arrival)
+            await told.first(RequestArrived)
             (connection,) = w.node._callers._open
             while connection._transport is None or connection._transport.is_reading():
                 await asyncio.sleep(0)
@@ -195,8 +204,8 @@
             w.node._post(NodesPresent(1, 0))
             dials.release.set()
             ended: AttemptEnded = await told.first(AttemptEnded)
-            assert ended.outcome in (Outcome.MOOT, Outcome.CANCELLED)
-            assert any(isinstance(event, RequestGone) for event in told.events)
+            assert ended.outcome in (Outcome.NOT_SENT, Outcome.CANCELLED)
+            assert any(isinstance(event, RequestAbandoned) for event in told.events)
             while w.node._servers._opening:
                 await asyncio.sleep(0)
             assert not w.node._requests and not w.node._calls
@@ -252,7 +261,7 @@
                     await asyncio.sleep(0)
             if leaves:
                 callers[-1].close()
-                await told.first(RequestGone)
+                await told.first(RequestAbandoned)
                 assert not queue
             server.release.set()
             for caller in callers[: -1 if leaves else None]:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,25 +12,25 @@
 from crowpost.drill import serve
 from crowpost.interface import (
     Action,
-    AnswerStarted,
-    Arrival,
     AttemptEnded,
     Cancel,
     CloseIdle,
     Effect,
+    EndpointList,
     Fail,
+    HealthCheck,
+    HealthCheckEnded,
+    IdempotencyScope,
     ListKind,
     Log,
     Outcome,
     PeerMessage,
-    Probe,
-    ProbeEnded,
     Readiness,
-    Refuse,
-    RepeatGroup,
-    RequestGone,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
+    ResponseStarted,
     Send,
-    ServerList,
     SetTimer,
     Subscribe,
     TimerFired,
@@ -129,13 +129,13 @@
         record(9, struct.pack("<IHH", 3, 2, 4) + b"hi 7"),
         record(10, struct.pack("<I", 3)),
     ) == [
-        (3, Arrival(99, 0, 240.0, 1, 9, 12.0, False, False)),
-        (3, Arrival(100, 0, 240.0, 1, 9, None, True, True)),
+        (3, RequestArrived(99, 0, 240.0, 1, 9, 12.0, False, False)),
+        (3, RequestArrived(100, 0, 240.0, 1, 9, None, True, True)),
         (3, AttemptEnded(99, 1, A, Outcome.OK, 18.5, True, (0.5, 3.0))),
-        (3, AnswerStarted(99, 1, A, 18.5)),
-        (3, RequestGone(99)),
+        (3, ResponseStarted(99, 1, A, 18.5)),
+        (3, RequestAbandoned(99)),
         (3, TimerFired(77)),
-        (3, ProbeEnded(B, Outcome.CONNECT_FAILED, 1.5)),
+        (3, HealthCheckEnded(B, Outcome.CONNECT_FAILED, 1.5)),
         (3, PeerMessage(2, b"hi 7")),
         (3, Stop()),
     ]
@@ -151,7 +151,7 @@
         (521, Outcome.CONNECT_FAILED),
         (520, Outcome.RESET),
         (444, Outcome.CANCELLED),
-        (409, Outcome.MOOT),
+        (409, Outcome.NOT_SENT),
     ],
 )
 def test_every_outcome(code: int, outcome: Outcome) -> None:
@@ -171,8 +171,8 @@
             sync(1, 9, 0),
         )
     ]
-    assert all(isinstance(e, ServerList) for e in events)
-    lists = [e for e in events if isinstance(e, ServerList)]
+    assert all(isinstance(e, EndpointList) for e in events)
+    lists = [e for e in events if isinstance(e, EndpointList)]
     assert [x.kind for x in lists] == [ListKind.CACHED, ListKind.FULL, ListKind.CHANGES, ListKind.FAILED]
     assert [tuple(r.server for r in x.entries) for x in lists] == [(A,), (B,), (B,), ()]
     entry = lists[1].entries[0]
@@ -194,8 +194,8 @@
         (CloseIdle(B), "47 0a000000 03000000 0a9011f2 b413"),
         (Log("two servers known"), "49 17000000 03000000 1100 74776f2073657276657273206b6e6f776e"),
         (Fail(0x0E6F2B19), "43 08000000 03000000 192b6f0e"),
-        (Refuse(0x0E6F2B19, 250.0), "42 10000000 03000000 192b6f0e 0000000000406f40"),
-        (Probe(B), "46 0a000000 03000000 0a9011f2 b413"),
+        (Reject(0x0E6F2B19, 250.0), "42 10000000 03000000 192b6f0e 0000000000406f40"),
+        (HealthCheck(B), "46 0a000000 03000000 0a9011f2 b413"),
         (Subscribe(), "4b 05000000 03000000 01"),
         (SetTimer(0x4D, 8413.25), "45 14000000 03000000 4d00000000000000 00000000a06ec040"),
     ],
@@ -214,9 +214,9 @@
 
 def test_settings_with_unknown_and_absent_keys() -> None:
     settings = parse_settings(setup(new__key="7", familyInfo__passesDeadline="", layers="a,b,c", stage="1"))
-    assert settings.classes[0].effect is Effect.SAFE and settings.classes[0].group is RepeatGroup.ALL
+    assert settings.classes[0].effect is Effect.SAFE and settings.classes[0].group is IdempotencyScope.ALL
     assert settings.stages == 3 and settings.stage == 1 and settings.tenants == ()
-    assert settings.max_attempts == 1 and not settings.may_duplicate and not settings.may_probe
+    assert settings.max_attempts == 1 and not settings.may_hedge and not settings.may_check_health
 
 
 @pytest.mark.parametrize(
