--- a/crowpost/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -111,6 +111,7 @@
 
 
 def show(scenario: Scenario, result: dict[str, Any], took: float) -> None:
+    """Print the result of a run as a table; took: the seconds that it was played for."""
     parts, prices = result["parts"], result["prices"]
     out.print(
         f"[bold]{scenario.name}[/bold]  seed {result['seed']}  {result['policy']}  played in {took:.1f} s"
--- a/crowpost/cli/overhead.py
+++ b/crowpost/cli/overhead.py
@@ -85,7 +85,7 @@
             revisions,
             How(seconds, EFFECTS.index(effect), seed, profile),
             say=err.print,
-            keep=lambda run, found: slices.append(found["slices"]),
+            keep=lambda _run, found: slices.append(found["slices"]),
         )
     except OverheadError as error:
         unusable(str(error))
--- a/crowpost/lab/faults.py
+++ b/crowpost/lab/faults.py
@@ -34,7 +34,7 @@
             "hot_caller": self._hot_caller,
             "restart_nodes": self._restart_nodes,
             "upgrade_nodes": self._upgrade_nodes,
-            "burst": lambda f: None,  # drawn with the arrivals
+            "burst": lambda _fault: None,  # drawn with the arrivals
         }
         for fault in platform.scenario.faults:
             platform.engine.at(fault.at_s * 1000.0, kinds[fault.kind], fault)
--- a/crowpost/lab/live/play.py
+++ b/crowpost/lab/live/play.py
@@ -67,7 +67,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     def clock(self) -> float:
-        """ms since the first request's time 0."""
+        """Return the time since the first request's time 0, in ms."""
         return now_ms() - self._zero
 
     # ------------------------------------------------------------ building
--- a/crowpost/lab/overhead/caller.py
+++ b/crowpost/lab/overhead/caller.py
@@ -257,6 +257,7 @@
 
 
 def main() -> None:
+    """Play the plan that standard input holds, and write what came of it to standard output."""
     plan = Plan(**json.load(sys.stdin))
     caller = Caller(plan)
     gc.freeze()
--- a/crowpost/lab/overhead/play.py
+++ b/crowpost/lab/overhead/play.py
@@ -91,8 +91,8 @@
     cases: Sequence[Case],
     revisions: Sequence[str] = (),
     how: How | None = None,
-    say: Callable[[str], None] = lambda text: None,
-    keep: Callable[[dict[str, Any], dict[str, Any]], None] = lambda run, found: None,
+    say: Callable[[str], None] = lambda _text: None,
+    keep: Callable[[dict[str, Any], dict[str, Any]], None] = lambda _run, _found: None,
 ) -> dict[str, Any]:
     """The record of all cases, through the present version and revisions; `keep` gets runs and their slices.
 
--- a/crowpost/lab/overhead/report.py
+++ b/crowpost/lab/overhead/report.py
@@ -104,7 +104,7 @@
         (
             f"{servers} servers, chain of {chain}, {how}",
             "Latency from when each call was due, direct and through nodes within one run.",
-            Markup(_plot(curves)),  # noqa: S704 - drawn here, from numbers
+            Markup(_plot(curves)),  # drawn here, from numbers
         )
         for (servers, chain, how), curves in cases.items()
     ]
--- a/crowpost/lab/overhead/stand.py
+++ b/crowpost/lab/overhead/stand.py
@@ -110,9 +110,11 @@
         self._data = b""
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport of the new connection."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Answer a whole request, or pass it on to the next tier."""
         at = time.perf_counter_ns()
         self._data = data = self._data + data
         size = whole(data)
@@ -142,6 +144,7 @@
         self._back: Server | None = None
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport of the new connection."""
         self.transport = transport
 
     def carry(self, data: bytes, back: Server) -> None:
@@ -150,6 +153,7 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Pass a whole answer back, and put the connection with the idle ones."""
         self._data = data = self._data + data
         if not whole(data):
             return
@@ -160,7 +164,8 @@
             self._idle.append(self)
             back.transport.write(data)
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Abort the connection whose request was in flight here."""
         if self in self._idle:
             self._idle.remove(self)
         if self._back is not None:
--- a/crowpost/lab/platform.py
+++ b/crowpost/lab/platform.py
@@ -37,7 +37,7 @@
         self._news = Random(int(streams[2].generate_state(2, np.uint64)[0]))
         self.classes = request_classes(scenario)
         self.rules = Rules(limits.drain_grace_ms + 50.0, limits.answer_slack_ms + 50.0)
-        self.on_new_node: Callable[[SimNode], None] = lambda node: None
+        self.on_new_node: Callable[[SimNode], None] = lambda _node: None
         self.measure = Measure(int(np.ceil(scenario.duration_s)))
         self.policy = policy
         self.servers: dict[EndpointId, SimServer] = {}
--- a/crowpost/lab/policies.py
+++ b/crowpost/lab/policies.py
@@ -25,19 +25,19 @@
         "p2c-peak-ewma": baselines.PeakEwma,
     }
     if name == MODULE:
-        return lambda settings, seed, platform, stage: Balancer(settings, seed)
+        return lambda settings, seed, _platform, _stage: Balancer(settings, seed)
     if name in plain:
-        return lambda settings, seed, platform, stage: plain[name](settings, seed)
+        return lambda settings, seed, _platform, _stage: plain[name](settings, seed)
     if name == "true-state":
         return _true_state
     if name.startswith("rev:"):
         earlier = revision(name.removeprefix("rev:"))
-        return lambda settings, seed, platform, stage: earlier(settings, seed)
+        return lambda settings, seed, _platform, _stage: earlier(settings, seed)
     known = ", ".join(
         (MODULE, *baselines.names(), "rev:GIT-REVISION", MODULE + MEMBERS, *(MODULE + v for v in VARIANTS))
     )
     raise PolicyError(f"{name}: no such policy; known are {known}")
 
 
-def _true_state(settings: Settings, seed: int, platform: Platform, stage: int) -> Policy:
+def _true_state(settings: Settings, seed: int, platform: Platform, _stage: int) -> Policy:
     return baselines.TrueState(settings, seed, platform)
--- a/crowpost/lab/report.py
+++ b/crowpost/lab/report.py
@@ -193,7 +193,7 @@
         for run in runs
     ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
-    marked = [(name, text, Markup(svg)) for name, text, svg in plots]  # noqa: S704 - drawn here, from numbers
+    marked = [(name, text, Markup(svg)) for name, text, svg in plots]  # drawn here, from numbers
     stories = ["\n".join(story) for run in runs for story in run["stories"]][:20]
     return environment.from_string(PAGE).render(
         title=f"crowpost lab: {scenario['name']}",
--- a/crowpost/lab/revisions.py
+++ b/crowpost/lab/revisions.py
@@ -78,7 +78,7 @@
     def __init__(self, sources: dict[str, tuple[str, bool]]) -> None:
         self._sources = sources
 
-    def find_spec(self, fullname: str, path: object = None, target: object = None) -> Any:
+    def find_spec(self, fullname: str, _path: object = None, _target: object = None) -> Any:
         """Return the module's spec, or None for a module of another place."""
         if fullname not in self._sources:
             return None
@@ -91,7 +91,7 @@
     def exec_module(self, module: ModuleType) -> None:
         """Run the module's source."""
         source, _ = self._sources[module.__name__]
-        exec(compile(source, f"<{module.__name__}>", "exec"), module.__dict__)  # noqa: S102
+        exec(compile(source, f"<{module.__name__}>", "exec"), module.__dict__)
 
 
 def _dotted(path: str) -> str:
@@ -215,7 +215,7 @@
             return lambda value: _member(cast(type[Enum], target), value)
         if dataclasses.is_dataclass(source):
             if target is None:
-                return lambda value: None
+                return lambda _value: None
             present = source if source.__module__ == api.__name__ else target
             pairs = _field_pairs(source, target, present)
             made = target
--- a/crowpost/lab/rig/history.py
+++ b/crowpost/lab/rig/history.py
@@ -27,12 +27,14 @@
         self._file = path.open("w", encoding="utf-8") if path is not None else None
 
     def add(self, source: str, event: str, at_ms: float, **values: object) -> None:
+        """Append an event of a source at a time in ms."""
         line = {"at_ms": round(at_ms, 1), "from": source, "event": event, **values}
         self.lines.append(line)
         if self._file is not None:
             self._file.write(json.dumps(line) + "\n")
 
     def close(self) -> None:
+        """Close the file, if there is one."""
         if self._file is not None:
             self._file.close()
 
@@ -77,8 +79,9 @@
 
 
 def check(lines: Iterable[dict[str, Any]]) -> Verdict:
-    """Read a whole history: nobody dies who could be reached, every death is noticed, and views are one at
-    the end.
+    """Return what a whole history says of the rules.
+
+    Nobody may die who could be reached, every death has to be noticed, and all views agree at the end.
     """
     verdict = Verdict()
     excused: dict[str, list[_Span]] = {}  # when a process may be held dead
--- a/crowpost/lab/rig/plan.py
+++ b/crowpost/lab/rig/plan.py
@@ -1,5 +1,6 @@
-"""Storms: TOML files that say how many processes there are and what goes wrong when, and the timetable drawn
-from a seed.
+"""Fault-injection plans, read from TOML files, and the timetable drawn from a seed.
+
+A plan says how many processes there are and which fault happens when.
 
 The timetable is made before anything starts: equal file and seed give equal victims and times.
 """
@@ -111,6 +112,7 @@
 
     @property
     def until_s(self) -> float:
+        """When the fault is over, in seconds from the start."""
         return self.bad.at_s + self.bad.for_s
 
 
--- a/crowpost/lab/rig/processes.py
+++ b/crowpost/lab/rig/processes.py
@@ -111,6 +111,7 @@
             raise ProcessError(f"{self.name} ended at once: {self.last_words()}")
 
     def last_words(self) -> str:
+        """Return the last line of the process's log."""
         return self.words[-1] if self.words else "it said nothing"
 
     def _spawn(self, work: Any) -> None:
--- a/crowpost/lab/rig/relays.py
+++ b/crowpost/lab/rig/relays.py
@@ -85,6 +85,7 @@
             self.addresses[name] = f"{relay_ip(index)}:{port}"
 
     def close(self) -> None:
+        """Stop listening on all addresses."""
         for server in self._servers:
             server.close()
         for transport in self._sockets.values():
--- a/crowpost/lab/rig/storm.py
+++ b/crowpost/lab/rig/storm.py
@@ -1,5 +1,6 @@
-"""Play a storm: start the processes, let the timetable happen, ask all for their views, and check the
-history.
+"""Play a fault-injection run of real processes.
+
+The processes are started, the timetable happens, all are asked for their views, and the history is checked.
 """
 
 from __future__ import annotations
--- a/crowpost/lab/scale/fleet.py
+++ b/crowpost/lab/scale/fleet.py
@@ -30,6 +30,7 @@
 
     @property
     def pid(self) -> int:
+        """The process id of a worker that has been started."""
         assert self._process is not None
         return self._process.pid
 
--- a/crowpost/lab/scale/page.py
+++ b/crowpost/lab/scale/page.py
@@ -106,7 +106,7 @@
         "intervals are 95%.",
         heads=("duty", "measure", "at x = 0", "slope", "for each", "from", "form"),
         table=table(record),
-        plots=[(name, about, Markup(svg)) for name, about, svg in plots],  # noqa: S704 - drawn here
+        plots=[(name, about, Markup(svg)) for name, about, svg in plots],  # drawn here
         stories=["\n".join(story) for story in stories],
     )
     return str(text)
--- a/crowpost/lab/scale/simulated.py
+++ b/crowpost/lab/scale/simulated.py
@@ -71,7 +71,7 @@
         step()
         if known is None and apart():
             known = (swarm.engine.now - begins) / 1000.0
-    swarm.may_pass = lambda a, b: True
+    swarm.may_pass = lambda _sender, _receiver: True
     joined = swarm.engine.now
     calm, whole = 0, None
     for _ in range(SETTLE_STEPS):
--- a/crowpost/lab/scale/slopes.py
+++ b/crowpost/lab/scale/slopes.py
@@ -1,5 +1,6 @@
-"""What a duty costs one node, by the size of the cluster and by the rate of changes: measured, in one run,
-against the same processes with the duty off.
+"""What a duty costs one node, by the size of the cluster and by the rate of changes.
+
+Each is measured in one run against the same processes with the duty off.
 """
 
 from __future__ import annotations
@@ -221,6 +222,7 @@
     spans: list[tuple[Reading, Reading]],
     idle: list[tuple[Reading, Reading]],
 ) -> None:
+    """Add a point for each worker whose figures count; the others are left out with the reason."""
     for i, ((before, after), (start, ready)) in enumerate(zip(spans, idle, strict=True)):
         idle_ms = (ready.core_ms - start.core_ms) / (ready.at - start.at)
         why = unfit(before, after)
@@ -232,6 +234,7 @@
 
 
 async def idle_span(fleet: Fleet, seconds: float) -> list[tuple[Reading, Reading]]:
+    """Return the workers' figures before and after some seconds with nothing on."""
     before = await fleet.read()
     await asyncio.sleep(seconds)
     return list(zip(before, await fleet.read(), strict=True))
@@ -275,6 +278,7 @@
 
 
 def tell(setting: Setting, piece: Piece, duty: str, x: float) -> None:
+    """Print the means of a duty at one size or rate, and what was left out of them."""
     for source in ("hollow", "real"):
         rows = [p["measure"] for p in piece.points.get(duty, []) if p["source"] == source and p["x"] == x]
         if rows:
--- a/crowpost/lab/scale/troubles.py
+++ b/crowpost/lab/scale/troubles.py
@@ -1,5 +1,6 @@
-"""Troubles of a whole cluster by a timetable drawn from the seed: what they set off, and when all hold one
-view again.
+"""Faults of a whole cluster by a timetable drawn from the seed.
+
+Measured are the traffic that they set off, and when all members hold one view again.
 """
 
 from __future__ import annotations
@@ -8,6 +9,7 @@
 import math
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
+from itertools import pairwise
 from random import Random
 from typing import Any
 
@@ -237,10 +239,7 @@
         quiet = (calm[-1].messages - calm[0].messages) / rest, (calm[-1].bytes - calm[0].bytes) / rest
         last = looks[-1]
         spent = last.at - calm[-1].at
-        rates = [
-            (b.at - began, (b.bytes - a.bytes) / (b.at - a.at) / members)
-            for a, b in zip(looks, looks[1:], strict=False)
-        ]
+        rates = [(b.at - began, (b.bytes - a.bytes) / (b.at - a.at) / members) for a, b in pairwise(looks)]
 
         def after(at: float | None, since: float) -> float | None:
             return None if at is None else round(max(0.0, at - since), 1)
--- a/crowpost/lab/scale/worker.py
+++ b/crowpost/lab/scale/worker.py
@@ -1,5 +1,6 @@
-"""python -m crowpost.lab.scale.worker: a process of hollow nodes, told what to do by lines of JSON on
-standard input, which it answers on standard output.  It ends with its input.
+"""python -m crowpost.lab.scale.worker: a process of hollow nodes.
+
+Commands are lines of JSON on standard input, answered on standard output.  It ends with its input.
 """
 
 from __future__ import annotations
--- a/crowpost/lab/traffic.py
+++ b/crowpost/lab/traffic.py
@@ -140,7 +140,10 @@
 def pause_before_next(
     wish: Wish, habits: Habits, kind: RequestClass, end: str, since: float, retry_after: float
 ) -> float | None:
-    """ms that the client waits before it asks again, None if it gives up; `since`: ms since it was due."""
+    """Return the ms that the client waits before its retry, or None if it gives up.
+
+    since: ms since the request was due.
+    """
     if end == "ok" or wish.tries > habits.retries or not may_repeat(kind, end, since):
         return None
     pause = habits.backoff_ms * (0.5 + wish.luck)
