--- a/crowpost/lab/cores.py
+++ b/crowpost/lab/cores.py
@@ -93,7 +93,7 @@
         self._ready.clear()
 
 
-class Crowd:
+class Contention:
     """Too many waiting for too long turn a server slow, until it has rested or its time is over."""
 
     def __init__(self, engine: Engine, law: Crowding | None, cores: int, changed: Callable[[], None]) -> None:
--- a/crowpost/lab/live/play.py
+++ b/crowpost/lab/live/play.py
@@ -17,10 +17,10 @@
 from crowpost.lab.live.processes import NodeError, NodeProcess, settings_json
 from crowpost.lab.live.stand import HOST, Books, Errand, LiveDiscovery, LiveServer, now_ms
 from crowpost.lab.measure import Measure
+from crowpost.lab.node_settings import node_settings, request_classes
 from crowpost.lab.runs import Counts, outcome, useful_ms
 from crowpost.lab.scenario import Fault, Scenario
-from crowpost.lab.told import node_settings, request_classes
-from crowpost.lab.traffic import Wish, count, draw, pause_before_next, spread
+from crowpost.lab.traffic import PlannedRequest, count, draw, pause_before_next, spread
 
 # Faults that the stand-ins cannot show on real sockets.
 SIMULATED_ONLY: frozenset[str] = frozenset({"reports_late"})
@@ -47,7 +47,7 @@
         self.scenario, self.seed, self.folder, self.say = scenario, seed, folder, say
         streams = np.random.SeedSequence([seed, 0x0C20]).spawn(4)
         self.world = Random(int(streams[0].generate_state(2, np.uint64)[0]))
-        self.wishes = draw(scenario, streams[3])
+        self.planned_requests = draw(scenario, streams[3])
         self.classes = request_classes(scenario)
         self.measure = Measure(int(np.ceil(scenario.duration_s)))
         self.books = Books()
@@ -141,18 +141,26 @@
 
     # ------------------------------------------------------------ requests
 
-    def _errand(self, wish_or_above: Wish | Errand, deadline: float) -> Errand:
+    def _errand(self, planned_or_parent: PlannedRequest | Errand, deadline: float) -> Errand:
         self._ids += 1
         number = f"{self._ids:016x}"
-        if isinstance(wish_or_above, Wish):
-            wish, kind = wish_or_above, self.scenario.classes[wish_or_above.class_index]
+        if isinstance(planned_or_parent, PlannedRequest):
+            planned, kind = planned_or_parent, self.scenario.classes[planned_or_parent.class_index]
             tenants = self.scenario.tenants
-            tenant = tenants[wish.tenant].name if tenants else "all"
+            tenant = tenants[planned.tenant].name if tenants else "all"
             errand = Errand(
-                number, kind.name, kind.effect, wish.work, wish.calls, deadline, tenant, wish.hint, top=number
+                number,
+                kind.name,
+                kind.effect,
+                planned.work,
+                planned.calls,
+                deadline,
+                tenant,
+                planned.hint,
+                top=number,
             )
         else:
-            above = wish_or_above
+            above = planned_or_parent
             errand = Errand(
                 number,
                 above.name,
@@ -211,38 +219,38 @@
             self.books.broken(1, f"{node.name} gave no answer to a {above.name}")
         return end == "ok"
 
-    async def _wish(self, wish: Wish) -> None:
-        kind = self.classes[wish.class_index]
+    async def _play_request(self, planned: PlannedRequest) -> None:
+        kind = self.classes[planned.class_index]
         while True:
-            wish.tries += 1
+            planned.tries += 1
             self.measure.tries += 1
             standing = [n for n in self.front if n.up]
             end, after = "unreachable", 0.0
             if standing:
-                node = standing[spread(wish, len(standing), self.hot)]
+                node = standing[spread(planned, len(standing), self.hot)]
                 starts = node.starts
                 self.calls += 1
-                errand = self._errand(wish, now_ms() + wish.patience)
+                errand = self._errand(planned, now_ms() + planned.patience)
                 end, after = await self._ask(node.port, errand)
                 if end == "unanswered":
                     if node.up and node.starts == starts:
                         self.books.broken(1, f"{node.name} gave no answer to {kind.name} {errand.id}")
                     end = "timed_out"
-            since = self.clock() - wish.due
-            pause = pause_before_next(wish, self.scenario.clients, kind, end, since, after)
+            since = self.clock() - planned.due
+            pause = pause_before_next(planned, self.scenario.clients, kind, end, since, after)
             if pause is None:
-                count(self.measure, self.scenario, wish, since, end)
+                count(self.measure, self.scenario, planned, since, end)
                 return
             await asyncio.sleep(pause / 1000.0)
 
     async def _send_all(self) -> None:
         """Open loop: each request leaves when it is due, or as soon after as this process can."""
-        for wish in self.wishes:
-            wait = wish.due - self.clock()
+        for planned in self.planned_requests:
+            wait = planned.due - self.clock()
             if wait > 0.0:
                 await asyncio.sleep(wait / 1000.0)
-            self.lags.append(max(0.0, self.clock() - wish.due))
-            self._spawn(self._wish(wish))
+            self.lags.append(max(0.0, self.clock() - planned.due))
+            self._spawn(self._play_request(planned))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
@@ -441,7 +449,7 @@
             handshakes=sum(s.connections for s in servers),
             work_ms=sum(s.work for s in servers),
         )
-        counts.wasted_ms = max(0.0, counts.work_ms - useful_ms(self.scenario, self.wishes))
+        counts.wasted_ms = max(0.0, counts.work_ms - useful_ms(self.scenario, self.planned_requests))
         return {
             **outcome(self.scenario, self.seed, "live", self.measure, counts),
             "series": {**self.measure.series(), **self.samples},
--- a/crowpost/lab/machines.py
+++ b/crowpost/lab/machines.py
@@ -12,12 +12,12 @@
 from typing import TYPE_CHECKING
 
 from crowpost.interface import EndpointEntry, Outcome, Readiness
-from crowpost.lab.cores import Cores, Crowd
+from crowpost.lab.cores import Contention, Cores
 from crowpost.lab.engine import Engine
 from crowpost.lab.scenario import Kind, Limits, Tier
 
 if TYPE_CHECKING:
-    from crowpost.lab.nodes import Ask, SimNode
+    from crowpost.lab.nodes import SimNode, SimulatedRequest
 
 ERROR_MS = 1.0  # a quick error takes this long
 COLD_STEPS = 12  # a cold server's rate is set anew this often until it is warm
@@ -28,7 +28,7 @@
 class Call:
     """One attempt as its server sees it."""
 
-    ask: Ask
+    request: SimulatedRequest
     number: int
     node: SimNode
     server: SimServer
@@ -39,7 +39,7 @@
     calls_left: int = 0
     over: bool = False  # its outcome has been given to the node
     cancelled: bool = False
-    below: Ask | None = None  # the call that it waits for in the next tier
+    below: SimulatedRequest | None = None  # the call that it waits for in the next tier
 
 
 @dataclass(slots=True)
@@ -122,7 +122,7 @@
         self._slots: set[Call] = set()
         self._room: deque[Call] = deque()
         self._pressure = Pressure()
-        self.crowd = Crowd(engine, tier.crowding, kind.cores, self.retime)
+        self.crowd = Contention(engine, tier.crowding, kind.cores, self.retime)
         self._cores = Cores(engine, kind.cores, self.rate, self._watch_crowd)
 
     # ------------------------------------------------------------ rate
@@ -195,7 +195,7 @@
 
     def _work_of(self, call: Call) -> float:
         noise = 0.8 + 0.4 * self.rng.random()
-        return call.ask.work * self.tier.work_part * noise
+        return call.request.work * self.tier.work_part * noise
 
     def _pressed(self, call: Call, work: float) -> bool:
         """Rule 4: whether this call is one more than a cold server bears; it then falls and stays down."""
@@ -213,7 +213,7 @@
 
     def _start(self, call: Call, work: float) -> None:
         self._slots.add(call)
-        call.calls_left = call.ask.calls[self.stage]
+        call.calls_left = call.request.calls[self.stage]
         half = 0.5 * work if call.calls_left else work
         call.work = work - half
         self._cores.compute(half, lambda: self._descend(call, self.epoch))
@@ -278,7 +278,7 @@
     def stop(self) -> list[Call]:
         """The process ends; what it held is returned, each of which its node sees reset."""
         held = [*self._slots, *self._room]
-        held.sort(key=lambda c: (c.sent, c.ask.id, c.number))
+        held.sort(key=lambda c: (c.sent, c.request.id, c.number))
         self._slots.clear()
         self._room.clear()
         self._cores.clear()
--- a/crowpost/lab/told.py
+++ b/crowpost/lab/node_settings.py
@@ -1,4 +1,4 @@
-"""What the nodes of a scenario are told at their start, the same in simulated time and on sockets."""
+"""The bootstrap settings of a scenario's nodes, the same in simulated time and on sockets."""
 
 from __future__ import annotations
 
--- a/crowpost/lab/nodes.py
+++ b/crowpost/lab/nodes.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class SimulatedRequest:
     """A request as one node has it, and all that happened to it."""
 
     id: int
@@ -129,7 +129,7 @@
         self.up: bool = True
         self.known: dict[EndpointId, EndpointEntry] = {}
         self.leaving: dict[EndpointId, float] = {}
-        self.asks: dict[int, Ask] = {}
+        self.requests: dict[int, SimulatedRequest] = {}
         self.tally = NodeTally()
         self._calls: dict[tuple[int, int], Call] = {}  # those that are out
         self._idle: dict[EndpointId, list[Connection]] = {}
@@ -152,41 +152,41 @@
         """News of its membership has reached this node, or of what its predecessor knew."""
         self._feed(event)
 
-    def accept(self, ask: Ask) -> None:
+    def accept(self, request: SimulatedRequest) -> None:
         """A request's last byte has come; its final answer goes to `ask.reply`."""
         self.tally.requests += 1
-        self.asks[ask.id] = ask
-        self.engine.at(ask.deadline, self._overdue, ask)
+        self.requests[request.id] = request
+        self.engine.at(request.deadline, self._overdue, request)
         self._feed(
             RequestArrived(
-                ask.id,
-                ask.class_index,
-                ask.deadline - self.engine.now,
-                ask.tenant,
-                cost_hint_ms=ask.hint or None,
-                is_repeat=ask.is_repeat,
+                request.id,
+                request.class_index,
+                request.deadline - self.engine.now,
+                request.tenant,
+                cost_hint_ms=request.hint or None,
+                is_repeat=request.is_repeat,
             )
         )
 
-    def accept_below(self, call: Call, then: Callable[[bool], None]) -> Ask:
+    def accept_below(self, call: Call, then: Callable[[bool], None]) -> SimulatedRequest:
         """A server's call of the next tier, with the time that its own request has left."""
-        above = call.ask
-        ask = self.platform.new_ask(above, self.stage, lambda kind, _: then(kind == "ok"))
+        above = call.request
+        request = self.platform.new_request(above, self.stage, lambda kind, _: then(kind == "ok"))
         # Its own node is on the same machine; a call of its own breaks the recursion.
-        self.engine.at(self.engine.now, self._accept_late, ask)
-        return ask
+        self.engine.at(self.engine.now, self._accept_late, request)
+        return request
 
-    def _accept_late(self, ask: Ask) -> None:
-        if self.up and not ask.gone:
-            self.accept(ask)
+    def _accept_late(self, request: SimulatedRequest) -> None:
+        if self.up and not request.gone:
+            self.accept(request)
 
-    def leave(self, ask: Ask) -> None:
+    def leave(self, request: SimulatedRequest) -> None:
         """The client has gone away; no answer is owed."""
-        if ask.answered is None and not ask.gone:
-            ask.gone = True
-            if self.up and self.asks.pop(ask.id, None) is not None:
-                ask.story.append((self.engine.now, "the client leaves", b""))
-                self._feed(RequestAbandoned(ask.id))
+        if request.answered is None and not request.gone:
+            request.gone = True
+            if self.up and self.requests.pop(request.id, None) is not None:
+                request.story.append((self.engine.now, "the client leaves", b""))
+                self._feed(RequestAbandoned(request.id))
 
     def stop(self) -> None:
         """The process is killed: what it held gets no answer from it, and its calls are withdrawn."""
@@ -194,9 +194,9 @@
         for call in self._calls.values():
             call.over = True
         self._calls.clear()
-        for ask in self.asks.values():
-            ask.gone = True
-        self.asks.clear()
+        for request in self.requests.values():
+            request.gone = True
+        self.requests.clear()
         for server, connections in self._idle.items():
             target = self.platform.servers[server]
             target.connections -= sum(1 for c in connections if c.epoch == target.epoch)
@@ -216,16 +216,16 @@
         elif isinstance(action, SetTimer):
             self.engine.at(action.at_ms, self._fire, action.token)
         elif isinstance(action, Reject):
-            ask = self.asks.get(action.request)
-            if ask is not None:
-                self.rules.refused(self, ask, self.engine.now)
+            request = self.requests.get(action.request)
+            if request is not None:
+                self.rules.refused(self, request, self.engine.now)
                 self.tally.refused += 1
-                self._answer(ask, "refused", action.retry_after_ms)
+                self._answer(request, "refused", action.retry_after_ms)
         elif isinstance(action, Fail):
-            ask = self.asks.get(action.request)
-            if ask is not None:
+            request = self.requests.get(action.request)
+            if request is not None:
                 self.tally.failed += 1
-                self._answer(ask, "failed", 0.0)
+                self._answer(request, "failed", 0.0)
         elif isinstance(action, Cancel):
             self._cancel(action)
         elif isinstance(action, HealthCheck):
@@ -241,47 +241,47 @@
     def _fire(self, token: int) -> None:
         self._feed(TimerFired(token))
 
-    def _answer(self, ask: Ask, kind: str, retry_after: float) -> None:
+    def _answer(self, request: SimulatedRequest, kind: str, retry_after: float) -> None:
         now = self.engine.now
-        self.rules.answered(self, ask, now)
-        ask.story.append((now, f"answered: {kind}", b""))
-        if ask.answered is None:
-            ask.answered = kind
-            del self.asks[ask.id]
-            self.engine.at(now, ask.reply, kind, retry_after)
-
-    def _overdue(self, ask: Ask) -> None:
+        self.rules.answered(self, request, now)
+        request.story.append((now, f"answered: {kind}", b""))
+        if request.answered is None:
+            request.answered = kind
+            del self.requests[request.id]
+            self.engine.at(now, request.reply, kind, retry_after)
+
+    def _overdue(self, request: SimulatedRequest) -> None:
         """The client's time is over: attempts still out end as timed out."""
         if not self.up:
             return
-        for call in list(ask.out):
+        for call in list(request.out):
             call.cancelled = True  # its connection is closed
             self._ended(call, Outcome.TIMEOUT, ())
-        self.engine.after(self.settings.answer_slack_ms, self._check, ask)
+        self.engine.after(self.settings.answer_slack_ms, self._check, request)
 
-    def _check(self, ask: Ask) -> None:
+    def _check(self, request: SimulatedRequest) -> None:
         if self.up:
-            self.rules.overdue(self, ask, self.engine.now)
+            self.rules.overdue(self, request, self.engine.now)
 
     # ------------------------------------------------------------ attempts
 
     def _send(self, action: Send) -> None:
         engine, now = self.engine, self.engine.now
-        ask = self.asks.get(action.request)
-        if ask is None:
+        request = self.requests.get(action.request)
+        if request is None:
             self.rules.bad_action(self, f"a send for request {action.request}, which is not open", None, now)
             return
-        self.rules.sent(self, ask, action.server, self.settings, now)
+        self.rules.sent(self, request, action.server, self.settings, now)
         server = self.platform.servers[action.server]
         entry = self.known.get(action.server, server.entry())
-        call = Call(ask, len(ask.tried), self, server, server.epoch, now)
+        call = Call(request, len(request.tried), self, server, server.epoch, now)
         call.told = entry.started_ms >= server.started
         self.tally.attempts += 1
-        self.tally.copies += 1 if ask.out else 0
-        ask.tried.append(Tried(entry, now))
-        ask.story.append((now, f"attempt {call.number} to", action.server))
-        ask.out.append(call)
-        self._calls[ask.id, call.number] = call
+        self.tally.copies += 1 if request.out else 0
+        request.tried.append(Tried(entry, now))
+        request.story.append((now, f"attempt {call.number} to", action.server))
+        request.out.append(call)
+        self._calls[request.id, call.number] = call
         self.platform.count_send(self.stage, server)
         one_way = self.platform.one_way(self.zone, server.zone, self.rng)
         if self._idle_connection(server):
@@ -323,16 +323,18 @@
         if call.over or not self.up:
             return
         call.over = True
-        now, ask = self.engine.now, call.ask
-        ask.out.remove(call)
-        del self._calls[ask.id, call.number]
-        ask.tried[call.number].outcome = outcome
-        ask.story.append((now, f"attempt {call.number} ends: {outcome.value},", call.server.name))
-        served = outcome is Outcome.OK and ask.answered is None and not ask.gone
+        now, request = self.engine.now, call.request
+        request.out.remove(call)
+        del self._calls[request.id, call.number]
+        request.tried[call.number].outcome = outcome
+        request.story.append((now, f"attempt {call.number} ends: {outcome.value},", call.server.name))
+        served = outcome is Outcome.OK and request.answered is None and not request.gone
         if served:
-            self._answer(ask, "ok", 0.0)
-        finished = ask.answered is not None or ask.gone
-        event = AttemptEnded(ask.id, call.number, call.server.name, outcome, now - call.sent, finished, load)
+            self._answer(request, "ok", 0.0)
+        finished = request.answered is not None or request.gone
+        event = AttemptEnded(
+            request.id, call.number, call.server.name, outcome, now - call.sent, finished, load
+        )
         self._feed(event)
 
     def _cancel(self, action: Cancel) -> None:
--- a/crowpost/lab/platform.py
+++ b/crowpost/lab/platform.py
@@ -12,11 +12,11 @@
 from crowpost.lab.engine import Engine
 from crowpost.lab.machines import Call, SimServer
 from crowpost.lab.measure import Measure
-from crowpost.lab.nodes import Ask, Policy, SimNode
+from crowpost.lab.node_settings import node_settings, request_classes
+from crowpost.lab.nodes import Policy, SimNode, SimulatedRequest
 from crowpost.lab.rules import Rules
 from crowpost.lab.scenario import Kind, Scenario
-from crowpost.lab.told import node_settings, request_classes
-from crowpost.lab.traffic import Clients, Wish, draw, spread
+from crowpost.lab.traffic import Clients, PlannedRequest, draw, spread
 
 # Builds a node's policy from its settings, a seed of its own, and the node's place on the platform.
 PolicyFactory = Callable[[Settings, int, "Platform", int], Policy]
@@ -49,7 +49,7 @@
         self.nodes: list[list[SimNode]] = [[] for _ in scenario.tiers]
         self.retired: list[SimNode] = []
         self.leaving: list[SimNode] = []  # replaced, but still with requests of their own
-        self.asks = 0
+        self.requests = 0
         self.stalled_until = 0.0
         self.hot: tuple[float, int] | None = None  # share of traffic, nodes that share it
         self.samples: dict[str, list[Any]] = {"calls_out": [], "limit": [], "sends": [], "sends_slow": []}
@@ -94,8 +94,8 @@
     def restart_node(self, place: int, down_ms: float) -> None:
         """A front node is killed, and comes back knowing nothing."""
         old = self.nodes[0][place]
-        for ask in list(old.asks.values()):
-            self.clients.lost(ask)
+        for request in list(old.requests.values()):
+            self.clients.lost(request)
         old.stop()
         self.retired.append(old)
 
@@ -152,45 +152,49 @@
     def live_nodes(self, stage: int) -> list[SimNode]:
         """The nodes that send into a tier at the moment."""
         if stage == 0:
-            return [n for n in self.nodes[0] if n.up] + [n for n in self.leaving if n.asks]
+            return [n for n in self.nodes[0] if n.up] + [n for n in self.leaving if n.requests]
         return [s.node for s in self.tiers[stage - 1] if s.node is not None]
 
     # ------------------------------------------------------------ requests
 
-    def choose_front(self, wish: Wish) -> SimNode | None:
+    def choose_front(self, planned: PlannedRequest) -> SimNode | None:
         """The front spreads tries evenly over the nodes that are up, but for a hot caller's."""
         nodes = [n for n in self.nodes[0] if n.up]
         if not nodes:
             return None
-        return nodes[spread(wish, len(nodes), self.hot)]
+        return nodes[spread(planned, len(nodes), self.hot)]
 
-    def new_wish_ask(self, wish: Wish, reply: Callable[[str, float], None]) -> Ask:
+    def new_client_request(
+        self, planned: PlannedRequest, reply: Callable[[str, float], None]
+    ) -> SimulatedRequest:
         """A client's try as the node gets it."""
-        self.asks += 1
-        now, kind = self.engine.now, self.classes[wish.class_index]
-        marked = self.scenario.clients.marks_retry and wish.tries > 1
-        return Ask(
-            self.asks,
+        self.requests += 1
+        now, kind = self.engine.now, self.classes[planned.class_index]
+        marked = self.scenario.clients.marks_retry and planned.tries > 1
+        return SimulatedRequest(
+            self.requests,
             kind,
-            wish.class_index,
+            planned.class_index,
             now,
-            now + wish.patience,
-            wish.work,
-            wish.calls,
+            now + planned.patience,
+            planned.work,
+            planned.calls,
             reply,
-            wish.index,
-            wish.tenant,
-            wish.hint,
+            planned.index,
+            planned.tenant,
+            planned.hint,
             marked,
         )
 
-    def new_ask(self, above: Ask, stage: int, reply: Callable[[str, float], None]) -> Ask:
+    def new_request(
+        self, above: SimulatedRequest, stage: int, reply: Callable[[str, float], None]
+    ) -> SimulatedRequest:
         """A server's call of the next tier, within the time of the request that it is for."""
-        self.asks += 1
+        self.requests += 1
         kind, now = above.kind, self.engine.now
         deadline = max(above.deadline, now + 1.0)
-        return Ask(
-            self.asks,
+        return SimulatedRequest(
+            self.requests,
             kind,
             above.class_index,
             now,
--- a/crowpost/lab/rules.py
+++ b/crowpost/lab/rules.py
@@ -20,7 +20,7 @@
 )
 
 if TYPE_CHECKING:
-    from crowpost.lab.nodes import Ask, SimNode
+    from crowpost.lab.nodes import SimNode, SimulatedRequest
 
 # The outcomes that prove that an attempt never ran, by the protocol page.
 PROOFS = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
@@ -62,10 +62,12 @@
         self.count = 0
         self._grace, self._slack, self._most = grace_ms, slack_ms, most
 
-    def _break(self, now: float, rule: int, node: SimNode, text: str, ask: Ask | None) -> None:
+    def _break(
+        self, now: float, rule: int, node: SimNode, text: str, request: SimulatedRequest | None
+    ) -> None:
         self.count += 1
         if len(self.breaches) < self._most:
-            story = ask.story_lines() if ask is not None else []
+            story = request.story_lines() if request is not None else []
             self.breaches.append(Breach(now, rule, node.name, text, story))
 
     def told(self, node: SimNode, entry: EndpointEntry, now: float) -> None:
@@ -77,57 +79,61 @@
         elif known is None or known.readiness is Readiness.READY:
             node.leaving[entry.server] = now
 
-    def sent(self, node: SimNode, ask: Ask, server: EndpointId, settings: Settings, now: float) -> None:
+    def sent(
+        self, node: SimNode, request: SimulatedRequest, server: EndpointId, settings: Settings, now: float
+    ) -> None:
         """An attempt, before it is entered in the books."""
         entry = node.known.get(server)
         if entry is None:
-            self._break(now, 3, node, f"sent to {server!r}, which no list has named", ask)
+            self._break(now, 3, node, f"sent to {server!r}, which no list has named", request)
             return
         since = node.leaving.get(server)
         if since is not None and now - since > self._grace:
-            self._break(now, 3, node, f"sent {now - since:.0f} ms after the node was told it leaves", ask)
-        if ask.answered is not None:
-            self._break(now, 1, node, "sent for a request that has its final answer", ask)
-        if len(ask.tried) >= settings.max_attempts:
-            self._break(now, 2, node, f"more than {settings.max_attempts} attempts", ask)
-        risky = [t for t in ask.tried if t.may_have_run()]
+            self._break(now, 3, node, f"sent {now - since:.0f} ms after the node was told it leaves", request)
+        if request.answered is not None:
+            self._break(now, 1, node, "sent for a request that has its final answer", request)
+        if len(request.tried) >= settings.max_attempts:
+            self._break(now, 2, node, f"more than {settings.max_attempts} attempts", request)
+        risky = [t for t in request.tried if t.may_have_run()]
         if not risky:
             return
-        kind = ask.kind
+        kind = request.kind
         if not settings.may_hedge and any(t.outcome is None for t in risky):
-            self._break(now, 2, node, "two attempts at once", ask)
+            self._break(now, 2, node, "two attempts at once", request)
         if kind.effect is Effect.UNSAFE:
-            self._break(now, 2, node, "an unsafe request sent again, though it may have run", ask)
+            self._break(now, 2, node, "an unsafe request sent again, though it may have run", request)
         elif kind.effect is Effect.KEYED:
             first = risky[0]
             if now - first.sent > kind.idempotency_window_ms:
-                self._break(now, 2, node, f"{now - first.sent:.0f} ms after the first, past the window", ask)
+                self._break(
+                    now, 2, node, f"{now - first.sent:.0f} ms after the first, past the window", request
+                )
             for other in risky:
                 if kind.group is IdempotencyScope.ZONE and entry.zone != other.entry.zone:
-                    self._break(now, 2, node, "a repeat in another zone", ask)
+                    self._break(now, 2, node, "a repeat in another zone", request)
                 if kind.group is IdempotencyScope.CELL and entry.cell != other.entry.cell:
-                    self._break(now, 2, node, "a repeat in another cell", ask)
+                    self._break(now, 2, node, "a repeat in another cell", request)
 
-    def refused(self, node: SimNode, ask: Ask, now: float) -> None:
+    def refused(self, node: SimNode, request: SimulatedRequest, now: float) -> None:
         """A refusal promises that trying again does no harm."""
-        risky = any(t.may_have_run() for t in ask.tried)
-        harmless = ask.kind.effect is Effect.SAFE or (
-            ask.kind.effect is Effect.KEYED and ask.kind.group is IdempotencyScope.ALL
+        risky = any(t.may_have_run() for t in request.tried)
+        harmless = request.kind.effect is Effect.SAFE or (
+            request.kind.effect is Effect.KEYED and request.kind.group is IdempotencyScope.ALL
         )
         if risky and not harmless:
-            self._break(now, 2, node, "refused, though it may have run", ask)
+            self._break(now, 2, node, "refused, though it may have run", request)
 
-    def answered(self, node: SimNode, ask: Ask, now: float) -> None:
+    def answered(self, node: SimNode, request: SimulatedRequest, now: float) -> None:
         """A final answer, before it is entered."""
-        if ask.answered is not None:
-            self._break(now, 1, node, "a second final answer", ask)
-        elif now > ask.deadline + self._slack:
-            self._break(now, 1, node, f"answered {now - ask.deadline:.0f} ms after its deadline", ask)
+        if request.answered is not None:
+            self._break(now, 1, node, "a second final answer", request)
+        elif now > request.deadline + self._slack:
+            self._break(now, 1, node, f"answered {now - request.deadline:.0f} ms after its deadline", request)
 
-    def overdue(self, node: SimNode, ask: Ask, now: float) -> None:
+    def overdue(self, node: SimNode, request: SimulatedRequest, now: float) -> None:
         """The deadline and the slack have passed."""
-        if ask.answered is None and not ask.gone:
-            self._break(now, 1, node, "no final answer", ask)
+        if request.answered is None and not request.gone:
+            self._break(now, 1, node, "no final answer", request)
 
     def fell(self, node_names: str, server: EndpointId, told: float, now: float, cause: SimNode) -> None:
         """A cold server has fallen; the rule is broken if two thirds of its load came from those who knew."""
@@ -135,6 +141,6 @@
             text = f"cold server {server.decode()} pushed over, {told:.0%} by nodes that knew ({node_names})"
             self._break(now, 4, cause, text, None)
 
-    def bad_action(self, node: SimNode, text: str, ask: Ask | None, now: float) -> None:
+    def bad_action(self, node: SimNode, text: str, request: SimulatedRequest | None, now: float) -> None:
         """An action that the settings or the protocol do not allow."""
-        self._break(now, 0, node, text, ask)
+        self._break(now, 0, node, text, request)
--- a/crowpost/lab/runs.py
+++ b/crowpost/lab/runs.py
@@ -19,7 +19,7 @@
 from crowpost.lab.platform import Platform
 from crowpost.lab.policies import MEMBERS, factory
 from crowpost.lab.scenario import Scenario
-from crowpost.lab.traffic import Wish
+from crowpost.lab.traffic import PlannedRequest
 
 SCHEMA = 1
 SCENARIO, RUNS = "scenario.json", "runs.jsonl"
@@ -113,7 +113,9 @@
         work_ms=sum(s.work for s in servers),
         crowded_s=sum(s.crowd.slow_ms for s in servers) / 1000.0,
     )
-    counts.wasted_ms = max(0.0, counts.work_ms - useful_ms(platform.scenario, platform.clients.wishes))
+    counts.wasted_ms = max(
+        0.0, counts.work_ms - useful_ms(platform.scenario, platform.clients.planned_requests)
+    )
     front = [n for n in _nodes(platform) if n.stage == 0]
     return {
         **outcome(platform.scenario, platform.seed, policy, platform.measure, counts),
@@ -126,16 +128,16 @@
     }
 
 
-def useful_ms(scenario: Scenario, wishes: Sequence[Wish]) -> float:
+def useful_ms(scenario: Scenario, planned_requests: Sequence[PlannedRequest]) -> float:
     """The work in ms that the answers given in time needed, each tier's calls once."""
     total = 0.0
-    for wish in wishes:
-        if wish.in_time:
+    for planned in planned_requests:
+        if planned.in_time:
             count, each = 1.0, 0.0
             for stage, tier in enumerate(scenario.tiers):
                 each += count * tier.work_part
-                count *= wish.calls[stage]
-            total += wish.work * each
+                count *= planned.calls[stage]
+            total += planned.work * each
     return total
 
 
--- a/crowpost/lab/scale/real.py
+++ b/crowpost/lab/scale/real.py
@@ -16,11 +16,11 @@
 
 from crowpost.lab.live.processes import NodeProcess, settings_json
 from crowpost.lab.live.stand import HOST, Books, Errand, LiveDiscovery, LiveServer, now_ms
+from crowpost.lab.node_settings import node_settings
 from crowpost.lab.scale.hollow import CLUSTER
 from crowpost.lab.scale.places import Place
 from crowpost.lab.scale.proc import core_ms, memory_bytes
 from crowpost.lab.scenario import Scenario
-from crowpost.lab.told import node_settings
 
 MANAGED = re.compile(r" is managed on ([0-9.]+):([0-9]+)")
 LISTENS = re.compile(r' members \{"event": "start".*"listens": "([0-9.:]+)"')
--- a/crowpost/lab/traffic.py
+++ b/crowpost/lab/traffic.py
@@ -14,12 +14,12 @@
 from crowpost.lab.scenario import Clients as Habits
 
 if TYPE_CHECKING:
-    from crowpost.lab.nodes import Ask, SimNode
+    from crowpost.lab.nodes import SimNode, SimulatedRequest
     from crowpost.lab.platform import Platform
 
 
 @dataclass(slots=True, eq=False)
-class Wish:
+class PlannedRequest:
     """A client's first try and all its repeats.  Times are ms, work ms of a core of speed 1."""
 
     index: int
@@ -74,7 +74,7 @@
     return points[kept] * 1000.0
 
 
-def draw(scenario: Scenario, seed: SeedSequence) -> list[Wish]:
+def draw(scenario: Scenario, seed: SeedSequence) -> list[PlannedRequest]:
     """All first tries of a run, the same for every policy."""
     rng = Generator(PCG64(seed))
     bursts = tuple((f.at_s, f.at_s + f.for_s, f.size) for f in scenario.faults if f.kind == "burst")
@@ -102,10 +102,10 @@
     luck = rng.uniform(0.0, 1.0, count)
     tokens = [t.quota_per_s for t in scenario.tenants]
     since = [0.0] * len(tokens)
-    wishes = []
+    planned_requests = []
     for i in range(count):
         kind, tenant, now = scenario.classes[kinds[i]], int(tenants[i]), float(times[i])
-        wish = Wish(
+        planned = PlannedRequest(
             i,
             now,
             int(kinds[i]),
@@ -120,10 +120,10 @@
             quota = scenario.tenants[tenant].quota_per_s
             tokens[tenant] = min(quota, tokens[tenant] + (now - since[tenant]) * quota / 1000.0)
             since[tenant] = now
-            wish.inside = tokens[tenant] >= 1.0
-            tokens[tenant] -= 1.0 if wish.inside else 0.0
-        wishes.append(wish)
-    return wishes
+            planned.inside = tokens[tenant] >= 1.0
+            tokens[tenant] -= 1.0 if planned.inside else 0.0
+        planned_requests.append(planned)
+    return planned_requests
 
 
 def may_repeat(kind: RequestClass, end: str, since_first: float) -> bool:
@@ -138,43 +138,43 @@
 
 
 def pause_before_next(
-    wish: Wish, habits: Habits, kind: RequestClass, end: str, since: float, retry_after: float
+    planned: PlannedRequest, habits: Habits, kind: RequestClass, end: str, since: float, retry_after: float
 ) -> float | None:
     """Return the ms that the client waits before its retry, or None if it gives up.
 
     since: ms since the request was due.
     """
-    if end == "ok" or wish.tries > habits.retries or not may_repeat(kind, end, since):
+    if end == "ok" or planned.tries > habits.retries or not may_repeat(kind, end, since):
         return None
-    pause = habits.backoff_ms * (0.5 + wish.luck)
+    pause = habits.backoff_ms * (0.5 + planned.luck)
     if habits.backoff == "exponential":
-        pause *= 2.0 ** (wish.tries - 1)
+        pause *= 2.0 ** (planned.tries - 1)
     elif habits.backoff == "none":
         pause = 1.0
-    if retry_after and wish.luck < habits.honour_retry_after:
-        pause = max(pause, retry_after * (1.0 + 0.2 * wish.luck))
+    if retry_after and planned.luck < habits.honour_retry_after:
+        pause = max(pause, retry_after * (1.0 + 0.2 * planned.luck))
     return pause
 
 
-def count(measure: Measure, scenario: Scenario, wish: Wish, latency: float, end: str) -> None:
+def count(measure: Measure, scenario: Scenario, planned: PlannedRequest, latency: float, end: str) -> None:
     """A first try and its repeats are over, so many ms after it was due."""
-    kind = scenario.classes[wish.class_index]
-    wish.done = True
+    kind = scenario.classes[planned.class_index]
+    planned.done = True
     if end == "ok":
-        wish.in_time = latency <= kind.latency_objective_ms
-        end = "served" if wish.in_time else "late"
+        planned.in_time = latency <= kind.latency_objective_ms
+        end = "served" if planned.in_time else "late"
     elif end == "unreachable":
         end = "failed"
-    priority_weight, tenant = kind.priority_weight * wish.work / kind.work_ms, ""
+    priority_weight, tenant = kind.priority_weight * planned.work / kind.work_ms, ""
     if scenario.tenants:
-        tenant = scenario.tenants[wish.tenant].name
-        priority_weight *= 1.0 if wish.inside else scenario.tenants[wish.tenant].over_quota_worth
-    measure.ended(wish.due, latency, end, priority_weight, wish.work, kind.name, tenant, wish.inside)
+        tenant = scenario.tenants[planned.tenant].name
+        priority_weight *= 1.0 if planned.inside else scenario.tenants[planned.tenant].over_quota_worth
+    measure.ended(planned.due, latency, end, priority_weight, planned.work, kind.name, tenant, planned.inside)
 
 
-def spread(wish: Wish, standing: int, hot: tuple[float, int] | None) -> int:
+def spread(planned: PlannedRequest, standing: int, hot: tuple[float, int] | None) -> int:
     """Which of the standing nodes a try goes to: evenly, but for the share that a few hot ones carry."""
-    draw = (wish.luck * 7919.0 + wish.tries * 0.618) % 1.0
+    draw = (planned.luck * 7919.0 + planned.tries * 0.618) % 1.0
     if hot is not None:
         share, few = hot
         few = max(1, min(few, standing))
@@ -187,62 +187,66 @@
 class Clients:
     """Sends each wish when it is due, whatever became of those before it."""
 
-    def __init__(self, platform: Platform, wishes: list[Wish]) -> None:
+    def __init__(self, platform: Platform, planned_requests: list[PlannedRequest]) -> None:
         self.platform: Platform = platform
-        self.wishes = wishes
-        self.open: dict[Ask, Wish] = {}
-        for wish in wishes:
-            platform.engine.at(wish.due, self._try, wish)
+        self.planned_requests = planned_requests
+        self.open: dict[SimulatedRequest, PlannedRequest] = {}
+        for planned in planned_requests:
+            platform.engine.at(planned.due, self._try, planned)
 
-    def _try(self, wish: Wish) -> None:
+    def _try(self, planned: PlannedRequest) -> None:
         platform = self.platform
-        if wish.done:
+        if planned.done:
             return
-        wish.tries += 1
+        planned.tries += 1
         platform.measure.tries += 1
-        node = platform.choose_front(wish)
+        node = platform.choose_front(planned)
         delay = platform.scenario.network.client_ms
         if node is None:
-            platform.engine.after(delay, self._over, wish, "unreachable", 0.0)
+            platform.engine.after(delay, self._over, planned, "unreachable", 0.0)
             return
-        platform.engine.after(delay, self._reach, wish, node)
+        platform.engine.after(delay, self._reach, planned, node)
 
-    def _reach(self, wish: Wish, node: SimNode) -> None:
+    def _reach(self, planned: PlannedRequest, node: SimNode) -> None:
         platform = self.platform
         if not node.up:
-            self._over(wish, "unreachable", 0.0)
+            self._over(planned, "unreachable", 0.0)
             return
-        ask: Ask = platform.new_wish_ask(wish, lambda kind, after: self._replied(ask, kind, after))
-        self.open[ask] = wish
-        node.accept(ask)
-        platform.engine.at(ask.deadline, self._impatient, ask)
+        request: SimulatedRequest = platform.new_client_request(
+            planned, lambda kind, after: self._replied(request, kind, after)
+        )
+        self.open[request] = planned
+        node.accept(request)
+        platform.engine.at(request.deadline, self._impatient, request)
 
-    def _impatient(self, ask: Ask) -> None:
+    def _impatient(self, request: SimulatedRequest) -> None:
         """The client's own time is over; the node learns it by its deadline as well."""
-        wish = self.open.pop(ask, None)
-        if wish is not None:
-            self._over(wish, "timed_out", 0.0)
+        planned = self.open.pop(request, None)
+        if planned is not None:
+            self._over(planned, "timed_out", 0.0)
 
-    def lost(self, ask: Ask) -> None:
+    def lost(self, request: SimulatedRequest) -> None:
         """The node that had it was killed."""
-        wish = self.open.pop(ask, None)
-        if wish is not None:
-            self._over(wish, "failed", 0.0)
+        planned = self.open.pop(request, None)
+        if planned is not None:
+            self._over(planned, "failed", 0.0)
 
-    def _replied(self, ask: Ask, kind: str, after: float) -> None:
-        self.platform.engine.after(self.platform.scenario.network.client_ms, self._heard, ask, kind, after)
+    def _replied(self, request: SimulatedRequest, kind: str, after: float) -> None:
+        self.platform.engine.after(
+            self.platform.scenario.network.client_ms, self._heard, request, kind, after
+        )
 
-    def _heard(self, ask: Ask, kind: str, after: float) -> None:
-        wish = self.open.pop(ask, None)
-        if wish is not None:
-            self._over(wish, kind, after)
+    def _heard(self, request: SimulatedRequest, kind: str, after: float) -> None:
+        planned = self.open.pop(request, None)
+        if planned is not None:
+            self._over(planned, kind, after)
 
-    def _over(self, wish: Wish, end: str, after: float) -> None:
+    def _over(self, planned: PlannedRequest, end: str, after: float) -> None:
         """A try is over: count the wish, or plan the next try."""
         platform, habits = self.platform, self.platform.scenario.clients
-        now, kind = platform.engine.now, platform.classes[wish.class_index]
-        pause = pause_before_next(wish, habits, kind, end, now - wish.due, after)
+        now, kind = platform.engine.now, platform.classes[planned.class_index]
+        pause = pause_before_next(planned, habits, kind, end, now - planned.due, after)
         if pause is not None:
-            platform.engine.after(pause, self._try, wish)
+            platform.engine.after(pause, self._try, planned)
         else:
-            count(platform.measure, platform.scenario, wish, now - wish.due, end)
+            count(platform.measure, platform.scenario, planned, now - planned.due, end)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -31,7 +31,7 @@
 )
 from crowpost.lab import compare, policies, runs, scenario
 from crowpost.lab.baselines import LeastOutstanding
-from crowpost.lab.cores import Cores, Crowd
+from crowpost.lab.cores import Contention, Cores
 from crowpost.lab.engine import Engine
 from crowpost.lab.faults import Faults
 from crowpost.lab.nodes import Policy
@@ -106,7 +106,7 @@
 def test_a_crowd_slows_a_server_until_it_has_rested() -> None:
     engine, changes = Engine(), list[float]()
     law = Crowding(waiting_per_core=2.0, after_ms=100.0, slower=3.0, rest_ms=50.0, at_most_ms=1000.0)
-    crowd = Crowd(engine, law, 1, lambda: changes.append(crowd.slower))
+    crowd = Contention(engine, law, 1, lambda: changes.append(crowd.slower))
     crowd.watch(3, 1)
     engine.run(60.0)
     crowd.watch(1, 1)  # gone before its time: nothing happens
@@ -193,7 +193,7 @@
 
 def _wishes(seconds: float) -> list[Any]:
     platform = Platform(short("calm", seconds, faults=every_fault()), 3, factory("random"))
-    return platform.clients.wishes
+    return platform.clients.planned_requests
 
 
 class Twice(LeastOutstanding):
