--- a/crowpost/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -314,7 +314,7 @@
     Example: crowpost lab powerloss --seeds 1-20
     """
     from crowpost.lab import compare as tool
-    from crowpost.lab.powerloss import report
+    from crowpost.lab.crash_consistency import report
 
     try:
         numbers = tool.seeds(seeds)
@@ -360,9 +360,9 @@
 
     Example: crowpost lab disk /var/tmp/store-measure
     """
-    from crowpost.lab.powerloss import speed
+    from crowpost.lab.crash_consistency import benchmark
 
-    rows = speed.measure(directory)
+    rows = benchmark.measure(directory)
     if as_json:
         print(json.dumps(rows, sort_keys=True))
         return
--- a/crowpost/cli/state.py
+++ b/crowpost/cli/state.py
@@ -28,8 +28,8 @@
 
 def _require_store(directory: Path) -> None:
     """End in one line, with exit code 1, where nothing of a store is; changes nothing, not even by a lock."""
-    from crowpost.store.disk import Disk
-    from crowpost.store.recover import store_files
+    from crowpost.storage.disk import Disk
+    from crowpost.storage.recovery import store_files
 
     disk = Disk(directory, lock=False)
     try:
@@ -47,8 +47,8 @@
 
     Example: crowpost state show /var/lib/crowpost/n3
     """
-    from crowpost.node.kept import read
-    from crowpost.store.carrier import look
+    from crowpost.node.state.records import read
+    from crowpost.storage.runner import look
 
     _require_store(directory)
     found = look(directory)
@@ -108,8 +108,8 @@
 
     Example: crowpost state verify /var/lib/crowpost/n3
     """
-    from crowpost.store.disk import Disk
-    from crowpost.store.repair import verify as read_all
+    from crowpost.storage.disk import Disk
+    from crowpost.storage.repair import verify as read_all
 
     _require_store(directory)
     disk = Disk(directory, lock=False)
@@ -160,7 +160,7 @@
 
     Example: crowpost state repair /var/lib/crowpost/n3
     """
-    from crowpost.store.repair import copy_and_repair
+    from crowpost.storage.repair import copy_and_repair
 
     _require_store(directory)
     stamp = time.strftime("%Y%m%d-%H%M%S")
--- a/crowpost/feed/publishing.py
+++ b/crowpost/feed/publishing.py
@@ -10,9 +10,9 @@
 from crowpost.feed.ledger import Check, Ledger, Writers
 from crowpost.feed.messages import Publish, Published, Refused
 from crowpost.feed.model import Document, FeedError
-from crowpost.store.carrier import Keeper, Opened, open_locked
-from crowpost.store.core import Pace
-from crowpost.store.model import Durability, StoreError
+from crowpost.storage.core import Pace
+from crowpost.storage.model import Durability, StoreError
+from crowpost.storage.runner import Keeper, Opened, open_locked
 
 BYTES_PER_S = 4_000_000.0  # that snapshots take in the mean; what is acknowledged never waits
 
--- a/crowpost/lab/powerloss/speed.py
+++ b/crowpost/lab/crash_consistency/benchmark.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from crowpost.interface import RememberedEndpoint
-from crowpost.node.kept import Kept, Learned, ListPart, read
-from crowpost.store.carrier import do, open_locked
-from crowpost.store.core import Pace, Store
-from crowpost.store.disk import words
-from crowpost.store.model import Durability, StoreError
+from crowpost.node.state.records import Kept, Learned, ListPart, read
+from crowpost.storage.core import Pace, Store
+from crowpost.storage.disk import words
+from crowpost.storage.model import Durability, StoreError
+from crowpost.storage.runner import do, open_locked
 
 RECORD = 256  # bytes
 LONG_LOG = 100_000_000  # bytes
--- a/crowpost/lab/powerloss/play.py
+++ b/crowpost/lab/crash_consistency/checker.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.lab.powerloss.broken import BROKEN
-from crowpost.lab.powerloss.disk import TraceDisk
-from crowpost.store.core import Pace, Store
-from crowpost.store.model import Durability, Found, StoreError
-from crowpost.store.recover import recover
+from crowpost.lab.crash_consistency.seeded_faults import BROKEN
+from crowpost.lab.crash_consistency.simulated_disk import TraceDisk
+from crowpost.storage.core import Pace, Store
+from crowpost.storage.model import Durability, Found, StoreError
+from crowpost.storage.recovery import recover
 
 OWNER = "n0"
 RECORDS = 36  # of each of two processes, one after the other
--- a/crowpost/lab/powerloss/kills.py
+++ b/crowpost/lab/crash_consistency/kills.py
@@ -1,4 +1,4 @@
-"""python -m crowpost.lab.powerloss.kills DIR: real processes at work on real directories, killed at any time.
+"""Kill real processes that write to real directories: python -m crowpost.lab.crash_consistency.kills DIR.
 
 A worker writes numbered records and takes snapshots, and tells of each record on its standard output once it
 has been acknowledged.  It is killed by SIGKILL, what it told is compared with what recovery finds, and the
@@ -21,10 +21,10 @@
 from subprocess import DEVNULL, PIPE, Popen
 from typing import Any
 
-from crowpost.lab.powerloss.play import payload, state
-from crowpost.store.carrier import Keeper, look, open_locked
-from crowpost.store.core import Pace
-from crowpost.store.model import Durability, StoreError
+from crowpost.lab.crash_consistency.checker import payload, state
+from crowpost.storage.core import Pace
+from crowpost.storage.model import Durability, StoreError
+from crowpost.storage.runner import Keeper, look, open_locked
 
 OWNER = "n0"
 PACE = Pace(segment_bytes=20_000, bytes_per_s=1e9, burst_bytes=1e9)
@@ -57,7 +57,14 @@
     """One directory and one worker after another; what was found wrong is a list of lines."""
     rng, wrong, told, done = Random(f"kills {seed}"), list[str](), 0, 0
     for number in range(kills):
-        command = [sys.executable, "-m", "crowpost.lab.powerloss.kills", str(path), "--work", str(seed)]
+        command = [
+            sys.executable,
+            "-m",
+            "crowpost.lab.crash_consistency.kills",
+            str(path),
+            "--work",
+            str(seed),
+        ]
         worker = Popen(command, stdout=PIPE, stderr=DEVNULL)
         assert worker.stdout is not None
         first = worker.stdout.readline()
@@ -86,7 +93,7 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Exit code 1 if anything was found wrong."""
-    parser = argparse.ArgumentParser(prog="python -m crowpost.lab.powerloss.kills")
+    parser = argparse.ArgumentParser(prog="python -m crowpost.lab.crash_consistency.kills")
     parser.add_argument("path", type=Path)
     parser.add_argument("--kills", type=int, default=500)
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
--- a/crowpost/lab/powerloss/report.py
+++ b/crowpost/lab/crash_consistency/report.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from crowpost.lab.powerloss.broken import BROKEN
-from crowpost.lab.powerloss.play import Tally, play, play_broken
+from crowpost.lab.crash_consistency.checker import Tally, play, play_broken
+from crowpost.lab.crash_consistency.seeded_faults import BROKEN
 
 
 @dataclass(frozen=True, slots=True)
--- a/crowpost/lab/powerloss/broken.py
+++ b/crowpost/lab/crash_consistency/seeded_faults.py
@@ -7,10 +7,10 @@
 from typing import Any
 from unittest import mock
 
-from crowpost.store import format, recover
-from crowpost.store.core import Store
-from crowpost.store.format import STORE
-from crowpost.store.model import (
+from crowpost.storage import file_format, recovery
+from crowpost.storage.core import Store
+from crowpost.storage.file_format import STORE
+from crowpost.storage.model import (
     Append,
     Create,
     Found,
@@ -26,9 +26,9 @@
 _begin_log = Store._begin_log
 _write_waiting = Store._write_waiting
 _done = Store.done
-_rewrite = recover._rewrite
-_begin = recover._begin
-_read_all = recover._read_all
+_rewrite = recovery._rewrite
+_begin = recovery._begin
+_read_all = recovery._read_all
 
 
 def _method(name: str, changed: Callable[..., Any]) -> Patch:
@@ -36,7 +36,7 @@
 
 
 def _recovery(name: str, changed: Callable[..., Any]) -> Patch:
-    return lambda: mock.patch.object(recover, name, changed)
+    return lambda: mock.patch.object(recovery, name, changed)
 
 
 def _without(operations: list[Operation], *kinds: type) -> list[Operation]:
@@ -85,19 +85,19 @@
     return done
 
 
-def _no_rewrite(found: Found, read: recover.Read) -> list[Operation]:
+def _no_rewrite(found: Found, read: recovery.Read) -> list[Operation]:
     name = found.segments[-1][1]
     found.tail_bytes = len(read(name))
     return [Sync(name), SyncDirectory()]
 
 
-def _rewrite_unsynced(found: Found, read: recover.Read) -> list[Operation]:
+def _rewrite_unsynced(found: Found, read: recovery.Read) -> list[Operation]:
     return _without(_rewrite(found, read), Sync)
 
 
 def _store_first(owner: str, identity: bytes) -> list[Operation]:
     made = _begin(owner, identity)
-    log = [o for o in made if isinstance(o, Create | Sync) and o.file != STORE + format.NEW]
+    log = [o for o in made if isinstance(o, Create | Sync) and o.file != STORE + file_format.NEW]
     return [*(o for o in made if o not in log), *log, SyncDirectory()]
 
 
@@ -119,7 +119,7 @@
 def _head_unchecked(
     file: str, data: bytes, kind: bytes, identity: bytes, sequence: int, version: int
 ) -> bytes:
-    return format.head(kind, identity, sequence, version)
+    return file_format.head(kind, identity, sequence, version)
 
 
 BROKEN: dict[str, Patch] = {
@@ -138,5 +138,5 @@
     "the next sequence off by one": _recovery("_read_all", _off_by_one),
     "an older snapshot chosen in secret": _recovery("_read_all", _newest_ignored),
     "heads not checked": _recovery("check_head", _head_unchecked),
-    "CRC not checked": lambda: mock.patch.object(format, "_crc", lambda *args: 0),
+    "CRC not checked": lambda: mock.patch.object(file_format, "_crc", lambda *args: 0),
 }
--- a/crowpost/lab/powerloss/disk.py
+++ b/crowpost/lab/crash_consistency/simulated_disk.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.store.model import (
+from crowpost.storage.model import (
     Append,
     Create,
     Fill,
--- a/crowpost/lab/policies.py
+++ b/crowpost/lab/policies.py
@@ -5,9 +5,9 @@
 from crowpost import Balancer
 from crowpost.interface import Settings
 from crowpost.lab import baselines
-from crowpost.lab.memory import VARIANTS
 from crowpost.lab.nodes import Policy
 from crowpost.lab.platform import Platform, PolicyFactory
+from crowpost.lab.restored_state import VARIANTS
 from crowpost.lab.revisions import PolicyError, revision
 
 MODULE = "module"
--- a/crowpost/lab/memory.py
+++ b/crowpost/lab/restored_state.py
@@ -15,7 +15,7 @@
 from crowpost.interface import StateRestored
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
-from crowpost.node.kept import Kept, Learned, Limit
+from crowpost.node.state.records import Kept, Learned, Limit
 
 EVERY_MS = 1_000.0  # as a real node does by default
 HOUR_MS = 3_600_000.0
--- a/crowpost/lab/rig/storm.py
+++ b/crowpost/lab/rig/storm.py
@@ -20,9 +20,9 @@
 from crowpost.lab.rig.processes import RigProcess
 from crowpost.lab.rig.relays import Relays
 from crowpost.members.carrier import ask_all
-from crowpost.node.kept import read
-from crowpost.store.carrier import look
-from crowpost.store.model import StoreError
+from crowpost.node.state.records import read
+from crowpost.storage.model import StoreError
+from crowpost.storage.runner import look
 
 CONTACTS = 3
 AT_ONCE = 8  # processes that start at the same time: a start takes a core
--- a/crowpost/lab/rig/torn.py
+++ b/crowpost/lab/rig/torn.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from random import Random
 
-from crowpost.store.format import NEW, log_name, read_name, snapshot_name
+from crowpost.storage.file_format import NEW, log_name, read_name, snapshot_name
 
 MOST = 3_000  # bytes of an unfinished write
 
--- a/crowpost/lab/runs.py
+++ b/crowpost/lab/runs.py
@@ -14,10 +14,10 @@
 from crowpost.lab.faults import Faults
 from crowpost.lab.measure import ENDS, Measure
 from crowpost.lab.membership import FrontMembership
-from crowpost.lab.memory import VARIANTS, FrontMemory
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
 from crowpost.lab.policies import MEMBERS, factory
+from crowpost.lab.restored_state import VARIANTS, FrontMemory
 from crowpost.lab.scenario import Scenario
 from crowpost.lab.traffic import Wish
 
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -16,7 +16,7 @@
     from crowpost.feed.config import FeedConfig
     from crowpost.members.config import MembersConfig
     from crowpost.node.overlays import Overlays
-    from crowpost.store.config import StateConfig
+    from crowpost.storage.config import StateConfig
 
 _DEFAULT_CONN_IDLE_MS = 15_000.0
 # With fewer no request can be served.  A tight limit is the platform's to set, and no reason not to start:
@@ -184,8 +184,8 @@
     path = environment.get("NODE_STATE", "")
     if not path:
         return None
-    from crowpost.store.config import load as load_state
-    from crowpost.store.model import StoreError
+    from crowpost.storage.config import load as load_state
+    from crowpost.storage.model import StoreError
 
     try:
         return load_state(path, name)
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -58,9 +58,9 @@
 
 if TYPE_CHECKING:
     from crowpost.node.feeding import Feeding
-    from crowpost.node.keeping import Keeping
     from crowpost.node.membership import Membership
     from crowpost.node.overlays import Live
+    from crowpost.node.state.writer import Keeping
 
 log = logging.getLogger(__name__)
 
@@ -217,8 +217,8 @@
         """The state directory, where it is configured; the newer of its list and the configuration's."""
         if self._config.state is None:
             return known
-        from crowpost.node.keeping import Keeping
-        from crowpost.store.model import StoreError
+        from crowpost.node.state.writer import Keeping
+        from crowpost.storage.model import StoreError
 
         def drain(evacuated: bool) -> bool:
             return self._drain.evacuate() if evacuated else self._drain.rejoin()
--- a/crowpost/node/kept.py
+++ b/crowpost/node/state/records.py
@@ -13,7 +13,7 @@
 import msgpack
 
 from crowpost.interface import EndpointId, RememberedEndpoint, StateRestored
-from crowpost.store.model import Found, StoreError
+from crowpost.storage.model import Found, StoreError
 
 PIECE = 250  # servers in one record or piece: packing them takes less than a millisecond
 CLOCK_SLACK_MS = 1_000.0  # by which a fact may seem to come from the future
--- a/crowpost/node/keeping.py
+++ b/crowpost/node/state/writer.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 from crowpost.interface import RememberedEndpoint
-from crowpost.node.kept import (
+from crowpost.node.state.records import (
     PIECE,
     Evacuated,
     Fact,
@@ -26,11 +26,11 @@
     parts,
     read,
 )
-from crowpost.store.carrier import Keeper, Opened, look, open_locked, tell
-from crowpost.store.config import StateConfig
-from crowpost.store.core import Pace
-from crowpost.store.disk import LockedError
-from crowpost.store.model import Durability, ForeignError, StoreError
+from crowpost.storage.config import StateConfig
+from crowpost.storage.core import Pace
+from crowpost.storage.disk import LockedError
+from crowpost.storage.model import Durability, ForeignError, StoreError
+from crowpost.storage.runner import Keeper, Opened, look, open_locked, tell
 
 log = logging.getLogger(__name__)
 
--- a/crowpost/store/config.py
+++ b/crowpost/storage/config.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.store.model import StoreError
+from crowpost.storage.model import StoreError
 from crowpost.tables import Table, TableError, read_file
 
 ON_DAMAGE = ("start", "refuse")
--- a/crowpost/store/core.py
+++ b/crowpost/storage/core.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from crowpost.store.format import (
+from crowpost.storage.file_format import (
     HEAD_BYTES,
     LOG,
     NEW,
@@ -23,7 +23,7 @@
     snapshot_name,
     snapshot_pieces,
 )
-from crowpost.store.model import (
+from crowpost.storage.model import (
     SNAPSHOTS_KEPT,
     Append,
     Create,
--- a/crowpost/store/disk.py
+++ b/crowpost/storage/disk.py
@@ -7,7 +7,7 @@
 import os
 from pathlib import Path
 
-from crowpost.store.model import (
+from crowpost.storage.model import (
     Append,
     Create,
     Fill,
--- a/crowpost/store/format.py
+++ b/crowpost/storage/file_format.py
@@ -21,7 +21,7 @@
 
 import google_crc32c
 
-from crowpost.store.model import FORMAT, RECORD_BYTES, DamagedError, StoreError
+from crowpost.storage.model import FORMAT, RECORD_BYTES, DamagedError, StoreError
 
 STORE = "store"
 NEW = ".new"  # the end of a name that is not yet what it will be
--- a/crowpost/store/recover.py
+++ b/crowpost/storage/recovery.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from crowpost.store.format import (
+from crowpost.storage.file_format import (
     HEAD_BYTES,
     LOG,
     NEW,
@@ -25,7 +25,7 @@
     snapshot_pieces,
     store_text,
 )
-from crowpost.store.model import (
+from crowpost.storage.model import (
     FORMAT,
     SNAPSHOTS_KEPT,
     Create,
--- a/crowpost/store/repair.py
+++ b/crowpost/storage/repair.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from crowpost.store.disk import Disk, words
-from crowpost.store.format import (
+from crowpost.storage.disk import Disk, words
+from crowpost.storage.file_format import (
     HEAD_BYTES,
     LOG,
     NEW,
@@ -32,8 +32,8 @@
     snapshot_pieces,
     store_text,
 )
-from crowpost.store.model import FORMAT, DamagedError, Found, Record, StoreError
-from crowpost.store.recover import Read, log_records, recover
+from crowpost.storage.model import FORMAT, DamagedError, Found, Record, StoreError
+from crowpost.storage.recovery import Read, log_records, recover
 
 
 @dataclass(slots=True)
--- a/crowpost/store/carrier.py
+++ b/crowpost/storage/runner.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from crowpost.store.core import Pace, Store
-from crowpost.store.disk import Disk, words
-from crowpost.store.model import Durability, Found, Job, StoreError
-from crowpost.store.recover import recover
+from crowpost.storage.core import Pace, Store
+from crowpost.storage.disk import Disk, words
+from crowpost.storage.model import Durability, Found, Job, StoreError
+from crowpost.storage.recovery import recover
 
 log = logging.getLogger(__name__)
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -34,11 +34,11 @@
 from crowpost.members.core import Members
 from crowpost.members.model import Claim, Phase, Profile, Verdict
 from crowpost.node.config import load as load_config
-from crowpost.node.kept import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
 from crowpost.node.metrics import Metrics
-from crowpost.store.carrier import do, open_locked
-from crowpost.store.core import Store
-from crowpost.store.model import Durability
+from crowpost.node.state.records import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
+from crowpost.storage.core import Store
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import do, open_locked
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent.parent
@@ -215,7 +215,7 @@
 
 def node_snapshot() -> list[bytes]:
     """The snapshot of a node after those records."""
-    from crowpost.node.kept import unpack
+    from crowpost.node.state.records import unpack
 
     kept = Kept()
     for record in node_records():
--- a/tests/test_keeping.py
+++ b/tests/node/state/test_node_state.py
@@ -29,7 +29,7 @@
     StateRestored,
 )
 from crowpost.node.config import ConfigError
-from crowpost.node.kept import (
+from crowpost.node.state.records import (
     Evacuated,
     Fact,
     Incarnation,
@@ -41,9 +41,9 @@
     read,
     unpack,
 )
-from crowpost.store.carrier import look
-from crowpost.store.config import StateConfig, load
-from crowpost.store.model import Durability, StoreError
+from crowpost.storage.config import StateConfig, load
+from crowpost.storage.model import Durability, StoreError
+from crowpost.storage.runner import look
 from tests.stubs import PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell, world
 from tests.test_cli import crowpost
 from tests.test_run import _configuration, _environment, _start, _told
@@ -210,7 +210,10 @@
 
 
 def test_with_no_state_directory_nothing_of_it_is_imported() -> None:
-    code = "import sys, crowpost.__main__; print([m for m in sys.modules if 'store' in m or 'crc32c' in m])"
+    code = (
+        "import sys, crowpost.__main__; "
+        "print([m for m in sys.modules if 'storage' in m or 'node.state' in m or 'crc32c' in m])"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
@@ -320,7 +323,7 @@
             StubServer([reply("200 OK")]) as server,
             world(row("a", server.address), state=config(tmp_path)) as w,
         ):
-            monkeypatch.setattr("crowpost.store.disk.os.fsync", fails)
+            monkeypatch.setattr("crowpost.storage.disk.os.fsync", fails)
             answer = await w.manage("POST", "/api/evacuate")
             assert answer.status == 200 and b"a restart may forget it: writing has stopped" in answer.body
             assert (await w.manage("GET", "/api/ready")).status == 503
@@ -343,7 +346,7 @@
             world(row("a", server.address), state=config(tmp_path)) as w,
         ):
             caller = await w.caller()
-            monkeypatch.setattr("crowpost.store.disk.os.fsync", hang)
+            monkeypatch.setattr("crowpost.storage.disk.os.fsync", hang)
             await until(hangs.is_set)
             try:
                 for _ in range(20):
--- a/tests/test_store.py
+++ b/tests/storage/test_store.py
@@ -11,12 +11,11 @@
 
 import pytest
 
-from crowpost.lab.powerloss.broken import BROKEN
-from crowpost.lab.powerloss.play import play, play_broken
-from crowpost.store.carrier import Keeper, look, open_disk, open_locked
-from crowpost.store.core import Pace, Store
-from crowpost.store.disk import Disk, LockedError
-from crowpost.store.format import (
+from crowpost.lab.crash_consistency.checker import play, play_broken
+from crowpost.lab.crash_consistency.seeded_faults import BROKEN
+from crowpost.storage.core import Pace, Store
+from crowpost.storage.disk import Disk, LockedError
+from crowpost.storage.file_format import (
     LOG,
     SNAPSHOT,
     STORE,
@@ -27,7 +26,7 @@
     snapshot_name,
     store_text,
 )
-from crowpost.store.model import (
+from crowpost.storage.model import (
     DamagedError,
     Durability,
     Found,
@@ -36,8 +35,9 @@
     StoreError,
     Sync,
 )
-from crowpost.store.recover import Read, recover
-from crowpost.store.repair import copy_and_repair, salvage, verify
+from crowpost.storage.recovery import Read, recover
+from crowpost.storage.repair import copy_and_repair, salvage, verify
+from crowpost.storage.runner import Keeper, look, open_disk, open_locked
 
 SURE, SOON = Durability.ACKNOWLEDGED, Durability.SOON
 ID = bytes(range(8))
@@ -347,7 +347,7 @@
         sequence = keeper.append(b"kept", SURE)
         await keeper.kept(sequence)
         with monkeypatch.context() as patch:
-            patch.setattr("crowpost.store.disk.os.write", full)
+            patch.setattr("crowpost.storage.disk.os.write", full)
             with pytest.raises(StoreError, match="writing has stopped: append of .*: the disk is full"):
                 await keeper.kept(keeper.append(b"lost", SURE))
         with pytest.raises(StoreError, match="writing has stopped"):
@@ -369,7 +369,7 @@
 
     async def play_it() -> None:
         keeper = Keeper(open_locked(tmp_path / "s", "n0"))
-        monkeypatch.setattr("crowpost.store.disk.os.fsync", fails)
+        monkeypatch.setattr("crowpost.storage.disk.os.fsync", fails)
         with pytest.raises(StoreError, match="the disk reports an input/output error"):
             await keeper.kept(keeper.append(b"lost", SURE))
         await keeper.close()
@@ -380,7 +380,16 @@
 
 def test_acknowledged_records_survive_kills_of_a_process_at_work(tmp_path: Path) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "crowpost.lab.powerloss.kills", str(tmp_path), "--kills", "24", "--jobs", "4"],
+        [
+            sys.executable,
+            "-m",
+            "crowpost.lab.crash_consistency.kills",
+            str(tmp_path),
+            "--kills",
+            "24",
+            "--jobs",
+            "4",
+        ],
         capture_output=True,
         text=True,
         timeout=120,
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -16,7 +16,7 @@
 from crowpost.node.discovery import Naming
 from crowpost.node.node import Node
 from crowpost.settings import read_settings
-from crowpost.store.config import StateConfig
+from crowpost.storage.config import StateConfig
 
 HOST = "127.0.0.1"
 PATIENCE_S = 20.0  # for what must come; reached only by a failing test
--- a/tests/test_feed_ledger.py
+++ b/tests/test_feed_ledger.py
@@ -14,12 +14,12 @@
 from crowpost.feed.messages import Publish
 from crowpost.feed.model import Document, FeedError, Tuning, make_document
 from crowpost.feed.table import Table
-from crowpost.lab.powerloss.disk import TraceDisk
-from crowpost.lab.powerloss.play import do_jobs
+from crowpost.lab.crash_consistency.checker import do_jobs
+from crowpost.lab.crash_consistency.simulated_disk import TraceDisk
 from crowpost.node.overlays import checker
-from crowpost.store.core import Pace, Store
-from crowpost.store.model import Durability, Found
-from crowpost.store.recover import recover
+from crowpost.storage.core import Pace, Store
+from crowpost.storage.model import Durability, Found
+from crowpost.storage.recovery import recover
 
 PUBLISHERS = {"north": "p-n", "south": "p-s"}
 ID = bytes(range(8))
--- a/tests/test_feed_real.py
+++ b/tests/test_feed_real.py
@@ -17,8 +17,8 @@
 from crowpost.feed.messages import Message, Publish, Published, Refused
 from crowpost.feed.model import Document, FeedError, Server
 from crowpost.feed.publishing import Publisher
-from crowpost.store.disk import Disk
-from crowpost.store.model import Append, Operation
+from crowpost.storage.disk import Disk
+from crowpost.storage.model import Append, Operation
 from tests.feed_fleet import CLUSTER, connect, fleet, in_force, version
 from tests.stubs import (
     HOST,
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -17,9 +17,9 @@
 from crowpost.feed.shelf import Shelf
 from crowpost.lab.scenario import load as load_scenario
 from crowpost.members.config import load as load_members
-from crowpost.node.kept import read
-from crowpost.store.carrier import look, open_locked
-from crowpost.store.config import load as load_state
+from crowpost.node.state.records import read
+from crowpost.storage.config import load as load_state
+from crowpost.storage.runner import look, open_locked
 from tests.golden import build
 from tests.golden.build import HERE, ROOT
 
