--- a/crowpost/cli/feed.py
+++ b/crowpost/cli/feed.py
@@ -14,8 +14,8 @@
 from crowpost.cli.terminal import console
 
 if TYPE_CHECKING:
-    from crowpost.feed.messages import Publish
-    from crowpost.feed.model import Document
+    from crowpost.config_feed.documents import Document
+    from crowpost.config_feed.messages import Publish
 
 app = typer.Typer(help="Configuration for a whole fleet, published once.", no_args_is_help=True)
 out = console()
@@ -40,7 +40,7 @@
 
 
 def _addresses(at: str) -> list[str]:
-    from crowpost.feed.config import split_address
+    from crowpost.config_feed.configuration import split_address
 
     addresses = [address.strip() for address in at.split(",") if address.strip()]
     if not addresses:
@@ -67,7 +67,7 @@
 
     Example: crowpost feed run publisher.toml
     """
-    from crowpost.feed.__main__ import main
+    from crowpost.config_feed.command import main
 
     raise typer.Exit(main([file, *(["--restored"] if restored else [])]))
 
@@ -88,8 +88,8 @@
 
     Example: crowpost feed publish moved.json --scope region/north --reason "lists moved" --at 10.0.0.9:7400
     """
-    from crowpost.feed.messages import Publish
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.messages import Publish
 
     try:
         if file == "-":
@@ -116,15 +116,15 @@
 
     Example: crowpost feed back region/north --reason "calls fail since" --if-version 12 --at 10.0.0.9:7400
     """
-    from crowpost.feed.messages import Publish
+    from crowpost.config_feed.messages import Publish
 
     _publish(Publish(1, scope, b"", author, reason, "", if_version, back=True), at, cluster, as_json)
 
 
 def _publish(asked: Publish, at: str, cluster: str, as_json: bool) -> None:
-    from crowpost.feed.carrier import ask
-    from crowpost.feed.messages import Published, Refused
-    from crowpost.feed.model import FeedError, Tuning, make_document, split_scope
+    from crowpost.config_feed.documents import FeedError, Tuning, make_document, split_scope
+    from crowpost.config_feed.messages import Published, Refused
+    from crowpost.config_feed.transport import ask
 
     split_scope(asked.scope)
     # What cannot be meant is said here, before anybody is asked; so is what no frame could carry.
@@ -159,7 +159,7 @@
 
     Example: crowpost feed status --at 10.0.0.9:7400,10.0.1.9:7400 --cluster c1
     """
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.documents import FeedError
 
     addresses = _addresses(at)
     told, silent = asyncio.run(ask_all(addresses, _cluster(cluster), ASK_S))
@@ -178,9 +178,9 @@
     addresses: list[str], cluster: str, within_s: float
 ) -> tuple[list[dict[str, Any]], dict[str, str]]:
     """The statuses of those that answer in time, all asked at once; and by address why not of the others."""
-    from crowpost.feed.carrier import ask
-    from crowpost.feed.messages import AskStatus, Status
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.messages import AskStatus, Status
+    from crowpost.config_feed.transport import ask
 
     async def one(address: str) -> dict[str, Any] | str:
         try:
@@ -197,8 +197,8 @@
 
 def picture(told: list[dict[str, Any]], silent: dict[str, str]) -> dict[str, Any]:
     """The statuses as one: `heads` with how many have each, `followers`, `silent` hubs, `whole` if all is."""
-    from crowpost.feed.model import wanted
-    from crowpost.feed.status import merge
+    from crowpost.config_feed.documents import wanted
+    from crowpost.config_feed.follower_status import merge
 
     found = merge(told)
     followers = {n: f for n, f in found["followers"].items() if f["role"] != "watch"}
@@ -288,9 +288,9 @@
 
 
 async def _watch(addresses: list[str], cluster: str, count: int, as_json: bool) -> None:
-    from crowpost.feed.carrier import Carrier
-    from crowpost.feed.config import FeedConfig
-    from crowpost.feed.model import Server
+    from crowpost.config_feed.configuration import FeedConfig
+    from crowpost.config_feed.documents import Server
+    from crowpost.config_feed.transport import Carrier
 
     enough = asyncio.Event()
     seen = 0
--- a/crowpost/cli/feedsim.py
+++ b/crowpost/cli/feed_simulation.py
@@ -33,8 +33,8 @@
     if table is not None:
         print(_table(table))
         return
-    from crowpost.feed.model import FeedError
-    from crowpost.lab.feedsim import CASES, play, put_into
+    from crowpost.config_feed.documents import FeedError
+    from crowpost.lab.feed.simulation import CASES, play, put_into
 
     cases = cases or ["calm"]
     if unknown := [case for case in cases if case not in CASES]:
@@ -55,7 +55,7 @@
 
 def _table(path: Path) -> str:
     """The runs of a record, a row each; bytes are of the busiest process of a role."""
-    from crowpost.lab.feedsim import read_record
+    from crowpost.lab.feed.simulation import read_record
 
     runs = read_record(path)["runs"]
     heads = ["case", "nodes", "seed", "changes", "p50 s", "p99 s", "worst s", "unreached"]
--- a/crowpost/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from crowpost.cli.capacity import capacity
-from crowpost.cli.feedsim import feed
+from crowpost.cli.feed_simulation import feed
 from crowpost.cli.overhead import overhead
 from crowpost.cli.scale import scale
 from crowpost.cli.terminal import console
--- a/crowpost/feed/config.py
+++ b/crowpost/config_feed/configuration.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.feed.model import FeedError, Interest, Server, Tuning, split_scope
+from crowpost.config_feed.documents import FeedError, Interest, Server, Tuning, split_scope
 from crowpost.tables import Table, TableError, numbers, read_file
 
 ROLES = ("node", "relay", "publisher")
--- a/crowpost/feed/hub.py
+++ b/crowpost/config_feed/distribution_server.py
@@ -11,14 +11,25 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from crowpost.feed import messages
-from crowpost.feed.bucket import Bucket
-from crowpost.feed.clock import Clock
-from crowpost.feed.messages import Absent, Beat, Body, Fetch, Heads, Hello, Message, Publish, Refused, Report
-from crowpost.feed.model import HEADERS, Document, Event, Head, Interest, Tuning, scopes_of
-from crowpost.feed.status import Wall, hub_status
-from crowpost.feed.table import Table
-from crowpost.feed.wire import HEADS, Foreign, Reader, encode, tag
+from crowpost.config_feed import messages
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import HEADERS, Document, Event, Head, Interest, Tuning, scopes_of
+from crowpost.config_feed.follower_status import Wall, hub_status
+from crowpost.config_feed.frames import HEADS, Foreign, Reader, encode, tag
+from crowpost.config_feed.messages import (
+    Absent,
+    Beat,
+    Body,
+    Fetch,
+    Heads,
+    Hello,
+    Message,
+    Publish,
+    Refused,
+    Report,
+)
+from crowpost.config_feed.monotonic_clock import Clock
+from crowpost.config_feed.token_bucket import Bucket
 
 SLICES = 8  # a beat goes to an eighth of the links at a time
 JOBS = 64  # fetches of one link that wait
--- a/crowpost/feed/shelf.py
+++ b/crowpost/config_feed/document_cache.py
@@ -13,7 +13,7 @@
 
 import msgpack
 
-from crowpost.feed.model import Document, FeedError, Head
+from crowpost.config_feed.documents import Document, FeedError, Head
 
 SUFFIX, NEW = ".document", ".new"
 FORMAT = 1
--- a/crowpost/feed/table.py
+++ b/crowpost/config_feed/document_table.py
@@ -5,7 +5,16 @@
 import hashlib
 from collections.abc import Iterable
 
-from crowpost.feed.model import Conflict, Document, FeedError, Head, Interest, Mark, Tuning, scopes_of
+from crowpost.config_feed.documents import (
+    Conflict,
+    Document,
+    FeedError,
+    Head,
+    Interest,
+    Mark,
+    Tuning,
+    scopes_of,
+)
 
 CONFLICTS = 64  # remembered at the most
 
--- a/crowpost/feed/fetching.py
+++ b/crowpost/config_feed/fetch_scheduler.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from crowpost.feed.bucket import Bucket
-from crowpost.feed.messages import Body, Fetch
-from crowpost.feed.model import HEADERS, Document, Head, Mark, Tuning
-from crowpost.feed.table import Table
-from crowpost.feed.watching import Link, Watches
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import HEADERS, Document, Head, Mark, Tuning
+from crowpost.config_feed.messages import Body, Fetch
+from crowpost.config_feed.token_bucket import Bucket
+from crowpost.config_feed.upstream_connections import Link, Watches
 
 ASKING = 110 + HEADERS  # bytes of a Fetch in practice, and of a Body around its piece
 LEAST = 4_096  # bytes worth asking for while there are few tokens
--- a/crowpost/feed/follower.py
+++ b/crowpost/config_feed/follower.py
@@ -15,11 +15,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.feed.bucket import Bucket
-from crowpost.feed.clock import Clock
-from crowpost.feed.fetching import Fetches
-from crowpost.feed.messages import Absent, Beat, Body, Bye, Fetch, Heads, Hello, Message, Report
-from crowpost.feed.model import (
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import (
     HEADERS,
     Conflict,
     Dial,
@@ -35,9 +32,12 @@
     order,
     shorten,
 )
-from crowpost.feed.table import Table
-from crowpost.feed.watching import Link, Watches
-from crowpost.feed.wire import Foreign, encode, tag
+from crowpost.config_feed.fetch_scheduler import Fetches
+from crowpost.config_feed.frames import Foreign, encode, tag
+from crowpost.config_feed.messages import Absent, Beat, Body, Bye, Fetch, Heads, Hello, Message, Report
+from crowpost.config_feed.monotonic_clock import Clock
+from crowpost.config_feed.token_bucket import Bucket
+from crowpost.config_feed.upstream_connections import Link, Watches
 
 
 @dataclass
--- a/crowpost/feed/status.py
+++ b/crowpost/config_feed/follower_status.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from crowpost.feed.messages import Hello, Report
-from crowpost.feed.model import Head, Standing
-from crowpost.feed.table import Table
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import Head, Standing
+from crowpost.config_feed.messages import Hello, Report
 
 
 @dataclass(slots=True)
--- a/crowpost/feed/wire.py
+++ b/crowpost/config_feed/frames.py
@@ -13,7 +13,20 @@
 import google_crc32c
 import msgpack
 
-from crowpost.feed.messages import (
+from crowpost.config_feed.documents import (
+    NAME_BYTES,
+    PREFIX,
+    REASON_BYTES,
+    WHY_BYTES,
+    WIRE,
+    FeedError,
+    Head,
+    Mark,
+    Standing,
+    State,
+    split_scope,
+)
+from crowpost.config_feed.messages import (
     Absent,
     AskStatus,
     Beat,
@@ -29,19 +42,6 @@
     Report,
     Status,
 )
-from crowpost.feed.model import (
-    NAME_BYTES,
-    PREFIX,
-    REASON_BYTES,
-    WHY_BYTES,
-    WIRE,
-    FeedError,
-    Head,
-    Mark,
-    Standing,
-    State,
-    split_scope,
-)
 
 MAGIC = b"CF"
 LENGTH = struct.Struct(">I")
--- a/crowpost/feed/messages.py
+++ b/crowpost/config_feed/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from crowpost.feed.model import Head, Mark, Standing
+from crowpost.config_feed.documents import Head, Mark, Standing
 
 
 @dataclass(frozen=True, slots=True)
--- a/crowpost/feed/ledger.py
+++ b/crowpost/config_feed/publication_log.py
@@ -12,9 +12,17 @@
 
 import msgpack
 
-from crowpost.feed.messages import Publish
-from crowpost.feed.model import Document, FeedError, Head, Tuning, make_document, order, split_scope
-from crowpost.feed.table import Table
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import (
+    Document,
+    FeedError,
+    Head,
+    Tuning,
+    make_document,
+    order,
+    split_scope,
+)
+from crowpost.config_feed.messages import Publish
 
 DOCUMENT, ERA = 1, 2  # kinds of records
 FIRST_ERA = 1
--- a/crowpost/feed/publishing.py
+++ b/crowpost/config_feed/publisher.py
@@ -5,11 +5,11 @@
 import asyncio
 from contextlib import suppress
 
-from crowpost.feed.carrier import Carrier
-from crowpost.feed.config import FeedConfig
-from crowpost.feed.ledger import Check, Ledger, Writers
-from crowpost.feed.messages import Publish, Published, Refused
-from crowpost.feed.model import Document, FeedError
+from crowpost.config_feed.configuration import FeedConfig
+from crowpost.config_feed.documents import Document, FeedError
+from crowpost.config_feed.messages import Publish, Published, Refused
+from crowpost.config_feed.publication_log import Check, Ledger, Writers
+from crowpost.config_feed.transport import Carrier
 from crowpost.store.carrier import Keeper, Opened, open_locked
 from crowpost.store.core import Pace
 from crowpost.store.model import Durability, StoreError
--- a/crowpost/feed/carrier.py
+++ b/crowpost/config_feed/transport.py
@@ -10,12 +10,12 @@
 from random import Random
 from typing import Any, cast
 
-from crowpost.feed import follower as watching
-from crowpost.feed import hub as serving
-from crowpost.feed import messages, wire
-from crowpost.feed.config import FeedConfig, split_address
-from crowpost.feed.model import Document, FeedError, Head
-from crowpost.feed.table import Table
+from crowpost.config_feed import distribution_server as serving
+from crowpost.config_feed import follower as watching
+from crowpost.config_feed import frames, messages
+from crowpost.config_feed.configuration import FeedConfig, split_address
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import Document, FeedError, Head
 
 log = logging.getLogger(__name__)
 
@@ -337,7 +337,7 @@
         async with asyncio.timeout(within_s):
             reader, writer = await asyncio.open_connection(*split_address(address))
             try:
-                writer.write(wire.encode(message, wire.tag(cluster)))
+                writer.write(frames.encode(message, frames.tag(cluster)))
                 return await _answer(address, reader, type(message))
             finally:
                 writer.close()
@@ -348,11 +348,11 @@
 
 
 async def _answer(address: str, reader: asyncio.StreamReader, asked: type[Any]) -> messages.Message:
-    frames = wire.Reader(None)
+    stream = frames.Reader(None)
     wanted = (messages.Status,) if asked is messages.AskStatus else (messages.Published, messages.Refused)
     while data := await reader.read(1 << 16):
-        for item, _ in frames.feed(data):
-            if isinstance(item, wire.Foreign):
+        for item, _ in stream.feed(data):
+            if isinstance(item, frames.Foreign):
                 raise FeedError(f"{address}: {item}")
             if isinstance(item, wanted):
                 return item
--- a/crowpost/feed/watching.py
+++ b/crowpost/config_feed/upstream_connections.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.feed.model import Head, Server, Tuning
-from crowpost.feed.wire import Reader
+from crowpost.config_feed.documents import Head, Server, Tuning
+from crowpost.config_feed.frames import Reader
 
 STEADY_MS = 10_000.0  # a link that held for so long is forgiven earlier failures
 FRAME_BYTES = 131_072  # that a server may send in one frame: heads or a piece of a body
--- a/crowpost/feed/__main__.py
+++ b/crowpost/feed/__main__.py
@@ -1,62 +1,10 @@
-"""python -m crowpost.feed FILE: a publisher or a relay, until SIGTERM."""
+"""python -m crowpost.feed FILE: run a publisher or a relay until SIGTERM."""
 
 from __future__ import annotations
 
-import asyncio
-import logging
-import signal
 import sys
 
-import uvloop
-
-from crowpost.feed.carrier import Carrier
-from crowpost.feed.config import FeedConfig, load
-from crowpost.feed.ledger import Check
-from crowpost.feed.model import FeedError
-
-
-async def serve(config: FeedConfig, check: Check, restored: bool) -> None:
-    """Publish, or pass on, and say good-bye at the end."""
-    leaving = asyncio.Event()
-    loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, leaving.set)
-    if config.role == "publisher":
-        from crowpost.feed.publishing import Publisher
-
-        publisher = Publisher(config, check, restored=restored)
-        await publisher.start()
-        await leaving.wait()
-        await publisher.close()
-        return
-    relay = Carrier(config, lambda document: None)
-    await relay.listen()
-    relay.start()
-    await leaving.wait()
-    await relay.close()
-
-
-def main(arguments: list[str]) -> int:
-    """Exit code 0 after an orderly end, 2 with one line for what cannot be used."""
-    from crowpost.node.overlays import checker  # the node's own check: only here do the two meet
-
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    restored = "--restored" in arguments
-    files = [argument for argument in arguments if argument != "--restored"]
-    if len(files) != 1:
-        print("usage: python -m crowpost.feed FILE [--restored]", file=sys.stderr)
-        return 2
-    try:
-        config = load(files[0], roles=("relay", "publisher"))
-        uvloop.run(serve(config, checker(config.sample), restored))
-    except FeedError as error:
-        print(f"crowpost.feed: {error}", file=sys.stderr)
-        return 2
-    except OSError as error:
-        print(f"crowpost.feed: feed.listen cannot be used: {error}", file=sys.stderr)
-        return 2
-    return 0
-
+from crowpost.config_feed.command import main
 
 if __name__ == "__main__":
     sys.exit(main(sys.argv[1:]))
--- a/crowpost/lab/feedgossip.py
+++ b/crowpost/lab/feed/gossip_cost.py
@@ -8,9 +8,9 @@
 
 from typing import Any
 
-from crowpost.feed.messages import Heads, Report
-from crowpost.feed.model import Standing, State, make_document
-from crowpost.feed.wire import encode
+from crowpost.config_feed.documents import Standing, State, make_document
+from crowpost.config_feed.frames import encode
+from crowpost.config_feed.messages import Heads, Report
 from crowpost.members.gossip import Gossip
 from crowpost.members.model import Claim, Phase, Profile, Tuning, Verdict
 
--- a/crowpost/lab/feedprocess.py
+++ b/crowpost/lab/feed/process.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from crowpost.feed.follower import Follower
-from crowpost.feed.hub import Hub
-from crowpost.feed.model import Document, Head, Server
+from crowpost.config_feed.distribution_server import Hub
+from crowpost.config_feed.documents import Document, Head, Server
+from crowpost.config_feed.follower import Follower
 from crowpost.lab.engine import Planned
-from crowpost.lab.feednet import End
+from crowpost.lab.feed.network import End
 
 
 @dataclass
--- a/crowpost/lab/feedledger.py
+++ b/crowpost/lab/feed/publishing.py
@@ -4,11 +4,11 @@
 
 from functools import partial
 
-from crowpost.feed.ledger import Ledger, Writers
-from crowpost.feed.messages import Publish
-from crowpost.feed.model import Document, FeedError
-from crowpost.lab.feedprocess import Process
-from crowpost.lab.feedworld import World
+from crowpost.config_feed.documents import Document, FeedError
+from crowpost.config_feed.messages import Publish
+from crowpost.config_feed.publication_log import Ledger, Writers
+from crowpost.lab.feed.process import Process
+from crowpost.lab.feed.world import World
 
 FSYNC_MS = (2.0, 10.0)
 STEPS = ("received", "appended", "synced", "announced")  # of a publish, in order
--- a/crowpost/lab/feedreal.py
+++ b/crowpost/lab/feed/real_processes.py
@@ -1,4 +1,6 @@
-"""python -m crowpost.lab.feedreal: the feed with real node processes on this machine, and one relay killed.
+"""The feed with real node processes on this machine, and one relay killed.
+
+Run it with `python -m crowpost.lab.feed.real_processes`.
 
 Times are from the publish being asked for to the node's own word that the document is in force, both by the
 machine's monotonic clock.  Only processes that it started are signalled, by their number.
@@ -20,9 +22,9 @@
 
 import uvloop
 
-from crowpost.feed.carrier import ask
-from crowpost.feed.messages import AskStatus, Publish, Published, Status
-from crowpost.lab.feedsim import put_into
+from crowpost.config_feed.messages import AskStatus, Publish, Published, Status
+from crowpost.config_feed.transport import ask
+from crowpost.lab.feed.simulation import put_into
 
 HOST, CLUSTER = "127.0.0.1", "real"
 STARTS_AT_ONCE = 2
@@ -281,7 +283,7 @@
 
 def main() -> int:
     """Print each run; exit code 1 if any node was not reached."""
-    parser = argparse.ArgumentParser(prog="python -m crowpost.lab.feedreal", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m crowpost.lab.feed.real_processes", description=__doc__)
     parser.add_argument("--nodes", type=int, default=60, choices=range(1, 151), metavar="1..150")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--into", type=Path, help="put the runs into this record")
--- a/crowpost/lab/feedsim.py
+++ b/crowpost/lab/feed/simulation.py
@@ -16,12 +16,12 @@
 
 import numpy as np
 
-from crowpost.feed.ledger import Writers
-from crowpost.feed.model import FeedError, Server, Tuning
-from crowpost.lab.feedgossip import cost
-from crowpost.lab.feedledger import Publishing
-from crowpost.lab.feednet import Weather
-from crowpost.lab.feedworld import World
+from crowpost.config_feed.documents import FeedError, Server, Tuning
+from crowpost.config_feed.publication_log import Writers
+from crowpost.lab.feed.gossip_cost import cost
+from crowpost.lab.feed.network import Weather
+from crowpost.lab.feed.publishing import Publishing
+from crowpost.lab.feed.world import World
 
 ZONES = (("east", ("e1", "e2", "e3", "e4")), ("west", ("w1", "w2", "w3")))
 SERVICES = 76
--- a/crowpost/lab/feedworld.py
+++ b/crowpost/lab/feed/world.py
@@ -1,6 +1,6 @@
 """Publishers, relays and nodes of `crowpost.feed` in simulated time: the real cores on simulated connections.
 
-Equal arguments give an equal run.  How publishers publish is in `feedledger`.
+Equal arguments give an equal run.  How publishers publish is in `publishing`.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from functools import partial
 
-from crowpost.feed.follower import Follower
-from crowpost.feed.hub import Hub
-from crowpost.feed.model import Document, Head, Interest, Server, Tuning
-from crowpost.feed.table import Table
+from crowpost.config_feed.distribution_server import Hub
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import Document, Head, Interest, Server, Tuning
+from crowpost.config_feed.follower import Follower
 from crowpost.lab.engine import Engine
-from crowpost.lab.feednet import Conn, End, Net, Weather
-from crowpost.lab.feedprocess import Change, Process, Spec
+from crowpost.lab.feed.network import Conn, End, Net, Weather
+from crowpost.lab.feed.process import Change, Process, Spec
 
 CLUSTER = "world"
 LATE_MS = 0.001  # that a timer goes off after its time, as timers do; also covers the rounding of clocks
--- a/crowpost/lab/scale/configuration.py
+++ b/crowpost/lab/scale/configuration.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from crowpost.lab import feedreal
+from crowpost.lab.feed import real_processes as feed_processes
 from crowpost.lab.scale.fleet import Fleet
 from crowpost.lab.scale.places import places
 from crowpost.lab.scale.proc import core_ms, memory_bytes
@@ -48,7 +48,7 @@
         await asyncio.sleep(LOOK_S)
 
 
-async def _publish(feed: feedreal.Fleet, rate: float, for_s: float) -> int:
+async def _publish(feed: feed_processes.Fleet, rate: float, for_s: float) -> int:
     """So many changes a second for so long; the last version, 0 for none."""
     loop = asyncio.get_running_loop()
     began, last = loop.time(), 0
@@ -67,7 +67,7 @@
     """
     run, piece = setting.run, Piece()
     async with cluster(setting, run.rate_members - run.carriers, run.carriers) as (fleet, real):
-        feed = feedreal.Fleet(setting.folder, run.carriers, setting.seed)
+        feed = feed_processes.Fleet(setting.folder, run.carriers, setting.seed)
         try:
             spots = places(setting.target.topology, run.carriers, first=run.rate_members, prefix="r")
             without = await real.add(spots, None)
@@ -78,14 +78,14 @@
 
 
 async def _all_rates(
-    setting: Setting, piece: Piece, fleet: Fleet, feed: feedreal.Fleet, without: list[int]
+    setting: Setting, piece: Piece, fleet: Fleet, feed: feed_processes.Fleet, without: list[int]
 ) -> None:
     run = setting.run
     idle = await idle_span(fleet, min(4.0, run.seconds / 2))
     await feed.start()
     assert feed.publisher is not None
     upstreams = [[relay.listens, relay.name] for relay in feed.relays]
-    told = {"cluster": feedreal.CLUSTER, "region": REGION, "upstreams": upstreams}
+    told = {"cluster": feed_processes.CLUSTER, "region": REGION, "upstreams": upstreams}
     await fleet.open("configuration", told)
     version = await feed.publish()
     await _until(fleet, version)
--- a/crowpost/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -7,9 +7,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from crowpost.feed.carrier import Carrier
-from crowpost.feed.config import FeedConfig
-from crowpost.feed.model import Document, Server
+from crowpost.config_feed.configuration import FeedConfig
+from crowpost.config_feed.documents import Document, Server
+from crowpost.config_feed.transport import Carrier
 from crowpost.lab.scale.hollow import Cut
 from crowpost.lab.scale.places import Place
 
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -13,9 +13,9 @@
 from crowpost.settings import SettingsError, read_settings
 
 if TYPE_CHECKING:
-    from crowpost.feed.config import FeedConfig
+    from crowpost.config_feed.configuration import FeedConfig
     from crowpost.members.config import MembersConfig
-    from crowpost.node.overlays import Overlays
+    from crowpost.node.configuration_overlays import Overlays
     from crowpost.store.config import StateConfig
 
 _DEFAULT_CONN_IDLE_MS = 15_000.0
@@ -198,8 +198,8 @@
     path = environment.get("NODE_FEED", "")
     if not path:
         return None
-    from crowpost.feed.config import load as load_feed
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.configuration import load as load_feed
+    from crowpost.config_feed.documents import FeedError
 
     try:
         return load_feed(path, name, roles=("node",))
@@ -209,9 +209,9 @@
 
 def _overlays(environment: Mapping[str, str], raw: dict[str, Any], path: str, feed: FeedConfig) -> Overlays:
     """The file and the documents that were last in force on it."""
-    from crowpost.feed.model import FeedError
-    from crowpost.feed.shelf import Shelf
-    from crowpost.node.overlays import Overlays
+    from crowpost.config_feed.document_cache import Shelf
+    from crowpost.config_feed.documents import FeedError
+    from crowpost.node.configuration_overlays import Overlays
 
     if feed.directory is None:
         return Overlays(environment, raw, path)
--- a/crowpost/node/feeding.py
+++ b/crowpost/node/config_feed.py
@@ -11,12 +11,12 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from crowpost.feed.carrier import Carrier
-from crowpost.feed.config import FeedConfig
-from crowpost.feed.model import WHY_BYTES, Document
-from crowpost.feed.shelf import Shelf
+from crowpost.config_feed.configuration import FeedConfig
+from crowpost.config_feed.document_cache import Shelf
+from crowpost.config_feed.documents import WHY_BYTES, Document
+from crowpost.config_feed.transport import Carrier
 from crowpost.node.config import ConfigError
-from crowpost.node.overlays import Live, Overlays
+from crowpost.node.configuration_overlays import Live, Overlays
 
 
 class Feeding:
--- a/crowpost/node/overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from crowpost.feed.model import Document, FeedError, Head, make_document, order
+from crowpost.config_feed.documents import Document, FeedError, Head, make_document, order
 from crowpost.node.config import Config, ConfigError, read_config, read_file
 
 BYTES = 32_768  # of a document: what reads and compares it holds the loop up, and may not for 5 ms
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -57,10 +57,10 @@
 from crowpost.node.upstream import Call
 
 if TYPE_CHECKING:
-    from crowpost.node.feeding import Feeding
+    from crowpost.node.config_feed import Feeding
+    from crowpost.node.configuration_overlays import Live
     from crowpost.node.keeping import Keeping
     from crowpost.node.membership import Membership
-    from crowpost.node.overlays import Live
 
 log = logging.getLogger(__name__)
 
@@ -261,7 +261,7 @@
         """The feed of configuration, where it is configured; nothing of it is imported where it is not."""
         if self._config.feed is None or self._config.overlays is None:
             return
-        from crowpost.node.feeding import Feeding
+        from crowpost.node.config_feed import Feeding
 
         self._feeding = Feeding(self._config.feed, self._config.overlays, self._take_over)
         self._feeding.start()
--- a/tests/feed_fleet.py
+++ b/tests/config_feed/fleet.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from crowpost.cli.feed import ask_all, picture
-from crowpost.feed.carrier import ask
-from crowpost.feed.messages import Message, Publish, Published
+from crowpost.config_feed.messages import Message, Publish, Published
+from crowpost.config_feed.transport import ask
 from tests.stubs import (
     HOST,
     PATIENCE_S,
--- a/tests/test_feed_command.py
+++ b/tests/config_feed/test_command.py
@@ -11,8 +11,8 @@
 import pytest
 
 from crowpost.cli.feed import ASK_S, ask_all, picture
-from crowpost.feed.__main__ import main as feed_main
-from tests.feed_fleet import CLUSTER, connect, fleet, version
+from crowpost.config_feed.command import main as feed_main
+from tests.config_feed.fleet import CLUSTER, connect, fleet, version
 from tests.stubs import (
     HOST,
     run,
--- a/tests/test_feed_cores.py
+++ b/tests/config_feed/test_cores.py
@@ -7,9 +7,26 @@
 
 import pytest
 
-from crowpost.feed.follower import Follower
-from crowpost.feed.hub import Hub
-from crowpost.feed.messages import (
+from crowpost.config_feed.distribution_server import Hub
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import (
+    Document,
+    FeedError,
+    Head,
+    Interest,
+    Server,
+    Standing,
+    State,
+    Tuning,
+    make_document,
+    order,
+    split_scope,
+    wanted,
+)
+from crowpost.config_feed.follower import Follower
+from crowpost.config_feed.follower_status import merge
+from crowpost.config_feed.frames import LENGTH, Foreign, Kind, Reader, decode, encode, tag
+from crowpost.config_feed.messages import (
     Absent,
     AskStatus,
     Beat,
@@ -25,23 +42,6 @@
     Report,
     Status,
 )
-from crowpost.feed.model import (
-    Document,
-    FeedError,
-    Head,
-    Interest,
-    Server,
-    Standing,
-    State,
-    Tuning,
-    make_document,
-    order,
-    split_scope,
-    wanted,
-)
-from crowpost.feed.status import merge
-from crowpost.feed.table import Table
-from crowpost.feed.wire import LENGTH, Foreign, Kind, Reader, decode, encode, tag
 
 T = tag("c")
 
--- a/tests/test_feed_node.py
+++ b/tests/config_feed/test_node.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from crowpost.feed.model import Document, FeedError, make_document
-from crowpost.feed.shelf import Shelf
+from crowpost.config_feed.document_cache import Shelf
+from crowpost.config_feed.documents import Document, FeedError, make_document
 from crowpost.node.config import ConfigError, load
-from crowpost.node.overlays import Overlays, patched
+from crowpost.node.configuration_overlays import Overlays, patched
 from tests.stubs import HOST, listing, row, settings
 
 FILE, FED = (HOST, 8500), (HOST, 8501)
@@ -245,7 +245,14 @@
 
 
 def test_with_no_feed_nothing_of_it_is_imported() -> None:
-    parts = "('crowpost.feed', 'crowpost.node.feeding', 'crowpost.node.overlays', 'msgpack', 'google_crc32c')"
-    code = f"import sys, crowpost.__main__; print([m for m in sys.modules if m.startswith({parts})])"
+    parts = (
+        "crowpost.feed",
+        "crowpost.config_feed",
+        "crowpost.node.config_feed",
+        "crowpost.node.configuration_overlays",
+        "msgpack",
+        "google_crc32c",
+    )
+    code = f"import sys, crowpost.__main__; print([m for m in sys.modules if m.startswith({parts!r})])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/test_feed_real.py
+++ b/tests/config_feed/test_processes.py
@@ -12,14 +12,14 @@
 import pytest
 
 from crowpost.cli.feed import ask_all, picture
-from crowpost.feed.carrier import Carrier, ask
-from crowpost.feed.config import FeedConfig
-from crowpost.feed.messages import Message, Publish, Published, Refused
-from crowpost.feed.model import Document, FeedError, Server
-from crowpost.feed.publishing import Publisher
+from crowpost.config_feed.configuration import FeedConfig
+from crowpost.config_feed.documents import Document, FeedError, Server
+from crowpost.config_feed.messages import Message, Publish, Published, Refused
+from crowpost.config_feed.publisher import Publisher
+from crowpost.config_feed.transport import Carrier, ask
 from crowpost.store.disk import Disk
 from crowpost.store.model import Append, Operation
-from tests.feed_fleet import CLUSTER, connect, fleet, in_force, version
+from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
 from tests.stubs import (
     HOST,
     PATIENCE_S,
--- a/tests/test_feed_ledger.py
+++ b/tests/config_feed/test_publication_log.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from crowpost.feed.ledger import Ledger, Writers
-from crowpost.feed.messages import Publish
-from crowpost.feed.model import Document, FeedError, Tuning, make_document
-from crowpost.feed.table import Table
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import Document, FeedError, Tuning, make_document
+from crowpost.config_feed.messages import Publish
+from crowpost.config_feed.publication_log import Ledger, Writers
 from crowpost.lab.powerloss.disk import TraceDisk
 from crowpost.lab.powerloss.play import do_jobs
-from crowpost.node.overlays import checker
+from crowpost.node.configuration_overlays import checker
 from crowpost.store.core import Pace, Store
 from crowpost.store.model import Durability, Found
 from crowpost.store.recover import recover
--- a/tests/test_feed.py
+++ b/tests/config_feed/test_simulation.py
@@ -11,16 +11,16 @@
 
 import pytest
 
-from crowpost.feed.follower import Follower
-from crowpost.feed.model import (
+from crowpost.config_feed.documents import (
     FeedError,
     Tuning,
 )
-from crowpost.feed.status import merge
-from crowpost.feed.wire import FRAME
-from crowpost.lab.feedledger import STEPS
-from crowpost.lab.feednet import Weather
-from crowpost.lab.feedsim import CASES, Fleet, play, put_into
+from crowpost.config_feed.follower import Follower
+from crowpost.config_feed.follower_status import merge
+from crowpost.config_feed.frames import FRAME
+from crowpost.lab.feed.network import Weather
+from crowpost.lab.feed.publishing import STEPS
+from crowpost.lab.feed.simulation import CASES, Fleet, play, put_into
 
 RATE, SAVED = Tuning().bytes_per_s, Tuning().bytes_saved
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -21,14 +21,14 @@
 from typing import Any
 
 import crowpost.cli.main as crowpost
-import crowpost.feed.messages as feed_messages
-import crowpost.feed.wire as feed_wire
+import crowpost.config_feed.frames as feed_wire
+import crowpost.config_feed.messages as feed_messages
 import crowpost.members.wire as member_wire
-from crowpost.feed.ledger import Ledger, Writers
-from crowpost.feed.messages import Publish
-from crowpost.feed.model import Document, Standing, State, make_document
-from crowpost.feed.shelf import Shelf
-from crowpost.feed.table import Table
+from crowpost.config_feed.document_cache import Shelf
+from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.documents import Document, Standing, State, make_document
+from crowpost.config_feed.messages import Publish
+from crowpost.config_feed.publication_log import Ledger, Writers
 from crowpost.interface import RememberedEndpoint
 from crowpost.members import exchange
 from crowpost.members.core import Members
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-import crowpost.feed.wire as feed_wire
+import crowpost.config_feed.frames as feed_wire
 import crowpost.members.wire as member_wire
-from crowpost.feed.config import load as load_feed
-from crowpost.feed.ledger import Ledger, Writers
-from crowpost.feed.model import FeedError
-from crowpost.feed.shelf import Shelf
+from crowpost.config_feed.configuration import load as load_feed
+from crowpost.config_feed.document_cache import Shelf
+from crowpost.config_feed.documents import FeedError
+from crowpost.config_feed.publication_log import Ledger, Writers
 from crowpost.lab.scenario import load as load_scenario
 from crowpost.members.config import load as load_members
 from crowpost.node.kept import read
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -15,9 +15,9 @@
 import uvloop
 from scipy import stats
 
-from crowpost.feed.carrier import Carrier
-from crowpost.feed.config import FeedConfig
-from crowpost.feed.model import make_document
+from crowpost.config_feed.configuration import FeedConfig
+from crowpost.config_feed.documents import make_document
+from crowpost.config_feed.transport import Carrier
 from crowpost.lab.scale import record as records
 from crowpost.lab.scale import simulated
 from crowpost.lab.scale.changes import without_joiners
