--- a/crowpost/cli/feed.py
+++ b/crowpost/cli/feed.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from crowpost.config_feed.documents import Document
-    from crowpost.config_feed.messages import Publish
+    from crowpost.config_feed.messages import PublishRequest
 
 app = typer.Typer(help="Configuration for a whole fleet, published once.", no_args_is_help=True)
 out = console()
@@ -89,7 +89,7 @@
     Example: crowpost feed publish moved.json --scope region/north --reason "lists moved" --at 10.0.0.9:7400
     """
     from crowpost.config_feed.documents import FeedError
-    from crowpost.config_feed.messages import Publish
+    from crowpost.config_feed.messages import PublishRequest
 
     try:
         if file == "-":
@@ -99,7 +99,7 @@
                 body = opened.read()
     except OSError as error:
         raise FeedError(f"{file}: {error.strerror}") from None
-    _publish(Publish(1, scope, body, author, reason, region, if_version), at, cluster, as_json)
+    _publish(PublishRequest(1, scope, body, author, reason, region, if_version), at, cluster, as_json)
 
 
 @app.command()
@@ -116,30 +116,31 @@
 
     Example: crowpost feed back region/north --reason "calls fail since" --if-version 12 --at 10.0.0.9:7400
     """
-    from crowpost.config_feed.messages import Publish
+    from crowpost.config_feed.messages import PublishRequest
 
-    _publish(Publish(1, scope, b"", author, reason, "", if_version, back=True), at, cluster, as_json)
+    _publish(PublishRequest(1, scope, b"", author, reason, "", if_version, back=True), at, cluster, as_json)
 
 
-def _publish(asked: Publish, at: str, cluster: str, as_json: bool) -> None:
-    from crowpost.config_feed.documents import FeedError, Tuning, make_document, split_scope
-    from crowpost.config_feed.messages import Published, Refused
+def _publish(asked: PublishRequest, at: str, cluster: str, as_json: bool) -> None:
+    from crowpost.config_feed.documents import FeedError, make_document, split_scope
+    from crowpost.config_feed.messages import PublishAccepted, PublishRejected
     from crowpost.config_feed.transport import ask
+    from crowpost.config_feed.tuning import Tuning
 
     split_scope(asked.scope)
     # What cannot be meant is said here, before anybody is asked; so is what no frame could carry.
     make_document(asked.scope, 0, 1, b"", author=asked.author, reason=asked.reason, writer="")
-    if len(asked.body) > Tuning().document_bytes:
-        most = Tuning().document_bytes
+    if len(asked.body) > Tuning().max_document_bytes:
+        most = Tuning().max_document_bytes
         raise FeedError(f"{asked.scope}: {len(asked.body)} bytes, {most} at the most")
     answer = asyncio.run(ask(_addresses(at)[0], asked, _cluster(cluster), PUBLISH_S))
-    if isinstance(answer, Refused):
+    if isinstance(answer, PublishRejected):
         if as_json:
             print(json.dumps({"published": False, "why": answer.why}))
         else:
             print(f"refused: {answer.why}", file=sys.stderr)
         raise typer.Exit(1)
-    assert isinstance(answer, Published)
+    assert isinstance(answer, PublishAccepted)
     head = answer.head
     if as_json:
         told = {"published": True, "scope": head.scope, "era": head.era, "version": head.version}
@@ -179,15 +180,15 @@
 ) -> tuple[list[dict[str, Any]], dict[str, str]]:
     """The statuses of those that answer in time, all asked at once; and by address why not of the others."""
     from crowpost.config_feed.documents import FeedError
-    from crowpost.config_feed.messages import AskStatus, Status
+    from crowpost.config_feed.messages import StatusRequest, StatusResponse
     from crowpost.config_feed.transport import ask
 
     async def one(address: str) -> dict[str, Any] | str:
         try:
-            answer = await ask(address, AskStatus(1), cluster, within_s)
+            answer = await ask(address, StatusRequest(1), cluster, within_s)
         except FeedError as error:
             return str(error)
-        assert isinstance(answer, Status)
+        assert isinstance(answer, StatusResponse)
         return answer.value
 
     answers = await asyncio.gather(*(one(address) for address in addresses))
@@ -289,8 +290,8 @@
 
 async def _watch(addresses: list[str], cluster: str, count: int, as_json: bool) -> None:
     from crowpost.config_feed.configuration import FeedConfig
-    from crowpost.config_feed.documents import Server
-    from crowpost.config_feed.transport import Carrier
+    from crowpost.config_feed.documents import UpstreamServer
+    from crowpost.config_feed.transport import FeedTransport
 
     enough = asyncio.Event()
     seen = 0
@@ -312,8 +313,8 @@
         if count and seen == count:
             enough.set()
 
-    servers = tuple(Server(address) for address in addresses)
-    carrier = Carrier(FeedConfig(cluster, "watch", "watch", upstreams=servers), print_line)
+    servers = tuple(UpstreamServer(address) for address in addresses)
+    carrier = FeedTransport(FeedConfig(cluster, "watch", "watch", upstreams=servers), print_line)
     carrier.start()
     await enough.wait()
     await carrier.close()
--- a/crowpost/config_feed/command.py
+++ b/crowpost/config_feed/command.py
@@ -12,7 +12,7 @@
 from crowpost.config_feed.configuration import FeedConfig, load
 from crowpost.config_feed.documents import FeedError
 from crowpost.config_feed.publication_log import Check
-from crowpost.config_feed.transport import Carrier
+from crowpost.config_feed.transport import FeedTransport
 
 
 async def serve(config: FeedConfig, check: Check, restored: bool) -> None:
@@ -29,7 +29,7 @@
         await leaving.wait()
         await publisher.close()
         return
-    relay = Carrier(config, lambda document: None)
+    relay = FeedTransport(config, lambda document: None)
     await relay.listen()
     relay.start()
     await leaving.wait()
--- a/crowpost/config_feed/configuration.py
+++ b/crowpost/config_feed/configuration.py
@@ -3,15 +3,67 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field, fields
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
-from crowpost.config_feed.documents import FeedError, Interest, Server, Tuning, split_scope
+from crowpost.config_feed.documents import FeedError, Subscription, UpstreamServer, split_scope
+from crowpost.config_feed.tuning import Tuning
 from crowpost.tables import Table, TableError, numbers, read_file
 
 ROLES = ("node", "relay", "publisher")
 SNAPSHOT_BYTES = 4 << 20
+FEED_KEYS = (
+    "cluster",
+    "name",
+    "role",
+    "region",
+    "zone",
+    "service",
+    "listen",
+    "upstreams",
+    "directory",
+    "home",
+    "publishers",
+    "sample",
+    "snapshot_bytes",
+    "tuning",
+)
+"""Keys of the table [feed], in the order in which an error lists them."""
+
+TUNING_KEYS = {
+    "upstream_connections": "watches",
+    "heartbeat_ms": "beat_ms",
+    "server_timeout_ms": "silent_ms",
+    "follower_timeout_ms": "follower_silent_ms",
+    "connect_timeout_ms": "dial_ms",
+    "max_backoff_ms": "backoff_most_ms",
+    "nearer_server_check_ms": "improve_ms",
+    "prefer_nearest_ms": "near_ms",
+    "stall_timeout_ms": "take_over_ms",
+    "slow_server_ms": "slow_ms",
+    "resync_ms": "vector_ms",
+    "max_resync_ms": "vector_most_ms",
+    "suspend_threshold_ms": "late_ms",
+    "burst_bytes": "bytes_saved",
+    "connection_bytes_per_s": "link_bytes_per_s",
+    "connection_burst_bytes": "link_bytes_saved",
+    "relay_burst_bytes": "relay_bytes_saved",
+    "server_bytes_per_s": "hub_bytes_per_s",
+    "server_burst_bytes": "hub_bytes_saved",
+    "chunk_bytes": "piece_bytes",
+    "max_document_bytes": "document_bytes",
+    "max_documents": "documents",
+    "max_table_bytes": "table_bytes",
+    "concurrent_bodies": "fetches",
+    "max_queued_fetches": "queue",
+    "concurrent_fetches": "wants",
+    "relay_concurrent_fetches": "relay_wants",
+    "max_connections": "followers",
+    "max_damaged_frames": "damaged",
+    "status_timeout_ms": "status_ms",
+}
+"""Keys of [feed.tuning] by the field of `Tuning`, where the two differ."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +77,7 @@
     zone: str = ""
     service: str = ""
     listen: str = ""  # of a relay or publisher
-    upstreams: tuple[Server, ...] = ()  # who may be watched
+    upstreams: tuple[UpstreamServer, ...] = ()  # who may be watched
     directory: Path | None = None  # a node's last good documents, a publisher's state
     home: str = ""  # the region whose publisher writes `all` and the services
     publishers: Mapping[str, str] = field(default_factory=dict)  # the name of each region's publisher
@@ -34,11 +86,11 @@
     tuning: Tuning = field(default_factory=Tuning)
 
     @property
-    def interest(self) -> Interest:
+    def interest(self) -> Subscription:
         """What this process watches."""
         if self.role != "node":
-            return Interest(everything=True)
-        return Interest(self.region, self.service, self.name)
+            return Subscription(everything=True)
+        return Subscription(self.region, self.service, self.name)
 
 
 def load(path: str, name: str = "", *, roles: tuple[str, ...] = ROLES) -> FeedConfig:
@@ -61,7 +113,7 @@
 
 
 def _read(raw: dict[str, Any], name: str) -> FeedConfig:
-    table = Table("feed", raw.get("feed"), [f.name for f in fields(FeedConfig)])
+    table = Table("feed", raw.get("feed"), FEED_KEYS)
     directory = table.text("directory")
     config = FeedConfig(
         cluster=table.text("cluster", needed=True),
@@ -77,7 +129,7 @@
         publishers=table.mapping("publishers"),
         sample=table.text("sample"),
         snapshot_bytes=int(table.number("snapshot_bytes", SNAPSHOT_BYTES, 10_000.0, 1e9)),
-        tuning=Tuning(**numbers("feed.tuning", table.get("tuning") or {}, Tuning)),
+        tuning=Tuning(**numbers("feed.tuning", table.get("tuning") or {}, Tuning, TUNING_KEYS)),
     )
     for key in ("name", "region", "service"):
         value = getattr(config, key)
@@ -103,7 +155,7 @@
         raise FeedError(f"feed.publishers.{config.region}: {config.name!r}, the publisher of this region")
 
 
-def _upstreams(raw: object) -> tuple[Server, ...]:
+def _upstreams(raw: object) -> tuple[UpstreamServer, ...]:
     if raw is None:
         return ()
     if not isinstance(raw, list):
@@ -114,7 +166,7 @@
         address = table.text("address", needed=True)
         _at(f"{table.name}.address", address)
         tier = int(table.number("tier", 0, 0, 9))
-        found.append(Server(address, table.text("region"), table.text("zone"), tier))
+        found.append(UpstreamServer(address, table.text("region"), table.text("zone"), tier))
     return tuple(found)
 
 
--- a/crowpost/config_feed/distribution_server.py
+++ b/crowpost/config_feed/distribution_server.py
@@ -12,24 +12,32 @@
 from dataclasses import dataclass, field
 
 from crowpost.config_feed import messages
-from crowpost.config_feed.document_table import Table
-from crowpost.config_feed.documents import HEADERS, Document, Event, Head, Interest, Tuning, scopes_of
-from crowpost.config_feed.follower_status import Wall, hub_status
-from crowpost.config_feed.frames import HEADS, Foreign, Reader, encode, tag
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import (
+    HEADERS,
+    Document,
+    DocumentHeader,
+    FeedEvent,
+    Subscription,
+    scopes_of,
+)
+from crowpost.config_feed.follower_status import FollowerStatusTable, hub_status
+from crowpost.config_feed.frames import HEADS, FrameError, FrameReader, cluster_tag, encode
 from crowpost.config_feed.messages import (
-    Absent,
-    Beat,
-    Body,
-    Fetch,
-    Heads,
+    ApplyReport,
+    BodyChunk,
+    BodyUnavailable,
+    DocumentHeaders,
+    FetchRequest,
+    Heartbeat,
     Hello,
     Message,
-    Publish,
-    Refused,
-    Report,
+    PublishRejected,
+    PublishRequest,
 )
-from crowpost.config_feed.monotonic_clock import Clock
-from crowpost.config_feed.token_bucket import Bucket
+from crowpost.config_feed.monotonic_clock import MonotonicClock
+from crowpost.config_feed.token_bucket import TokenBucket
+from crowpost.config_feed.tuning import Tuning
 
 SLICES = 8  # a beat goes to an eighth of the links at a time
 JOBS = 64  # fetches of one link that wait
@@ -42,27 +50,29 @@
 
     sends: list[tuple[int, bytes]] = field(default_factory=list)
     hangups: list[int] = field(default_factory=list)  # links to close once what was sent is out
-    requests: list[tuple[int, Publish]] = field(default_factory=list)  # answer each with `answer`
-    events: list[Event] = field(default_factory=list)
+    requests: list[tuple[int, PublishRequest]] = field(default_factory=list)  # answer each with `answer`
+    events: list[FeedEvent] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class Watch:
+class FollowerConnection:
     """A connection that was accepted; `hello` once it is a follower's."""
 
     number: int
-    reader: Reader
+    reader: FrameReader
     heard: float
-    bucket: Bucket
+    bucket: TokenBucket
     hello: Hello | None = None
-    interest: Interest = field(default_factory=Interest)
-    pending: dict[str, Head] = field(default_factory=dict)  # to be told; a newer one replaces an older one
-    jobs: deque[Fetch] = field(default_factory=deque)
+    interest: Subscription = field(default_factory=Subscription)
+    pending: dict[str, DocumentHeader] = field(
+        default_factory=dict
+    )  # to be told; a newer one replaces an older one
+    jobs: deque[FetchRequest] = field(default_factory=deque)
     blocked_at: float = math.inf
     queued: bool = False  # it stands in a queue of the hub
 
 
-class Hub:
+class DistributionServer:
     """Serves a table of documents.  publishes: whether Publish is passed on, or refused with `instead`."""
 
     def __init__(
@@ -73,7 +83,7 @@
         role: str = "relay",
         region: str = "",
         zone: str = "",
-        table: Table,
+        table: DocumentTable,
         publishes: bool = False,
         instead: str = "a relay takes no documents; publish to a publisher",
         birth: int = 0,
@@ -85,18 +95,18 @@
         # bytes_in, bytes_out, bodies_out, followers, busy, dropped_KIND ...
         self.counts: Counter[str] = Counter()
         self._publishes, self._instead, self._birth = publishes, instead, birth
-        self._tag = tag(cluster)
-        self._watches: dict[int, Watch] = {}
-        self._by_scope: dict[str, dict[int, Watch]] = {}
-        self._everything: dict[int, Watch] = {}
-        self._waiting: deque[Watch] = deque()  # with jobs; in the order they came
-        self._parked: dict[int, Watch] = {}  # something to send, and no tokens or a full socket
+        self._tag = cluster_tag(cluster)
+        self._watches: dict[int, FollowerConnection] = {}
+        self._by_scope: dict[str, dict[int, FollowerConnection]] = {}
+        self._everything: dict[int, FollowerConnection] = {}
+        self._waiting: deque[FollowerConnection] = deque()  # with jobs; in the order they came
+        self._parked: dict[int, FollowerConnection] = {}  # something to send, and no tokens or a full socket
         self._parked_at = math.inf
-        self._bucket = Bucket(self.tuning.hub_bytes_per_s, self.tuning.hub_bytes_saved, now)
-        self.wall = Wall(2 * self.tuning.followers)
-        self._slice_ms = self.tuning.beat_ms / SLICES
+        self._bucket = TokenBucket(self.tuning.server_bytes_per_s, self.tuning.server_burst_bytes, now)
+        self.wall = FollowerStatusTable(2 * self.tuning.max_connections)
+        self._slice_ms = self.tuning.heartbeat_ms / SLICES
         self._slice, self._slice_at = 0, now + self._slice_ms
-        self._clock = Clock(now, self.tuning.late_ms)
+        self._clock = MonotonicClock(now, self.tuning.suspend_threshold_ms)
         self._closed = False
         self._out = Output()
 
@@ -110,17 +120,17 @@
     def accepted(self, link: int, now: float) -> None:
         """A connection came in."""
         now = self._enter(now)
-        if self._closed or len(self._watches) >= self.tuning.followers:
+        if self._closed or len(self._watches) >= self.tuning.max_connections:
             self.counts["turned_away"] += 1
             self._out.sends.append(
-                (link, encode(messages.Bye("closing" if self._closed else "full"), self._tag))
+                (link, encode(messages.Goodbye("closing" if self._closed else "full"), self._tag))
             )
             self._out.hangups.append(link)
             return
         tuning = self.tuning
-        reader = Reader(self._tag, max(tuning.document_bytes + 65_536, LEAST_FRAME))
-        bucket = Bucket(tuning.link_bytes_per_s, tuning.link_bytes_saved, now)
-        self._watches[link] = Watch(link, reader, now, bucket)
+        reader = FrameReader(self._tag, max(tuning.max_document_bytes + 65_536, LEAST_FRAME))
+        bucket = TokenBucket(tuning.connection_bytes_per_s, tuning.connection_burst_bytes, now)
+        self._watches[link] = FollowerConnection(link, reader, now, bucket)
 
     def lost(self, link: int, now: float) -> None:
         """A connection is gone."""
@@ -160,7 +170,7 @@
                 self._handle(watch, message, now, size)
             self._pump(now)
 
-    def handle(self, link: int, message: Message | Foreign, now: float, size: int = 0) -> None:
+    def handle(self, link: int, message: Message | FrameError, now: float, size: int = 0) -> None:
         """One message, or why there is none; `received` does the same.  size: bytes of its frame."""
         now = self._enter(now)
         watch = self._watches.get(link)
@@ -184,7 +194,7 @@
         held = self.table.get(head.scope)
         if (held is None or held.head != head) and not self.table.put(document):
             return False
-        frame = encode(Heads((head,)), self._tag)
+        frame = encode(DocumentHeaders((head,)), self._tag)
         for group in (self._by_scope.get(head.scope, {}), self._everything):
             for watch in group.values():
                 if not watch.pending and self._may_send(watch, now):
@@ -223,7 +233,7 @@
         """Say good-bye on all links."""
         now = self._enter(now)
         for watch in list(self._watches.values()):
-            self._send(watch, messages.Bye(why), now)
+            self._send(watch, messages.Goodbye(why), now)
             self._hang_up(watch, now, why)
         self._closed = True
 
@@ -242,12 +252,14 @@
         return self._clock.now
 
     def _tell(self, kind: str, at: float, values: dict[str, object]) -> None:
-        self._out.events.append(Event(kind, at, values))
+        self._out.events.append(FeedEvent(kind, at, values))
 
     # ------------------------------------------------------------ messages
 
-    def _handle(self, watch: Watch, message: Message | Foreign, now: float, size: int) -> None:
-        if isinstance(message, Foreign):
+    def _handle(
+        self, watch: FollowerConnection, message: Message | FrameError, now: float, size: int
+    ) -> None:
+        if isinstance(message, FrameError):
             # A follower that comes back tells all again; what a damaged frame told would be missed.
             self.counts[f"dropped_{message.kind}"] += 1
             self._tell("dropped", now, {"what": message.kind, "why": str(message)})
@@ -257,38 +269,38 @@
         match message:
             case Hello():
                 self._greet(watch, message, now)
-            case Beat() if watch.hello is not None:
+            case Heartbeat() if watch.hello is not None:
                 self.wall.heard(watch.hello.name, now)
-            case Fetch() if watch.hello is not None:
-                if len(watch.jobs) >= JOBS or len(self._waiting) >= self.tuning.queue:
+            case FetchRequest() if watch.hello is not None:
+                if len(watch.jobs) >= JOBS or len(self._waiting) >= self.tuning.max_queued_fetches:
                     self.counts["busy"] += 1
-                    self._send(watch, Absent(message.mark, "busy"), now)
+                    self._send(watch, BodyUnavailable(message.mark, "busy"), now)
                 else:
                     watch.jobs.append(message)
                     self._wake(watch)
-            case Report(name) if watch.hello is not None and name == watch.hello.name:
+            case ApplyReport(name) if watch.hello is not None and name == watch.hello.name:
                 self.wall.report(message, now)
-            case messages.AskStatus(number):
-                self._send(watch, messages.Status(number, self._status(now)), now)
-            case Publish(number):
+            case messages.StatusRequest(number):
+                self._send(watch, messages.StatusResponse(number, self._status(now)), now)
+            case PublishRequest(number):
                 if self._publishes:
                     self._out.requests.append((watch.number, message))
                 else:
-                    self._send(watch, Refused(number, self._instead), now)
-            case messages.Bye(why):
+                    self._send(watch, PublishRejected(number, self._instead), now)
+            case messages.Goodbye(why):
                 self._hang_up(watch, now, why)
             case _:
                 self.counts["dropped_unexpected"] += 1
                 self._hang_up(watch, now, "a message out of place")
 
-    def _greet(self, watch: Watch, hello: Hello, now: float) -> None:
+    def _greet(self, watch: FollowerConnection, hello: Hello, now: float) -> None:
         tuning = self.tuning
         if watch.hello is None:
             node = hello.name if hello.role == "node" else ""
             watch.hello = hello
-            watch.interest = Interest(hello.region, hello.service, node, hello.everything)
+            watch.interest = Subscription(hello.region, hello.service, node, hello.everything)
             if hello.everything:
-                watch.bucket = Bucket(tuning.relay_bytes_per_s, tuning.relay_bytes_saved, now)
+                watch.bucket = TokenBucket(tuning.relay_bytes_per_s, tuning.relay_burst_bytes, now)
                 self._everything[watch.number] = watch
             else:
                 for scope in scopes_of(hello.region, hello.service, node):
@@ -300,7 +312,7 @@
         watch.pending = {head.scope: head for head in self.table.newer(watch.interest, hello.vector)}
         self._wake(watch)
 
-    def _unindex(self, watch: Watch) -> None:
+    def _unindex(self, watch: FollowerConnection) -> None:
         self._everything.pop(watch.number, None)
         interest = watch.interest
         for scope in scopes_of(interest.region, interest.service, interest.node):
@@ -310,48 +322,48 @@
                 if not group:
                     del self._by_scope[scope]
 
-    def _hang_up(self, watch: Watch, now: float, why: str) -> None:
+    def _hang_up(self, watch: FollowerConnection, now: float, why: str) -> None:
         self._out.hangups.append(watch.number)
         self._lost(watch.number, now)
 
     # ------------------------------------------------------------ sending
 
-    def _send(self, watch: Watch, message: Message, now: float) -> None:
+    def _send(self, watch: FollowerConnection, message: Message, now: float) -> None:
         self._send_frame(watch, encode(message, self._tag), now)
 
-    def _send_frame(self, watch: Watch, frame: bytes, now: float) -> None:
+    def _send_frame(self, watch: FollowerConnection, frame: bytes, now: float) -> None:
         watch.bucket.spend(len(frame) + HEADERS, now)
         self._bucket.spend(len(frame) + HEADERS, now)
         self.counts["bytes_out"] += len(frame)
         self._out.sends.append((watch.number, frame))
 
-    def _may_send(self, watch: Watch, now: float) -> bool:
+    def _may_send(self, watch: FollowerConnection, now: float) -> bool:
         if not math.isinf(watch.blocked_at):
             return False
         return self._bucket.refill(now) > 0.0 and watch.bucket.refill(now) > 0.0
 
-    def _wake(self, watch: Watch) -> None:
+    def _wake(self, watch: FollowerConnection) -> None:
         """Something is to be sent on this link: it takes its place in the queue."""
         self._parked.pop(watch.number, None)
         if not watch.queued and (watch.jobs or watch.pending):
             watch.queued = True
             self._waiting.append(watch)
 
-    def _park(self, watch: Watch, now: float) -> None:
+    def _park(self, watch: FollowerConnection, now: float) -> None:
         """It cannot be sent now."""
         if not watch.queued:
             self._parked[watch.number] = watch
             if math.isinf(watch.blocked_at):
                 self._parked_at = min(self._parked_at, self._ready_at(watch, now))
 
-    def _ready_at(self, watch: Watch, now: float) -> float:
+    def _ready_at(self, watch: FollowerConnection, now: float) -> float:
         return max(self._bucket.when(1.0, now), watch.bucket.when(1.0, now), now + 1.0)
 
     def _pump(self, now: float) -> None:
         """Serve the queue: a few links in turn, a piece each, as long as the tokens last."""
-        serving: deque[Watch] = deque()
+        serving: deque[FollowerConnection] = deque()
         while serving or self._waiting:
-            while self._waiting and len(serving) < self.tuning.fetches:
+            while self._waiting and len(serving) < self.tuning.concurrent_bodies:
                 serving.append(self._waiting.popleft())
             watch = serving.popleft()
             if watch.number not in self._watches:
@@ -370,23 +382,23 @@
             if math.isinf(watch.blocked_at):
                 self._parked_at = min(self._parked_at, self._ready_at(watch, now))
 
-    def _serve(self, watch: Watch, now: float) -> None:
+    def _serve(self, watch: FollowerConnection, now: float) -> None:
         """One frame: heads go before bodies."""
         if watch.pending:
             scopes = list(watch.pending)[:HEADS]
-            self._send(watch, Heads(tuple(watch.pending.pop(scope) for scope in scopes)), now)
+            self._send(watch, DocumentHeaders(tuple(watch.pending.pop(scope) for scope in scopes)), now)
             return
         job = watch.jobs.popleft()
         held = self.table.get(job.mark.scope)
         if held is None or held.head.mark != job.mark or job.offset > held.head.size:
             self.counts["gone"] += 1
-            self._send(watch, Absent(job.mark, "gone"), now)
+            self._send(watch, BodyUnavailable(job.mark, "gone"), now)
             return
         length = min(job.length, held.head.size - job.offset)
-        piece = held.body[job.offset : job.offset + min(length, self.tuning.piece_bytes)]
-        self._send(watch, Body(job.mark, job.offset, piece), now)
+        piece = held.body[job.offset : job.offset + min(length, self.tuning.chunk_bytes)]
+        self._send(watch, BodyChunk(job.mark, job.offset, piece), now)
         if len(piece) < length:
-            watch.jobs.appendleft(Fetch(job.mark, job.offset + len(piece), length - len(piece)))
+            watch.jobs.appendleft(FetchRequest(job.mark, job.offset + len(piece), length - len(piece)))
         else:
             self.counts["bodies_out"] += 1
 
@@ -396,9 +408,9 @@
         self._slice_at = max(self._slice_at + self._slice_ms, now + 0.5 * self._slice_ms)
         tuning = self.tuning
         for watch in [w for w in self._watches.values() if w.number % SLICES == self._slice]:
-            if now - watch.heard > tuning.follower_silent_ms:
+            if now - watch.heard > tuning.follower_timeout_ms:
                 self._hang_up(watch, now, "silent")
-            elif now - watch.blocked_at > tuning.follower_silent_ms:
+            elif now - watch.blocked_at > tuning.follower_timeout_ms:
                 self._hang_up(watch, now, "takes nothing")
             elif watch.hello is not None and math.isinf(watch.blocked_at):
-                self._send(watch, Beat(self.table.digest(watch.interest)), now)
+                self._send(watch, Heartbeat(self.table.digest(watch.interest)), now)
--- a/crowpost/config_feed/document_cache.py
+++ b/crowpost/config_feed/document_cache.py
@@ -13,13 +13,13 @@
 
 import msgpack
 
-from crowpost.config_feed.documents import Document, FeedError, Head
+from crowpost.config_feed.documents import Document, DocumentHeader, FeedError
 
 SUFFIX, NEW = ".document", ".new"
 FORMAT = 1
 
 
-class Shelf:
+class DocumentCache:
     """A directory of documents.  owner: the cluster and the node whose it is."""
 
     def __init__(self, directory: Path, owner: tuple[str, str]) -> None:
@@ -39,7 +39,7 @@
         for path in paths:
             try:
                 version, owner, head, body = msgpack.unpackb(path.read_bytes())
-                document = Document(Head(*head), body)
+                document = Document(DocumentHeader(*head), body)
                 if version != FORMAT or not document.whole or path.name != _file(document.head.scope):
                     raise ValueError
             except (OSError, ValueError, TypeError, msgpack.exceptions.UnpackException):
--- a/crowpost/config_feed/document_table.py
+++ b/crowpost/config_feed/document_table.py
@@ -8,18 +8,18 @@
 from crowpost.config_feed.documents import (
     Conflict,
     Document,
+    DocumentHeader,
     FeedError,
-    Head,
-    Interest,
-    Mark,
-    Tuning,
+    Subscription,
+    VersionKey,
     scopes_of,
 )
+from crowpost.config_feed.tuning import Tuning
 
 CONFLICTS = 64  # remembered at the most
 
 
-def rule_between(kept: Head, dropped: Head) -> str:
+def rule_between(kept: DocumentHeader, dropped: DocumentHeader) -> str:
     """By which rule the one holds and not the other; "" where they are no two answers.
 
     Two answers are documents of one scope and era that were written by two writers, or two bodies for one
@@ -32,7 +32,7 @@
     return "digest" if kept.version == dropped.version else ""
 
 
-class Table:
+class DocumentTable:
     """Documents by scope, bounded in number and bytes; it only ever moves on to a higher rank."""
 
     def __init__(self, tuning: Tuning | None = None) -> None:
@@ -61,10 +61,14 @@
             raise FeedError(
                 f"{head.scope} version {head.version}: the body is not the one that its head names"
             )
-        if head.size > tuning.document_bytes:
-            raise FeedError(f"{head.scope}: {head.size} bytes, {tuning.document_bytes} at the most")
+        if head.size > tuning.max_document_bytes:
+            raise FeedError(f"{head.scope}: {head.size} bytes, {tuning.max_document_bytes} at the most")
         more = head.size - (held.head.size if held is not None else 0)
-        if held is None and len(self.documents) >= tuning.documents or self.bytes + more > tuning.table_bytes:
+        if (
+            held is None
+            and len(self.documents) >= tuning.max_documents
+            or self.bytes + more > tuning.max_table_bytes
+        ):
             raise FeedError(f"{head.scope}: the table of documents is full")
         self.documents[head.scope] = document
         self.bytes += more
@@ -73,7 +77,7 @@
         self._prints[head.scope] = print_
         return True
 
-    def compare(self, head: Head) -> Conflict | None:
+    def compare(self, head: DocumentHeader) -> Conflict | None:
         """Remember a second answer to what is held; a conflict that was not known before."""
         held = self.documents.get(head.scope)
         if held is None:
@@ -89,14 +93,14 @@
         del self.conflicts[:-CONFLICTS]
         return conflict
 
-    def heads(self, interest: Interest) -> list[Head]:
+    def heads(self, interest: Subscription) -> list[DocumentHeader]:
         """The heads that a follower of that interest is meant to hold."""
         if interest.everything:
             return [document.head for document in self.documents.values()]
         scopes = scopes_of(interest.region, interest.service, interest.node)
         return [self.documents[scope].head for scope in scopes if scope in self.documents]
 
-    def newer(self, interest: Interest, vector: Iterable[Mark]) -> list[Head]:
+    def newer(self, interest: Subscription, vector: Iterable[VersionKey]) -> list[DocumentHeader]:
         """The heads that a follower lacks, or holds another answer to."""
         held = {mark.scope: mark for mark in vector}
         found = []
@@ -106,7 +110,7 @@
                 found.append(head)
         return found
 
-    def digest(self, interest: Interest) -> int:
+    def digest(self, interest: Subscription) -> int:
         """One number for all versions held among those of an interest."""
         if interest.everything:
             return self._all
@@ -116,6 +120,6 @@
         return found
 
 
-def _print(mark: Mark) -> int:
+def _print(mark: VersionKey) -> int:
     text = f"{mark.scope} {mark.era} {mark.version} ".encode() + mark.digest
     return int.from_bytes(hashlib.sha256(text).digest()[:7], "big")
--- a/crowpost/config_feed/documents.py
+++ b/crowpost/config_feed/documents.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class DocumentHeader:
     """What there is to know of a document without its body."""
 
     scope: str
@@ -91,12 +91,12 @@
         return self.era, self.version, self.writer, self.digest
 
     @property
-    def mark(self) -> Mark:
-        return Mark(self.scope, self.era, self.version, self.digest[:PREFIX])
+    def mark(self) -> VersionKey:
+        return VersionKey(self.scope, self.era, self.version, self.digest[:PREFIX])
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class VersionKey:
     """A head in short: which document, told apart from another answer to the same version."""
 
     scope: str
@@ -109,7 +109,7 @@
 class Document:
     """A head and the body that it names."""
 
-    head: Head
+    head: DocumentHeader
     body: bytes
 
     @property
@@ -123,10 +123,10 @@
 ) -> Document:
     """A document with its digest; FeedError for fields out of their bounds."""
     digest = hashlib.sha256(body).digest()
-    return Document(Head(scope, era, version, digest, len(body), author, reason, writer), body)
+    return Document(DocumentHeader(scope, era, version, digest, len(body), author, reason, writer), body)
 
 
-class State(StrEnum):
+class ApplyState(StrEnum):
     """How a node stands to a document."""
 
     HELD = "held"  # by a relay or publisher, which passes it on and judges nothing
@@ -135,11 +135,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ApplyStatus:
     """How one process stands to the newest document of a scope that it got whole."""
 
-    mark: Mark
-    state: State
+    mark: VersionKey
+    state: ApplyState
     why: str = ""  # it was refused
 
 
@@ -152,13 +152,13 @@
 class Conflict:
     """Two answers for one scope in one era: which one holds, which one does not, and by which rule."""
 
-    kept: Head
-    dropped: Head
+    kept: DocumentHeader
+    dropped: DocumentHeader
     rule: str  # "version": the higher; "writer": of equal versions the later name; "digest": of one writer
 
 
 @dataclass(frozen=True, slots=True)
-class Interest:
+class Subscription:
     """Which documents a follower watches: those meant for one node, or all there are."""
 
     region: str = ""
@@ -171,7 +171,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class UpstreamServer:
     """A hub that may be watched.  tier: those of a lower one are always tried first."""
 
     address: str
@@ -181,7 +181,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dial:
+class ConnectRequest:
     """Connect to an address; the link is this number from now on."""
 
     link: int
@@ -189,48 +189,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class FeedEvent:
     """Something that a log line should tell; values are plain."""
 
     kind: str  # linked, lost, whole, taken_over, conflict, dropped, slept, standing
     at: float  # ms
     values: dict[str, object]
-
-
-@dataclass(frozen=True, slots=True)
-class Tuning:
-    """Times in ms and bounds, for followers and hubs; the figures are measured in docs/feed.md."""
-
-    watches: int = 2  # servers that a follower watches at once
-    beat_ms: float = 2_000.0  # a link says at least so often that it is alive
-    silent_ms: float = 4_500.0  # a server that says nothing for so long is given up
-    follower_silent_ms: float = 20_000.0  # a follower may sleep for longer than a server
-    dial_ms: float = 2_000.0  # for a connection, and for the first word on it
-    backoff_ms: float = 250.0  # before a server is dialled again, doubled each time, with jitter
-    backoff_most_ms: float = 4_000.0
-    improve_ms: float = 45_000.0  # between looks whether a nearer server is back, in the mean
-    near_ms: float = 250.0  # that the nearer server has to tell of a document which the other told of
-    take_over_ms: float = 1_000.0  # without a byte of a body until the other server is asked for the rest
-    slow_ms: float = 10_000.0  # that a server which let a body wait is asked last
-    vector_ms: float = 2_000.0  # between vectors sent for a differing digest, doubled each time
-    vector_most_ms: float = 64_000.0
-    late_ms: float = 500.0  # a tick that comes later than so: this process stood still
-    bytes_per_s: float = 3_300.0  # of a node, both ways: a third of its 10 kB/s for all control
-    bytes_saved: float = 100_000.0  # of that, saved up in quiet for a burst
-    link_bytes_per_s: float = 3_300.0  # that a hub sends to one node
-    link_bytes_saved: float = 100_000.0
-    relay_bytes_per_s: float = 200_000.0  # of a relay or publisher that follows, and sent to one of these
-    relay_bytes_saved: float = 2_000_000.0
-    hub_bytes_per_s: float = 4_000_000.0  # that a hub sends in all
-    hub_bytes_saved: float = 4_000_000.0
-    piece_bytes: int = 16_384  # of a body in one frame, so that a stall shows
-    document_bytes: int = 262_144
-    documents: int = 4_096
-    table_bytes: int = 33_554_432  # of bodies held
-    fetches: int = 32  # bodies that a hub serves at once; others queue
-    queue: int = 4_096  # fetches that wait at a hub; any more are told that it is busy
-    wants: int = 4  # bodies that a follower of few scopes fetches at once
-    relay_wants: int = 32  # and one of all scopes
-    followers: int = 2_048  # links that a hub takes
-    damaged: int = 3  # frames of a link that may be damaged until it is given up
-    status_ms: float = 2_000.0  # that a status may take
--- a/crowpost/config_feed/fetch_scheduler.py
+++ b/crowpost/config_feed/fetch_scheduler.py
@@ -7,11 +7,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from crowpost.config_feed.document_table import Table
-from crowpost.config_feed.documents import HEADERS, Document, Head, Mark, Tuning
-from crowpost.config_feed.messages import Body, Fetch
-from crowpost.config_feed.token_bucket import Bucket
-from crowpost.config_feed.upstream_connections import Link, Watches
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import HEADERS, Document, DocumentHeader, VersionKey
+from crowpost.config_feed.messages import BodyChunk, FetchRequest
+from crowpost.config_feed.token_bucket import TokenBucket
+from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.upstream_connections import UpstreamConnection, UpstreamConnections
 
 ASKING = 110 + HEADERS  # bytes of a Fetch in practice, and of a Body around its piece
 LEAST = 4_096  # bytes worth asking for while there are few tokens
@@ -22,10 +23,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Want:
+class PendingFetch:
     """A document that is known to be newer than the one held."""
 
-    head: Head
+    head: DocumentHeader
     first_at: float  # when it was first told of
     body: bytearray = field(default_factory=bytearray)
     source: int = 0  # link that was asked; 0: none
@@ -36,31 +37,35 @@
     alone: bool = False  # pieces of two servers did not fit: all of it from one
 
 
-class Fetches:
+class FetchScheduler:
     """What is wanted, and of whom it is asked; every byte asked for is paid from the budget first."""
 
     def __init__(
         self,
-        watches: Watches,
-        table: Table,
-        bucket: Bucket,
+        watches: UpstreamConnections,
+        table: DocumentTable,
+        bucket: TokenBucket,
         counts: Counter[str],
         tuning: Tuning,
         at_once: int,
-        ask: Callable[[Link, Fetch], None],
+        ask: Callable[[UpstreamConnection, FetchRequest], None],
         tell: Tell,
     ) -> None:
         self._watches, self._table, self._bucket = watches, table, bucket
         self._counts, self._tuning, self._at_once = counts, tuning, at_once
         self._ask, self._tell = ask, tell
-        self.wants: dict[str, Want] = {}
-        self.hopeless: list[Link] = []  # to be given up: what they owe leaves no room to ask another
-        self._owed: dict[tuple[int, Mark], tuple[int, float]] = {}  # by link: bytes yet to come, asked when
+        self.wants: dict[str, PendingFetch] = {}
+        self.hopeless: list[
+            UpstreamConnection
+        ] = []  # to be given up: what they owe leaves no room to ask another
+        self._owed: dict[
+            tuple[int, VersionKey], tuple[int, float]
+        ] = {}  # by link: bytes yet to come, asked when
         self._retry_at = math.inf
 
     # ------------------------------------------------------------ what is told
 
-    def offered(self, link: Link, head: Head, now: float) -> bool:
+    def offered(self, link: UpstreamConnection, head: DocumentHeader, now: float) -> bool:
         """A server holds a document; whether that is news here."""
         held = self._table.get(head.scope)
         if held is not None and head.rank <= held.head.rank:
@@ -70,11 +75,11 @@
             else:
                 self._counts["dropped_older"] += 1
             return False
-        if head.size > self._tuning.document_bytes:
+        if head.size > self._tuning.max_document_bytes:
             self._counts["dropped_too_large"] += 1
             self._tell("dropped", now, {"what": "too_large", "scope": head.scope, "size": head.size})
             return False
-        if head.scope not in self.wants and len(self.wants) >= self._tuning.documents:
+        if head.scope not in self.wants and len(self.wants) >= self._tuning.max_documents:
             self._counts["dropped_full"] += 1
             return False
         link.offers[head.scope] = head
@@ -83,7 +88,7 @@
 
     def _choose(self, scope: str, now: float) -> None:
         """Want the best that anybody offers; what nobody offers for now is kept as far as it came."""
-        best: Head | None = None
+        best: DocumentHeader | None = None
         for link in self._watches.links.values():
             head = link.offers.get(scope)
             if head is None or link.bad.get(scope) == head:
@@ -95,9 +100,9 @@
             return
         if want is not None and want.head.rank < best.rank:
             self._counts["coalesced"] += 1
-        self.wants[scope] = Want(best, now)
+        self.wants[scope] = PendingFetch(best, now)
 
-    def gone(self, link: Link, now: float) -> None:
+    def gone(self, link: UpstreamConnection, now: float) -> None:
         """A link is no more: what was asked there is asked elsewhere, from where it came to."""
         for key in [key for key in self._owed if key[0] == link.number]:
             self._settle(key)
@@ -107,7 +112,7 @@
             if scope in link.offers:
                 self._choose(scope, now)
 
-    def absent(self, link: Link, mark: Mark, busy: bool, now: float) -> None:
+    def absent(self, link: UpstreamConnection, mark: VersionKey, busy: bool, now: float) -> None:
         """A server does not give what was asked."""
         self._settle((link.number, mark))
         scope = mark.scope
@@ -116,7 +121,7 @@
             return
         want.source, want.until = 0, len(want.body)
         if busy:
-            link.slow_until = now + self._tuning.slow_ms
+            link.slow_until = now + self._tuning.slow_server_ms
             want.progress_at, want.waits = now, min(want.waits + 1, RETRIES)
         else:
             link.offers.pop(scope, None)
@@ -124,7 +129,7 @@
 
     # ------------------------------------------------------------ what comes
 
-    def piece(self, link: Link, body: Body, now: float) -> Document | None:
+    def piece(self, link: UpstreamConnection, body: BodyChunk, now: float) -> Document | None:
         """A piece of a body; the document, once it is whole and the body is the head's."""
         self._settle((link.number, body.mark), len(body.data))
         want = self.wants.get(body.mark.scope)
@@ -151,7 +156,7 @@
             return None
         return self._whole(link, want, now)
 
-    def _whole(self, link: Link, want: Want, now: float) -> Document | None:
+    def _whole(self, link: UpstreamConnection, want: PendingFetch, now: float) -> Document | None:
         head = want.head
         document = Document(head, bytes(want.body))
         if document.whole:
@@ -165,14 +170,14 @@
             return document
         self._counts["dropped_digest"] += 1
         self._tell("dropped", now, {"what": "digest", "scope": head.scope, "version": head.version})
-        again = self.wants[head.scope] = Want(head, want.first_at, progress_at=now, alone=True)
+        again = self.wants[head.scope] = PendingFetch(head, want.first_at, progress_at=now, alone=True)
         again.waits = min(want.waits + 1, RETRIES)
         if len(want.givers) == 1:
             link.bad[head.scope] = head
             self._choose(head.scope, now)
         return None
 
-    def _settle(self, key: tuple[int, Mark], size: int | None = None) -> None:
+    def _settle(self, key: tuple[int, VersionKey], size: int | None = None) -> None:
         """Bytes that were owed came; None: no more of them will."""
         left, at = self._owed.pop(key, (0, 0.0))
         came = left if size is None else min(size, left)
@@ -180,7 +185,7 @@
         if left > came:
             self._owed[key] = left - came, at
 
-    def forget(self, scope: str, head: Head) -> None:
+    def forget(self, scope: str, head: DocumentHeader) -> None:
         """What came whole cannot be held: no server is asked for it again until its link is new."""
         for link in self._watches.links.values():
             if link.offers.get(scope) == head:
@@ -188,7 +193,9 @@
 
     # ------------------------------------------------------------ whom to ask
 
-    def _sources(self, want: Want, links: list[Link], now: float) -> list[Link]:
+    def _sources(
+        self, want: PendingFetch, links: list[UpstreamConnection], now: float
+    ) -> list[UpstreamConnection]:
         """Servers that offer it, the one to ask first in front."""
         scope, head = want.head.scope, want.head
         found = [n for n in links if n.offers.get(scope) == head and n.bad.get(scope) != head]
@@ -211,7 +218,7 @@
             self._look(want, links, now)
             under_way += want.source != 0
 
-    def _look(self, want: Want, links: list[Link], now: float) -> None:
+    def _look(self, want: PendingFetch, links: list[UpstreamConnection], now: float) -> None:
         tuning = self._tuning
         sources = self._sources(want, links, now)
         if not sources:
@@ -219,7 +226,7 @@
         stalled = False
         if want.source:
             if len(want.body) < want.until or not want.head.size:
-                due = want.progress_at + tuning.take_over_ms * 2.0**want.waits
+                due = want.progress_at + tuning.stall_timeout_ms * 2.0**want.waits
                 if now < due:
                     self._retry_at = min(self._retry_at, due)
                     return
@@ -227,12 +234,12 @@
                 self._counts["stalled"] += 1
             # else: what the tokens allowed came, and there is more
         elif want.waits:
-            due = want.progress_at + tuning.take_over_ms * 2.0 ** (want.waits - 1)
+            due = want.progress_at + tuning.stall_timeout_ms * 2.0 ** (want.waits - 1)
             if now < due:
                 self._retry_at = min(self._retry_at, due)
                 return
         elif min(links, key=lambda link: link.slow_until > now) not in sources:  # the first that is not slow
-            due = want.first_at + tuning.near_ms
+            due = want.first_at + tuning.prefer_nearest_ms
             if now < due:
                 self._retry_at = min(self._retry_at, due)
                 return
@@ -240,7 +247,7 @@
         if stalled:
             for link in sources:
                 if link.number == want.source:
-                    link.slow_until = now + tuning.slow_ms
+                    link.slow_until = now + tuning.slow_server_ms
             others = [link for link in sources if link.number != want.source]
             if others:
                 source = others[0]
@@ -253,10 +260,10 @@
             source = next((link for link in sources if link.number == want.source), source)
         self._request(want, source, stalled, now)
 
-    def _request(self, want: Want, source: Link, stalled: bool, now: float) -> None:
+    def _request(self, want: PendingFetch, source: UpstreamConnection, stalled: bool, now: float) -> None:
         have = len(want.body)
         left = want.head.size - have
-        pieces = 1 + left // self._tuning.piece_bytes
+        pieces = 1 + left // self._tuning.chunk_bytes
         least = min(left, LEAST)
         cost = min(left + ASKING * (1 + pieces), self._bucket.saved)
         if self._bucket.refill(now) < cost:
@@ -268,7 +275,7 @@
                     want.source, want.until = 0, have  # it is decided already whom to ask then
                 return
         length = int(min(left, max(least, self._bucket.tokens - 2 * ASKING)))
-        pieces = 1 + length // self._tuning.piece_bytes
+        pieces = 1 + length // self._tuning.chunk_bytes
         self._bucket.spend(length + ASKING * (1 + pieces), now)
         if stalled and want.source and want.source != source.number:
             self._counts["taken_over"] += 1
@@ -278,10 +285,10 @@
         self._owed[key] = self._owed.get(key, (0, now))[0] + length, now
         self._bucket.owed += length
         self._counts["fetches"] += 1
-        self._ask(source, Fetch(want.head.mark, have, length))
-        self._retry_at = min(self._retry_at, now + self._tuning.take_over_ms * 2.0**want.waits)
+        self._ask(source, FetchRequest(want.head.mark, have, length))
+        self._retry_at = min(self._retry_at, now + self._tuning.stall_timeout_ms * 2.0**want.waits)
 
-    def _give_up(self, want: Want, source: Link, least: int) -> None:
+    def _give_up(self, want: PendingFetch, source: UpstreamConnection, least: int) -> None:
         """What a server owes and holds back counts as saved up; if that leaves no room, the server goes."""
         stalled = self._watches.links.get(want.source)
         room = self._bucket.saved - self._bucket.owed
--- a/crowpost/config_feed/follower.py
+++ b/crowpost/config_feed/follower.py
@@ -15,40 +15,50 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.document_table import DocumentTable
 from crowpost.config_feed.documents import (
     HEADERS,
+    ApplyState,
+    ApplyStatus,
     Conflict,
-    Dial,
+    ConnectRequest,
     Document,
-    Event,
+    DocumentHeader,
     FeedError,
-    Head,
-    Interest,
-    Server,
-    Standing,
-    State,
-    Tuning,
+    FeedEvent,
+    Subscription,
+    UpstreamServer,
     order,
     shorten,
 )
-from crowpost.config_feed.fetch_scheduler import Fetches
-from crowpost.config_feed.frames import Foreign, encode, tag
-from crowpost.config_feed.messages import Absent, Beat, Body, Bye, Fetch, Heads, Hello, Message, Report
-from crowpost.config_feed.monotonic_clock import Clock
-from crowpost.config_feed.token_bucket import Bucket
-from crowpost.config_feed.upstream_connections import Link, Watches
+from crowpost.config_feed.fetch_scheduler import FetchScheduler
+from crowpost.config_feed.frames import FrameError, cluster_tag, encode
+from crowpost.config_feed.messages import (
+    ApplyReport,
+    BodyChunk,
+    BodyUnavailable,
+    DocumentHeaders,
+    FetchRequest,
+    Goodbye,
+    Heartbeat,
+    Hello,
+    Message,
+)
+from crowpost.config_feed.monotonic_clock import MonotonicClock
+from crowpost.config_feed.token_bucket import TokenBucket
+from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.upstream_connections import UpstreamConnection, UpstreamConnections
 
 
 @dataclass
 class Output:
     """What a call left to be done, in the order of the fields."""
 
-    dials: list[Dial] = field(default_factory=list)
+    dials: list[ConnectRequest] = field(default_factory=list)
     sends: list[tuple[int, bytes]] = field(default_factory=list)  # link and frame
     hangups: list[int] = field(default_factory=list)  # links to close once what was sent is out
     apply: list[Document] = field(default_factory=list)  # whole; to be answered by `applied`
-    events: list[Event] = field(default_factory=list)
+    events: list[FeedEvent] = field(default_factory=list)
 
 
 class Follower:
@@ -63,8 +73,8 @@
         self,
         cluster: str,
         name: str,
-        servers: Iterable[Server],
-        interest: Interest,
+        servers: Iterable[UpstreamServer],
+        interest: Subscription,
         *,
         role: str = "node",
         region: str = "",
@@ -74,36 +84,36 @@
         birth: int,
         now: float,
         tuning: Tuning | None = None,
-        table: Table | None = None,
+        table: DocumentTable | None = None,
         kept: Iterable[Document] = (),
     ) -> None:
         self.cluster, self.name, self.interest = cluster, name, interest
         self.tuning = tuning = tuning or Tuning()
-        self.table = Table(tuning) if table is None else table
+        self.table = DocumentTable(tuning) if table is None else table
         # bytes_in, bytes_out, bodies, fetches, taken_over, coalesced, known, dropped_KIND, dials, lost ...
         self.counts: Counter[str] = Counter()
         self._role, self._region, self._zone, self._birth = role, region, zone, birth
-        self._judged, self._rng, self._tag = judged, rng, tag(cluster)
-        rate, saved = tuning.bytes_per_s, tuning.bytes_saved
+        self._judged, self._rng, self._tag = judged, rng, cluster_tag(cluster)
+        rate, saved = tuning.bytes_per_s, tuning.burst_bytes
         if interest.everything:
-            rate, saved = tuning.relay_bytes_per_s, tuning.relay_bytes_saved
-        self.bucket = Bucket(rate, saved, now)
-        self._watches = Watches(servers, region, zone, rng, self._tag, tuning, now)
-        at_once = tuning.relay_wants if interest.everything else tuning.wants
-        self._fetches = Fetches(
+            rate, saved = tuning.relay_bytes_per_s, tuning.relay_burst_bytes
+        self.bucket = TokenBucket(rate, saved, now)
+        self._watches = UpstreamConnections(servers, region, zone, rng, self._tag, tuning, now)
+        at_once = tuning.relay_concurrent_fetches if interest.everything else tuning.concurrent_fetches
+        self._fetches = FetchScheduler(
             self._watches, self.table, self.bucket, self.counts, tuning, at_once, self._ask, self._tell
         )
-        self._standings: dict[str, Standing] = {}
+        self._standings: dict[str, ApplyStatus] = {}
         self._in_force: dict[str, Document] = {}
         self._judging: dict[str, Document] = {}  # handed out and not answered yet
         self._counter = 0
         self._closed = False
-        self._clock, self._due = Clock(now, tuning.late_ms), now
+        self._clock, self._due = MonotonicClock(now, tuning.suspend_threshold_ms), now
         self._out = Output()
         for document in kept:
             if interest.wants(document.head.scope) and self.table.put(document):
                 self._in_force[document.head.scope] = document
-                self._stand(document.head, State.IN_FORCE if judged else State.HELD, "")
+                self._stand(document.head, ApplyState.IN_FORCE if judged else ApplyState.HELD, "")
         self._due = self._next()
 
     # ------------------------------------------------------------ how it stands
@@ -112,7 +122,7 @@
         """The last good document of a scope."""
         return self._in_force.get(scope)
 
-    def standings(self) -> list[Standing]:
+    def standings(self) -> list[ApplyStatus]:
         """How this process stands to each document, from the widest scope."""
         return [self._standings[scope] for scope in order(self._standings)]
 
@@ -133,8 +143,8 @@
         found = self._watches.links.get(link)
         if found is not None and not found.open:
             self._watches.opened(found, now)
-            found.beat_at = now + self.tuning.beat_ms * (0.5 + 0.5 * self._rng.random())
-            found.vector_at, found.vector_wait = now + self.tuning.vector_ms, self.tuning.vector_ms
+            found.beat_at = now + self.tuning.heartbeat_ms * (0.5 + 0.5 * self._rng.random())
+            found.vector_at, found.vector_wait = now + self.tuning.resync_ms, self.tuning.resync_ms
             self._hello(found, now)
         self._after(now)
 
@@ -158,7 +168,7 @@
                 self._handle(found, message, now, size)
         self._after(now)
 
-    def handle(self, link: int, message: Message | Foreign, now: float, size: int = 0) -> None:
+    def handle(self, link: int, message: Message | FrameError, now: float, size: int = 0) -> None:
         """One message, or why there is none; `received` does the same.  size: bytes of its frame."""
         now = self._enter(now)
         found = self._watches.links.get(link)
@@ -173,8 +183,8 @@
             if now >= self._watches.deadline(link):
                 self._drop(link, now, "silent" if link.greeted else "no answer")
             elif now >= link.beat_at:
-                link.beat_at = now + self.tuning.beat_ms * (0.9 + 0.1 * self._rng.random())
-                self._send(link, Beat(self.table.digest(self.interest)), now)
+                link.beat_at = now + self.tuning.heartbeat_ms * (0.9 + 0.1 * self._rng.random())
+                self._send(link, Heartbeat(self.table.digest(self.interest)), now)
         self._after(now)
 
     def next_at(self) -> float:
@@ -194,7 +204,7 @@
         now = self._enter(now)
         for link in list(self._watches.links.values()):
             if link.open:
-                self._send(link, Bye(why), now)
+                self._send(link, Goodbye(why), now)
             self._drop(link, now, why)
         self._closed = True
 
@@ -213,11 +223,11 @@
         if not self._closed:
             surplus = self._watches.surplus()
             if surplus is not None:
-                self._send(surplus, Bye("a nearer one is watched"), now)
+                self._send(surplus, Goodbye("a nearer one is watched"), now)
                 self._drop(surplus, now, "a nearer one is watched", failed=False)
             for link in self._watches.dial(now):
                 self.counts["dials"] += 1
-                self._out.dials.append(Dial(link.number, link.place.server.address))
+                self._out.dials.append(ConnectRequest(link.number, link.place.server.address))
             self._fetches.tick(now)
             while self._fetches.hopeless:
                 self._drop(self._fetches.hopeless.pop(), now, "it holds back what was asked")
@@ -226,27 +236,29 @@
 
     # ------------------------------------------------------------ links
 
-    def _send(self, link: Link, message: Message, now: float) -> None:
+    def _send(self, link: UpstreamConnection, message: Message, now: float) -> None:
         frame = encode(message, self._tag)
         self.counts["bytes_out"] += len(frame)
-        if not isinstance(message, Fetch):  # paid when it was decided upon
+        if not isinstance(message, FetchRequest):  # paid when it was decided upon
             self.bucket.spend(len(frame) + HEADERS, now)
         self._out.sends.append((link.number, frame))
 
-    def _ask(self, link: Link, fetch: Fetch) -> None:
+    def _ask(self, link: UpstreamConnection, fetch: FetchRequest) -> None:
         self._send(link, fetch, self._clock.now)
 
     def _tell(self, kind: str, at: float, values: dict[str, object]) -> None:
-        self._out.events.append(Event(kind, at, values))
+        self._out.events.append(FeedEvent(kind, at, values))
 
-    def _hello(self, link: Link, now: float) -> None:
+    def _hello(self, link: UpstreamConnection, now: float) -> None:
         interest = self.interest
         vector = tuple(head.mark for head in self.table.heads(interest))
         who = self.name, self._role, self._region, self._zone, interest.service, interest.everything
         hello = Hello(*who, birth=self._birth, vector=vector)
         self._send(link, hello, now)
 
-    def _drop(self, link: Link, now: float, why: str, hang_up: bool = True, failed: bool = True) -> None:
+    def _drop(
+        self, link: UpstreamConnection, now: float, why: str, hang_up: bool = True, failed: bool = True
+    ) -> None:
         self._watches.drop(link, now, failed)
         self._fetches.gone(link, now)
         self.counts["lost" if link.greeted else "unreached"] += 1
@@ -254,42 +266,42 @@
             self._out.hangups.append(link.number)
         self._tell("lost", now, {"server": link.place.server.address, "why": why})
 
-    def _handle(self, link: Link, message: Message | Foreign, now: float, size: int) -> None:
-        if isinstance(message, Foreign):
+    def _handle(self, link: UpstreamConnection, message: Message | FrameError, now: float, size: int) -> None:
+        if isinstance(message, FrameError):
             self._foreign(link, message, now)
             return
         link.heard = now
-        if not isinstance(message, Body):  # paid when it was asked for
+        if not isinstance(message, BodyChunk):  # paid when it was asked for
             self.bucket.spend(size + HEADERS, now)
         match message:
             case Hello():
                 self._greeted(link, message, now)
-            case Heads(heads):
+            case DocumentHeaders(heads):
                 for head in heads:
                     self._offered(link, head, now)
-            case Body():
+            case BodyChunk():
                 document = self._fetches.piece(link, message, now)
                 if document is not None:
                     self._whole(link, document, now)
-            case Absent(mark, why):
+            case BodyUnavailable(mark, why):
                 self.counts["absent_" + ("busy" if why == "busy" else "gone")] += 1
                 self._fetches.absent(link, mark, why == "busy", now)
-            case Beat(digest):
+            case Heartbeat(digest):
                 self._compare(link, digest, now)
-            case Bye(why):
+            case Goodbye(why):
                 self._drop(link, now, f"bye: {why}")
             case _:
                 self.counts["dropped_unexpected"] += 1
 
-    def _foreign(self, link: Link, error: Foreign, now: float) -> None:
+    def _foreign(self, link: UpstreamConnection, error: FrameError, now: float) -> None:
         """A damaged frame is left out, as what it told comes again; after too many the link is given up."""
         self.counts[f"dropped_{error.kind}"] += 1
         self._tell("dropped", now, {"what": error.kind, "server": link.name, "why": str(error)})
         link.damaged += 1
-        if error.fatal or link.damaged >= self.tuning.damaged:
+        if error.fatal or link.damaged >= self.tuning.max_damaged_frames:
             self._drop(link, now, str(error))
 
-    def _greeted(self, link: Link, hello: Hello, now: float) -> None:
+    def _greeted(self, link: UpstreamConnection, hello: Hello, now: float) -> None:
         if hello.birth == self._birth and hello.name == self.name:
             link.place.failures = 16  # its own hub
             self._drop(link, now, "this process itself")
@@ -300,23 +312,23 @@
             if self._standings:
                 self._send(link, self._report(self.standings()), now)
 
-    def _compare(self, link: Link, digest: int, now: float) -> None:
+    def _compare(self, link: UpstreamConnection, digest: int, now: float) -> None:
         """Digests that go on differing: one of the two lacks something.  Ask less and less often.
 
         That they differ once is news that is on its way.
         """
         differed, link.differs = link.differs, digest != self.table.digest(self.interest)
         if not link.differs:
-            link.vector_wait = self.tuning.vector_ms
+            link.vector_wait = self.tuning.resync_ms
         elif differed and now >= link.vector_at and not any(s in self._fetches.wants for s in link.offers):
             link.vector_at = now + link.vector_wait
-            link.vector_wait = min(2.0 * link.vector_wait, self.tuning.vector_most_ms)
+            link.vector_wait = min(2.0 * link.vector_wait, self.tuning.max_resync_ms)
             self.counts["vectors"] += 1
             self._hello(link, now)
 
     # ------------------------------------------------------------ documents
 
-    def _offered(self, link: Link, head: Head, now: float) -> None:
+    def _offered(self, link: UpstreamConnection, head: DocumentHeader, now: float) -> None:
         if not self.interest.wants(head.scope):
             self.counts["dropped_unwanted"] += 1
             return
@@ -324,7 +336,7 @@
         if conflict is not None:
             self._conflict(conflict, now)
         if self._fetches.offered(link, head, now):
-            link.vector_wait = self.tuning.vector_ms
+            link.vector_wait = self.tuning.resync_ms
 
     def _conflict(self, conflict: Conflict, now: float) -> None:
         self.counts["conflicts"] += 1
@@ -341,7 +353,7 @@
             },
         )
 
-    def _whole(self, link: Link, document: Document, now: float) -> None:
+    def _whole(self, link: UpstreamConnection, document: Document, now: float) -> None:
         head = document.head
         try:
             taken = self.table.put(document)
@@ -356,13 +368,13 @@
         self._tell("whole", now, {"scope": head.scope, "version": head.version, "server": link.name})
         if not self._judged:
             self._out.apply.append(document)
-            self._stand(head, State.HELD, "")
+            self._stand(head, ApplyState.HELD, "")
             self._report_all(head.scope, now)
         elif head.scope not in self._judging:
             self._judging[head.scope] = document
             self._out.apply.append(document)
 
-    def applied(self, scope: str, head: Head, refused: str, now: float) -> None:
+    def applied(self, scope: str, head: DocumentHeader, refused: str, now: float) -> None:
         """The answer to a document handed out: in force where `refused` is "", else why not, in one line."""
         now = self._enter(now)
         document = self._judging.get(scope)
@@ -373,7 +385,7 @@
             self.counts["refused"] += 1
         else:
             self._in_force[scope] = document
-        self._stand(head, State.REFUSED if refused else State.IN_FORCE, shorten(refused))
+        self._stand(head, ApplyState.REFUSED if refused else ApplyState.IN_FORCE, shorten(refused))
         self._tell("standing", now, {"scope": scope, "version": head.version, "refused": shorten(refused)})
         newest = self.table.get(scope)
         if newest is not None and newest.head.rank > head.rank:  # came meanwhile
@@ -382,8 +394,8 @@
         self._report_all(scope, now)
         self._after(now)
 
-    def _stand(self, head: Head, state: State, why: str) -> None:
-        self._standings[head.scope] = Standing(head.mark, state, why)
+    def _stand(self, head: DocumentHeader, state: ApplyState, why: str) -> None:
+        self._standings[head.scope] = ApplyStatus(head.mark, state, why)
         self._counter += 1
 
     def _report_all(self, scope: str, now: float) -> None:
@@ -392,5 +404,5 @@
             if link.greeted:
                 self._send(link, report, now)
 
-    def _report(self, standings: list[Standing]) -> Report:
-        return Report(self.name, self._birth, self._counter, tuple(standings))
+    def _report(self, standings: list[ApplyStatus]) -> ApplyReport:
+        return ApplyReport(self.name, self._birth, self._counter, tuple(standings))
--- a/crowpost/config_feed/follower_status.py
+++ b/crowpost/config_feed/follower_status.py
@@ -6,34 +6,34 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from crowpost.config_feed.document_table import Table
-from crowpost.config_feed.documents import Head, Standing
-from crowpost.config_feed.messages import Hello, Report
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import ApplyStatus, DocumentHeader
+from crowpost.config_feed.messages import ApplyReport, Hello
 
 
 @dataclass(slots=True)
-class Told:
+class FollowerRecord:
     """What a follower said of itself; times in ms of the hub's clock."""
 
     hello: Hello
     heard: float
     link: int | None
     counter: int = 0
-    rows: dict[str, tuple[Standing, float]] = field(default_factory=dict)  # and since when
+    rows: dict[str, tuple[ApplyStatus, float]] = field(default_factory=dict)  # and since when
 
 
-class Wall:
+class FollowerStatusTable:
     """The standings of many followers, bounded: those gone longest are forgotten first."""
 
     def __init__(self, most: int) -> None:
         self._most = most
-        self.told: dict[str, Told] = {}
+        self.told: dict[str, FollowerRecord] = {}
 
     def linked(self, hello: Hello, link: int, now: float) -> None:
         """A follower is here, for the first time or again."""
         told = self.told.pop(hello.name, None)
         if told is None or told.hello.birth != hello.birth:
-            told = Told(hello, now, link)
+            told = FollowerRecord(hello, now, link)
         told.hello, told.link, told.heard = hello, link, now
         self.told[hello.name] = told
         if len(self.told) > self._most:
@@ -53,7 +53,7 @@
         if told is not None:
             told.heard = now
 
-    def report(self, report: Report, now: float) -> None:
+    def report(self, report: ApplyReport, now: float) -> None:
         """How it stands; a report that is older than the last one, or another process's, is left out."""
         told = self.told.get(report.name)
         if told is None or told.hello.birth != report.birth or report.counter < told.counter:
@@ -65,7 +65,7 @@
             told.rows[standing.mark.scope] = standing, since
 
 
-def _head_map(head: Head) -> dict[str, Any]:
+def _head_map(head: DocumentHeader) -> dict[str, Any]:
     return {
         "scope": head.scope,
         "era": head.era,
@@ -79,7 +79,11 @@
 
 
 def hub_status(
-    who: tuple[str, str, str, str], table: Table, wall: Wall, counts: Mapping[str, int], now: float
+    who: tuple[str, str, str, str],
+    table: DocumentTable,
+    wall: FollowerStatusTable,
+    counts: Mapping[str, int],
+    now: float,
 ) -> dict[str, Any]:
     """A hub's answer, of plain values.  who: its name, role, region and zone."""
     name, role, region, zone = who
--- a/crowpost/config_feed/frames.py
+++ b/crowpost/config_feed/frames.py
@@ -19,28 +19,28 @@
     REASON_BYTES,
     WHY_BYTES,
     WIRE,
+    ApplyState,
+    ApplyStatus,
+    DocumentHeader,
     FeedError,
-    Head,
-    Mark,
-    Standing,
-    State,
+    VersionKey,
     split_scope,
 )
 from crowpost.config_feed.messages import (
-    Absent,
-    AskStatus,
-    Beat,
-    Body,
-    Bye,
-    Fetch,
-    Heads,
+    ApplyReport,
+    BodyChunk,
+    BodyUnavailable,
+    DocumentHeaders,
+    FetchRequest,
+    Goodbye,
+    Heartbeat,
     Hello,
     Message,
-    Publish,
-    Published,
-    Refused,
-    Report,
-    Status,
+    PublishAccepted,
+    PublishRejected,
+    PublishRequest,
+    StatusRequest,
+    StatusResponse,
 )
 
 MAGIC = b"CF"
@@ -53,7 +53,7 @@
 _WORD = 2**63
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """What a message is."""
 
     HELLO = 1
@@ -71,7 +71,7 @@
     BYE = 13
 
 
-class Foreign(FeedError):  # noqa: N818 - named for what it says
+class FrameError(FeedError):  # noqa: N818 - named for what it says
     """Bytes that are no message of this cluster; `kind` says in a word why, for the counts.
 
     kinds: magic, wire, cluster, oversized, checksum, kind, malformed.  After the first four the stream cannot
@@ -87,7 +87,7 @@
 T = TypeVar("T")
 
 
-def tag(cluster: str) -> int:
+def cluster_tag(cluster: str) -> int:
     """The cluster's name in a head."""
     return int(google_crc32c.value(cluster.encode()))
 
@@ -95,11 +95,11 @@
 # ---------------------------------------------------------------- rows
 
 
-def _mark_row(m: Mark) -> list[Any]:
+def _mark_row(m: VersionKey) -> list[Any]:
     return [m.scope, m.era, m.version, m.digest]
 
 
-def _head_row(h: Head) -> list[Any]:
+def _head_row(h: DocumentHeader) -> list[Any]:
     return [h.scope, h.era, h.version, h.digest, h.size, h.author, h.reason, h.writer]
 
 
@@ -107,46 +107,46 @@
     match message:
         case Hello(name, role, region, zone, service, everything, birth, vector):
             return [name, role, region, zone, service, everything, birth, [_mark_row(m) for m in vector]]
-        case Heads(heads):
+        case DocumentHeaders(heads):
             return [[_head_row(h) for h in heads]]
-        case Fetch(mark, offset, length):
+        case FetchRequest(mark, offset, length):
             return [_mark_row(mark), offset, length]
-        case Body(mark, offset, data):
+        case BodyChunk(mark, offset, data):
             return [_mark_row(mark), offset, data]
-        case Absent(mark, why):
+        case BodyUnavailable(mark, why):
             return [_mark_row(mark), why]
-        case Beat(digest):
+        case Heartbeat(digest):
             return [digest]
-        case Report(name, birth, counter, standings):
+        case ApplyReport(name, birth, counter, standings):
             return [name, birth, counter, [[_mark_row(s.mark), str(s.state), s.why] for s in standings]]
-        case AskStatus(number):
+        case StatusRequest(number):
             return [number]
-        case Status(number, value):
+        case StatusResponse(number, value):
             return [number, value]
-        case Publish(number, scope, body, author, reason, region, if_version, back):
+        case PublishRequest(number, scope, body, author, reason, region, if_version, back):
             return [number, scope, body, author, reason, region, if_version, back]
-        case Published(number, head):
+        case PublishAccepted(number, head):
             return [number, _head_row(head)]
-        case Refused(number, why):
+        case PublishRejected(number, why):
             return [number, why]
-        case Bye(why):
+        case Goodbye(why):
             return [why]
 
 
-_KINDS: dict[type[Any], Kind] = {
-    Hello: Kind.HELLO,
-    Heads: Kind.HEADS,
-    Fetch: Kind.FETCH,
-    Body: Kind.BODY,
-    Absent: Kind.ABSENT,
-    Beat: Kind.BEAT,
-    Report: Kind.REPORT,
-    AskStatus: Kind.ASK_STATUS,
-    Status: Kind.STATUS,
-    Publish: Kind.PUBLISH,
-    Published: Kind.PUBLISHED,
-    Refused: Kind.REFUSED,
-    Bye: Kind.BYE,
+_KINDS: dict[type[Any], MessageKind] = {
+    Hello: MessageKind.HELLO,
+    DocumentHeaders: MessageKind.HEADS,
+    FetchRequest: MessageKind.FETCH,
+    BodyChunk: MessageKind.BODY,
+    BodyUnavailable: MessageKind.ABSENT,
+    Heartbeat: MessageKind.BEAT,
+    ApplyReport: MessageKind.REPORT,
+    StatusRequest: MessageKind.ASK_STATUS,
+    StatusResponse: MessageKind.STATUS,
+    PublishRequest: MessageKind.PUBLISH,
+    PublishAccepted: MessageKind.PUBLISHED,
+    PublishRejected: MessageKind.REFUSED,
+    Goodbye: MessageKind.BYE,
 }
 
 
@@ -163,39 +163,39 @@
 
 def _text(value: Any, most: int = NAME_BYTES) -> str:
     if not isinstance(value, str) or len(value.encode()) > most:
-        raise Foreign("malformed", "a text of another type or beyond its bounds")
+        raise FrameError("malformed", "a text of another type or beyond its bounds")
     return value
 
 
 def _whole(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < _WORD:
-        raise Foreign("malformed", "a number of another type or beyond its bounds")
+        raise FrameError("malformed", "a number of another type or beyond its bounds")
     return value
 
 
 def _bytes(value: Any, most: int) -> bytes:
     if not isinstance(value, bytes) or len(value) > most:
-        raise Foreign("malformed", "bytes of another type or beyond their bounds")
+        raise FrameError("malformed", "bytes of another type or beyond their bounds")
     return value
 
 
 def _list(value: Any, read: Callable[[Any], T]) -> tuple[T, ...]:
     if not isinstance(value, list):
-        raise Foreign("malformed", "a list of another type")
+        raise FrameError("malformed", "a list of another type")
     return tuple(read(item) for item in value)
 
 
-def _mark(row: Any) -> Mark:
+def _mark(row: Any) -> VersionKey:
     scope, era, version, digest, *_ = row
     split_scope(_text(scope, 80))
     if len(_bytes(digest, PREFIX)) != PREFIX:
-        raise Foreign("malformed", "a mark with a short digest")
-    return Mark(scope, _whole(era), _whole(version), digest)
+        raise FrameError("malformed", "a mark with a short digest")
+    return VersionKey(scope, _whole(era), _whole(version), digest)
 
 
-def _head(row: Any) -> Head:
+def _head(row: Any) -> DocumentHeader:
     scope, era, version, digest, size, author, reason, writer, *_ = row
-    return Head(
+    return DocumentHeader(
         _text(scope, 80),
         _whole(era),
         _whole(version),
@@ -207,14 +207,14 @@
     )
 
 
-def _standing(row: Any) -> Standing:
+def _standing(row: Any) -> ApplyStatus:
     mark, state, why, *_ = row
-    return Standing(_mark(mark), State(state), _text(why, WHY_BYTES))
+    return ApplyStatus(_mark(mark), ApplyState(state), _text(why, WHY_BYTES))
 
 
-def _message(kind: Kind, row: Any) -> Message:
+def _message(kind: MessageKind, row: Any) -> Message:
     match kind:
-        case Kind.HELLO:
+        case MessageKind.HELLO:
             name, role, region, zone, service, everything, birth, vector, *_ = row
             return Hello(
                 _text(name),
@@ -226,30 +226,30 @@
                 _whole(birth),
                 _list(vector, _mark),
             )
-        case Kind.HEADS:
-            return Heads(_list(row[0], _head))
-        case Kind.FETCH:
-            return Fetch(_mark(row[0]), _whole(row[1]), _whole(row[2]))
-        case Kind.BODY:
-            return Body(_mark(row[0]), _whole(row[1]), _bytes(row[2], FRAME_BYTES))
-        case Kind.ABSENT:
-            return Absent(_mark(row[0]), _text(row[1]))
-        case Kind.BEAT:
-            return Beat(_whole(row[0]))
-        case Kind.REPORT:
-            return Report(_text(row[0]), _whole(row[1]), _whole(row[2]), _list(row[3], _standing))
-        case Kind.ASK_STATUS:
-            return AskStatus(_whole(row[0]))
-        case Kind.STATUS:
+        case MessageKind.HEADS:
+            return DocumentHeaders(_list(row[0], _head))
+        case MessageKind.FETCH:
+            return FetchRequest(_mark(row[0]), _whole(row[1]), _whole(row[2]))
+        case MessageKind.BODY:
+            return BodyChunk(_mark(row[0]), _whole(row[1]), _bytes(row[2], FRAME_BYTES))
+        case MessageKind.ABSENT:
+            return BodyUnavailable(_mark(row[0]), _text(row[1]))
+        case MessageKind.BEAT:
+            return Heartbeat(_whole(row[0]))
+        case MessageKind.REPORT:
+            return ApplyReport(_text(row[0]), _whole(row[1]), _whole(row[2]), _list(row[3], _standing))
+        case MessageKind.ASK_STATUS:
+            return StatusRequest(_whole(row[0]))
+        case MessageKind.STATUS:
             if not isinstance(row[1], dict):
-                raise Foreign("malformed", "a status that is no map")
-            return Status(_whole(row[0]), row[1])
-        case Kind.PUBLISH:
+                raise FrameError("malformed", "a status that is no map")
+            return StatusResponse(_whole(row[0]), row[1])
+        case MessageKind.PUBLISH:
             number, scope, body, author, reason, region, if_version, back, *_ = row
             split_scope(_text(scope, 80))
             if if_version != -1:
                 _whole(if_version)
-            return Publish(
+            return PublishRequest(
                 _whole(number),
                 scope,
                 _bytes(body, FRAME_BYTES),
@@ -259,41 +259,41 @@
                 if_version,
                 back is True,
             )
-        case Kind.PUBLISHED:
-            return Published(_whole(row[0]), _head(row[1]))
-        case Kind.REFUSED:
-            return Refused(_whole(row[0]), _text(row[1], 1_000))
-        case Kind.BYE:
-            return Bye(_text(row[0], WHY_BYTES))
+        case MessageKind.PUBLISHED:
+            return PublishAccepted(_whole(row[0]), _head(row[1]))
+        case MessageKind.REFUSED:
+            return PublishRejected(_whole(row[0]), _text(row[1], 1_000))
+        case MessageKind.BYE:
+            return Goodbye(_text(row[0], WHY_BYTES))
 
 
 def decode(frame: bytes, cluster: int | None) -> Message:
     """The message of a frame without its length; Foreign for anything else.  cluster None: of any."""
     if len(frame) < HEAD.size + CRC.size:
-        raise Foreign("malformed", f"a frame of {len(frame)} bytes")
+        raise FrameError("malformed", f"a frame of {len(frame)} bytes")
     magic, wire, kind, named = HEAD.unpack_from(frame)
     if magic != MAGIC:
-        raise Foreign("magic", "bytes of another protocol")
+        raise FrameError("magic", "bytes of another protocol")
     (crc,) = CRC.unpack_from(frame, HEAD.size)
     body = frame[HEAD.size + CRC.size :]
     if google_crc32c.extend(google_crc32c.value(frame[: HEAD.size]), body) != crc:
-        raise Foreign("checksum", "a frame whose checksum is wrong")
+        raise FrameError("checksum", "a frame whose checksum is wrong")
     if abs(wire - WIRE) > 1:
-        raise Foreign("wire", f"wire version {wire}, this process speaks {WIRE}")
+        raise FrameError("wire", f"wire version {wire}, this process speaks {WIRE}")
     if cluster is not None and named != cluster:
-        raise Foreign("cluster", "a message of another cluster")
+        raise FrameError("cluster", "a message of another cluster")
     try:
-        return _message(Kind(kind), msgpack.unpackb(body, max_bin_len=FRAME_BYTES))
-    except Foreign:
+        return _message(MessageKind(kind), msgpack.unpackb(body, max_bin_len=FRAME_BYTES))
+    except FrameError:
         raise
     except FeedError as error:
-        raise Foreign("malformed", str(error)) from None
+        raise FrameError("malformed", str(error)) from None
     except (ValueError, TypeError, IndexError, RecursionError, msgpack.exceptions.UnpackException) as error:
-        kind_word = "kind" if kind not in list(Kind) else "malformed"
-        raise Foreign(kind_word, f"a message that cannot be read: {error}") from None
+        kind_word = "kind" if kind not in list(MessageKind) else "malformed"
+        raise FrameError(kind_word, f"a message that cannot be read: {error}") from None
 
 
-class Reader:
+class FrameReader:
     """A stream of bytes as messages.  most: bytes of a frame; cluster: its tag, None for any."""
 
     def __init__(self, cluster: int | None, most: int = FRAME_BYTES) -> None:
@@ -301,21 +301,21 @@
         self._buffer = bytearray()
         self._broken = False
 
-    def feed(self, data: bytes) -> list[tuple[Message | Foreign, int]]:
+    def feed(self, data: bytes) -> list[tuple[Message | FrameError, int]]:
         """The messages that are whole by now, each with the size of its frame in bytes.
 
         In place of a frame that is none stands why; after one that is `fatal` nothing more is read.
         """
-        found: list[tuple[Message | Foreign, int]] = []
+        found: list[tuple[Message | FrameError, int]] = []
         if self._broken:
             return found
         self._buffer += data
         at = 0
         while len(self._buffer) - at >= LENGTH.size:
             (size,) = LENGTH.unpack_from(self._buffer, at)
-            item: Message | Foreign
+            item: Message | FrameError
             if size > self._most:
-                item = Foreign("oversized", f"a frame of {size} bytes, {self._most} at the most")
+                item = FrameError("oversized", f"a frame of {size} bytes, {self._most} at the most")
                 self._broken = True
                 found.append((item, LENGTH.size))
                 break
@@ -324,11 +324,11 @@
             start = at + LENGTH.size
             try:
                 item = decode(bytes(self._buffer[start : start + size]), self._cluster)
-            except Foreign as error:
+            except FrameError as error:
                 item = error
             found.append((item, LENGTH.size + size))
             at = start + size
-            if isinstance(item, Foreign) and item.fatal:
+            if isinstance(item, FrameError) and item.fatal:
                 self._broken = True
                 break
         del self._buffer[:at]
--- a/crowpost/config_feed/messages.py
+++ b/crowpost/config_feed/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from crowpost.config_feed.documents import Head, Mark, Standing
+from crowpost.config_feed.documents import ApplyStatus, DocumentHeader, VersionKey
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,68 +19,68 @@
     service: str = ""
     everything: bool = False  # it follows all scopes
     birth: int = 0  # random, tells two processes of one name apart
-    vector: tuple[Mark, ...] = ()
+    vector: tuple[VersionKey, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Heads:
+class DocumentHeaders:
     """Documents that the server holds and the follower does not, as far as the server knows."""
 
-    heads: tuple[Head, ...]
+    heads: tuple[DocumentHeader, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class FetchRequest:
     """Send these bytes of a body."""
 
-    mark: Mark
+    mark: VersionKey
     offset: int
     length: int
 
 
 @dataclass(frozen=True, slots=True)
-class Body:
+class BodyChunk:
     """A piece of a body."""
 
-    mark: Mark
+    mark: VersionKey
     offset: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Absent:
+class BodyUnavailable:
     """A fetch that is not answered: the server holds another document by now, or has too much to do."""
 
-    mark: Mark
+    mark: VersionKey
     why: str  # "gone" or "busy"
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """Alive; and the digest of the versions held among those that the follower watches."""
 
     digest: int
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class ApplyReport:
     """How a follower stands to its documents; of two reports of one birth the higher counter is the later."""
 
     name: str
     birth: int
     counter: int
-    standings: tuple[Standing, ...]
+    standings: tuple[ApplyStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class AskStatus:
+class StatusRequest:
     """Tell what is held here, who watches, and how they stand."""
 
     number: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Status:
+class StatusResponse:
     """The answer: a map as `status.py` writes and reads it."""
 
     number: int
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Publish:
+class PublishRequest:
     """Publish a body, or with `back` the body before the one in force, as a new version."""
 
     number: int
@@ -102,15 +102,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class PublishAccepted:
     """Durable: kept through a crash from now on."""
 
     number: int
-    head: Head
+    head: DocumentHeader
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class PublishRejected:
     """A request that is not met, and why, in one line."""
 
     number: int
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bye:
+class Goodbye:
     """An orderly end of the link: no failure of either side."""
 
     why: str = ""
@@ -126,16 +126,16 @@
 
 Message = (
     Hello
-    | Heads
-    | Fetch
-    | Body
-    | Absent
-    | Beat
-    | Report
-    | AskStatus
-    | Status
-    | Publish
-    | Published
-    | Refused
-    | Bye
+    | DocumentHeaders
+    | FetchRequest
+    | BodyChunk
+    | BodyUnavailable
+    | Heartbeat
+    | ApplyReport
+    | StatusRequest
+    | StatusResponse
+    | PublishRequest
+    | PublishAccepted
+    | PublishRejected
+    | Goodbye
 )
--- a/crowpost/config_feed/monotonic_clock.py
+++ b/crowpost/config_feed/monotonic_clock.py
@@ -5,7 +5,7 @@
 ROUNDING_MS = 0.001
 
 
-class Clock:
+class MonotonicClock:
     """Takes the times in ms that a core is given, and makes of them one that never goes back.
 
     Should the clock of the carrier go back, time goes on from where it stood.
--- a/crowpost/config_feed/publication_log.py
+++ b/crowpost/config_feed/publication_log.py
@@ -12,17 +12,17 @@
 
 import msgpack
 
-from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.document_table import DocumentTable
 from crowpost.config_feed.documents import (
     Document,
+    DocumentHeader,
     FeedError,
-    Head,
-    Tuning,
     make_document,
     order,
     split_scope,
 )
-from crowpost.config_feed.messages import Publish
+from crowpost.config_feed.messages import PublishRequest
+from crowpost.config_feed.tuning import Tuning
 
 DOCUMENT, ERA = 1, 2  # kinds of records
 FIRST_ERA = 1
@@ -31,14 +31,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Writers:
+class WriteAuthority:
     """Who writes what: each region's publisher its region and its nodes, the home region's all else."""
 
     name: str  # of this publisher
     home: str
     publishers: Mapping[str, str]  # name by region
 
-    def check(self, scope: str, held: Head | None, region: str) -> None:
+    def check(self, scope: str, held: DocumentHeader | None, region: str) -> None:
         """FeedError that names the right one where this publisher may not write a scope.
 
         held: its document now, whose writer stays that of a node; region: said with a node's first document.
@@ -57,14 +57,18 @@
             raise FeedError(f"{scope} is written by {right}, {why}, and not by {self.name}")
 
 
-class Ledger:
+class PublicationLog:
     """Its documents by scope, each with the one before.
 
     records: of a store, first those of its snapshot; FeedError for any that cannot be read.
     """
 
     def __init__(
-        self, writers: Writers, check: Check, records: Iterable[bytes] = (), tuning: Tuning | None = None
+        self,
+        writers: WriteAuthority,
+        check: Check,
+        records: Iterable[bytes] = (),
+        tuning: Tuning | None = None,
     ) -> None:
         self._writers, self._check, self._tuning = writers, check, tuning or Tuning()
         self.era = FIRST_ERA
@@ -79,7 +83,7 @@
 
     # ------------------------------------------------------------ publishing
 
-    def publish(self, asked: Publish, table: Table) -> tuple[bytes, Document]:
+    def publish(self, asked: PublishRequest, table: DocumentTable) -> tuple[bytes, Document]:
         """The record and the document of a publish; to be told only once the record is kept.
 
         table: all that is in force as far as this process knows.  FeedError, in a line, for what is refused.
@@ -110,13 +114,13 @@
             raise FeedError(f"{scope} has no document before the one in force")
         return self._before[scope].body
 
-    def _check_size(self, scope: str, body: bytes, table: Table) -> None:
+    def _check_size(self, scope: str, body: bytes, table: DocumentTable) -> None:
         """Room must be there before the record is: what is acknowledged is also told."""
         tuning, held = self._tuning, {**table.documents, **self._now}
-        if len(body) > tuning.document_bytes:
-            raise FeedError(f"{scope}: {len(body)} bytes, {tuning.document_bytes} at the most")
+        if len(body) > tuning.max_document_bytes:
+            raise FeedError(f"{scope}: {len(body)} bytes, {tuning.max_document_bytes} at the most")
         total = sum(d.head.size for s, d in held.items() if s != scope) + len(body)
-        if total > tuning.table_bytes or len(held.keys() | {scope}) > tuning.documents:
+        if total > tuning.max_table_bytes or len(held.keys() | {scope}) > tuning.max_documents:
             raise FeedError(f"{scope}: all documents together would be {total} bytes in {len(held)} scopes")
 
     # ------------------------------------------------------------ after a restore
@@ -175,7 +179,7 @@
                 return
             if kind != DOCUMENT:
                 raise FeedError(f"a record of kind {kind!r}: a newer version has been here")
-            document = Document(Head(*row[0]), row[1])
+            document = Document(DocumentHeader(*row[0]), row[1])
         except FeedError:
             raise
         except (ValueError, TypeError, msgpack.exceptions.UnpackException) as error:
--- a/crowpost/config_feed/publisher.py
+++ b/crowpost/config_feed/publisher.py
@@ -7,9 +7,9 @@
 
 from crowpost.config_feed.configuration import FeedConfig
 from crowpost.config_feed.documents import Document, FeedError
-from crowpost.config_feed.messages import Publish, Published, Refused
-from crowpost.config_feed.publication_log import Check, Ledger, Writers
-from crowpost.config_feed.transport import Carrier
+from crowpost.config_feed.messages import PublishAccepted, PublishRejected, PublishRequest
+from crowpost.config_feed.publication_log import Check, PublicationLog, WriteAuthority
+from crowpost.config_feed.transport import FeedTransport
 from crowpost.store.carrier import Keeper, Opened, open_locked
 from crowpost.store.core import Pace
 from crowpost.store.model import Durability, StoreError
@@ -27,16 +27,16 @@
         self._config, self._restored = config, restored
         opened = self._open()
         try:
-            writers = Writers(config.name, config.home, config.publishers)
+            writers = WriteAuthority(config.name, config.home, config.publishers)
             records = [*opened.found.snapshot, *(r.payload for r in opened.found.records)]
-            self.ledger = Ledger(writers, check, records, config.tuning)
+            self.ledger = PublicationLog(writers, check, records, config.tuning)
         except FeedError as error:
             opened.disk.close()
             raise FeedError(f"feed.directory: {config.directory}: {error}") from None
         self._keeper = Keeper(opened, Pace(bytes_per_s=BYTES_PER_S))
         self._logged = 0  # bytes of the log as of the last snapshot
         self._work: set[asyncio.Task[None]] = set()
-        self.carrier = Carrier(config, self._document, on_publish=self._publish)
+        self.carrier = FeedTransport(config, self._document, on_publish=self._publish)
 
     def _open(self) -> Opened:
         config = self._config
@@ -58,7 +58,7 @@
 
     # ------------------------------------------------------------ what is asked
 
-    def _publish(self, link: int, asked: Publish) -> None:
+    def _publish(self, link: int, asked: PublishRequest) -> None:
         try:
             self._writable()
             record, document = self.ledger.publish(asked, self.carrier.follower.table)
@@ -70,7 +70,7 @@
         self._work.add(work)
         work.add_done_callback(self._work.discard)
 
-    async def _keep(self, link: int, asked: Publish, document: Document, sequence: int) -> None:
+    async def _keep(self, link: int, asked: PublishRequest, document: Document, sequence: int) -> None:
         head = document.head
         try:
             await self._keeper.kept(sequence)
@@ -92,12 +92,12 @@
             self.carrier.announce(document)
         except FeedError as error:
             self.carrier.tell("unheld", scope=head.scope, version=head.version, why=str(error))
-        self.carrier.answer(link, Published(asked.number, head))
+        self.carrier.answer(link, PublishAccepted(asked.number, head))
         self._compact()
 
-    def _refuse(self, link: int, asked: Publish, why: str) -> None:
+    def _refuse(self, link: int, asked: PublishRequest, why: str) -> None:
         self.carrier.tell("refused", scope=asked.scope, author=asked.author, why=why)
-        self.carrier.answer(link, Refused(asked.number, why[:900]))
+        self.carrier.answer(link, PublishRejected(asked.number, why[:900]))
 
     def _document(self, document: Document) -> None:
         """The other publisher's, or one of this one's own that its state no longer knows of."""
--- a/crowpost/config_feed/token_bucket.py
+++ b/crowpost/config_feed/token_bucket.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Bucket:
+class TokenBucket:
     """So many bytes a second, and so many saved up at the most; it begins full.  Times in ms.
 
     owed: bytes that are paid and yet to come.  They count as saved up: so no stretch of time ever sees more
--- a/crowpost/config_feed/transport.py
+++ b/crowpost/config_feed/transport.py
@@ -14,8 +14,8 @@
 from crowpost.config_feed import follower as watching
 from crowpost.config_feed import frames, messages
 from crowpost.config_feed.configuration import FeedConfig, split_address
-from crowpost.config_feed.document_table import Table
-from crowpost.config_feed.documents import Document, FeedError, Head
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import Document, DocumentHeader, FeedError
 
 log = logging.getLogger(__name__)
 
@@ -23,10 +23,10 @@
 FLUSH_S = 5.0  # for what was sent to be out, once a link is to be closed
 FAREWELL_S = 0.5  # for all links together, at an orderly end
 
-Requested = Callable[[int, messages.Publish], None]
+Requested = Callable[[int, messages.PublishRequest], None]
 
 
-class Carrier:
+class FeedTransport:
     """One process of the feed on the running loop.
 
     A node has no hub; a relay or publisher, which listens, has both with one table.
@@ -53,11 +53,11 @@
         self._timer_at = float("inf")
         self._working = False
         self._closed = False
-        table = Table(config.tuning)
+        table = DocumentTable(config.tuning)
         self.follower = self._watch(table, kept)
         self.hub = self._serve(table) if config.listen else None
 
-    def _watch(self, table: Table, kept: Iterable[Document]) -> watching.Follower:
+    def _watch(self, table: DocumentTable, kept: Iterable[Document]) -> watching.Follower:
         config = self._config
         return watching.Follower(
             config.cluster,
@@ -76,9 +76,9 @@
             kept=kept,
         )
 
-    def _serve(self, table: Table) -> serving.Hub:
+    def _serve(self, table: DocumentTable) -> serving.DistributionServer:
         config = self._config
-        return serving.Hub(
+        return serving.DistributionServer(
             config.cluster,
             config.name,
             role=config.role,
@@ -109,7 +109,7 @@
 
     # ------------------------------------------------------------ what the cores are told
 
-    def applied(self, head: Head, refused: str) -> None:
+    def applied(self, head: DocumentHeader, refused: str) -> None:
         """A node's answer to a document: in force where `refused` is empty, else why not, in one line."""
         self.follower.applied(head.scope, head, refused, self.now())
         self._after()
@@ -284,7 +284,7 @@
 class _Link(asyncio.Protocol):
     """One connection, by its number among those of its side."""
 
-    def __init__(self, carrier: Carrier, number: int, links: dict[int, _Link], *, up: bool) -> None:
+    def __init__(self, carrier: FeedTransport, number: int, links: dict[int, _Link], *, up: bool) -> None:
         self._carrier, self.number, self._links, self.up = carrier, number, links, up
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -337,7 +337,7 @@
         async with asyncio.timeout(within_s):
             reader, writer = await asyncio.open_connection(*split_address(address))
             try:
-                writer.write(frames.encode(message, frames.tag(cluster)))
+                writer.write(frames.encode(message, frames.cluster_tag(cluster)))
                 return await _answer(address, reader, type(message))
             finally:
                 writer.close()
@@ -348,14 +348,18 @@
 
 
 async def _answer(address: str, reader: asyncio.StreamReader, asked: type[Any]) -> messages.Message:
-    stream = frames.Reader(None)
-    wanted = (messages.Status,) if asked is messages.AskStatus else (messages.Published, messages.Refused)
+    stream = frames.FrameReader(None)
+    wanted = (
+        (messages.StatusResponse,)
+        if asked is messages.StatusRequest
+        else (messages.PublishAccepted, messages.PublishRejected)
+    )
     while data := await reader.read(1 << 16):
         for item, _ in stream.feed(data):
-            if isinstance(item, frames.Foreign):
+            if isinstance(item, frames.FrameError):
                 raise FeedError(f"{address}: {item}")
             if isinstance(item, wanted):
                 return item
-            if isinstance(item, messages.Bye):
+            if isinstance(item, messages.Goodbye):
                 raise FeedError(f"{address}: {item.why}")
     raise FeedError(f"{address}: closed without an answer")
--- a/crowpost/config_feed/upstream_connections.py
+++ b/crowpost/config_feed/upstream_connections.py
@@ -7,31 +7,32 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.config_feed.documents import Head, Server, Tuning
-from crowpost.config_feed.frames import Reader
+from crowpost.config_feed.documents import DocumentHeader, UpstreamServer
+from crowpost.config_feed.frames import FrameReader
+from crowpost.config_feed.tuning import Tuning
 
 STEADY_MS = 10_000.0  # a link that held for so long is forgiven earlier failures
 FRAME_BYTES = 131_072  # that a server may send in one frame: heads or a piece of a body
 
 
 @dataclass(slots=True, eq=False)
-class Place:
+class UpstreamState:
     """A server and how it fared; `nearness` sorts the better ones first."""
 
-    server: Server
+    server: UpstreamServer
     nearness: tuple[int, int, float]  # tier, distance, and a throw that spreads followers over equals
     failures: int = 0
     not_before: float = -math.inf
 
 
 @dataclass(slots=True, eq=False)
-class Link:
+class UpstreamConnection:
     """A watch; times in ms."""
 
     number: int
-    place: Place
+    place: UpstreamState
     since: float  # dialled or opened
-    reader: Reader
+    reader: FrameReader
     open: bool = False
     greeted: bool = False  # the server has said who it is
     name: str = ""
@@ -42,16 +43,18 @@
     vector_at: float = -math.inf  # not before then is the vector sent again
     vector_wait: float = 0.0
     differs: bool = False  # its digest did, at its last beat
-    offers: dict[str, Head] = field(default_factory=dict)  # what it told of that is not held here yet
-    bad: dict[str, Head] = field(default_factory=dict)  # heads whose body it could not give
+    offers: dict[str, DocumentHeader] = field(
+        default_factory=dict
+    )  # what it told of that is not held here yet
+    bad: dict[str, DocumentHeader] = field(default_factory=dict)  # heads whose body it could not give
 
 
-class Watches:
+class UpstreamConnections:
     """The links of a follower.  It decides whom to dial and whom to leave; it sends nothing itself."""
 
     def __init__(
         self,
-        servers: Iterable[Server],
+        servers: Iterable[UpstreamServer],
         region: str,
         zone: str,
         rng: Random,
@@ -60,22 +63,22 @@
         now: float,
     ) -> None:
         self._rng, self._cluster, self._tuning = rng, cluster, tuning
-        self.links: dict[int, Link] = {}
+        self.links: dict[int, UpstreamConnection] = {}
         self._number = 0
-        self.places = [Place(s, (s.tier, _distance(s, region, zone), rng.random())) for s in servers]
+        self.places = [UpstreamState(s, (s.tier, _distance(s, region, zone), rng.random())) for s in servers]
         self.places.sort(key=lambda place: place.nearness)
-        self._planned: tuple[list[Place], int] | None = None
+        self._planned: tuple[list[UpstreamState], int] | None = None
         self._dial_due = math.inf
         self._dial_at = now + rng.random() * tuning.backoff_ms  # a fleet that starts at once
 
-    def open_links(self) -> list[Link]:
+    def open_links(self) -> list[UpstreamConnection]:
         """The links that are up, the nearest first."""
         found = [link for link in self.links.values() if link.open]
         if len(found) > 1:
             found.sort(key=lambda link: link.place.nearness)
         return found
 
-    def _plan(self) -> tuple[list[Place], int]:
+    def _plan(self) -> tuple[list[UpstreamState], int]:
         """Servers that may be dialled, and how many of them: those lacking, or one that is nearer.
 
         It is worked out anew only after a link came or went, as it is asked after every message.
@@ -83,7 +86,7 @@
         if self._planned is None:
             taken = {id(link.place) for link in self.links.values()}
             free = [place for place in self.places if id(place) not in taken]
-            lacking = self._tuning.watches - len(self.links)
+            lacking = self._tuning.upstream_connections - len(self.links)
             if lacking <= 0:
                 lacking = 1
                 if all(link.open for link in self.links.values()):  # one at a time
@@ -95,12 +98,12 @@
             self._planned = free, lacking
         return self._planned
 
-    def opened(self, link: Link, now: float) -> None:
+    def opened(self, link: UpstreamConnection, now: float) -> None:
         """A dialled link is up."""
         link.open, link.since, link.heard = True, now, now
         self._planned = None
 
-    def dial(self, now: float) -> list[Link]:
+    def dial(self, now: float) -> list[UpstreamConnection]:
         """Links to dial now."""
         places, lacking = self._plan()
         if now < self._dial_due:
@@ -108,20 +111,20 @@
         made = []
         for place in [p for p in places if p.not_before <= now][:lacking]:
             self._number += 1
-            reader = Reader(self._cluster, FRAME_BYTES)
-            link = self.links[self._number] = Link(self._number, place, now, reader, heard=now)
+            reader = FrameReader(self._cluster, FRAME_BYTES)
+            link = self.links[self._number] = UpstreamConnection(self._number, place, now, reader, heard=now)
             made.append(link)
             self._planned = None
         return made
 
-    def surplus(self) -> Link | None:
+    def surplus(self) -> UpstreamConnection | None:
         """The farthest link, once a nearer one has greeted and there is one too many."""
-        if len(self.links) <= self._tuning.watches:
+        if len(self.links) <= self._tuning.upstream_connections:
             return None
         greeted = [link for link in self.open_links() if link.greeted]
-        return greeted[-1] if len(greeted) > self._tuning.watches else None
+        return greeted[-1] if len(greeted) > self._tuning.upstream_connections else None
 
-    def drop(self, link: Link, now: float, failed: bool = True) -> None:
+    def drop(self, link: UpstreamConnection, now: float, failed: bool = True) -> None:
         """Forget a link; after a failure its server is let alone for a while.
 
         The others are dialled after a short throw, as a server that dies takes many links with it.
@@ -132,12 +135,12 @@
         if failed:
             steady = link.greeted and now - link.since >= STEADY_MS
             place.failures = 1 if steady else place.failures + 1
-            wait = min(tuning.backoff_most_ms, tuning.backoff_ms * 2.0 ** min(place.failures, 16))
+            wait = min(tuning.max_backoff_ms, tuning.backoff_ms * 2.0 ** min(place.failures, 16))
             place.not_before = now + wait * (0.5 + rng.random())
             spread = tuning.backoff_ms * (4.0 if self.links else 1.0)
             self._dial_at = max(self._dial_at, now + rng.random() * spread)
         else:
-            place.failures, place.not_before = 0, now + tuning.improve_ms * (0.5 + rng.random())
+            place.failures, place.not_before = 0, now + tuning.nearer_server_check_ms * (0.5 + rng.random())
 
     def next_at(self) -> float:
         """When a dial, or the end of a link that says nothing, is due."""
@@ -147,11 +150,11 @@
             due = min(due, self.deadline(link), link.beat_at)
         return due
 
-    def deadline(self, link: Link) -> float:
+    def deadline(self, link: UpstreamConnection) -> float:
         """When a link is given up unless something comes."""
         if not link.greeted:
-            return link.since + self._tuning.dial_ms
-        return link.heard + self._tuning.silent_ms
+            return link.since + self._tuning.connect_timeout_ms
+        return link.heard + self._tuning.server_timeout_ms
 
     def shift(self, by: float) -> None:
         """This process stood still: nobody else is to blame."""
@@ -160,7 +163,7 @@
             link.since += by
 
 
-def _distance(server: Server, region: str, zone: str) -> int:
+def _distance(server: UpstreamServer, region: str, zone: str) -> int:
     if server.region != region:
         return 2
     return 0 if server.zone == zone else 1
--- a/crowpost/lab/feed/gossip_cost.py
+++ b/crowpost/lab/feed/gossip_cost.py
@@ -8,9 +8,9 @@
 
 from typing import Any
 
-from crowpost.config_feed.documents import Standing, State, make_document
+from crowpost.config_feed.documents import ApplyState, ApplyStatus, make_document
 from crowpost.config_feed.frames import encode
-from crowpost.config_feed.messages import Heads, Report
+from crowpost.config_feed.messages import ApplyReport, DocumentHeaders
 from crowpost.members.gossip import Gossip
 from crowpost.members.model import Claim, Phase, Profile, Tuning, Verdict
 
@@ -45,7 +45,7 @@
     head, repeats = drained(1, members, tuning)
     standings, _ = drained(members, members, tuning)
     document = make_document("all", 1, 12, b"x" * BODY, author="ops", reason="a change", writer="p-east")
-    standing = Standing(document.head.mark, State.IN_FORCE)
+    standing = ApplyStatus(document.head.mark, ApplyState.IN_FORCE)
     return {
         "members": members,
         "repeats": repeats,
@@ -54,7 +54,7 @@
         "gossip_body_bytes": round(repeats * BODY),
         "gossip_standings_bytes": standings,
         "gossip_standings_s_at_budget": round(standings / tuning.bytes_per_s),
-        "feed_standing_bytes": 2 * len(encode(Report("node-0001", 2**32 - 1, 12, (standing,)), 0)),
-        "feed_head_bytes": 2 * len(encode(Heads((document.head,)), 0)),
+        "feed_standing_bytes": 2 * len(encode(ApplyReport("node-0001", 2**32 - 1, 12, (standing,)), 0)),
+        "feed_head_bytes": 2 * len(encode(DocumentHeaders((document.head,)), 0)),
         "feed_body_bytes": BODY,
     }
--- a/crowpost/lab/feed/network.py
+++ b/crowpost/lab/feed/network.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class NetworkConditions:
     """The network and the machines; times in ms."""
 
     loss: float = 0.0  # part of the segments that is lost
@@ -38,7 +38,7 @@
 
 
 @dataclass(eq=False)
-class End:
+class ConnectionEnd:
     """One end of a connection.  hear: bytes; close: the other end is gone; full: the socket takes no more."""
 
     name: str
@@ -47,7 +47,7 @@
     hear: Callable[[bytes], None]
     close: Callable[[], None]
     full: Callable[[bool], None]
-    conn: Conn | None = None
+    conn: Connection | None = None
     free_at: float = 0.0
     arrives: float = 0.0  # what was sent last, at the other end
     unread: int = 0  # of what it sent
@@ -57,31 +57,31 @@
 
 
 @dataclass(eq=False)
-class Conn:
+class Connection:
     """A connection between two ends; `held` is what waits for a cut to end."""
 
-    ends: tuple[End, End]
-    held: list[tuple[End, bytes | None]] = field(default_factory=list)
+    ends: tuple[ConnectionEnd, ConnectionEnd]
+    held: list[tuple[ConnectionEnd, bytes | None]] = field(default_factory=list)
 
-    def other(self, end: End) -> End:
+    def other(self, end: ConnectionEnd) -> ConnectionEnd:
         return self.ends[1] if end is self.ends[0] else self.ends[0]
 
 
-class Net:
+class Network:
     """All connections.  damage: part of the sends in which a byte is changed, in spite of TCP's checksum."""
 
-    def __init__(self, engine: Engine, rng: random.Random, weather: Weather) -> None:
+    def __init__(self, engine: Engine, rng: random.Random, weather: NetworkConditions) -> None:
         self.engine, self.rng, self.weather = engine, rng, weather
         self.cuts: dict[tuple[str, str], float] = {}  # pairs of regions, and since when
         self.dark: dict[str, bool] = {}  # machines that neither send nor receive
         self.damage: dict[str, float] = {}  # by sender
         self.sent: dict[str, int] = {}  # bytes with headers, by process
         self.heard: dict[str, int] = {}
-        self._conns: dict[Conn, None] = {}
+        self._conns: dict[Connection, None] = {}
 
     # ------------------------------------------------------------ ways
 
-    def whole(self, a: End, b: End) -> bool:
+    def whole(self, a: ConnectionEnd, b: ConnectionEnd) -> bool:
         """Whether the way from one to the other is whole."""
         if self.dark.get(a.name) or self.dark.get(b.name):
             return False
@@ -99,14 +99,14 @@
             if conn.held:
                 self.engine.after(self.rng.uniform(0.0, most), self._release, conn)
 
-    def _release(self, conn: Conn) -> None:
+    def _release(self, conn: Connection) -> None:
         if not self.whole(*conn.ends):
             return
         held, conn.held = conn.held, []
         for end, data in held:
             self._arrive(conn, end, data)
 
-    def _delay(self, a: End, b: End) -> float:
+    def _delay(self, a: ConnectionEnd, b: ConnectionEnd) -> float:
         w = self.weather
         if a.region != b.region:
             low, high = w.far
@@ -116,7 +116,9 @@
 
     # ------------------------------------------------------------ connections
 
-    def dial(self, a: End, find: Callable[[], End | None], up: Callable[[Conn], None]) -> None:
+    def dial(
+        self, a: ConnectionEnd, find: Callable[[], ConnectionEnd | None], up: Callable[[Connection], None]
+    ) -> None:
         """Connect; find: the listening end, None where nobody listens (refused)."""
         target = find()
         wait, again = 0.0, SYN_MS
@@ -129,7 +131,9 @@
             return  # no answer at all: whoever dials gives up by its own time
         self.engine.after(wait + 2.0 * self._delay(a, target), self._connect, a, find, up)
 
-    def _connect(self, a: End, find: Callable[[], End | None], up: Callable[[Conn], None]) -> None:
+    def _connect(
+        self, a: ConnectionEnd, find: Callable[[], ConnectionEnd | None], up: Callable[[Connection], None]
+    ) -> None:
         b = find()
         if b is None:
             if not a.gone:
@@ -137,12 +141,12 @@
             return
         if a.gone or not self.whole(a, b):
             return
-        conn = Conn((a, b))
+        conn = Connection((a, b))
         a.conn = b.conn = conn
         self._conns[conn] = None
         up(conn)
 
-    def send(self, end: End, data: bytes) -> None:
+    def send(self, end: ConnectionEnd, data: bytes) -> None:
         """Bytes from an end to the other."""
         conn = end.conn
         if conn is None or end.gone:
@@ -170,7 +174,7 @@
             end.full(True)
         self.engine.at(end.arrives, self._arrive, conn, end, data)
 
-    def _arrive(self, conn: Conn, end: End, data: bytes | None) -> None:
+    def _arrive(self, conn: Connection, end: ConnectionEnd, data: bytes | None) -> None:
         other = conn.other(end)
         if conn.held or not self.whole(end, other):
             conn.held.append((end, data))
@@ -188,7 +192,7 @@
         self.heard[other.name] = self.heard.get(other.name, 0) + len(data) + HEADERS * segments
         other.hear(data)
 
-    def read(self, end: End, size: int) -> None:
+    def read(self, end: ConnectionEnd, size: int) -> None:
         """The process at this end has read so many bytes."""
         if end.conn is None:
             return
@@ -198,7 +202,7 @@
             other.is_full = False
             other.full(False)
 
-    def close(self, end: End) -> None:
+    def close(self, end: ConnectionEnd) -> None:
         """An end closes, or its process dies: the other learns it after all that was sent before."""
         if end.gone:
             return
@@ -206,7 +210,7 @@
         if end.conn is not None:
             self._reset(end.conn, end)
 
-    def _reset(self, conn: Conn, end: End) -> None:
+    def _reset(self, conn: Connection, end: ConnectionEnd) -> None:
         other = conn.other(end)
         if other.gone:
             self._conns.pop(conn, None)
--- a/crowpost/lab/feed/process.py
+++ b/crowpost/lab/feed/process.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from crowpost.config_feed.distribution_server import Hub
-from crowpost.config_feed.documents import Document, Head, Server
+from crowpost.config_feed.distribution_server import DistributionServer
+from crowpost.config_feed.documents import Document, DocumentHeader, UpstreamServer
 from crowpost.config_feed.follower import Follower
 from crowpost.lab.engine import Planned
-from crowpost.lab.feed.network import End
+from crowpost.lab.feed.network import ConnectionEnd
 
 
 @dataclass
-class Spec:
+class ProcessSpec:
     """What a process is, over its restarts."""
 
     name: str
@@ -22,14 +22,16 @@
     zone: str
     service: str
     address: str
-    servers: tuple[Server, ...]
+    servers: tuple[UpstreamServer, ...]
     disk: dict[str, Document] = field(default_factory=dict)  # what it finds there after a restart
 
 
 class Process:
     """One life of a process."""
 
-    def __init__(self, spec: Spec, follower: Follower | None, hub: Hub | None, offset: float) -> None:
+    def __init__(
+        self, spec: ProcessSpec, follower: Follower | None, hub: DistributionServer | None, offset: float
+    ) -> None:
         self.spec, self.name = spec, spec.name
         self.follower, self.hub = follower, hub
         self.offset = offset  # of its clock, in ms
@@ -37,7 +39,7 @@
         self.mailbox: list[Callable[[], None]] = []
         self.wake: Planned | None = None
         self.wake_at = float("inf")
-        self.ends: dict[tuple[str, int], End] = {}  # side ("f" or "h") and link
+        self.ends: dict[tuple[str, int], ConnectionEnd] = {}  # side ("f" or "h") and link
         self.links = 0  # of its hub
         self.spins = 0
 
@@ -46,7 +48,7 @@
 class Change:
     """A document that was acknowledged: who is to have it in force, and who had it after how many ms."""
 
-    head: Head
+    head: DocumentHeader
     at: float
     owed: dict[str, float]  # name, and since when it counts for that one
     took: dict[str, float] = field(default_factory=dict)
--- a/crowpost/lab/feed/publishing.py
+++ b/crowpost/lab/feed/publishing.py
@@ -5,8 +5,8 @@
 from functools import partial
 
 from crowpost.config_feed.documents import Document, FeedError
-from crowpost.config_feed.messages import Publish
-from crowpost.config_feed.publication_log import Ledger, Writers
+from crowpost.config_feed.messages import PublishRequest
+from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
 from crowpost.lab.feed.process import Process
 from crowpost.lab.feed.world import World
 
@@ -21,20 +21,20 @@
     publisher, whom it holds to be whose writer; two that do not agree give two answers.
     """
 
-    def __init__(self, world: World, writers: dict[str, Writers]) -> None:
+    def __init__(self, world: World, writers: dict[str, WriteAuthority]) -> None:
         self._world, self.writers = world, writers
         self._synced: dict[str, list[bytes]] = {}  # records on the disk, by publisher
-        self._ledgers: dict[str, Ledger] = {}  # of the life at hand
+        self._ledgers: dict[str, PublicationLog] = {}  # of the life at hand
         self._synced_at: dict[str, float] = {}
         world.killed = self._killed
 
     def _killed(self, name: str) -> None:
         self._ledgers.pop(name, None)
 
-    def _ledger(self, name: str) -> Ledger:
+    def _ledger(self, name: str) -> PublicationLog:
         if name not in self._ledgers:
             records = self._synced.setdefault(name, [])
-            self._ledgers[name] = Ledger(self.writers[name], _anything, records, self._world.tuning)
+            self._ledgers[name] = PublicationLog(self.writers[name], _anything, records, self._world.tuning)
         return self._ledgers[name]
 
     def publish(self, by: str, scope: str, body: bytes, crash: str = "") -> None:
@@ -48,7 +48,7 @@
             return
         assert process.follower is not None
         region = process.spec.region
-        asked = Publish(1, scope, body, "ops", "a change", region)
+        asked = PublishRequest(1, scope, body, "ops", "a change", region)
         try:
             record, document = self._ledger(by).publish(asked, process.follower.table)
         except FeedError as error:
--- a/crowpost/lab/feed/real_processes.py
+++ b/crowpost/lab/feed/real_processes.py
@@ -22,7 +22,7 @@
 
 import uvloop
 
-from crowpost.config_feed.messages import AskStatus, Publish, Published, Status
+from crowpost.config_feed.messages import PublishAccepted, PublishRequest, StatusRequest, StatusResponse
 from crowpost.config_feed.transport import ask
 from crowpost.lab.feed.simulation import put_into
 
@@ -169,15 +169,17 @@
         assert self.publisher is not None
         limits = {"connectTimeoutMs": 50.0 + round(100.0 * self.rng.random(), 6)}
         body = json.dumps({"settings": {**SETTINGS, "policyLimits": limits}}).encode()
-        answer = await ask(self.publisher.listens, Publish(1, "all", body, "lab", "a trial"), CLUSTER, WAIT_S)
-        if not isinstance(answer, Published):
+        answer = await ask(
+            self.publisher.listens, PublishRequest(1, "all", body, "lab", "a trial"), CLUSTER, WAIT_S
+        )
+        if not isinstance(answer, PublishAccepted):
             raise RuntimeError(f"not published: {answer}")
         return answer.head.version
 
     async def bytes_of(self, hub: Process) -> float:
         """Bytes that a relay or publisher has sent and got from those that watch it."""
-        answer = await ask(hub.listens, AskStatus(1), CLUSTER, 2.0)
-        assert isinstance(answer, Status)
+        answer = await ask(hub.listens, StatusRequest(1), CLUSTER, 2.0)
+        assert isinstance(answer, StatusResponse)
         return float(sum(answer.value["counts"].get(f"bytes_{way}", 0) for way in ("in", "out")))
 
     async def node_bytes(self) -> tuple[float, float, float]:
--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -16,10 +16,11 @@
 
 import numpy as np
 
-from crowpost.config_feed.documents import FeedError, Server, Tuning
-from crowpost.config_feed.publication_log import Writers
+from crowpost.config_feed.documents import FeedError, UpstreamServer
+from crowpost.config_feed.publication_log import WriteAuthority
+from crowpost.config_feed.tuning import Tuning
 from crowpost.lab.feed.gossip_cost import cost
-from crowpost.lab.feed.network import Weather
+from crowpost.lab.feed.network import NetworkConditions
 from crowpost.lab.feed.publishing import Publishing
 from crowpost.lab.feed.world import World
 
@@ -38,29 +39,33 @@
         self,
         nodes: int,
         seed: int,
-        weather: Weather | None = None,
+        weather: NetworkConditions | None = None,
         tuning: Tuning | None = None,
         regions: tuple[tuple[str, tuple[str, ...]], ...] = ZONES,
     ) -> None:
         self.world = World(seed, weather, tuning)
         by_region = {region: f"p-{region}" for region, _ in regions}
         home_region = regions[0][0]
-        writers = {name: Writers(name, home_region, by_region) for name in by_region.values()}
+        writers = {name: WriteAuthority(name, home_region, by_region) for name in by_region.values()}
         self.ledger = Publishing(self.world, writers)
         self.rng, self.regions = random.Random(seed), regions
         self.zones = [(region, zone) for region, zones in regions for zone in zones]
         at = {f"p-{region}": f"10.0.{i}.1:7000" for i, (region, _) in enumerate(regions)}
         at |= {f"r-{zone}": f"10.0.{len(regions) + i}.1:7000" for i, (_, zone) in enumerate(self.zones)}
         home = {region: zones[0] for region, zones in regions}
-        relays = {zone: Server(at[f"r-{zone}"], region, zone) for region, zone in self.zones}
-        publishers = {region: Server(at[f"p-{region}"], region, home[region]) for region, _ in regions}
+        relays = {zone: UpstreamServer(at[f"r-{zone}"], region, zone) for region, zone in self.zones}
+        publishers = {
+            region: UpstreamServer(at[f"p-{region}"], region, home[region]) for region, _ in regions
+        }
         for region, _ in regions:
             others = tuple(server for name, server in publishers.items() if name != region)
             self.world.add(f"p-{region}", "publisher", region, home[region], others)
         for region, zone in self.zones:
             above = [publishers[region]]
-            above += [Server(p.address, p.region, p.zone, 1) for r, p in publishers.items() if r != region]
-            above += [Server(r.address, r.region, r.zone, 2) for z, r in relays.items() if z != zone]
+            above += [
+                UpstreamServer(p.address, p.region, p.zone, 1) for r, p in publishers.items() if r != region
+            ]
+            above += [UpstreamServer(r.address, r.region, r.zone, 2) for z, r in relays.items() if z != zone]
             self.world.add(f"r-{zone}", "relay", region, zone, tuple(above))
         for name, address in at.items():
             assert self.world.specs[name].address == address
@@ -263,22 +268,22 @@
     world.run(40_000.0)
 
 
-CASES: dict[str, tuple[Case, Weather]] = {
-    "calm": (_calm, Weather()),
-    "loss": (_calm, Weather(loss=0.1, starved=0.05)),
-    "burst": (_burst, Weather()),
-    "burst-mixed": (_burst_mixed, Weather()),
-    "burst-loss": (_burst_mixed, Weather(loss=0.1, starved=0.05)),
-    "relay-dies": (_relay_dies, Weather()),
-    "relay-dark": (_relay_dark, Weather()),
-    "relay-stalls": (_relay_stalls, Weather()),
-    "relay-half": (_relay_half, Weather()),
-    "publisher-killed": (_publisher_killed, Weather()),
-    "zone": (_zone, Weather()),
-    "one-relay": (_one_relay, Weather()),
-    "all-back": (_all_back, Weather()),
-    "cut": (lambda fleet: _cut(fleet, 60_000.0), Weather()),
-    "cut-hour": (lambda fleet: _cut(fleet, 3_600_000.0), Weather()),
+CASES: dict[str, tuple[Case, NetworkConditions]] = {
+    "calm": (_calm, NetworkConditions()),
+    "loss": (_calm, NetworkConditions(loss=0.1, starved=0.05)),
+    "burst": (_burst, NetworkConditions()),
+    "burst-mixed": (_burst_mixed, NetworkConditions()),
+    "burst-loss": (_burst_mixed, NetworkConditions(loss=0.1, starved=0.05)),
+    "relay-dies": (_relay_dies, NetworkConditions()),
+    "relay-dark": (_relay_dark, NetworkConditions()),
+    "relay-stalls": (_relay_stalls, NetworkConditions()),
+    "relay-half": (_relay_half, NetworkConditions()),
+    "publisher-killed": (_publisher_killed, NetworkConditions()),
+    "zone": (_zone, NetworkConditions()),
+    "one-relay": (_one_relay, NetworkConditions()),
+    "all-back": (_all_back, NetworkConditions()),
+    "cut": (lambda fleet: _cut(fleet, 60_000.0), NetworkConditions()),
+    "cut-hour": (lambda fleet: _cut(fleet, 3_600_000.0), NetworkConditions()),
 }
 
 
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -10,13 +10,14 @@
 from collections.abc import Callable
 from functools import partial
 
-from crowpost.config_feed.distribution_server import Hub
-from crowpost.config_feed.document_table import Table
-from crowpost.config_feed.documents import Document, Head, Interest, Server, Tuning
+from crowpost.config_feed.distribution_server import DistributionServer
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import Document, DocumentHeader, Subscription, UpstreamServer
 from crowpost.config_feed.follower import Follower
+from crowpost.config_feed.tuning import Tuning
 from crowpost.lab.engine import Engine
-from crowpost.lab.feed.network import Conn, End, Net, Weather
-from crowpost.lab.feed.process import Change, Process, Spec
+from crowpost.lab.feed.network import Connection, ConnectionEnd, Network, NetworkConditions
+from crowpost.lab.feed.process import Change, Process, ProcessSpec
 
 CLUSTER = "world"
 LATE_MS = 0.001  # that a timer goes off after its time, as timers do; also covers the rounding of clocks
@@ -26,11 +27,13 @@
 class World:
     """Many processes on one simulated network."""
 
-    def __init__(self, seed: int, weather: Weather | None = None, tuning: Tuning | None = None) -> None:
+    def __init__(
+        self, seed: int, weather: NetworkConditions | None = None, tuning: Tuning | None = None
+    ) -> None:
         self.engine, self.rng = Engine(), random.Random(seed)
-        self.weather, self.tuning = weather or Weather(), tuning or Tuning()
-        self.net = Net(self.engine, random.Random(self.rng.getrandbits(64)), self.weather)
-        self.specs: dict[str, Spec] = {}
+        self.weather, self.tuning = weather or NetworkConditions(), tuning or Tuning()
+        self.net = Network(self.engine, random.Random(self.rng.getrandbits(64)), self.weather)
+        self.specs: dict[str, ProcessSpec] = {}
         self.processes: dict[str, Process] = {}
         self.by_address: dict[str, Process] = {}
         self.changes: list[Change] = []
@@ -52,20 +55,26 @@
     # ------------------------------------------------------------ processes
 
     def add(
-        self, name: str, role: str, region: str, zone: str, servers: tuple[Server, ...], service: str = ""
+        self,
+        name: str,
+        role: str,
+        region: str,
+        zone: str,
+        servers: tuple[UpstreamServer, ...],
+        service: str = "",
     ) -> Process:
         """A new process."""
         address = f"10.{len(self.specs) >> 8}.{len(self.specs) & 255}.1:7000"
-        spec = self.specs[name] = Spec(name, role, region, zone, service, address, servers)
+        spec = self.specs[name] = ProcessSpec(name, role, region, zone, service, address, servers)
         return self._live(spec)
 
-    def _live(self, spec: Spec) -> Process:
+    def _live(self, spec: ProcessSpec) -> Process:
         rng = random.Random(self.rng.getrandbits(64))
         offset = rng.uniform(0.0, 1e6)
         now, birth = self.engine.now + offset, rng.getrandbits(32)
         everything = spec.role != "node"
-        table, hub = Table(self.tuning), None
-        interest = Interest(spec.region, spec.service, "" if everything else spec.name, everything)
+        table, hub = DocumentTable(self.tuning), None
+        interest = Subscription(spec.region, spec.service, "" if everything else spec.name, everything)
         follower = Follower(
             CLUSTER,
             spec.name,
@@ -83,7 +92,7 @@
             kept=list(spec.disk.values()),
         )
         if everything:
-            hub = Hub(
+            hub = DistributionServer(
                 CLUSTER,
                 spec.name,
                 role=spec.role,
@@ -231,7 +240,7 @@
                     self.rng.uniform(*APPLY_MS), self.call, process, partial(self._apply, process, document)
                 )
 
-    def _carry_hub(self, process: Process, hub: Hub) -> None:
+    def _carry_hub(self, process: Process, hub: DistributionServer) -> None:
         out = hub.take()
         for link, data in out.sends:
             self._write(process, "h", link, data)
@@ -240,7 +249,7 @@
 
     # ------------------------------------------------------------ connections
 
-    def _end(self, process: Process, side: str, link: int) -> End:
+    def _end(self, process: Process, side: str, link: int) -> ConnectionEnd:
         spec = process.spec
 
         def hear(data: bytes) -> None:
@@ -253,22 +262,22 @@
             if side == "h":
                 self.call(process, partial(self._blocked, process, link, blocked))
 
-        end = process.ends[side, link] = End(spec.name, spec.region, spec.zone, hear, close, full)
+        end = process.ends[side, link] = ConnectionEnd(spec.name, spec.region, spec.zone, hear, close, full)
         return end
 
     def _dial(self, process: Process, link: int, address: str) -> None:
         end = self._end(process, "f", link)
 
-        def find() -> End | None:
+        def find() -> ConnectionEnd | None:
             target = self.by_address.get(address)
             if target is None or target.hub is None:
                 return None
             if not target.up and not self.net.dark.get(target.name):
                 return None
             spec = target.spec
-            return End(spec.name, spec.region, spec.zone, _nothing, _nothing, _nothing)
+            return ConnectionEnd(spec.name, spec.region, spec.zone, _nothing, _nothing, _nothing)
 
-        def up(conn: Conn) -> None:
+        def up(conn: Connection) -> None:
             target = self.by_address[address]
             target.links += 1
             taken = self._end(target, "h", target.links)
@@ -343,12 +352,12 @@
         follower.applied(head.scope, head, why, self.engine.now + process.offset)
 
     @staticmethod
-    def meant(spec: Spec, scope: str) -> bool:
-        return spec.role == "node" and Interest(spec.region, spec.service, spec.name).wants(scope)
+    def meant(spec: ProcessSpec, scope: str) -> bool:
+        return spec.role == "node" and Subscription(spec.region, spec.service, spec.name).wants(scope)
 
     # ------------------------------------------------------------ looks
 
-    def acknowledged(self, head: Head) -> None:
+    def acknowledged(self, head: DocumentHeader) -> None:
         """A document was: it is owed to all that it is meant for and that run."""
         now = self.engine.now
         self.note("acknowledged", head.scope, head.era, head.version)
@@ -375,7 +384,7 @@
 
     def converged(self) -> bool:
         """Whether every process that runs holds the highest head of each scope that is meant for it."""
-        best: dict[str, Head] = {}
+        best: dict[str, DocumentHeader] = {}
         for process in self.processes.values():
             if process.up and process.follower is not None:
                 for scope, document in process.follower.table.documents.items():
--- a/crowpost/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from crowpost.config_feed.configuration import FeedConfig
-from crowpost.config_feed.documents import Document, Server
-from crowpost.config_feed.transport import Carrier
+from crowpost.config_feed.documents import Document, UpstreamServer
+from crowpost.config_feed.transport import FeedTransport
 from crowpost.lab.scale.hollow import Cut
 from crowpost.lab.scale.places import Place
 
@@ -21,17 +21,19 @@
 
     def __init__(self, place: Place, cut: Cut) -> None:
         self._place = place
-        self._carrier: Carrier | None = None
+        self._carrier: FeedTransport | None = None
         self.address = ""
 
     @property
-    def carrier(self) -> Carrier:
+    def carrier(self) -> FeedTransport:
         assert self._carrier is not None
         return self._carrier
 
     async def start(self, settings: Mapping[str, Any]) -> str:
         """settings: `cluster`, `region`, and `upstreams`, each an address and a zone."""
-        upstreams = [Server(address, settings["region"], zone) for address, zone in settings["upstreams"]]
+        upstreams = [
+            UpstreamServer(address, settings["region"], zone) for address, zone in settings["upstreams"]
+        ]
         near = upstreams[self._place.zone % len(upstreams)].zone
         config = FeedConfig(
             settings["cluster"],
@@ -40,7 +42,7 @@
             zone=near,
             upstreams=tuple(upstreams),
         )
-        self._carrier = Carrier(config, self._apply)
+        self._carrier = FeedTransport(config, self._apply)
         self._carrier.start()
         return self.address
 
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from crowpost.config_feed.configuration import FeedConfig
     from crowpost.members.config import MembersConfig
-    from crowpost.node.configuration_overlays import Overlays
+    from crowpost.node.configuration_overlays import ConfigurationOverlays
     from crowpost.store.config import StateConfig
 
 _DEFAULT_CONN_IDLE_MS = 15_000.0
@@ -56,7 +56,7 @@
     members: MembersConfig | None = None  # None: no membership, and nothing of it is imported
     state: StateConfig | None = None  # None: nothing is kept, and nothing of that is imported
     feed: FeedConfig | None = None  # None: no feed of configuration, and nothing of it is imported
-    overlays: Overlays | None = None  # the documents of the feed on the file, where there is one
+    overlays: ConfigurationOverlays | None = None  # the documents of the feed on the file, where there is one
 
 
 def load(environment: Mapping[str, str]) -> Config:
@@ -207,19 +207,23 @@
         raise ConfigError(f"NODE_FEED: {error}") from None
 
 
-def _overlays(environment: Mapping[str, str], raw: dict[str, Any], path: str, feed: FeedConfig) -> Overlays:
+def _overlays(
+    environment: Mapping[str, str], raw: dict[str, Any], path: str, feed: FeedConfig
+) -> ConfigurationOverlays:
     """The file and the documents that were last in force on it."""
-    from crowpost.config_feed.document_cache import Shelf
+    from crowpost.config_feed.document_cache import DocumentCache
     from crowpost.config_feed.documents import FeedError
-    from crowpost.node.configuration_overlays import Overlays
+    from crowpost.node.configuration_overlays import ConfigurationOverlays
 
     if feed.directory is None:
-        return Overlays(environment, raw, path)
+        return ConfigurationOverlays(environment, raw, path)
     try:
-        kept, notes = Shelf(feed.directory, (feed.cluster, feed.name)).read()
+        kept, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).read()
     except FeedError as error:
         raise ConfigError(f"NODE_FEED: {error}") from None
-    overlays = Overlays(environment, raw, path, [d for d in kept if feed.interest.wants(d.head.scope)])
+    overlays = ConfigurationOverlays(
+        environment, raw, path, [d for d in kept if feed.interest.wants(d.head.scope)]
+    )
     overlays.notes += notes
     return overlays
 
--- a/crowpost/node/config_feed.py
+++ b/crowpost/node/config_feed.py
@@ -12,24 +12,29 @@
 from typing import Any
 
 from crowpost.config_feed.configuration import FeedConfig
-from crowpost.config_feed.document_cache import Shelf
+from crowpost.config_feed.document_cache import DocumentCache
 from crowpost.config_feed.documents import WHY_BYTES, Document
-from crowpost.config_feed.transport import Carrier
+from crowpost.config_feed.transport import FeedTransport
 from crowpost.node.config import ConfigError
-from crowpost.node.configuration_overlays import Live, Overlays
+from crowpost.node.configuration_overlays import ConfigurationOverlays, ReloadableSettings
 
 
-class Feeding:
+class NodeConfigFeed:
     """Joins this node to the feed.  take_over: is given what may change while the node runs, once it has."""
 
-    def __init__(self, config: FeedConfig, overlays: Overlays, take_over: Callable[[Live], None]) -> None:
+    def __init__(
+        self,
+        config: FeedConfig,
+        overlays: ConfigurationOverlays,
+        take_over: Callable[[ReloadableSettings], None],
+    ) -> None:
         self._overlays, self._take_over = overlays, take_over
         self._loop = asyncio.get_running_loop()
-        self._carrier = Carrier(config, self._document, kept=overlays.kept)
-        self._shelf: Shelf | None = None
+        self._carrier = FeedTransport(config, self._document, kept=overlays.kept)
+        self._shelf: DocumentCache | None = None
         self._thread: ThreadPoolExecutor | None = None  # one: what is newer is written later
         if config.directory is not None:
-            self._shelf = Shelf(config.directory, (config.cluster, config.name))
+            self._shelf = DocumentCache(config.directory, (config.cluster, config.name))
             self._thread = ThreadPoolExecutor(1, thread_name_prefix="feed")
         self._refused: dict[str, int] = {}  # the version refused last, by scope, until one is taken
         self._taken = 0
--- a/crowpost/node/configuration_overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from crowpost.config_feed.documents import Document, FeedError, Head, make_document, order
+from crowpost.config_feed.documents import Document, DocumentHeader, FeedError, make_document, order
 from crowpost.node.config import Config, ConfigError, read_config, read_file
 
 BYTES = 32_768  # of a document: what reads and compares it holds the loop up, and may not for 5 ms
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Live:
+class ReloadableSettings:
     """The values of what may change while the node runs."""
 
     discovery: tuple[str, int]
@@ -39,16 +39,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Proposal:
+class ProposedConfiguration:
     """A document that may be taken, and what the node is configured by from then on."""
 
     document: Document
     overlay: dict[str, Any]
     merged: dict[str, Any]
-    live: Live
+    live: ReloadableSettings
 
 
-class Overlays:
+class ConfigurationOverlays:
     """The configuration that a node started with, and the documents in force on it.
 
     raw: of the file; kept: the documents that were in force when the node's last process ended.
@@ -58,7 +58,7 @@
         self, environment: Mapping[str, str], raw: dict[str, Any], path: str, kept: Iterable[Document] = ()
     ) -> None:
         self._environment, self._file, self._path = environment, raw, path
-        self._in_force: dict[str, tuple[Head, dict[str, Any]]] = {}
+        self._in_force: dict[str, tuple[DocumentHeader, dict[str, Any]]] = {}
         self._running = raw
         self.kept: list[Document] = []  # of which use is made
         self.notes: list[str] = []  # to be told once the node's log is there
@@ -67,7 +67,7 @@
         self._file_discovery = config.discovery  # where the overlays name none
         if self._named():
             self._file_discovery = self._fallback(raw, config)
-        self.live = Live(config.discovery, config.settings.connect_timeout_ms)
+        self.live = ReloadableSettings(config.discovery, config.settings.connect_timeout_ms)
 
     def _start(self, kept: list[Document]) -> None:
         """Begin with what was in force, or without all of it where that no longer fits the file."""
@@ -92,7 +92,7 @@
 
     # ------------------------------------------------------------ documents
 
-    def propose(self, document: Document) -> Proposal:
+    def propose(self, document: Document) -> ProposedConfiguration:
         """Check a document; ConfigError, in a line that names the key, where the node cannot take it."""
         overlay = parse(document.body)
         proposed = {**self._in_force, document.head.scope: (document.head, overlay)}
@@ -109,24 +109,26 @@
             discovery = config.discovery if self._named() else self._file_discovery
         finally:
             self._in_force = before
-        return Proposal(document, overlay, merged, Live(discovery, config.settings.connect_timeout_ms))
+        return ProposedConfiguration(
+            document, overlay, merged, ReloadableSettings(discovery, config.settings.connect_timeout_ms)
+        )
 
-    def take(self, proposal: Proposal) -> None:
+    def take(self, proposal: ProposedConfiguration) -> None:
         """A proposal is in force."""
         self._in_force[proposal.document.head.scope] = proposal.document.head, proposal.overlay
         self._running, self.live = proposal.merged, proposal.live
 
-    def heads(self) -> list[Head]:
+    def heads(self) -> list[DocumentHeader]:
         """Of the documents in force."""
         return [self._in_force[scope][0] for scope in order(self._in_force)]
 
     # ------------------------------------------------------------ the file, replaced by hand
 
-    def rebase(self, discovery: tuple[str, int]) -> Live:
+    def rebase(self, discovery: tuple[str, int]) -> ReloadableSettings:
         """SIGHUP: the file names another discovery.  A document in force that names one goes before it."""
         self._file_discovery = discovery
         if not self._named():
-            self.live = Live(discovery, self.live.connect_timeout_ms)
+            self.live = ReloadableSettings(discovery, self.live.connect_timeout_ms)
         return self.live
 
     def _named(self) -> bool:
@@ -180,7 +182,9 @@
     return result
 
 
-def _merged(raw: dict[str, Any], overlays: Mapping[str, tuple[Head, dict[str, Any]]]) -> dict[str, Any]:
+def _merged(
+    raw: dict[str, Any], overlays: Mapping[str, tuple[DocumentHeader, dict[str, Any]]]
+) -> dict[str, Any]:
     merged: Any = raw
     for scope in order(overlays):
         merged = patched(merged, overlays[scope][1])
@@ -214,7 +218,7 @@
     """
     try:
         raw = {**_ADDRESSES, **(read_file(sample) if sample else _LEAST)}
-        node = Overlays({}, raw, sample)
+        node = ConfigurationOverlays({}, raw, sample)
     except ConfigError as error:
         raise FeedError(f"feed.sample: {error}") from None
 
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -57,8 +57,8 @@
 from crowpost.node.upstream import Call
 
 if TYPE_CHECKING:
-    from crowpost.node.config_feed import Feeding
-    from crowpost.node.configuration_overlays import Live
+    from crowpost.node.config_feed import NodeConfigFeed
+    from crowpost.node.configuration_overlays import ReloadableSettings
     from crowpost.node.keeping import Keeping
     from crowpost.node.membership import Membership
 
@@ -138,7 +138,7 @@
         self._told = False  # discovery has spoken, or has had its time
         self._membership: Membership | None = None
         self._keeping: Keeping | None = None
-        self._feeding: Feeding | None = None
+        self._config_feed: NodeConfigFeed | None = None
         self._listener = adopt(config.accept_fd) if config.accept_fd is not None else None
         part = 1.0 if self._listener is None else SHARED_PART
         sockets = int(part * config.limits.sockets)
@@ -261,10 +261,10 @@
         """The feed of configuration, where it is configured; nothing of it is imported where it is not."""
         if self._config.feed is None or self._config.overlays is None:
             return
-        from crowpost.node.config_feed import Feeding
+        from crowpost.node.config_feed import NodeConfigFeed
 
-        self._feeding = Feeding(self._config.feed, self._config.overlays, self._take_over)
-        self._feeding.start()
+        self._config_feed = NodeConfigFeed(self._config.feed, self._config.overlays, self._take_over)
+        self._config_feed.start()
 
     async def _accept(self, at: tuple[str, int] | socket.socket) -> None:
         self._address = await self._callers.listen(at)
@@ -294,8 +294,8 @@
         self._discovery.close()
         self._callers.close()
         self._servers.close()
-        if self._feeding is not None:
-            await self._feeding.close()
+        if self._config_feed is not None:
+            await self._config_feed.close()
         if self._membership is not None:
             await self._membership.close()
         if self._keeping is not None:
@@ -603,12 +603,12 @@
         except ConfigError as error:
             log.error("the new configuration cannot be used, discovery stays where it was: %s", error)
             return
-        if self._feeding is not None:
-            address = self._feeding.rebase(address)
+        if self._config_feed is not None:
+            address = self._config_feed.rebase(address)
         log.info("discovery is at %s:%d now", *address)
         self._discovery.move(address)
 
-    def _take_over(self, live: Live) -> None:
+    def _take_over(self, live: ReloadableSettings) -> None:
         """A document of the feed came into force: what may change while the node runs is this now."""
         self._servers.connect_s = live.connect_timeout_ms / 1000.0
         if live.discovery != self._discovery.address:
@@ -653,7 +653,7 @@
             pool_ejected=balancer.pool_ejected,
             more={
                 name: value
-                for part in (self._membership, self._keeping, self._feeding)
+                for part in (self._membership, self._keeping, self._config_feed)
                 if part is not None
                 for name, value in part.figures().items()
             },
--- a/tests/config_feed/fleet.py
+++ b/tests/config_feed/fleet.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from crowpost.cli.feed import ask_all, picture
-from crowpost.config_feed.messages import Message, Publish, Published
+from crowpost.config_feed.messages import Message, PublishAccepted, PublishRequest
 from crowpost.config_feed.transport import ask
 from tests.stubs import (
     HOST,
@@ -139,7 +139,7 @@
         return process, (found[1], int(found[2]))
 
     async def publish(self, body: object, scope: str = "all", **more: Any) -> Message:
-        asked = Publish(1, scope, json.dumps(body).encode(), "ann", "why not", **more)
+        asked = PublishRequest(1, scope, json.dumps(body).encode(), "ann", "why not", **more)
         return await ask(self.at["p"], asked, CLUSTER, PATIENCE_S)
 
     async def status(self, met: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
@@ -177,7 +177,7 @@
 
 
 def version(answer: Message) -> int:
-    assert isinstance(answer, Published), answer
+    assert isinstance(answer, PublishAccepted), answer
     return answer.head.version
 
 
--- a/tests/config_feed/test_cores.py
+++ b/tests/config_feed/test_cores.py
@@ -7,17 +7,16 @@
 
 import pytest
 
-from crowpost.config_feed.distribution_server import Hub
-from crowpost.config_feed.document_table import Table
+from crowpost.config_feed.distribution_server import DistributionServer
+from crowpost.config_feed.document_table import DocumentTable
 from crowpost.config_feed.documents import (
+    ApplyState,
+    ApplyStatus,
     Document,
+    DocumentHeader,
     FeedError,
-    Head,
-    Interest,
-    Server,
-    Standing,
-    State,
-    Tuning,
+    Subscription,
+    UpstreamServer,
     make_document,
     order,
     split_scope,
@@ -25,25 +24,34 @@
 )
 from crowpost.config_feed.follower import Follower
 from crowpost.config_feed.follower_status import merge
-from crowpost.config_feed.frames import LENGTH, Foreign, Kind, Reader, decode, encode, tag
+from crowpost.config_feed.frames import (
+    LENGTH,
+    FrameError,
+    FrameReader,
+    MessageKind,
+    cluster_tag,
+    decode,
+    encode,
+)
 from crowpost.config_feed.messages import (
-    Absent,
-    AskStatus,
-    Beat,
-    Body,
-    Bye,
-    Fetch,
-    Heads,
+    ApplyReport,
+    BodyChunk,
+    BodyUnavailable,
+    DocumentHeaders,
+    FetchRequest,
+    Goodbye,
+    Heartbeat,
     Hello,
     Message,
-    Publish,
-    Published,
-    Refused,
-    Report,
-    Status,
+    PublishAccepted,
+    PublishRejected,
+    PublishRequest,
+    StatusRequest,
+    StatusResponse,
 )
+from crowpost.config_feed.tuning import Tuning
 
-T = tag("c")
+T = cluster_tag("c")
 
 
 def doc(
@@ -58,57 +66,57 @@
 MARK = HEAD.mark
 MESSAGES: list[Message] = [
     Hello("n1", "node", "east", "e1", "s1", False, 7, (MARK,)),
-    Heads((HEAD, doc(2).head)),
-    Fetch(MARK, 16, 24),
-    Body(MARK, 16, b"\x00" * 24),
-    Absent(MARK, "busy"),
-    Beat(2**55),
-    Report("n1", 7, 3, (Standing(MARK, State.REFUSED, "no such key"),)),
-    AskStatus(9),
-    Status(9, {"name": "r1", "heads": []}),
-    Publish(1, "node/n1", b"{}", "me", "why", "east", 4, True),
-    Published(1, HEAD),
-    Refused(1, "publish to p-west"),
-    Bye("in order"),
+    DocumentHeaders((HEAD, doc(2).head)),
+    FetchRequest(MARK, 16, 24),
+    BodyChunk(MARK, 16, b"\x00" * 24),
+    BodyUnavailable(MARK, "busy"),
+    Heartbeat(2**55),
+    ApplyReport("n1", 7, 3, (ApplyStatus(MARK, ApplyState.REFUSED, "no such key"),)),
+    StatusRequest(9),
+    StatusResponse(9, {"name": "r1", "heads": []}),
+    PublishRequest(1, "node/n1", b"{}", "me", "why", "east", 4, True),
+    PublishAccepted(1, HEAD),
+    PublishRejected(1, "publish to p-west"),
+    Goodbye("in order"),
 ]
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
 def test_a_message_comes_back_as_it_was_and_no_changed_bit_of_it_does(message: Message) -> None:
     frame = encode(message, T)
-    reader = Reader(T)
+    reader = FrameReader(T)
     found = [item for byte in frame for item in reader.feed(bytes([byte]))]
     assert found == [(message, len(frame))]
     body = frame[LENGTH.size :]
     for at in range(len(body)):
         for bit in (0, 3, 7):
             damaged = body[:at] + bytes([body[at] ^ (1 << bit)]) + body[at + 1 :]
-            with pytest.raises(Foreign):
+            with pytest.raises(FrameError):
                 decode(damaged, T)
     for cut in range(len(body)):
-        with pytest.raises(Foreign):
+        with pytest.raises(FrameError):
             decode(body[:cut], T)
 
 
 def test_every_kind_of_message_is_among_those_tried() -> None:
-    assert len({type(m) for m in MESSAGES}) == len(Kind)
+    assert len({type(m) for m in MESSAGES}) == len(MessageKind)
 
 
 def test_a_stream_tells_what_is_wrong_with_it() -> None:
-    good = encode(Beat(1), T)
+    good = encode(Heartbeat(1), T)
     cases = {
-        "cluster": encode(Beat(1), tag("other")),
+        "cluster": encode(Heartbeat(1), cluster_tag("other")),
         "magic": LENGTH.pack(20) + b"GET / HTTP/1.1\r\n\r\n..",
         "oversized": LENGTH.pack(2_000_000),
         "checksum": good[:-1] + bytes([good[-1] ^ 1]),
         "malformed": LENGTH.pack(3) + b"CF\x01",
     }
     for kind, data in cases.items():
-        reader = Reader(T, 1_000_000)
+        reader = FrameReader(T, 1_000_000)
         found = [item for item, _ in reader.feed(data + good)]
-        assert isinstance(found[0], Foreign) and found[0].kind == kind
+        assert isinstance(found[0], FrameError) and found[0].kind == kind
         # After a frame that is merely damaged the stream goes on; otherwise nothing more is believed.
-        assert found[1:] == ([Beat(1)] if not found[0].fatal else [])
+        assert found[1:] == ([Heartbeat(1)] if not found[0].fatal else [])
 
 
 def test_scopes() -> None:
@@ -135,18 +143,22 @@
     """A follower of two servers, each word of which the test says itself."""
 
     def __init__(
-        self, tuning: Tuning | None = None, interest: Interest | None = None, **more: object
+        self, tuning: Tuning | None = None, interest: Subscription | None = None, **more: object
     ) -> None:
         self.now, self.seen = 0.0, list[tuple[int, Message]]()
         self.applied: list[Document] = []
         self.why = ""
         self.hangups: list[int] = []
-        servers = [Server("a:1", "east", "e1"), Server("b:1", "east", "e2"), Server("c:1", "west", "w1")]
+        servers = [
+            UpstreamServer("a:1", "east", "e1"),
+            UpstreamServer("b:1", "east", "e2"),
+            UpstreamServer("c:1", "west", "w1"),
+        ]
         self.follower = Follower(
             "c",
             "n1",
             servers,
-            Interest("east", "s1", "n1"),
+            Subscription("east", "s1", "n1"),
             region="east",
             zone="e1",
             rng=random.Random(1),
@@ -176,7 +188,7 @@
         for _ in range(int(ms // 1_000.0)):
             self.to(self.now + 1_000.0)
             for server in self.links:
-                self.say(server, Beat(self.follower.table.digest(self.follower.interest)))
+                self.say(server, Heartbeat(self.follower.table.digest(self.follower.interest)))
 
     def say(self, server: str, message: Message | bytes) -> None:
         data = message if isinstance(message, bytes) else encode(message, T)
@@ -195,14 +207,14 @@
             self.follower.applied(document.head.scope, document.head, self.why, self.now)
             self._take()
 
-    def fetches(self, server: str) -> list[Fetch]:
-        return [m for link, m in self.seen if link == self.links[server] and isinstance(m, Fetch)]
+    def fetches(self, server: str) -> list[FetchRequest]:
+        return [m for link, m in self.seen if link == self.links[server] and isinstance(m, FetchRequest)]
 
     def give(self, server: str, document: Document) -> None:
         """Told of by a server, and given by it."""
-        self.say(server, Heads((document.head,)))
-        self.to(self.now + Tuning().near_ms + 1.0)
-        self.say(server, Body(document.head.mark, 0, document.body))
+        self.say(server, DocumentHeaders((document.head,)))
+        self.to(self.now + Tuning().prefer_nearest_ms + 1.0)
+        self.say(server, BodyChunk(document.head.mark, 0, document.body))
 
     def versions(self) -> list[int]:
         return [document.head.version for document in self.applied]
@@ -212,11 +224,11 @@
     p = Played()
     assert list(p.links) == ["a", "b"]
     d = doc(1, b"body")
-    p.say("b", Heads((d.head,)))
+    p.say("b", DocumentHeaders((d.head,)))
     assert not p.fetches("b")  # the nearer is given time to tell of it as well
-    p.say("a", Heads((d.head,)))
+    p.say("a", DocumentHeaders((d.head,)))
     assert [f.length for f in p.fetches("a")] == [4] and not p.fetches("b")
-    p.say("a", Body(d.head.mark, 0, b"body"))
+    p.say("a", BodyChunk(d.head.mark, 0, b"body"))
     assert p.applied == [d] and p.follower.in_force("all") == d
     p.wait(10_000.0)
     assert not p.fetches("b") and len(p.fetches("a")) == 1
@@ -226,18 +238,18 @@
     p = Played()
     d = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, Heads((d.head,)))
-    p.say("a", Body(d.head.mark, 0, b"0123"))
+        p.say(server, DocumentHeaders((d.head,)))
+    p.say("a", BodyChunk(d.head.mark, 0, b"0123"))
     p.to(p.now + 990.0)
     assert not p.fetches("b")
     p.to(p.now + 20.0)
     assert [(f.offset, f.length) for f in p.fetches("b")] == [(4, 6)]
-    p.say("b", Body(d.head.mark, 4, b"456789"))
+    p.say("b", BodyChunk(d.head.mark, 4, b"456789"))
     assert p.applied == [d] and p.follower.counts["taken_over"] == 1
     # The one that stalled is asked last for a while.
     e = doc(2, b"abc")
     for server in ("a", "b"):
-        p.say(server, Heads((e.head,)))
+        p.say(server, DocumentHeaders((e.head,)))
     assert len(p.fetches("a")) == 1 and len(p.fetches("b")) == 2
 
 
@@ -245,8 +257,8 @@
     p = Played()
     d = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, Heads((d.head,)))
-    p.say("a", Body(d.head.mark, 0, b"01"))
+        p.say(server, DocumentHeaders((d.head,)))
+    p.say("a", BodyChunk(d.head.mark, 0, b"01"))
     p.follower.lost(p.links["a"], p.now)
     p._take()
     assert [(f.offset, f.length) for f in p.fetches("b")] == [(2, 8)]
@@ -256,13 +268,13 @@
     p = Played()
     d = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, Heads((d.head,)))
-    p.say("a", Body(d.head.mark, 0, b"0123456780"))
+        p.say(server, DocumentHeaders((d.head,)))
+    p.say("a", BodyChunk(d.head.mark, 0, b"0123456780"))
     assert p.applied == [] and p.follower.counts["dropped_digest"] == 1
     assert len(p.fetches("a")) == 1
     p.to(p.now + 1_100.0)
     assert [(f.offset, f.length) for f in p.fetches("b")] == [(0, 10)]
-    p.say("b", Body(d.head.mark, 0, d.body))
+    p.say("b", BodyChunk(d.head.mark, 0, d.body))
     assert p.applied == [d]
 
 
@@ -270,32 +282,32 @@
     p = Played()
     d = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, Heads((d.head,)))
-    p.say("a", Body(d.head.mark, 0, b"xx"))  # wrong, though its checksum is right
+        p.say(server, DocumentHeaders((d.head,)))
+    p.say("a", BodyChunk(d.head.mark, 0, b"xx"))  # wrong, though its checksum is right
     p.to(p.now + 1_001.0)
-    p.say("b", Body(d.head.mark, 2, b"23456789"))
+    p.say("b", BodyChunk(d.head.mark, 2, b"23456789"))
     assert p.applied == [] and p.follower.counts["dropped_digest"] == 1
     p.wait(5_000.0)
     asked = p.fetches("b")[-1]
     assert (asked.offset, asked.length) == (0, 10)
-    p.say("b", Body(d.head.mark, 0, d.body))
+    p.say("b", BodyChunk(d.head.mark, 0, d.body))
     assert p.applied == [d]
 
 
 def test_a_head_whose_body_nobody_has_does_not_stop_an_honest_one() -> None:
     p = Played()
-    lie = Head("all", 1, 99, b"\x01" * 32, 4, "x", "", "p-east")
-    p.say("a", Heads((lie,)))
-    p.say("b", Heads((doc(6, b"good").head,)))
-    p.say("a", Body(lie.mark, 0, b"evil"))
+    lie = DocumentHeader("all", 1, 99, b"\x01" * 32, 4, "x", "", "p-east")
+    p.say("a", DocumentHeaders((lie,)))
+    p.say("b", DocumentHeaders((doc(6, b"good").head,)))
+    p.say("a", BodyChunk(lie.mark, 0, b"evil"))
     p.to(p.now + 1_500.0)
-    p.say("b", Body(doc(6, b"good").head.mark, 0, b"good"))
+    p.say("b", BodyChunk(doc(6, b"good").head.mark, 0, b"good"))
     assert p.versions() == [6]
 
 
 def test_damaged_frames_are_left_out_and_too_many_end_the_link() -> None:
     p = Played()
-    good = encode(Heads((doc().head,)), T)
+    good = encode(DocumentHeaders((doc().head,)), T)
     bad = good[:-3] + bytes([good[-3] ^ 16]) + good[-2:]
     for _ in range(2):
         p.say("a", bad)
@@ -308,14 +320,14 @@
 
 def test_another_clusters_server_is_left_at_once() -> None:
     p = Played()
-    p.say("a", encode(Heads((doc().head,)), tag("elsewhere")))
+    p.say("a", encode(DocumentHeaders((doc().head,)), cluster_tag("elsewhere")))
     assert p.hangups == [p.links["a"]] and p.follower.counts["dropped_cluster"] == 1
     assert not p.fetches("a")
 
 
 def test_a_document_that_is_too_large_is_not_asked_for() -> None:
-    p = Played(Tuning(document_bytes=1_000))
-    p.say("a", Heads((doc(1, b"x" * 1_001).head,)))
+    p = Played(Tuning(max_document_bytes=1_000))
+    p.say("a", DocumentHeaders((doc(1, b"x" * 1_001).head,)))
     p.wait(5_000.0)
     assert not p.fetches("a") and p.follower.counts["dropped_too_large"] == 1
     p.give("a", doc(2, b"x" * 1_000))
@@ -327,9 +339,13 @@
     old, new = doc(4, b"old"), doc(5, b"new")
     p.give("a", new)
     asked = len(p.fetches("a"))
-    for replay in (Heads((old.head,)), Body(old.head.mark, 0, b"old"), Heads((new.head,))):
+    for replay in (
+        DocumentHeaders((old.head,)),
+        BodyChunk(old.head.mark, 0, b"old"),
+        DocumentHeaders((new.head,)),
+    ):
         p.say("a", replay)
-    p.say("b", Body(new.head.mark, 0, b"new"))
+    p.say("b", BodyChunk(new.head.mark, 0, b"new"))
     p.to(p.now + 3_000.0)
     assert p.versions() == [5] and len(p.fetches("a")) == asked and not p.fetches("b")
     counts = p.follower.counts
@@ -340,12 +356,12 @@
 
 def test_a_newer_version_takes_the_place_of_one_under_way() -> None:
     p = Played()
-    p.say("a", Heads((doc(1, b"0123").head,)))
-    p.say("a", Body(doc(1, b"0123").head.mark, 0, b"01"))
-    p.say("a", Heads((doc(2, b"4567").head,)))
-    p.say("a", Body(doc(1, b"0123").head.mark, 2, b"23"))
+    p.say("a", DocumentHeaders((doc(1, b"0123").head,)))
+    p.say("a", BodyChunk(doc(1, b"0123").head.mark, 0, b"01"))
+    p.say("a", DocumentHeaders((doc(2, b"4567").head,)))
+    p.say("a", BodyChunk(doc(1, b"0123").head.mark, 2, b"23"))
     assert p.applied == []
-    p.say("a", Body(doc(2, b"4567").head.mark, 0, b"4567"))
+    p.say("a", BodyChunk(doc(2, b"4567").head.mark, 0, b"4567"))
     assert p.versions() == [2] and p.follower.counts["coalesced"] == 1
 
 
@@ -368,8 +384,12 @@
     p.give("a", doc(2, b"bad"))
     assert p.follower.in_force("all") == doc(1, b"good")
     (standing,) = p.follower.standings()
-    assert (standing.mark.version, standing.state, standing.why) == (2, State.REFUSED, "no such key: speeed")
-    told = [m for _, m in p.seen if isinstance(m, Report)]
+    assert (standing.mark.version, standing.state, standing.why) == (
+        2,
+        ApplyState.REFUSED,
+        "no such key: speeed",
+    )
+    told = [m for _, m in p.seen if isinstance(m, ApplyReport)]
     assert told[-1].standings == (standing,) and told[-1].counter > told[0].counter
     p.why = ""
     p.give("a", doc(3, b"good"))
@@ -380,7 +400,9 @@
     p = Played()
     p.give("a", doc(1, b"x"))
     p.give("a", doc(1, b"y", scope="service/s1"))
-    assert sorted(link for link, m in p.seen if isinstance(m, Report)) == sorted(list(p.links.values()) * 2)
+    assert sorted(link for link, m in p.seen if isinstance(m, ApplyReport)) == sorted(
+        list(p.links.values()) * 2
+    )
     lost = p.links["b"]
     p.follower.lost(lost, p.now)
     p._take()
@@ -388,7 +410,7 @@
     assert p.links["b"] != lost
     p.follower.connected(p.links["b"], p.now)
     p.say("b", Hello("b", "relay"))
-    (report,) = [m for link, m in p.seen if isinstance(m, Report) and link == p.links["b"]]
+    (report,) = [m for link, m in p.seen if isinstance(m, ApplyReport) and link == p.links["b"]]
     assert [s.mark.scope for s in report.standings] == ["all", "service/s1"]
 
 
@@ -407,7 +429,7 @@
         p.to(p.now + 2_000.0)
         before = len(p.seen)
         for server in ("a", "b"):
-            p.say(server, Beat(1 if server == "a" else 0))
+            p.say(server, Heartbeat(1 if server == "a" else 0))
         times += [p.now for link, m in p.seen[before:] if isinstance(m, Hello)]
     assert hellos == 2 and 4 <= len(times) <= 7  # of 60 beats
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
@@ -418,7 +440,7 @@
     p = Played()
     for _ in range(4):
         p.to(p.now + 1_400.0)
-        p.say("a", Beat(0))
+        p.say("a", Heartbeat(0))
     assert p.hangups == [p.links["b"]]
 
 
@@ -436,9 +458,9 @@
     p = Played()
     p.wait(5_000.0)
     p.now -= 3_600_000.0
-    beats = len([m for _, m in p.seen if isinstance(m, Beat)])
+    beats = len([m for _, m in p.seen if isinstance(m, Heartbeat)])
     p.wait(10_000.0)
-    assert len([m for _, m in p.seen if isinstance(m, Beat)]) >= beats + 8 and not p.hangups
+    assert len([m for _, m in p.seen if isinstance(m, Heartbeat)]) >= beats + 8 and not p.hangups
     p.give("a", doc(1, b"news"))
     assert p.versions() == [1]
     p.to(p.now + 6_000.0)  # and who says nothing is still found out
@@ -447,29 +469,29 @@
     s.watch(1, "n1")
     s.to(5_000.0)
     s.now -= 3_600_000.0
-    s.say(1, Beat(0))  # the first that it is given by the new time
-    beats = len([m for m in s.said[1] if isinstance(m, Beat)])
+    s.say(1, Heartbeat(0))  # the first that it is given by the new time
+    beats = len([m for m in s.said[1] if isinstance(m, Heartbeat)])
     s.to(s.now + 10_000.0)
-    assert len([m for m in s.said[1] if isinstance(m, Beat)]) >= beats + 4
+    assert len([m for m in s.said[1] if isinstance(m, Heartbeat)]) >= beats + 4
     s.to(s.now + 15_000.0)
     assert s.hangups == [1]
 
 
 def test_no_more_is_asked_for_than_the_tokens_allow() -> None:
-    tuning = Tuning(bytes_per_s=1_000.0, bytes_saved=10_000.0)
+    tuning = Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0)
     p = Played(tuning)
     body = random.Random(1).randbytes(30_000)
     d = doc(1, body)
-    p.say("a", Heads((d.head,)))
+    p.say("a", DocumentHeaders((d.head,)))
     began, given = p.now, 0
     while not p.applied:
         for server in ("a", "b"):
-            p.say(server, Beat(0))
+            p.say(server, Heartbeat(0))
         asked = p.fetches("a")
         if given < len(asked):
             f = asked[given]
             given += 1
-            p.say("a", Body(f.mark, f.offset, body[f.offset : f.offset + f.length]))
+            p.say("a", BodyChunk(f.mark, f.offset, body[f.offset : f.offset + f.length]))
         total = sum(f.length for f in asked)
         assert total <= 10_000 + (p.now - began) / 1000.0 * 1_000.0
         p.to(p.now + 500.0)
@@ -477,27 +499,27 @@
 
 
 def test_what_is_asked_for_and_held_back_may_come_at_once_and_is_within_the_tokens_all_the_same() -> None:
-    p = Played(Tuning(bytes_per_s=1_000.0, bytes_saved=10_000.0))
+    p = Played(Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0))
     d = doc(1, b"x" * 3_000)
-    p.say("a", Heads((d.head,)))
+    p.say("a", DocumentHeaders((d.head,)))
     p.wait(25_000.0)  # alive, and no body: it is asked for again as far as may be
     asked = p.fetches("a")
     assert len(asked) > 1 and sum(f.length for f in asked) <= 10_000
     for f in asked:
-        p.say("a", Body(f.mark, f.offset, d.body[f.offset : f.offset + f.length]))
+        p.say("a", BodyChunk(f.mark, f.offset, d.body[f.offset : f.offset + f.length]))
     assert p.versions() == [1]
 
 
 def test_a_server_that_holds_back_so_much_that_no_other_can_be_asked_is_left() -> None:
-    p = Played(Tuning(bytes_per_s=1_000.0, bytes_saved=10_000.0))
+    p = Played(Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0))
     d, first = doc(1, b"x" * 8_000), p.links["a"]
     for server in ("a", "b"):
-        p.say(server, Heads((d.head,)))
+        p.say(server, DocumentHeaders((d.head,)))
     p.wait(12_000.0)
     assert p.hangups[0] == first
     while not p.applied and p.now < 60_000.0:
         for f in p.fetches("b"):
-            p.say("b", Body(f.mark, f.offset, d.body[f.offset : f.offset + f.length]))
+            p.say("b", BodyChunk(f.mark, f.offset, d.body[f.offset : f.offset + f.length]))
         p.wait(1_000.0)
     assert p.versions() == [1]
 
@@ -510,7 +532,9 @@
 
     def __init__(self, tuning: Tuning | None = None, publishes: bool = False) -> None:
         self.now = 0.0
-        self.hub = Hub("c", "r1", table=Table(tuning), publishes=publishes, now=0.0, tuning=tuning)
+        self.hub = DistributionServer(
+            "c", "r1", table=DocumentTable(tuning), publishes=publishes, now=0.0, tuning=tuning
+        )
         self.said: dict[int, list[Message]] = {}
         self.hangups: list[int] = []
 
@@ -542,10 +566,10 @@
         self.take()
 
     def heads(self, link: int) -> list[int]:
-        return [h.version for m in self.said.get(link, []) if isinstance(m, Heads) for h in m.heads]
+        return [h.version for m in self.said.get(link, []) if isinstance(m, DocumentHeaders) for h in m.heads]
 
-    def pieces(self, link: int) -> list[Body]:
-        return [m for m in self.said.get(link, []) if isinstance(m, Body)]
+    def pieces(self, link: int) -> list[BodyChunk]:
+        return [m for m in self.said.get(link, []) if isinstance(m, BodyChunk)]
 
 
 def test_a_watch_begins_with_what_is_newer_and_goes_on_with_what_is_meant_for_it() -> None:
@@ -581,43 +605,47 @@
     s.hub.blocked(1, True, s.now)
     for _ in range(20):
         s.to(s.now + 1_500.0)
-        s.say(1, Beat(0))
+        s.say(1, Heartbeat(0))
     assert s.hangups == [2, 1] or s.hangups == [1, 2]
     assert s.hub.followers == 0
 
 
 def test_bodies_go_out_in_pieces_within_the_bytes_of_the_link_and_of_the_hub() -> None:
-    tuning = Tuning(hub_bytes_per_s=50_000.0, hub_bytes_saved=50_000.0)
-    tuning = replace(tuning, link_bytes_per_s=4_000.0, link_bytes_saved=30_000.0)
+    tuning = Tuning(server_bytes_per_s=50_000.0, server_burst_bytes=50_000.0)
+    tuning = replace(tuning, connection_bytes_per_s=4_000.0, connection_burst_bytes=30_000.0)
     s = Served(tuning)
     d = doc(1, random.Random(1).randbytes(100_000))
     s.announce(d)
     for link in range(1, 11):
         s.watch(link, f"n{link}")
-        s.say(link, Fetch(d.head.mark, 0, 100_000))
+        s.say(link, FetchRequest(d.head.mark, 0, 100_000))
     for _ in range(60):
         sent = sum(len(piece.data) for link in range(1, 11) for piece in s.pieces(link))
-        assert sent <= 50_000 + s.now / 1000.0 * 50_000 + tuning.piece_bytes
+        assert sent <= 50_000 + s.now / 1000.0 * 50_000 + tuning.chunk_bytes
         for link in range(1, 11):
             got = sum(len(piece.data) for piece in s.pieces(link))
-            assert got <= 30_000 + s.now / 1000.0 * 4_000 + tuning.piece_bytes
-            s.say(link, Beat(0))
+            assert got <= 30_000 + s.now / 1000.0 * 4_000 + tuning.chunk_bytes
+            s.say(link, Heartbeat(0))
         s.to(s.now + 500.0)
     for link in range(1, 11):
         assert b"".join(piece.data for piece in s.pieces(link)) == d.body
-        assert all(len(piece.data) <= tuning.piece_bytes for piece in s.pieces(link))
+        assert all(len(piece.data) <= tuning.chunk_bytes for piece in s.pieces(link))
 
 
 def test_fetches_beyond_the_queue_are_told_to_come_again() -> None:
-    s = Served(Tuning(hub_bytes_per_s=1_000.0, hub_bytes_saved=1_000.0, queue=5, fetches=2))
+    s = Served(
+        Tuning(
+            server_bytes_per_s=1_000.0, server_burst_bytes=1_000.0, max_queued_fetches=5, concurrent_bodies=2
+        )
+    )
     d = doc(1, b"x" * 5_000)
     s.announce(d)
     for link in range(1, 31):
         s.watch(link, f"n{link}")
     for link in range(1, 31):
         for _ in range(80):
-            s.say(link, Fetch(d.head.mark, 0, 5_000))
-    busy = sum(isinstance(m, Absent) and m.why == "busy" for said in s.said.values() for m in said)
+            s.say(link, FetchRequest(d.head.mark, 0, 5_000))
+    busy = sum(isinstance(m, BodyUnavailable) and m.why == "busy" for said in s.said.values() for m in said)
     assert busy == s.hub.counts["busy"] >= 30 * (80 - 64)
 
 
@@ -626,37 +654,37 @@
     s.announce(doc(1, b"one"))
     s.watch(1, "n1")
     s.announce(doc(2, b"two"))
-    s.say(1, Fetch(doc(1, b"one").head.mark, 0, 3))
-    assert s.said[1][-1] == Absent(doc(1, b"one").head.mark, "gone")
+    s.say(1, FetchRequest(doc(1, b"one").head.mark, 0, 3))
+    assert s.said[1][-1] == BodyUnavailable(doc(1, b"one").head.mark, "gone")
 
 
 def test_a_hub_takes_so_many_links_and_turns_others_away() -> None:
-    s = Served(Tuning(followers=3))
+    s = Served(Tuning(max_connections=3))
     for link in range(1, 5):
         s.watch(link, f"n{link}")
-    assert s.hangups == [4] and s.said[4] == [Bye("full")] and s.hub.followers == 3
+    assert s.hangups == [4] and s.said[4] == [Goodbye("full")] and s.hub.followers == 3
 
 
 def test_only_a_publisher_takes_publishes() -> None:
     s = Served()
     s.hub.accepted(1, 0.0)
-    s.say(1, Publish(8, "all", b"", "me", ""))
-    assert s.said[1] == [Refused(8, "a relay takes no documents; publish to a publisher")]
+    s.say(1, PublishRequest(8, "all", b"", "me", ""))
+    assert s.said[1] == [PublishRejected(8, "a relay takes no documents; publish to a publisher")]
     s = Served(publishes=True)
     s.hub.accepted(1, 0.0)
-    s.hub.received(1, encode(Publish(8, "all", b"", "me", ""), T), 0.0)
+    s.hub.received(1, encode(PublishRequest(8, "all", b"", "me", ""), T), 0.0)
     ((link, request),) = s.hub.take().requests
-    s.hub.answer(link, Published(request.number, HEAD), 1.0)
+    s.hub.answer(link, PublishAccepted(request.number, HEAD), 1.0)
     s.take()
-    assert s.said[1] == [Published(8, HEAD)]
+    assert s.said[1] == [PublishAccepted(8, HEAD)]
 
 
 def test_messages_out_of_place_or_damaged_end_a_followers_link() -> None:
     s = Served()
     s.hub.accepted(1, 0.0)
-    s.say(1, Fetch(MARK, 0, 1))
+    s.say(1, FetchRequest(MARK, 0, 1))
     s.hub.accepted(2, 0.0)
-    s.hub.received(2, encode(Beat(0), tag("other")), 0.0)
+    s.hub.received(2, encode(Heartbeat(0), cluster_tag("other")), 0.0)
     s.take()
     assert s.hangups == [1, 2] and s.hub.counts["dropped_cluster"] == 1
 
@@ -671,10 +699,10 @@
         s.watch(2, "n2")
         s.watch(3, "gone")
     for s, d, counter in ((one, new, 5), (two, old, 4)):
-        s.say(1, Report("n1", 1, counter, (Standing(d.head.mark, State.IN_FORCE),)))
-    two.say(2, Report("n2", 2, 1, (Standing(new.head.mark, State.REFUSED, "no"),)))
-    two.say(2, Report("n2", 2, 0, (Standing(old.head.mark, State.IN_FORCE),)))  # an older report
-    two.say(2, Report("n1", 1, 9, ()))  # it speaks for another
+        s.say(1, ApplyReport("n1", 1, counter, (ApplyStatus(d.head.mark, ApplyState.IN_FORCE),)))
+    two.say(2, ApplyReport("n2", 2, 1, (ApplyStatus(new.head.mark, ApplyState.REFUSED, "no"),)))
+    two.say(2, ApplyReport("n2", 2, 0, (ApplyStatus(old.head.mark, ApplyState.IN_FORCE),)))  # an older report
+    two.say(2, ApplyReport("n1", 1, 9, ()))  # it speaks for another
     for s in (one, two):
         s.hub.lost(3, 10.0)
     for statuses in (
@@ -689,13 +717,13 @@
         assert gone["lags"] == ["all"] and not gone["linked"]
     # It is also what goes over the wire.
     one.hub.accepted(9, 20.0)
-    one.say(9, AskStatus(4))
+    one.say(9, StatusRequest(4))
     answer = one.said[9][0]
-    assert isinstance(answer, Status) and merge([answer.value])["followers"]["n1"]["counter"] == 5
+    assert isinstance(answer, StatusResponse) and merge([answer.value])["followers"]["n1"]["counter"] == 5
 
 
 def test_a_table_is_bounded_and_only_moves_on() -> None:
-    table = Table(Tuning(documents=2, table_bytes=100))
+    table = DocumentTable(Tuning(max_documents=2, max_table_bytes=100))
     assert table.put(doc(2, b"x" * 40)) and not table.put(doc(1, b"y")) and not table.put(doc(2, b"x" * 40))
     with pytest.raises(FeedError, match="not the one"):
         table.put(replace(doc(3, b"x"), body=b"y"))
@@ -705,12 +733,14 @@
     with pytest.raises(FeedError, match="full"):
         table.put(doc(1, b"", scope="region/west"))
     assert table.put(doc(3, b"")) and table.bytes == 60
-    other = Table()
+    other = DocumentTable()
     for d in (doc(1, b"x" * 60, scope="region/east"), doc(3, b"")):
         other.put(d)
-    everything = Interest(everything=True)
+    everything = Subscription(everything=True)
     assert table.digest(everything) == other.digest(everything) != 0
-    assert table.digest(Interest("west")) == Table().digest(Interest()) ^ other.digest(Interest("west"))
+    assert table.digest(Subscription("west")) == DocumentTable().digest(Subscription()) ^ other.digest(
+        Subscription("west")
+    )
 
 
 def test_a_hub_that_slept_drops_nobody_for_it() -> None:
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from crowpost.config_feed.document_cache import Shelf
+from crowpost.config_feed.document_cache import DocumentCache
 from crowpost.config_feed.documents import Document, FeedError, make_document
 from crowpost.node.config import ConfigError, load
-from crowpost.node.configuration_overlays import Overlays, patched
+from crowpost.node.configuration_overlays import ConfigurationOverlays, patched
 from tests.stubs import HOST, listing, row, settings
 
 FILE, FED = (HOST, 8500), (HOST, 8501)
@@ -47,7 +47,7 @@
     return {"settings": {"policyLimits": {"connectTimeoutMs": ms}}}
 
 
-def take(overlays: Overlays, *documents: Document) -> None:
+def take(overlays: ConfigurationOverlays, *documents: Document) -> None:
     for one in documents:
         overlays.take(overlays.propose(one))
 
@@ -79,7 +79,7 @@
         document(discovery(4), "node/n0"),
     ]
     for some in (documents, documents[::-1], documents[1:3] + documents[:1] + documents[3:]):
-        overlays = Overlays({}, file(), "")
+        overlays = ConfigurationOverlays({}, file(), "")
         take(overlays, *some)
         assert overlays.live.discovery == (HOST, 4)
         take(overlays, document({}, "node/n0", 2))
@@ -113,7 +113,7 @@
 def test_what_a_running_node_cannot_take_is_refused_as_a_whole_and_names_the_key(
     body: Any, said: str
 ) -> None:
-    overlays = Overlays({}, file(), "")
+    overlays = ConfigurationOverlays({}, file(), "")
     before = overlays.live
     with pytest.raises(ConfigError) as error:
         overlays.propose(document(body))
@@ -124,7 +124,7 @@
 
 
 def test_a_document_that_says_again_what_the_file_says_is_taken() -> None:
-    overlays = Overlays({}, file(), "")
+    overlays = ConfigurationOverlays({}, file(), "")
     take(overlays, document({"settings": {"tickMs": 5, "azs": ["hall"]}, "seed": "1", **discovery(8501)}))
     assert overlays.live.discovery == FED
     with pytest.raises(ConfigError, match="settings.policyLimits.cancel"):
@@ -132,7 +132,7 @@
 
 
 def test_a_document_goes_before_the_file_and_the_file_before_the_environment() -> None:
-    overlays = Overlays({"NODE_DISCOVERY": f"{HOST}:1"}, file(), "")
+    overlays = ConfigurationOverlays({"NODE_DISCOVERY": f"{HOST}:1"}, file(), "")
     assert overlays.live.discovery == (HOST, 1)
     assert overlays.rebase((HOST, 2)).discovery == (HOST, 2), "SIGHUP, without a document"
     take(overlays, document(discovery(8501)))
@@ -145,13 +145,13 @@
 
 def test_a_node_begins_with_what_was_in_force_and_without_it_where_it_no_longer_fits() -> None:
     kept = [document(discovery(8501)), document(connect(70.0), "node/n0")]
-    overlays = Overlays({"NODE_DISCOVERY": f"{HOST}:1"}, file(), "", kept)
+    overlays = ConfigurationOverlays({"NODE_DISCOVERY": f"{HOST}:1"}, file(), "", kept)
     assert overlays.live.discovery == FED and overlays.live.connect_timeout_ms == 70.0
     assert overlays.kept == kept and not overlays.notes
     take(overlays, document({}, version=2))
     assert overlays.live.discovery == (HOST, 1)
     for bad in (document(b"?"), document({"discovery": "nowhere"}), document({"settings": {"profiles": []}})):
-        overlays = Overlays({}, file(), "", [*kept[1:], bad])
+        overlays = ConfigurationOverlays({}, file(), "", [*kept[1:], bad])
         assert overlays.live.discovery == FILE and overlays.kept == [] and not overlays.heads()
         assert overlays.notes[0].startswith("began without what was last in force (node/n0, all): ")
 
@@ -160,7 +160,7 @@
 
 
 def test_the_shelf_gives_back_the_last_of_each_scope_and_tells_of_damage(tmp_path: Path) -> None:
-    shelf = Shelf(tmp_path / "feed", OWNER)
+    shelf = DocumentCache(tmp_path / "feed", OWNER)
     assert shelf.read() == ([], [])
     older, newer, other = document({}), document(connect(70.0), version=2), document({}, "service/cart")
     for one in (older, other, newer):
@@ -173,13 +173,13 @@
         documents, notes = shelf.read()
         assert documents == [other] and notes[0].startswith("all.document is damaged"), bad
     with pytest.raises(FeedError, match="belongs to 'n0' of 'c'"):
-        Shelf(tmp_path / "feed", ("c", "n1")).read()
+        DocumentCache(tmp_path / "feed", ("c", "n1")).read()
     with pytest.raises(FeedError, match="No such file"):
-        Shelf(tmp_path / "no" / "feed", OWNER).read()
+        DocumentCache(tmp_path / "no" / "feed", OWNER).read()
 
 
 def test_a_write_that_fails_leaves_the_last_document_whole(tmp_path: Path) -> None:
-    shelf = Shelf(tmp_path, OWNER)
+    shelf = DocumentCache(tmp_path, OWNER)
     shelf.write(document({}))
     (tmp_path / "all.document").rename(tmp_path / "kept")
     (tmp_path / "all.document").mkdir()  # nothing can be renamed onto it
@@ -208,7 +208,7 @@
 
 def test_a_node_reads_its_feed_and_the_documents_kept_for_its_scopes(tmp_path: Path) -> None:
     told = environment(tmp_path, feed_file(tmp_path, directory=f'"{tmp_path / "feed"}"'))
-    shelf = Shelf(tmp_path / "feed", OWNER)
+    shelf = DocumentCache(tmp_path / "feed", OWNER)
     assert load(told).discovery == FILE
     shelf.write(document(discovery(8501), "service/cart"))
     shelf.write(document(discovery(8502), "service/other"))  # from when the node served that
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -13,10 +13,10 @@
 
 from crowpost.cli.feed import ask_all, picture
 from crowpost.config_feed.configuration import FeedConfig
-from crowpost.config_feed.documents import Document, FeedError, Server
-from crowpost.config_feed.messages import Message, Publish, Published, Refused
+from crowpost.config_feed.documents import Document, FeedError, UpstreamServer
+from crowpost.config_feed.messages import Message, PublishAccepted, PublishRejected, PublishRequest
 from crowpost.config_feed.publisher import Publisher
-from crowpost.config_feed.transport import Carrier, ask
+from crowpost.config_feed.transport import FeedTransport, ask
 from crowpost.store.disk import Disk
 from crowpost.store.model import Append, Operation
 from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
@@ -100,7 +100,7 @@
                 await world.publish(connect(102.0))
             await world.hub("p", [])
             answer = await world.publish(connect(102.0), if_version=0)
-            assert isinstance(answer, Refused) and answer.why == "all is at version 1 and not at 0"
+            assert isinstance(answer, PublishRejected) and answer.why == "all is at version 1 and not at 0"
             assert version(await world.publish(connect(102.0), if_version=1)) == 2
             await in_force(processes, 2)
             nearest = world.processes["r0"]
@@ -165,7 +165,7 @@
             publisher = await world.hub("p", ["r0", "r1"])
             await publisher.event("set_back", scope="all", version=3, era=2)
             answer = await world.publish(connect(200.0), if_version=3)
-            assert isinstance(answer, Published) and (answer.head.era, answer.head.version) == (2, 4)
+            assert isinstance(answer, PublishAccepted) and (answer.head.era, answer.head.version) == (2, 4)
             await in_force([started[0][0]], 4)
             await publisher.kill()
             publisher = await world.hub("p", ["r0", "r1"])
@@ -188,7 +188,7 @@
         at = await publisher.start()
 
         async def publish(body: bytes) -> Message:
-            return await ask(at, Publish(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S)
+            return await ask(at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S)
 
         assert version(await publish(b"1")) == 1
         perform = Disk.perform
@@ -201,10 +201,10 @@
         monkeypatch.setattr(Disk, "perform", full)
         for _ in range(2):
             answer = await publish(b"2")
-            assert isinstance(answer, Refused) and "writing has stopped" in answer.why
+            assert isinstance(answer, PublishRejected) and "writing has stopped" in answer.why
             assert "the disk is full" in answer.why
         came: asyncio.Queue[Document] = asyncio.Queue()
-        watcher = Carrier(config("w", "watch", upstreams=(Server(at),)), came.put_nowait)
+        watcher = FeedTransport(config("w", "watch", upstreams=(UpstreamServer(at),)), came.put_nowait)
         watcher.start()
         assert (await asyncio.wait_for(came.get(), PATIENCE_S)).body == b"1"
         found = picture(*await ask_all([at], CLUSTER, PATIENCE_S))
--- a/tests/config_feed/test_publication_log.py
+++ b/tests/config_feed/test_publication_log.py
@@ -10,10 +10,11 @@
 
 import pytest
 
-from crowpost.config_feed.document_table import Table
-from crowpost.config_feed.documents import Document, FeedError, Tuning, make_document
-from crowpost.config_feed.messages import Publish
-from crowpost.config_feed.publication_log import Ledger, Writers
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import Document, FeedError, make_document
+from crowpost.config_feed.messages import PublishRequest
+from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
+from crowpost.config_feed.tuning import Tuning
 from crowpost.lab.powerloss.disk import TraceDisk
 from crowpost.lab.powerloss.play import do_jobs
 from crowpost.node.configuration_overlays import checker
@@ -25,22 +26,24 @@
 ID = bytes(range(8))
 
 
-def ledger(name: str = "p-n", records: Any = (), tuning: Tuning | None = None) -> Ledger:
-    return Ledger(Writers(name, "north", PUBLISHERS), lambda scope, body: None, records, tuning)
+def ledger(name: str = "p-n", records: Any = (), tuning: Tuning | None = None) -> PublicationLog:
+    return PublicationLog(
+        WriteAuthority(name, "north", PUBLISHERS), lambda scope, body: None, records, tuning
+    )
 
 
-def asked(scope: str = "all", body: bytes = b"{}", **more: Any) -> Publish:
-    return Publish(1, scope, body, "ann", "why not", **more)
+def asked(scope: str = "all", body: bytes = b"{}", **more: Any) -> PublishRequest:
+    return PublishRequest(1, scope, body, "ann", "why not", **more)
 
 
-def publish(book: Ledger, table: Table, *args: Any, **more: Any) -> Document:
+def publish(book: PublicationLog, table: DocumentTable, *args: Any, **more: Any) -> Document:
     """Published and told."""
     document = book.publish(asked(*args, **more), table)[1]
     assert table.put(document)
     return document
 
 
-def refusal(book: Ledger, table: Table, *args: Any, **more: Any) -> str:
+def refusal(book: PublicationLog, table: DocumentTable, *args: Any, **more: Any) -> str:
     with pytest.raises(FeedError) as error:
         book.publish(asked(*args, **more), table)
     return str(error.value)
@@ -85,7 +88,7 @@
 def test_one_publisher_writes_a_scope_and_another_names_it(
     name: str, scope: str, region: str, said: str
 ) -> None:
-    book, table = ledger(name), Table()
+    book, table = ledger(name), DocumentTable()
     if said:
         assert refusal(book, table, scope, region=region).startswith(said)
         assert book.documents() == []
@@ -94,7 +97,7 @@
 
 
 def test_the_writer_of_a_node_stays_whatever_region_is_said_later() -> None:
-    north, south, table = ledger("p-n"), ledger("p-s"), Table()
+    north, south, table = ledger("p-n"), ledger("p-s"), DocumentTable()
     publish(south, table, "node/n1", region="south")
     said = refusal(north, table, "node/n1", region="north")
     assert said == "node/n1 is written by p-s, which wrote it first, and not by p-n"
@@ -105,7 +108,7 @@
 
 
 def test_versions_rise_in_each_scope_and_a_condition_holds_also_for_what_is_not_on_the_disk_yet() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     one = book.publish(asked(if_version=0), table)[1]
     assert one.head.version == 1
     # In the same millisecond, before the first is kept or told: one of the two has its way.
@@ -117,14 +120,14 @@
 
 
 def test_a_version_that_only_others_know_of_is_not_used_again() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     table.put(make_document("all", 3, 8, b"x", author="", reason="", writer="p-old"))
     head = publish(book, table).head
     assert (head.era, head.version) == (3, 9)
 
 
 def test_back_publishes_the_body_before_as_a_new_version_and_that_can_be_taken_back_too() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     said = "all has no document before the one in force"
     assert refusal(book, table, back=True) == said
     publish(book, table, "all", b"1")
@@ -139,8 +142,8 @@
 
 
 def test_bodies_that_no_one_could_hold_are_refused_before_they_are_written() -> None:
-    tuning = Tuning(document_bytes=100, documents=2, table_bytes=150)
-    book, table = ledger(tuning=tuning), Table(tuning)
+    tuning = Tuning(max_document_bytes=100, max_documents=2, max_table_bytes=150)
+    book, table = ledger(tuning=tuning), DocumentTable(tuning)
     assert refusal(book, table, "all", bytes(101)) == "all: 101 bytes, 100 at the most"
     publish(book, table, "all", bytes(100))
     assert "would be 160 bytes" in refusal(book, table, "service/a", bytes(60))
@@ -148,7 +151,7 @@
     publish(book, table, "all", bytes(90))
     assert "in 2 scopes" in refusal(book, table, "service/b", b"")
     with pytest.raises(FeedError, match="author is longer than 64 bytes"):
-        book.publish(Publish(1, "all", b"{}", "x" * 65, ""), table)
+        book.publish(PublishRequest(1, "all", b"{}", "x" * 65, ""), table)
     assert [d.head.version for d in book.documents()] == [2, 1], "a refusal takes no version"
 
 
@@ -162,9 +165,9 @@
     ],
 )
 def test_the_nodes_own_check_refuses_with_its_line(body: bytes, said: str) -> None:
-    book = Ledger(Writers("p-n", "north", PUBLISHERS), checker())
-    assert refusal(book, Table(), "all", body).startswith(said)
-    assert book.documents() == [] and book.publish(asked(body=b'{"discovery": "h:1"}'), Table())
+    book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), checker())
+    assert refusal(book, DocumentTable(), "all", body).startswith(said)
+    assert book.documents() == [] and book.publish(asked(body=b'{"discovery": "h:1"}'), DocumentTable())
 
 
 def test_with_a_nodes_file_a_publisher_also_refuses_what_a_running_node_would(tmp_path: Any) -> None:
@@ -173,10 +176,10 @@
         '{"seed": "1", "limits": {"memory_mb": 64, "sockets": 64},'
         ' "settings": {"tickMs": 5, "profiles": [{"effect": "safe", "aimMs": 1, "deadlineMs": 1}]}}'
     )
-    book = Ledger(Writers("p-n", "north", PUBLISHERS), checker(str(sample)))
-    said = refusal(book, Table(), "all", b'{"settings": {"tickMs": 6}}')
+    book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), checker(str(sample)))
+    said = refusal(book, DocumentTable(), "all", b'{"settings": {"tickMs": 6}}')
     assert said == "all: settings.tickMs cannot change while the node runs"
-    assert book.publish(asked(body=b'{"settings": {"tickMs": 5.0}, "discovery": "h:1"}'), Table())
+    assert book.publish(asked(body=b'{"settings": {"tickMs": 5.0}, "discovery": "h:1"}'), DocumentTable())
     with pytest.raises(FeedError, match="feed.sample: .* cannot be read"):
         checker(str(tmp_path / "none"))
 
@@ -185,7 +188,7 @@
 
 
 def test_records_and_snapshots_give_the_same_state() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     records = [
         book.publish(asked(scope, body), table)[0]
         for scope in ("all", "region/north")
@@ -202,16 +205,16 @@
 
 
 def test_after_a_restore_what_is_published_is_newer_than_all_before() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     backup = [book.publish(asked(body=b"old"), table)[0]]
     lost = publish(book, table, "all", b"lost")
     book = ledger(records=backup)
     book.restored()
-    assert book.publish(asked(body=b"new"), Table())[1].head.rank > lost.head.rank
+    assert book.publish(asked(body=b"new"), DocumentTable())[1].head.rank > lost.head.rank
 
 
 def test_a_state_that_was_set_back_learns_from_the_fleet_and_begins_the_next_era() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     backup = [book.publish(asked(body=b"old"), table)[0]]
     lost, other = publish(book, table, "all", b"lost"), publish(book, table, "region/north", b"lost too")
     book = ledger(records=backup)
@@ -243,7 +246,7 @@
 
     def __post_init__(self) -> None:
         self.rng = Random(f"feed ledger {self.seed}")
-        self.table = Table()
+        self.table = DocumentTable()
 
     def assign(self, document: Document) -> None:
         head = document.head
@@ -294,7 +297,7 @@
             disk.perform(operation)
         seen = dict(self.acknowledged)
         for scope in SCOPES:
-            table = Table()  # of a process that has just begun
+            table = DocumentTable()  # of a process that has just begun
             document = book.publish(asked(scope, b"after the crash"), table)[1]
             if scope in seen:
                 assert document.head.version > seen[scope].head.version, "a version was used twice"
@@ -303,7 +306,7 @@
                 assert book.publish(asked(scope, back=True), table)[1].body == held[scope].body
 
 
-def opened(found: Found) -> Ledger:
+def opened(found: Found) -> PublicationLog:
     return ledger(records=[*found.snapshot, *(record.payload for record in found.records)])
 
 
--- a/tests/config_feed/test_simulation.py
+++ b/tests/config_feed/test_simulation.py
@@ -13,19 +13,19 @@
 
 from crowpost.config_feed.documents import (
     FeedError,
-    Tuning,
 )
 from crowpost.config_feed.follower import Follower
 from crowpost.config_feed.follower_status import merge
 from crowpost.config_feed.frames import FRAME
-from crowpost.lab.feed.network import Weather
+from crowpost.config_feed.tuning import Tuning
+from crowpost.lab.feed.network import NetworkConditions
 from crowpost.lab.feed.publishing import STEPS
 from crowpost.lab.feed.simulation import CASES, Fleet, play, put_into
 
-RATE, SAVED = Tuning().bytes_per_s, Tuning().bytes_saved
+RATE, SAVED = Tuning().bytes_per_s, Tuning().burst_bytes
 
 
-def fleet(nodes: int = 21, seed: int = 1, weather: Weather | None = None) -> Fleet:
+def fleet(nodes: int = 21, seed: int = 1, weather: NetworkConditions | None = None) -> Fleet:
     """A fleet that holds a first document everywhere."""
     made = Fleet(nodes, seed, weather)
     made.publish("all")
@@ -314,7 +314,7 @@
 def test_random_faults(seed: int) -> None:
     """Never an older version, never a body that is not its head's, and all agree after the last fault."""
     rng = random.Random(seed)
-    weather = Weather(loss=rng.choice((0.0, 0.05, 0.2)), starved=rng.choice((0.0, 0.1)))
+    weather = NetworkConditions(loss=rng.choice((0.0, 0.05, 0.2)), starved=rng.choice((0.0, 0.1)))
     made = Fleet(10, seed, weather)
     world = made.world
     budget = Budget(made)
