--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -24,11 +24,11 @@
 import crowpost.config_feed.frames as feed_wire
 import crowpost.config_feed.messages as feed_messages
 import crowpost.members.wire as member_wire
-from crowpost.config_feed.document_cache import Shelf
-from crowpost.config_feed.document_table import Table
-from crowpost.config_feed.documents import Document, Standing, State, make_document
-from crowpost.config_feed.messages import Publish
-from crowpost.config_feed.publication_log import Ledger, Writers
+from crowpost.config_feed.document_cache import DocumentCache
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import ApplyState, ApplyStatus, Document, make_document
+from crowpost.config_feed.messages import PublishRequest
+from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
 from crowpost.interface import RememberedEndpoint
 from crowpost.members import exchange
 from crowpost.members.core import Members
@@ -106,23 +106,23 @@
     """A frame of every message kind of the feed, by its number."""
     document = a_document("region/north", 7, b'{"discovery": "127.0.0.1:8501"}')
     head, mark = document.head, document.head.mark
-    standings = tuple(Standing(mark, state, f"as {state}") for state in State)
+    standings = tuple(ApplyStatus(mark, state, f"as {state}") for state in ApplyState)
     sent: list[feed_messages.Message] = [
         feed_messages.Hello("n1", "node", "north", "n1", "cart", False, 99, (mark,)),
-        feed_messages.Heads((head, head)),
-        feed_messages.Fetch(mark, 100, 2_000),
-        feed_messages.Body(mark, 100, b"piece"),
-        feed_messages.Absent(mark, "busy"),
-        feed_messages.Beat(123_456),
-        feed_messages.Report("n1", 99, 5, standings),
-        feed_messages.AskStatus(3),
-        feed_messages.Status(3, {"name": "r1", "held": [1, 2]}),
-        feed_messages.Publish(4, "service/cart", b"{}", "staff", "a reason", "north", 6, True),
-        feed_messages.Published(4, head),
-        feed_messages.Refused(4, "service/cart is at version 7 and not at 6"),
-        feed_messages.Bye("in order"),
+        feed_messages.DocumentHeaders((head, head)),
+        feed_messages.FetchRequest(mark, 100, 2_000),
+        feed_messages.BodyChunk(mark, 100, b"piece"),
+        feed_messages.BodyUnavailable(mark, "busy"),
+        feed_messages.Heartbeat(123_456),
+        feed_messages.ApplyReport("n1", 99, 5, standings),
+        feed_messages.StatusRequest(3),
+        feed_messages.StatusResponse(3, {"name": "r1", "held": [1, 2]}),
+        feed_messages.PublishRequest(4, "service/cart", b"{}", "staff", "a reason", "north", 6, True),
+        feed_messages.PublishAccepted(4, head),
+        feed_messages.PublishRejected(4, "service/cart is at version 7 and not at 6"),
+        feed_messages.Goodbye("in order"),
     ]
-    frames = [feed_wire.encode(message, feed_wire.tag(CLUSTER)) for message in sent]
+    frames = [feed_wire.encode(message, feed_wire.cluster_tag(CLUSTER)) for message in sent]
     return {f"kind-{frame[7]:02d}": frame for frame in frames}
 
 
@@ -225,11 +225,11 @@
 
 def ledger_records() -> tuple[list[bytes], list[bytes]]:
     """Records of three publishes and of a restore, and the snapshot after them."""
-    ledger = Ledger(Writers("pub-n", "north", {"north": "pub-n"}), lambda scope, body: None)
-    table = Table()
+    ledger = PublicationLog(WriteAuthority("pub-n", "north", {"north": "pub-n"}), lambda scope, body: None)
+    table = DocumentTable()
     records = []
     for number, (scope, body) in enumerate([("all", b"{}"), ("all", b'{"a": 1}'), ("region/north", b"[]")]):
-        record, _ = ledger.publish(Publish(number, scope, body, "staff", "a reason"), table)
+        record, _ = ledger.publish(PublishRequest(number, scope, body, "staff", "a reason"), table)
         records.append(record)
     records.append(ledger.restored())
     return records, list(ledger.snapshot())
@@ -248,7 +248,7 @@
     ):
         write_records(into / name, owner, records, iter(snapshot))
         (into / name / "lock").unlink(missing_ok=True)
-    shelf = Shelf(into / "follower", (CLUSTER, OWNER))
+    shelf = DocumentCache(into / "follower", (CLUSTER, OWNER))
     shelf.read()
     for document in shelf_documents():
         shelf.write(document)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -12,9 +12,9 @@
 import crowpost.config_feed.frames as feed_wire
 import crowpost.members.wire as member_wire
 from crowpost.config_feed.configuration import load as load_feed
-from crowpost.config_feed.document_cache import Shelf
+from crowpost.config_feed.document_cache import DocumentCache
 from crowpost.config_feed.documents import FeedError
-from crowpost.config_feed.publication_log import Ledger, Writers
+from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
 from crowpost.lab.scenario import load as load_scenario
 from crowpost.members.config import load as load_members
 from crowpost.node.kept import read
@@ -55,8 +55,8 @@
     frames = recorded("frames-feed.json")
     assert len(frames) == 13
     for frame in frames.values():
-        message = feed_wire.decode(frame[4:], feed_wire.tag(build.CLUSTER))
-        assert feed_wire.encode(message, feed_wire.tag(build.CLUSTER)) == frame
+        message = feed_wire.decode(frame[4:], feed_wire.cluster_tag(build.CLUSTER))
+        assert feed_wire.encode(message, feed_wire.cluster_tag(build.CLUSTER)) == frame
 
 
 def test_the_module_answers_the_simulator_as_before() -> None:
@@ -88,22 +88,22 @@
     records, snapshot = build.ledger_records()
     assert found.snapshot == snapshot
     assert [record.payload for record in found.records] == records
-    writers = Writers("pub-n", "north", {"north": "pub-n"})
-    ledger = Ledger(writers, lambda scope, body: None, found.snapshot)
+    writers = WriteAuthority("pub-n", "north", {"north": "pub-n"})
+    ledger = PublicationLog(writers, lambda scope, body: None, found.snapshot)
     assert list(ledger.snapshot()) == snapshot
 
 
 def test_a_followers_cache_is_read_and_written_again_as_before(tmp_path: Path) -> None:
     shutil.copytree(HERE / "follower", tmp_path / "read")
-    documents, notes = Shelf(tmp_path / "read", (build.CLUSTER, build.OWNER)).read()
+    documents, notes = DocumentCache(tmp_path / "read", (build.CLUSTER, build.OWNER)).read()
     assert documents == build.shelf_documents() and notes == []
-    again = Shelf(tmp_path / "again", (build.CLUSTER, build.OWNER))
+    again = DocumentCache(tmp_path / "again", (build.CLUSTER, build.OWNER))
     again.read()
     for document in documents:
         again.write(document)
     assert tree(tmp_path / "again") == tree(HERE / "follower")
     with pytest.raises(FeedError, match="belongs to"):
-        Shelf(tmp_path / "again", (build.CLUSTER, "n4")).read()
+        DocumentCache(tmp_path / "again", (build.CLUSTER, "n4")).read()
 
 
 def test_the_telemetry_text_is_as_before() -> None:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -17,7 +17,7 @@
 
 from crowpost.config_feed.configuration import FeedConfig
 from crowpost.config_feed.documents import make_document
-from crowpost.config_feed.transport import Carrier
+from crowpost.config_feed.transport import FeedTransport
 from crowpost.lab.scale import record as records
 from crowpost.lab.scale import simulated
 from crowpost.lab.scale.changes import without_joiners
@@ -442,7 +442,7 @@
 def test_a_hollow_follower_has_in_force_what_is_published() -> None:
     async def work() -> None:
         config = FeedConfig("c", "p", role="publisher", region="north", listen="127.0.0.1:0")
-        hub = Carrier(config, lambda document: None, on_publish=lambda link, asked: None)
+        hub = FeedTransport(config, lambda document: None, on_publish=lambda link, asked: None)
         nodes = [HollowFollower(place, Cut([0])) for place in places(TARGET.topology, 3)]
         try:
             upstreams = [[await hub.listen(), "p"]]
