--- a/crowpost/cli/feed.py
+++ b/crowpost/cli/feed.py
@@ -141,12 +141,14 @@
             print(f"refused: {answer.why}", file=sys.stderr)
         raise typer.Exit(1)
     assert isinstance(answer, PublishAccepted)
-    head = answer.head
+    header = answer.header
     if as_json:
-        told = {"published": True, "scope": head.scope, "era": head.era, "version": head.version}
-        print(json.dumps({**told, "digest": head.digest.hex(), "size": head.size, "writer": head.writer}))
+        told = {"published": True, "scope": header.scope, "era": header.epoch, "version": header.version}
+        print(
+            json.dumps({**told, "digest": header.digest.hex(), "size": header.size, "writer": header.writer})
+        )
     else:
-        out.print(f"{head.scope} is at version {head.version} (era {head.era}, {head.size} bytes)")
+        out.print(f"{header.scope} is at version {header.version} (era {header.epoch}, {header.size} bytes)")
 
 
 # ---------------------------------------------------------------- status
@@ -206,12 +208,12 @@
     found["gone"] = sorted(n for n, f in followers.items() if not f["linked"] and f["age_ms"] > GONE_MS)
     found["followers"] = {n: f for n, f in followers.items() if n not in found["gone"]}
     nodes = {name: one for name, one in found["followers"].items() if one["role"] == "node"}
-    for scope, head in found["heads"].items():
+    for scope, header in found["heads"].items():
         meant = {n: f for n, f in nodes.items() if wanted(scope, f["region"], f["service"], n)}
         held = [r for f in meant.values() for r in f["standings"] if r["scope"] == scope]
-        force = [r for r in held if r["state"] == "in force" and r["version"] == head["version"]]
-        head["meant"], head["in_force"] = len(meant), len(force)
-        head["last_since_ms"] = min((row["since_ms"] for row in force), default=None)
+        force = [r for r in held if r["state"] == "in force" and r["version"] == header["version"]]
+        header["meant"], header["in_force"] = len(meant), len(force)
+        header["last_since_ms"] = min((row["since_ms"] for row in force), default=None)
     for one in found["followers"].values():
         one["unheard"] = not one["linked"] or one["age_ms"] > SILENT_MS
     found["silent"], found["answered"] = silent, [status["name"] for status in told]
@@ -223,12 +225,12 @@
 
 def _show(found: dict[str, Any]) -> None:
     table = Table("scope", "version", "digest", "bytes", "author", "reason", "in force", "last", box=None)
-    for scope, head in sorted(found["heads"].items()):
-        version = str(head["version"]) + (f" (era {head['era']})" if head["era"] > 1 else "")
-        have = f"{head['in_force']} of {head['meant']}"
-        last = _ago(head["last_since_ms"])
-        size = str(head["size"])
-        table.add_row(scope, version, head["digest"], size, head["author"], head["reason"], have, last)
+    for scope, header in sorted(found["heads"].items()):
+        version = str(header["version"]) + (f" (era {header['era']})" if header["era"] > 1 else "")
+        have = f"{header['in_force']} of {header['meant']}"
+        last = _ago(header["last_since_ms"])
+        size = str(header["size"])
+        table.add_row(scope, version, header["digest"], size, header["author"], header["reason"], have, last)
     out.print(table)
     lines = [line for name, one in found["followers"].items() for line in _amiss(name, one)]
     for line in lines[:NAMED]:
@@ -301,15 +303,20 @@
         if count and seen == count:
             return
         seen += 1
-        head = document.head
+        header = document.header
         if as_json:
-            told = {"scope": head.scope, "era": head.era, "version": head.version, "size": head.size}
-            told |= {"digest": head.digest.hex(), "author": head.author, "reason": head.reason}
+            told = {
+                "scope": header.scope,
+                "era": header.epoch,
+                "version": header.version,
+                "size": header.size,
+            }
+            told |= {"digest": header.digest.hex(), "author": header.author, "reason": header.reason}
             print(json.dumps({**told, "at": round(time.time(), 3)}), flush=True)
         else:
             at = time.strftime("%H:%M:%S")
-            why = f"{head.author}: {head.reason}"
-            print(f"{at} {head.scope} version {head.version}, {head.size} bytes, {why}", flush=True)
+            why = f"{header.author}: {header.reason}"
+            print(f"{at} {header.scope} version {header.version}, {header.size} bytes, {why}", flush=True)
         if count and seen == count:
             enough.set()
 
--- a/crowpost/config_feed/configuration.py
+++ b/crowpost/config_feed/configuration.py
@@ -89,7 +89,7 @@
     def interest(self) -> Subscription:
         """What this process watches."""
         if self.role != "node":
-            return Subscription(everything=True)
+            return Subscription(all_scopes=True)
         return Subscription(self.region, self.service, self.name)
 
 
--- a/crowpost/config_feed/distribution_server.py
+++ b/crowpost/config_feed/distribution_server.py
@@ -14,7 +14,7 @@
 from crowpost.config_feed import messages
 from crowpost.config_feed.document_table import DocumentTable
 from crowpost.config_feed.documents import (
-    HEADERS,
+    PACKET_OVERHEAD_BYTES,
     Document,
     DocumentHeader,
     FeedEvent,
@@ -22,7 +22,7 @@
     scopes_of,
 )
 from crowpost.config_feed.follower_status import FollowerStatusTable, hub_status
-from crowpost.config_feed.frames import HEADS, FrameError, FrameReader, cluster_tag, encode
+from crowpost.config_feed.frames import MAX_HEADERS_PER_FRAME, FrameError, FrameReader, cluster_tag, encode
 from crowpost.config_feed.messages import (
     ApplyReport,
     BodyChunk,
@@ -86,7 +86,7 @@
         table: DocumentTable,
         publishes: bool = False,
         instead: str = "a relay takes no documents; publish to a publisher",
-        birth: int = 0,
+        instance_id: int = 0,
         now: float,
         tuning: Tuning | None = None,
     ) -> None:
@@ -94,9 +94,9 @@
         self.table, self.tuning = table, tuning or Tuning()
         # bytes_in, bytes_out, bodies_out, followers, busy, dropped_KIND ...
         self.counts: Counter[str] = Counter()
-        self._publishes, self._instead, self._birth = publishes, instead, birth
+        self._publishes, self._instead, self._birth = publishes, instead, instance_id
         self._tag = cluster_tag(cluster)
-        self._watches: dict[int, FollowerConnection] = {}
+        self._connections: dict[int, FollowerConnection] = {}
         self._by_scope: dict[str, dict[int, FollowerConnection]] = {}
         self._everything: dict[int, FollowerConnection] = {}
         self._waiting: deque[FollowerConnection] = deque()  # with jobs; in the order they came
@@ -115,73 +115,73 @@
     @property
     def followers(self) -> int:
         """Links that watch."""
-        return sum(watch.hello is not None for watch in self._watches.values())
+        return sum(connection.hello is not None for connection in self._connections.values())
 
-    def accepted(self, link: int, now: float) -> None:
+    def accepted(self, connection_id: int, now: float) -> None:
         """A connection came in."""
         now = self._enter(now)
-        if self._closed or len(self._watches) >= self.tuning.max_connections:
+        if self._closed or len(self._connections) >= self.tuning.max_connections:
             self.counts["turned_away"] += 1
             self._out.sends.append(
-                (link, encode(messages.Goodbye("closing" if self._closed else "full"), self._tag))
+                (connection_id, encode(messages.Goodbye("closing" if self._closed else "full"), self._tag))
             )
-            self._out.hangups.append(link)
+            self._out.hangups.append(connection_id)
             return
         tuning = self.tuning
         reader = FrameReader(self._tag, max(tuning.max_document_bytes + 65_536, LEAST_FRAME))
         bucket = TokenBucket(tuning.connection_bytes_per_s, tuning.connection_burst_bytes, now)
-        self._watches[link] = FollowerConnection(link, reader, now, bucket)
+        self._connections[connection_id] = FollowerConnection(connection_id, reader, now, bucket)
 
-    def lost(self, link: int, now: float) -> None:
+    def lost(self, connection_id: int, now: float) -> None:
         """A connection is gone."""
-        self._lost(link, self._enter(now))
+        self._lost(connection_id, self._enter(now))
 
-    def _lost(self, link: int, now: float) -> None:
-        watch = self._watches.pop(link, None)
-        if watch is None:
+    def _lost(self, connection_id: int, now: float) -> None:
+        connection = self._connections.pop(connection_id, None)
+        if connection is None:
             return
-        self._unindex(watch)
-        self._parked.pop(link, None)
-        watch.jobs.clear()
-        watch.pending.clear()
-        if watch.hello is not None:
-            self.wall.unlinked(watch.hello.name, link)
-            self._tell("lost", now, {"follower": watch.hello.name})
-
-    def blocked(self, link: int, blocked: bool, now: float) -> None:
+        self._unindex(connection)
+        self._parked.pop(connection_id, None)
+        connection.jobs.clear()
+        connection.pending.clear()
+        if connection.hello is not None:
+            self.wall.unlinked(connection.hello.name, connection_id)
+            self._tell("lost", now, {"follower": connection.hello.name})
+
+    def blocked(self, connection_id: int, blocked: bool, now: float) -> None:
         """The link's socket takes no more for now (its buffer is over the limit), or does again."""
         now = self._enter(now)
-        watch = self._watches.get(link)
-        if watch is not None:
-            watch.blocked_at = min(watch.blocked_at, now) if blocked else math.inf
+        connection = self._connections.get(connection_id)
+        if connection is not None:
+            connection.blocked_at = min(connection.blocked_at, now) if blocked else math.inf
             if not blocked:
-                self._wake(watch)
+                self._wake(connection)
                 self._pump(now)
 
-    def received(self, link: int, data: bytes, now: float) -> None:
+    def received(self, connection_id: int, data: bytes, now: float) -> None:
         """Bytes came in on a link, in any portions."""
         now = self._enter(now)
-        watch = self._watches.get(link)
-        if watch is not None:
+        connection = self._connections.get(connection_id)
+        if connection is not None:
             self.counts["bytes_in"] += len(data)
-            for message, size in watch.reader.feed(data):
-                if link not in self._watches:
+            for message, size in connection.reader.feed(data):
+                if connection_id not in self._connections:
                     break
-                self._handle(watch, message, now, size)
+                self._handle(connection, message, now, size)
             self._pump(now)
 
-    def handle(self, link: int, message: Message | FrameError, now: float, size: int = 0) -> None:
+    def handle(self, connection_id: int, message: Message | FrameError, now: float, size: int = 0) -> None:
         """One message, or why there is none; `received` does the same.  size: bytes of its frame."""
         now = self._enter(now)
-        watch = self._watches.get(link)
-        if watch is not None:
-            self._handle(watch, message, now, size)
+        connection = self._connections.get(connection_id)
+        if connection is not None:
+            self._handle(connection, message, now, size)
             self._pump(now)
 
-    def answer(self, link: int, message: Message, now: float) -> None:
+    def answer(self, connection_id: int, message: Message, now: float) -> None:
         """Answer a request: Published or Refused.  A link that is gone by now is no error."""
-        if link in self._watches:
-            self._send(self._watches[link], message, self._enter(now))
+        if connection_id in self._connections:
+            self._send(self._connections[connection_id], message, self._enter(now))
 
     def announce(self, document: Document, now: float) -> bool:
         """Hold a document and tell all that watch its scope; False where the table holds a newer one.
@@ -190,18 +190,18 @@
         FeedError where it cannot be held.
         """
         now = self._enter(now)
-        head = document.head
-        held = self.table.get(head.scope)
-        if (held is None or held.head != head) and not self.table.put(document):
+        header = document.header
+        held = self.table.get(header.scope)
+        if (held is None or held.header != header) and not self.table.put(document):
             return False
-        frame = encode(DocumentHeaders((head,)), self._tag)
-        for group in (self._by_scope.get(head.scope, {}), self._everything):
-            for watch in group.values():
-                if not watch.pending and self._may_send(watch, now):
-                    self._send_frame(watch, frame, now)
+        frame = encode(DocumentHeaders((header,)), self._tag)
+        for group in (self._by_scope.get(header.scope, {}), self._everything):
+            for connection in group.values():
+                if not connection.pending and self._may_send(connection, now):
+                    self._send_frame(connection, frame, now)
                 else:
-                    watch.pending[head.scope] = head
-                    self._park(watch, now)
+                    connection.pending[header.scope] = header
+                    self._park(connection, now)
         return True
 
     def tick(self, now: float) -> None:
@@ -210,8 +210,8 @@
         if now >= self._slice_at:
             self._beat(now)
         if now >= self._parked_at:
-            for watch in list(self._parked.values()):
-                self._wake(watch)
+            for connection in list(self._parked.values()):
+                self._wake(connection)
         self._pump(now)
 
     def next_at(self) -> float:
@@ -232,9 +232,9 @@
     def close(self, now: float, why: str = "in order") -> None:
         """Say good-bye on all links."""
         now = self._enter(now)
-        for watch in list(self._watches.values()):
-            self._send(watch, messages.Goodbye(why), now)
-            self._hang_up(watch, now, why)
+        for connection in list(self._connections.values()):
+            self._send(connection, messages.Goodbye(why), now)
+            self._hang_up(connection, now, why)
         self._closed = True
 
     def take(self) -> Output:
@@ -246,8 +246,8 @@
         """The time to go by.  After standing still no follower is to blame."""
         still = self._clock.enter(now, self._next())
         if still:
-            for watch in self._watches.values():
-                watch.heard += still
+            for connection in self._connections.values():
+                connection.heard += still
             self.counts["slept"] += 1
         return self._clock.now
 
@@ -257,107 +257,111 @@
     # ------------------------------------------------------------ messages
 
     def _handle(
-        self, watch: FollowerConnection, message: Message | FrameError, now: float, size: int
+        self, connection: FollowerConnection, message: Message | FrameError, now: float, size: int
     ) -> None:
         if isinstance(message, FrameError):
             # A follower that comes back tells all again; what a damaged frame told would be missed.
             self.counts[f"dropped_{message.kind}"] += 1
             self._tell("dropped", now, {"what": message.kind, "why": str(message)})
-            self._hang_up(watch, now, str(message))
+            self._hang_up(connection, now, str(message))
             return
-        watch.heard = now
+        connection.heard = now
         match message:
             case Hello():
-                self._greet(watch, message, now)
-            case Heartbeat() if watch.hello is not None:
-                self.wall.heard(watch.hello.name, now)
-            case FetchRequest() if watch.hello is not None:
-                if len(watch.jobs) >= JOBS or len(self._waiting) >= self.tuning.max_queued_fetches:
+                self._greet(connection, message, now)
+            case Heartbeat() if connection.hello is not None:
+                self.wall.heard(connection.hello.name, now)
+            case FetchRequest() if connection.hello is not None:
+                if len(connection.jobs) >= JOBS or len(self._waiting) >= self.tuning.max_queued_fetches:
                     self.counts["busy"] += 1
-                    self._send(watch, BodyUnavailable(message.mark, "busy"), now)
+                    self._send(connection, BodyUnavailable(message.key, "busy"), now)
                 else:
-                    watch.jobs.append(message)
-                    self._wake(watch)
-            case ApplyReport(name) if watch.hello is not None and name == watch.hello.name:
+                    connection.jobs.append(message)
+                    self._wake(connection)
+            case ApplyReport(name) if connection.hello is not None and name == connection.hello.name:
                 self.wall.report(message, now)
             case messages.StatusRequest(number):
-                self._send(watch, messages.StatusResponse(number, self._status(now)), now)
+                self._send(connection, messages.StatusResponse(number, self._status(now)), now)
             case PublishRequest(number):
                 if self._publishes:
-                    self._out.requests.append((watch.number, message))
+                    self._out.requests.append((connection.number, message))
                 else:
-                    self._send(watch, PublishRejected(number, self._instead), now)
+                    self._send(connection, PublishRejected(number, self._instead), now)
             case messages.Goodbye(why):
-                self._hang_up(watch, now, why)
+                self._hang_up(connection, now, why)
             case _:
                 self.counts["dropped_unexpected"] += 1
-                self._hang_up(watch, now, "a message out of place")
+                self._hang_up(connection, now, "a message out of place")
 
-    def _greet(self, watch: FollowerConnection, hello: Hello, now: float) -> None:
+    def _greet(self, connection: FollowerConnection, hello: Hello, now: float) -> None:
         tuning = self.tuning
-        if watch.hello is None:
+        if connection.hello is None:
             node = hello.name if hello.role == "node" else ""
-            watch.hello = hello
-            watch.interest = Subscription(hello.region, hello.service, node, hello.everything)
-            if hello.everything:
-                watch.bucket = TokenBucket(tuning.relay_bytes_per_s, tuning.relay_burst_bytes, now)
-                self._everything[watch.number] = watch
+            connection.hello = hello
+            connection.interest = Subscription(hello.region, hello.service, node, hello.all_scopes)
+            if hello.all_scopes:
+                connection.bucket = TokenBucket(tuning.relay_bytes_per_s, tuning.relay_burst_bytes, now)
+                self._everything[connection.number] = connection
             else:
                 for scope in scopes_of(hello.region, hello.service, node):
-                    self._by_scope.setdefault(scope, {})[watch.number] = watch
+                    self._by_scope.setdefault(scope, {})[connection.number] = connection
             self.counts["followers"] += 1
-            self.wall.linked(hello, watch.number, now)
-            self._send(watch, Hello(self.name, self.role, self.region, self.zone, birth=self._birth), now)
+            self.wall.linked(hello, connection.number, now)
+            self._send(
+                connection, Hello(self.name, self.role, self.region, self.zone, instance_id=self._birth), now
+            )
             self._tell("linked", now, {"follower": hello.name, "role": hello.role})
-        watch.pending = {head.scope: head for head in self.table.newer(watch.interest, hello.vector)}
-        self._wake(watch)
-
-    def _unindex(self, watch: FollowerConnection) -> None:
-        self._everything.pop(watch.number, None)
-        interest = watch.interest
+        connection.pending = {
+            header.scope: header for header in self.table.newer(connection.interest, hello.version_vector)
+        }
+        self._wake(connection)
+
+    def _unindex(self, connection: FollowerConnection) -> None:
+        self._everything.pop(connection.number, None)
+        interest = connection.interest
         for scope in scopes_of(interest.region, interest.service, interest.node):
             group = self._by_scope.get(scope)
             if group is not None:
-                group.pop(watch.number, None)
+                group.pop(connection.number, None)
                 if not group:
                     del self._by_scope[scope]
 
-    def _hang_up(self, watch: FollowerConnection, now: float, why: str) -> None:
-        self._out.hangups.append(watch.number)
-        self._lost(watch.number, now)
+    def _hang_up(self, connection: FollowerConnection, now: float, why: str) -> None:
+        self._out.hangups.append(connection.number)
+        self._lost(connection.number, now)
 
     # ------------------------------------------------------------ sending
 
-    def _send(self, watch: FollowerConnection, message: Message, now: float) -> None:
-        self._send_frame(watch, encode(message, self._tag), now)
+    def _send(self, connection: FollowerConnection, message: Message, now: float) -> None:
+        self._send_frame(connection, encode(message, self._tag), now)
 
-    def _send_frame(self, watch: FollowerConnection, frame: bytes, now: float) -> None:
-        watch.bucket.spend(len(frame) + HEADERS, now)
-        self._bucket.spend(len(frame) + HEADERS, now)
+    def _send_frame(self, connection: FollowerConnection, frame: bytes, now: float) -> None:
+        connection.bucket.spend(len(frame) + PACKET_OVERHEAD_BYTES, now)
+        self._bucket.spend(len(frame) + PACKET_OVERHEAD_BYTES, now)
         self.counts["bytes_out"] += len(frame)
-        self._out.sends.append((watch.number, frame))
+        self._out.sends.append((connection.number, frame))
 
-    def _may_send(self, watch: FollowerConnection, now: float) -> bool:
-        if not math.isinf(watch.blocked_at):
+    def _may_send(self, connection: FollowerConnection, now: float) -> bool:
+        if not math.isinf(connection.blocked_at):
             return False
-        return self._bucket.refill(now) > 0.0 and watch.bucket.refill(now) > 0.0
+        return self._bucket.refill(now) > 0.0 and connection.bucket.refill(now) > 0.0
 
-    def _wake(self, watch: FollowerConnection) -> None:
+    def _wake(self, connection: FollowerConnection) -> None:
         """Something is to be sent on this link: it takes its place in the queue."""
-        self._parked.pop(watch.number, None)
-        if not watch.queued and (watch.jobs or watch.pending):
-            watch.queued = True
-            self._waiting.append(watch)
+        self._parked.pop(connection.number, None)
+        if not connection.queued and (connection.jobs or connection.pending):
+            connection.queued = True
+            self._waiting.append(connection)
 
-    def _park(self, watch: FollowerConnection, now: float) -> None:
+    def _park(self, connection: FollowerConnection, now: float) -> None:
         """It cannot be sent now."""
-        if not watch.queued:
-            self._parked[watch.number] = watch
-            if math.isinf(watch.blocked_at):
-                self._parked_at = min(self._parked_at, self._ready_at(watch, now))
+        if not connection.queued:
+            self._parked[connection.number] = connection
+            if math.isinf(connection.blocked_at):
+                self._parked_at = min(self._parked_at, self._ready_at(connection, now))
 
-    def _ready_at(self, watch: FollowerConnection, now: float) -> float:
-        return max(self._bucket.when(1.0, now), watch.bucket.when(1.0, now), now + 1.0)
+    def _ready_at(self, connection: FollowerConnection, now: float) -> float:
+        return max(self._bucket.when(1.0, now), connection.bucket.when(1.0, now), now + 1.0)
 
     def _pump(self, now: float) -> None:
         """Serve the queue: a few links in turn, a piece each, as long as the tokens last."""
@@ -365,40 +369,42 @@
         while serving or self._waiting:
             while self._waiting and len(serving) < self.tuning.concurrent_bodies:
                 serving.append(self._waiting.popleft())
-            watch = serving.popleft()
-            if watch.number not in self._watches:
+            connection = serving.popleft()
+            if connection.number not in self._connections:
                 continue
-            if not self._may_send(watch, now):
-                watch.queued = False
-                self._park(watch, now)
+            if not self._may_send(connection, now):
+                connection.queued = False
+                self._park(connection, now)
                 continue
-            self._serve(watch, now)
-            if watch.jobs or watch.pending:
-                serving.append(watch)
+            self._serve(connection, now)
+            if connection.jobs or connection.pending:
+                serving.append(connection)
             else:
-                watch.queued = False
+                connection.queued = False
         self._parked_at = math.inf
-        for watch in self._parked.values():
-            if math.isinf(watch.blocked_at):
-                self._parked_at = min(self._parked_at, self._ready_at(watch, now))
+        for connection in self._parked.values():
+            if math.isinf(connection.blocked_at):
+                self._parked_at = min(self._parked_at, self._ready_at(connection, now))
 
-    def _serve(self, watch: FollowerConnection, now: float) -> None:
+    def _serve(self, connection: FollowerConnection, now: float) -> None:
         """One frame: heads go before bodies."""
-        if watch.pending:
-            scopes = list(watch.pending)[:HEADS]
-            self._send(watch, DocumentHeaders(tuple(watch.pending.pop(scope) for scope in scopes)), now)
+        if connection.pending:
+            scopes = list(connection.pending)[:MAX_HEADERS_PER_FRAME]
+            self._send(
+                connection, DocumentHeaders(tuple(connection.pending.pop(scope) for scope in scopes)), now
+            )
             return
-        job = watch.jobs.popleft()
-        held = self.table.get(job.mark.scope)
-        if held is None or held.head.mark != job.mark or job.offset > held.head.size:
+        job = connection.jobs.popleft()
+        held = self.table.get(job.key.scope)
+        if held is None or held.header.key != job.key or job.offset > held.header.size:
             self.counts["gone"] += 1
-            self._send(watch, BodyUnavailable(job.mark, "gone"), now)
+            self._send(connection, BodyUnavailable(job.key, "gone"), now)
             return
-        length = min(job.length, held.head.size - job.offset)
+        length = min(job.length, held.header.size - job.offset)
         piece = held.body[job.offset : job.offset + min(length, self.tuning.chunk_bytes)]
-        self._send(watch, BodyChunk(job.mark, job.offset, piece), now)
+        self._send(connection, BodyChunk(job.key, job.offset, piece), now)
         if len(piece) < length:
-            watch.jobs.appendleft(FetchRequest(job.mark, job.offset + len(piece), length - len(piece)))
+            connection.jobs.appendleft(FetchRequest(job.key, job.offset + len(piece), length - len(piece)))
         else:
             self.counts["bodies_out"] += 1
 
@@ -407,10 +413,10 @@
         self._slice = (self._slice + 1) % SLICES
         self._slice_at = max(self._slice_at + self._slice_ms, now + 0.5 * self._slice_ms)
         tuning = self.tuning
-        for watch in [w for w in self._watches.values() if w.number % SLICES == self._slice]:
-            if now - watch.heard > tuning.follower_timeout_ms:
-                self._hang_up(watch, now, "silent")
-            elif now - watch.blocked_at > tuning.follower_timeout_ms:
-                self._hang_up(watch, now, "takes nothing")
-            elif watch.hello is not None and math.isinf(watch.blocked_at):
-                self._send(watch, Heartbeat(self.table.digest(watch.interest)), now)
+        for connection in [w for w in self._connections.values() if w.number % SLICES == self._slice]:
+            if now - connection.heard > tuning.follower_timeout_ms:
+                self._hang_up(connection, now, "silent")
+            elif now - connection.blocked_at > tuning.follower_timeout_ms:
+                self._hang_up(connection, now, "takes nothing")
+            elif connection.hello is not None and math.isinf(connection.blocked_at):
+                self._send(connection, Heartbeat(self.table.digest(connection.interest)), now)
--- a/crowpost/config_feed/document_cache.py
+++ b/crowpost/config_feed/document_cache.py
@@ -38,9 +38,9 @@
             raise FeedError(f"{self._directory}: {error.strerror}") from None
         for path in paths:
             try:
-                version, owner, head, body = msgpack.unpackb(path.read_bytes())
-                document = Document(DocumentHeader(*head), body)
-                if version != FORMAT or not document.whole or path.name != _file(document.head.scope):
+                version, owner, header, body = msgpack.unpackb(path.read_bytes())
+                document = Document(DocumentHeader(*header), body)
+                if version != FORMAT or not document.whole or path.name != _file(document.header.scope):
                     raise ValueError
             except (OSError, ValueError, TypeError, msgpack.exceptions.UnpackException):
                 notes.append(f"{path.name} is damaged and was not used: the feed will bring it again")
@@ -52,10 +52,10 @@
 
     def write(self, document: Document) -> None:
         """Put a document in the place of its scope's last; it is on the disk afterwards, or OSError."""
-        head = document.head
-        row: list[Any] = [head.scope, head.era, head.version, head.digest, head.size]
-        row += [head.author, head.reason, head.writer]
-        path = self._directory / _file(head.scope)
+        header = document.header
+        row: list[Any] = [header.scope, header.epoch, header.version, header.digest, header.size]
+        row += [header.author, header.reason, header.writer]
+        path = self._directory / _file(header.scope)
         new = path.with_name(f"{path.name}.{os.getpid()}{NEW}")
         try:
             with new.open("wb") as file:
--- a/crowpost/config_feed/document_table.py
+++ b/crowpost/config_feed/document_table.py
@@ -25,7 +25,7 @@
     Two answers are documents of one scope and era that were written by two writers, or two bodies for one
     version.  A newer version by the same writer is no conflict, nor is any after a rise of the era.
     """
-    if kept.era != dropped.era or kept.digest == dropped.digest and kept.version == dropped.version:
+    if kept.epoch != dropped.epoch or kept.digest == dropped.digest and kept.version == dropped.version:
         return ""
     if kept.writer != dropped.writer:
         return "writer" if kept.version == dropped.version else "version"
@@ -51,38 +51,38 @@
 
         FeedError where the body is not the head's, is too large, or the table is full.
         """
-        head, tuning = document.head, self._tuning
-        held = self.documents.get(head.scope)
+        header, tuning = document.header, self._tuning
+        held = self.documents.get(header.scope)
         if held is not None:
-            self.compare(head)
-            if head.rank <= held.head.rank:
+            self.compare(header)
+            if header.rank <= held.header.rank:
                 return False
         if not document.whole:
             raise FeedError(
-                f"{head.scope} version {head.version}: the body is not the one that its head names"
+                f"{header.scope} version {header.version}: the body is not the one that its head names"
             )
-        if head.size > tuning.max_document_bytes:
-            raise FeedError(f"{head.scope}: {head.size} bytes, {tuning.max_document_bytes} at the most")
-        more = head.size - (held.head.size if held is not None else 0)
+        if header.size > tuning.max_document_bytes:
+            raise FeedError(f"{header.scope}: {header.size} bytes, {tuning.max_document_bytes} at the most")
+        more = header.size - (held.header.size if held is not None else 0)
         if (
             held is None
             and len(self.documents) >= tuning.max_documents
             or self.bytes + more > tuning.max_table_bytes
         ):
-            raise FeedError(f"{head.scope}: the table of documents is full")
-        self.documents[head.scope] = document
+            raise FeedError(f"{header.scope}: the table of documents is full")
+        self.documents[header.scope] = document
         self.bytes += more
-        print_ = _print(head.mark)
-        self._all ^= self._prints.get(head.scope, 0) ^ print_
-        self._prints[head.scope] = print_
+        print_ = _print(header.key)
+        self._all ^= self._prints.get(header.scope, 0) ^ print_
+        self._prints[header.scope] = print_
         return True
 
-    def compare(self, head: DocumentHeader) -> Conflict | None:
+    def compare(self, header: DocumentHeader) -> Conflict | None:
         """Remember a second answer to what is held; a conflict that was not known before."""
-        held = self.documents.get(head.scope)
+        held = self.documents.get(header.scope)
         if held is None:
             return None
-        kept, dropped = (held.head, head) if held.head.rank > head.rank else (head, held.head)
+        kept, dropped = (held.header, header) if held.header.rank > header.rank else (header, held.header)
         rule = rule_between(kept, dropped)
         if not rule:
             return None
@@ -93,26 +93,30 @@
         del self.conflicts[:-CONFLICTS]
         return conflict
 
-    def heads(self, interest: Subscription) -> list[DocumentHeader]:
+    def headers(self, interest: Subscription) -> list[DocumentHeader]:
         """The heads that a follower of that interest is meant to hold."""
-        if interest.everything:
-            return [document.head for document in self.documents.values()]
+        if interest.all_scopes:
+            return [document.header for document in self.documents.values()]
         scopes = scopes_of(interest.region, interest.service, interest.node)
-        return [self.documents[scope].head for scope in scopes if scope in self.documents]
+        return [self.documents[scope].header for scope in scopes if scope in self.documents]
 
-    def newer(self, interest: Subscription, vector: Iterable[VersionKey]) -> list[DocumentHeader]:
+    def newer(self, interest: Subscription, version_vector: Iterable[VersionKey]) -> list[DocumentHeader]:
         """The heads that a follower lacks, or holds another answer to."""
-        held = {mark.scope: mark for mark in vector}
+        held = {key.scope: key for key in version_vector}
         found = []
-        for head in self.heads(interest):
-            mark = held.get(head.scope)
-            if mark is None or mark != head.mark and (mark.era, mark.version) <= (head.era, head.version):
-                found.append(head)
+        for header in self.headers(interest):
+            key = held.get(header.scope)
+            if (
+                key is None
+                or key != header.key
+                and (key.epoch, key.version) <= (header.epoch, header.version)
+            ):
+                found.append(header)
         return found
 
     def digest(self, interest: Subscription) -> int:
         """One number for all versions held among those of an interest."""
-        if interest.everything:
+        if interest.all_scopes:
             return self._all
         found = 0
         for scope in scopes_of(interest.region, interest.service, interest.node):
@@ -120,6 +124,6 @@
         return found
 
 
-def _print(mark: VersionKey) -> int:
-    text = f"{mark.scope} {mark.era} {mark.version} ".encode() + mark.digest
+def _print(key: VersionKey) -> int:
+    text = f"{key.scope} {key.epoch} {key.version} ".encode() + key.digest
     return int.from_bytes(hashlib.sha256(text).digest()[:7], "big")
--- a/crowpost/config_feed/documents.py
+++ b/crowpost/config_feed/documents.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-WIRE = 1
-NAME_BYTES = 64
-REASON_BYTES = 200
-WHY_BYTES = 200
-HEADERS = 40  # bytes of TCP and IP around a frame, counted against the budgets
-PREFIX = 8  # bytes of a digest that tell two bodies apart where no adversary chose them
+WIRE_VERSION = 1
+MAX_NAME_BYTES = 64
+MAX_REASON_BYTES = 200
+MAX_REJECTION_BYTES = 200
+PACKET_OVERHEAD_BYTES = 40  # bytes of TCP and IP around a frame, counted against the budgets
+DIGEST_PREFIX_BYTES = 8  # bytes of a digest that tell two bodies apart where no adversary chose them
 _WORD = 2**63
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 _KINDS = ("all", "region", "service", "node")  # from the widest scope to the narrowest
@@ -59,7 +59,7 @@
     """What there is to know of a document without its body."""
 
     scope: str
-    era: int
+    epoch: int
     version: int
     digest: bytes  # SHA-256 of the body
     size: int  # of the body, in bytes
@@ -70,15 +70,15 @@
     def __post_init__(self) -> None:
         split_scope(self.scope)
         for label, text, most in (
-            ("author", self.author, NAME_BYTES),
-            ("reason", self.reason, REASON_BYTES),
-            ("writer", self.writer, NAME_BYTES),
+            ("author", self.author, MAX_NAME_BYTES),
+            ("reason", self.reason, MAX_REASON_BYTES),
+            ("writer", self.writer, MAX_NAME_BYTES),
         ):
             if len(text.encode()) > most:
                 raise FeedError(f"{label} is longer than {most} bytes: {text[:60]!r}")
         if len(self.digest) != 32:
             raise FeedError(f"a digest of {len(self.digest)} bytes")
-        if not (0 <= self.era < _WORD and 0 < self.version < _WORD and 0 <= self.size < _WORD):
+        if not (0 <= self.epoch < _WORD and 0 < self.version < _WORD and 0 <= self.size < _WORD):
             raise FeedError(f"{self.scope}: era, version or size out of bounds")
 
     @property
@@ -88,11 +88,11 @@
         Era and version decide; only where a cut left two answers for one version, the writer's name does, so
         that all processes choose alike.  The digest comes last, for a writer that answered twice itself.
         """
-        return self.era, self.version, self.writer, self.digest
+        return self.epoch, self.version, self.writer, self.digest
 
     @property
-    def mark(self) -> VersionKey:
-        return VersionKey(self.scope, self.era, self.version, self.digest[:PREFIX])
+    def key(self) -> VersionKey:
+        return VersionKey(self.scope, self.epoch, self.version, self.digest[:DIGEST_PREFIX_BYTES])
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     """A head in short: which document, told apart from another answer to the same version."""
 
     scope: str
-    era: int
+    epoch: int
     version: int
     digest: bytes  # the first PREFIX bytes
 
@@ -109,21 +109,21 @@
 class Document:
     """A head and the body that it names."""
 
-    head: DocumentHeader
+    header: DocumentHeader
     body: bytes
 
     @property
     def whole(self) -> bool:
         """Whether the body is the one that the head names."""
-        return len(self.body) == self.head.size and hashlib.sha256(self.body).digest() == self.head.digest
+        return len(self.body) == self.header.size and hashlib.sha256(self.body).digest() == self.header.digest
 
 
 def make_document(
-    scope: str, era: int, version: int, body: bytes, *, author: str, reason: str, writer: str
+    scope: str, epoch: int, version: int, body: bytes, *, author: str, reason: str, writer: str
 ) -> Document:
     """A document with its digest; FeedError for fields out of their bounds."""
     digest = hashlib.sha256(body).digest()
-    return Document(DocumentHeader(scope, era, version, digest, len(body), author, reason, writer), body)
+    return Document(DocumentHeader(scope, epoch, version, digest, len(body), author, reason, writer), body)
 
 
 class ApplyState(StrEnum):
@@ -138,14 +138,14 @@
 class ApplyStatus:
     """How one process stands to the newest document of a scope that it got whole."""
 
-    mark: VersionKey
+    key: VersionKey
     state: ApplyState
     why: str = ""  # it was refused
 
 
 def shorten(why: str) -> str:
     """As much of a reason as a report carries."""
-    return why.encode()[:WHY_BYTES].decode(errors="ignore")
+    return why.encode()[:MAX_REJECTION_BYTES].decode(errors="ignore")
 
 
 @dataclass(frozen=True, slots=True)
@@ -164,10 +164,10 @@
     region: str = ""
     service: str = ""
     node: str = ""
-    everything: bool = False
+    all_scopes: bool = False
 
-    def wants(self, scope: str) -> bool:
-        return self.everything or wanted(scope, self.region, self.service, self.node)
+    def includes(self, scope: str) -> bool:
+        return self.all_scopes or wanted(scope, self.region, self.service, self.node)
 
 
 @dataclass(frozen=True, slots=True)
@@ -184,7 +184,7 @@
 class ConnectRequest:
     """Connect to an address; the link is this number from now on."""
 
-    link: int
+    connection_id: int
     address: str
 
 
--- a/crowpost/config_feed/follower_status.py
+++ b/crowpost/config_feed/follower_status.py
@@ -17,7 +17,7 @@
 
     hello: Hello
     heard: float
-    link: int | None
+    connection_id: int | None
     counter: int = 0
     rows: dict[str, tuple[ApplyStatus, float]] = field(default_factory=dict)  # and since when
 
@@ -29,23 +29,23 @@
         self._most = most
         self.told: dict[str, FollowerRecord] = {}
 
-    def linked(self, hello: Hello, link: int, now: float) -> None:
+    def linked(self, hello: Hello, connection_id: int, now: float) -> None:
         """A follower is here, for the first time or again."""
         told = self.told.pop(hello.name, None)
-        if told is None or told.hello.birth != hello.birth:
-            told = FollowerRecord(hello, now, link)
-        told.hello, told.link, told.heard = hello, link, now
+        if told is None or told.hello.instance_id != hello.instance_id:
+            told = FollowerRecord(hello, now, connection_id)
+        told.hello, told.connection_id, told.heard = hello, connection_id, now
         self.told[hello.name] = told
         if len(self.told) > self._most:
-            gone = [name for name, other in self.told.items() if other.link is None]
+            gone = [name for name, other in self.told.items() if other.connection_id is None]
             oldest = min(gone or list(self.told)[:1], key=lambda name: self.told[name].heard)
             del self.told[oldest]
 
-    def unlinked(self, name: str, link: int) -> None:
+    def unlinked(self, name: str, connection_id: int) -> None:
         """Its link is gone; what it said last is kept."""
         told = self.told.get(name)
-        if told is not None and told.link == link:
-            told.link = None
+        if told is not None and told.connection_id == connection_id:
+            told.connection_id = None
 
     def heard(self, name: str, now: float) -> None:
         """It lives."""
@@ -56,25 +56,25 @@
     def report(self, report: ApplyReport, now: float) -> None:
         """How it stands; a report that is older than the last one, or another process's, is left out."""
         told = self.told.get(report.name)
-        if told is None or told.hello.birth != report.birth or report.counter < told.counter:
+        if told is None or told.hello.instance_id != report.instance_id or report.counter < told.counter:
             return
         told.counter, told.heard = report.counter, now
-        for standing in report.standings:
-            old = told.rows.get(standing.mark.scope)
-            since = old[1] if old is not None and old[0] == standing else now
-            told.rows[standing.mark.scope] = standing, since
+        for apply_status in report.apply_statuses:
+            old = told.rows.get(apply_status.key.scope)
+            since = old[1] if old is not None and old[0] == apply_status else now
+            told.rows[apply_status.key.scope] = apply_status, since
 
 
-def _head_map(head: DocumentHeader) -> dict[str, Any]:
+def _header_map(header: DocumentHeader) -> dict[str, Any]:
     return {
-        "scope": head.scope,
-        "era": head.era,
-        "version": head.version,
-        "digest": head.digest[:8].hex(),
-        "size": head.size,
-        "author": head.author,
-        "reason": head.reason,
-        "writer": head.writer,
+        "scope": header.scope,
+        "era": header.epoch,
+        "version": header.version,
+        "digest": header.digest[:8].hex(),
+        "size": header.size,
+        "author": header.author,
+        "reason": header.reason,
+        "writer": header.writer,
     }
 
 
@@ -92,9 +92,9 @@
         "role": role,
         "region": region,
         "zone": zone,
-        "heads": [_head_map(document.head) for document in table.documents.values()],
+        "heads": [_header_map(document.header) for document in table.documents.values()],
         "conflicts": [
-            {"kept": _head_map(c.kept), "dropped": _head_map(c.dropped), "rule": c.rule}
+            {"kept": _header_map(c.kept), "dropped": _header_map(c.dropped), "rule": c.rule}
             for c in table.conflicts
         ],
         "followers": [
@@ -104,16 +104,16 @@
                 "region": told.hello.region,
                 "zone": told.hello.zone,
                 "service": told.hello.service,
-                "birth": told.hello.birth,
+                "birth": told.hello.instance_id,
                 "counter": told.counter,
                 "age_ms": round(now - told.heard, 1),
-                "linked": told.link is not None,
+                "linked": told.connection_id is not None,
                 "standings": [
                     {
-                        "scope": s.mark.scope,
-                        "era": s.mark.era,
-                        "version": s.mark.version,
-                        "digest": s.mark.digest.hex(),
+                        "scope": s.key.scope,
+                        "era": s.key.epoch,
+                        "version": s.key.version,
+                        "digest": s.key.digest.hex(),
                         "state": str(s.state),
                         "why": s.why,
                         "since_ms": round(now - since, 1),
@@ -135,14 +135,14 @@
     with `lags` (scopes in which it holds less than the highest head told) and `refused` (scope to reason).
     """
     statuses = list(statuses)
-    heads: dict[str, dict[str, Any]] = {}
+    headers: dict[str, dict[str, Any]] = {}
     conflicts: list[Any] = []
     followers: dict[str, dict[str, Any]] = {}
     for status in statuses:
-        for head in status["heads"]:
-            held = heads.get(head["scope"])
-            if held is None or _rank(head) > _rank(held):
-                heads[head["scope"]] = dict(head)
+        for header in status["heads"]:
+            held = headers.get(header["scope"])
+            if held is None or _rank(header) > _rank(held):
+                headers[header["scope"]] = dict(header)
         conflicts += [c for c in status["conflicts"] if c not in conflicts]
         for one in status["followers"]:
             held = followers.get(one["name"])
@@ -156,15 +156,15 @@
         rows = {row["scope"]: row for row in one["standings"]}
         one["lags"] = [
             scope
-            for scope, head in sorted(heads.items())
-            if _meant(scope, one) and (scope not in rows or _behind(rows[scope], head))
+            for scope, header in sorted(headers.items())
+            if _meant(scope, one) and (scope not in rows or _behind(rows[scope], header))
         ]
         one["refused"] = {s: row["why"] for s, row in sorted(rows.items()) if row["state"] == "refused"}
-    return {"heads": heads, "conflicts": conflicts, "followers": dict(sorted(followers.items()))}
+    return {"heads": headers, "conflicts": conflicts, "followers": dict(sorted(followers.items()))}
 
 
-def _rank(head: Mapping[str, Any]) -> tuple[int, int, str, str]:
-    return head["era"], head["version"], head["writer"], head["digest"]
+def _rank(header: Mapping[str, Any]) -> tuple[int, int, str, str]:
+    return header["era"], header["version"], header["writer"], header["digest"]
 
 
 def _later(one: Mapping[str, Any], held: Mapping[str, Any]) -> bool:
@@ -173,8 +173,10 @@
     return bool(one["age_ms"] < held["age_ms"])
 
 
-def _behind(row: Mapping[str, Any], head: Mapping[str, Any]) -> bool:
-    return bool((row["era"], row["version"], row["digest"]) != (head["era"], head["version"], head["digest"]))
+def _behind(row: Mapping[str, Any], header: Mapping[str, Any]) -> bool:
+    return bool(
+        (row["era"], row["version"], row["digest"]) != (header["era"], header["version"], header["digest"])
+    )
 
 
 def _meant(scope: str, one: Mapping[str, Any]) -> bool:
--- a/crowpost/config_feed/messages.py
+++ b/crowpost/config_feed/messages.py
@@ -17,23 +17,23 @@
     region: str = ""
     zone: str = ""
     service: str = ""
-    everything: bool = False  # it follows all scopes
-    birth: int = 0  # random, tells two processes of one name apart
-    vector: tuple[VersionKey, ...] = ()
+    all_scopes: bool = False  # it follows all scopes
+    instance_id: int = 0  # random, tells two processes of one name apart
+    version_vector: tuple[VersionKey, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentHeaders:
     """Documents that the server holds and the follower does not, as far as the server knows."""
 
-    heads: tuple[DocumentHeader, ...]
+    headers: tuple[DocumentHeader, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRequest:
     """Send these bytes of a body."""
 
-    mark: VersionKey
+    key: VersionKey
     offset: int
     length: int
 
@@ -42,7 +42,7 @@
 class BodyChunk:
     """A piece of a body."""
 
-    mark: VersionKey
+    key: VersionKey
     offset: int
     data: bytes
 
@@ -51,7 +51,7 @@
 class BodyUnavailable:
     """A fetch that is not answered: the server holds another document by now, or has too much to do."""
 
-    mark: VersionKey
+    key: VersionKey
     why: str  # "gone" or "busy"
 
 
@@ -67,9 +67,9 @@
     """How a follower stands to its documents; of two reports of one birth the higher counter is the later."""
 
     name: str
-    birth: int
+    instance_id: int
     counter: int
-    standings: tuple[ApplyStatus, ...]
+    apply_statuses: tuple[ApplyStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
     """Durable: kept through a crash from now on."""
 
     number: int
-    head: DocumentHeader
+    header: DocumentHeader
 
 
 @dataclass(frozen=True, slots=True)
--- a/crowpost/config_feed/publication_log.py
+++ b/crowpost/config_feed/publication_log.py
@@ -71,7 +71,7 @@
         tuning: Tuning | None = None,
     ) -> None:
         self._writers, self._check, self._tuning = writers, check, tuning or Tuning()
-        self.era = FIRST_ERA
+        self.epoch = FIRST_ERA
         self._now: dict[str, Document] = {}  # as of the last record
         self._before: dict[str, Document] = {}
         for record in records:
@@ -89,8 +89,8 @@
         table: all that is in force as far as this process knows.  FeedError, in a line, for what is refused.
         """
         scope = asked.scope
-        known = [d.head for d in (self._now.get(scope), table.get(scope)) if d is not None]
-        newest = max(known, key=lambda head: head.rank, default=None)
+        known = [d.header for d in (self._now.get(scope), table.get(scope)) if d is not None]
+        newest = max(known, key=lambda header: header.rank, default=None)
         self._writers.check(scope, newest, asked.region)
         version = newest.version if newest is not None else 0
         if asked.if_version not in (-1, version):
@@ -100,7 +100,7 @@
         self._check(scope, body)
         document = make_document(
             scope,
-            max(self.era, newest.era if newest is not None else 0),
+            max(self.epoch, newest.epoch if newest is not None else 0),
             version + 1,
             body,
             author=asked.author,
@@ -119,7 +119,7 @@
         tuning, held = self._tuning, {**table.documents, **self._now}
         if len(body) > tuning.max_document_bytes:
             raise FeedError(f"{scope}: {len(body)} bytes, {tuning.max_document_bytes} at the most")
-        total = sum(d.head.size for s, d in held.items() if s != scope) + len(body)
+        total = sum(d.header.size for s, d in held.items() if s != scope) + len(body)
         if total > tuning.max_table_bytes or len(held.keys() | {scope}) > tuning.max_documents:
             raise FeedError(f"{scope}: all documents together would be {total} bytes in {len(held)} scopes")
 
@@ -127,8 +127,8 @@
 
     def restored(self) -> bytes:
         """The state is from a backup: the record of the next era, in which all that is published is newer."""
-        self.era += 1
-        return bytes(msgpack.packb([ERA, self.era]))
+        self.epoch += 1
+        return bytes(msgpack.packb([ERA, self.epoch]))
 
     def seen(self, document: Document) -> list[bytes]:
         """Records for a document of this publisher's own that came from others and is newer than its last.
@@ -136,13 +136,13 @@
         The state was set back: the document is taken over, and the next era begun, as there may have been
         more that nobody told of.
         """
-        head = document.head
-        held = self._now.get(head.scope)
-        if head.writer != self._writers.name or (held is not None and held.head.rank >= head.rank):
+        header = document.header
+        held = self._now.get(header.scope)
+        if header.writer != self._writers.name or (held is not None and held.header.rank >= header.rank):
             return []
         records = [self._record(document)]
-        if head.era >= self.era:
-            self.era = head.era
+        if header.epoch >= self.epoch:
+            self.epoch = header.epoch
             records.append(self.restored())
         return records
 
@@ -150,13 +150,13 @@
 
     def snapshot(self) -> Iterator[bytes]:
         """All there is now, as records; what is published meanwhile does not show."""
-        era, before, now = self.era, dict(self._before), self.documents()
+        epoch, before, now = self.epoch, dict(self._before), self.documents()
 
         def pieces() -> Iterator[bytes]:
-            yield bytes(msgpack.packb([ERA, era]))
+            yield bytes(msgpack.packb([ERA, epoch]))
             for document in now:
-                if document.head.scope in before:
-                    yield _pack(before[document.head.scope])
+                if document.header.scope in before:
+                    yield _pack(before[document.header.scope])
                 yield _pack(document)
 
         return pieces()
@@ -166,7 +166,7 @@
         return _pack(document)
 
     def _put(self, document: Document) -> None:
-        scope = document.head.scope
+        scope = document.header.scope
         if scope in self._now:
             self._before[scope] = self._now[scope]
         self._now[scope] = document
@@ -175,7 +175,7 @@
         try:
             kind, *row = msgpack.unpackb(record)
             if kind == ERA:
-                self.era = int(row[0])
+                self.epoch = int(row[0])
                 return
             if kind != DOCUMENT:
                 raise FeedError(f"a record of kind {kind!r}: a newer version has been here")
@@ -185,10 +185,12 @@
         except (ValueError, TypeError, msgpack.exceptions.UnpackException) as error:
             raise FeedError(f"a record that cannot be read: {error}") from None
         if not document.whole:
-            raise FeedError(f"{document.head.scope}: a record whose body is not the one that its head names")
+            raise FeedError(
+                f"{document.header.scope}: a record whose body is not the one that its head names"
+            )
         self._put(document)
 
 
 def _pack(document: Document) -> bytes:
-    row: list[Any] = [DOCUMENT, list(astuple(document.head)), document.body]
+    row: list[Any] = [DOCUMENT, list(astuple(document.header)), document.body]
     return bytes(msgpack.packb(row))
--- a/crowpost/config_feed/publisher.py
+++ b/crowpost/config_feed/publisher.py
@@ -58,53 +58,57 @@
 
     # ------------------------------------------------------------ what is asked
 
-    def _publish(self, link: int, asked: PublishRequest) -> None:
+    def _publish(self, connection_id: int, asked: PublishRequest) -> None:
         try:
             self._writable()
             record, document = self.ledger.publish(asked, self.carrier.follower.table)
             sequence = self._append(record)
         except (FeedError, StoreError) as error:
-            self._refuse(link, asked, str(error))
+            self._refuse(connection_id, asked, str(error))
             return
-        work = asyncio.get_running_loop().create_task(self._keep(link, asked, document, sequence))
+        work = asyncio.get_running_loop().create_task(self._keep(connection_id, asked, document, sequence))
         self._work.add(work)
         work.add_done_callback(self._work.discard)
 
-    async def _keep(self, link: int, asked: PublishRequest, document: Document, sequence: int) -> None:
-        head = document.head
+    async def _keep(
+        self, connection_id: int, asked: PublishRequest, document: Document, sequence: int
+    ) -> None:
+        header = document.header
         try:
             await self._keeper.kept(sequence)
         except StoreError as error:
             self._stopped()
-            self._refuse(link, asked, f"{error}; after a restart it may be published or not: ask for status")
+            self._refuse(
+                connection_id, asked, f"{error}; after a restart it may be published or not: ask for status"
+            )
             return
         self.carrier.tell(
             "published",
-            scope=head.scope,
-            era=head.era,
-            version=head.version,
-            digest=head.digest.hex()[:16],
-            size=head.size,
-            author=head.author,
-            reason=head.reason,
+            scope=header.scope,
+            era=header.epoch,
+            version=header.version,
+            digest=header.digest.hex()[:16],
+            size=header.size,
+            author=header.author,
+            reason=header.reason,
         )
         try:
             self.carrier.announce(document)
         except FeedError as error:
-            self.carrier.tell("unheld", scope=head.scope, version=head.version, why=str(error))
-        self.carrier.answer(link, PublishAccepted(asked.number, head))
+            self.carrier.tell("unheld", scope=header.scope, version=header.version, why=str(error))
+        self.carrier.answer(connection_id, PublishAccepted(asked.number, header))
         self._compact()
 
-    def _refuse(self, link: int, asked: PublishRequest, why: str) -> None:
+    def _refuse(self, connection_id: int, asked: PublishRequest, why: str) -> None:
         self.carrier.tell("refused", scope=asked.scope, author=asked.author, why=why)
-        self.carrier.answer(link, PublishRejected(asked.number, why[:900]))
+        self.carrier.answer(connection_id, PublishRejected(asked.number, why[:900]))
 
     def _document(self, document: Document) -> None:
         """The other publisher's, or one of this one's own that its state no longer knows of."""
         records = self.ledger.seen(document)
         if records:
-            head = document.head
-            self.carrier.tell("set_back", scope=head.scope, version=head.version, era=self.ledger.era)
+            header = document.header
+            self.carrier.tell("set_back", scope=header.scope, version=header.version, era=self.ledger.epoch)
             with suppress(StoreError):  # it is told with the next publish
                 for record in records:
                     self._append(record)
@@ -120,8 +124,8 @@
 
     def _stopped(self) -> None:
         """For the status: documents are told, and none are taken."""
-        assert self.carrier.hub is not None
-        self.carrier.hub.counts["stopped"] = 1
+        assert self.carrier.distribution_server is not None
+        self.carrier.distribution_server.counts["stopped"] = 1
 
     def _append(self, record: bytes) -> int:
         return self._keeper.append(record, Durability.ACKNOWLEDGED)
--- a/crowpost/config_feed/transport.py
+++ b/crowpost/config_feed/transport.py
@@ -44,8 +44,8 @@
     ) -> None:
         self._config, self._on_document, self._on_publish = config, on_document, on_publish
         self._loop = asyncio.get_running_loop()
-        self._up: dict[int, _Link] = {}  # links of the follower, and of the hub
-        self._down: dict[int, _Link] = {}
+        self._up: dict[int, _Connection] = {}  # links of the follower, and of the hub
+        self._down: dict[int, _Connection] = {}
         self._dials: dict[int, asyncio.Task[None]] = {}
         self._accepted = 0
         self._server: asyncio.Server | None = None
@@ -55,7 +55,7 @@
         self._closed = False
         table = DocumentTable(config.tuning)
         self.follower = self._watch(table, kept)
-        self.hub = self._serve(table) if config.listen else None
+        self.distribution_server = self._serve(table) if config.listen else None
 
     def _watch(self, table: DocumentTable, kept: Iterable[Document]) -> watching.Follower:
         config = self._config
@@ -69,7 +69,7 @@
             zone=config.zone,
             judged=config.role == "node",
             rng=Random(secrets.randbits(64)),
-            birth=secrets.randbits(32),
+            instance_id=secrets.randbits(32),
             now=self.now(),
             tuning=config.tuning,
             table=table,
@@ -86,7 +86,7 @@
             zone=config.zone,
             table=table,
             publishes=self._on_publish is not None,
-            birth=secrets.randbits(32),
+            instance_id=secrets.randbits(32),
             now=self.now(),
             tuning=config.tuning,
         )
@@ -109,63 +109,63 @@
 
     # ------------------------------------------------------------ what the cores are told
 
-    def applied(self, head: DocumentHeader, refused: str) -> None:
+    def applied(self, header: DocumentHeader, refused: str) -> None:
         """A node's answer to a document: in force where `refused` is empty, else why not, in one line."""
-        self.follower.applied(head.scope, head, refused, self.now())
+        self.follower.applied(header.scope, header, refused, self.now())
         self._after()
 
     def announce(self, document: Document) -> None:
         """A publisher's own document is durable: hold it and tell all that watch."""
-        assert self.hub is not None
-        self.hub.announce(document, self.now())
+        assert self.distribution_server is not None
+        self.distribution_server.announce(document, self.now())
         self._after()
 
-    def answer(self, link: int, message: messages.Message) -> None:
+    def answer(self, connection: int, message: messages.Message) -> None:
         """Answer what a publisher was asked for."""
-        assert self.hub is not None
-        self.hub.answer(link, message, self.now())
+        assert self.distribution_server is not None
+        self.distribution_server.answer(connection, message, self.now())
         self._after()
 
-    def _accept(self) -> _Link:
+    def _accept(self) -> _Connection:
         self._accepted += 1
-        return _Link(self, self._accepted, self._down, up=False)
+        return _Connection(self, self._accepted, self._down, up=False)
 
-    def opened(self, link: _Link) -> None:
+    def opened(self, connection: _Connection) -> None:
         """A connection is up."""
-        if link.up:
-            self.follower.connected(link.number, self.now())
-        elif self.hub is not None:
-            self.hub.accepted(link.number, self.now())
+        if connection.up:
+            self.follower.connected(connection.number, self.now())
+        elif self.distribution_server is not None:
+            self.distribution_server.accepted(connection.number, self.now())
         self._after()
 
-    def received(self, link: _Link, data: bytes) -> None:
+    def received(self, connection: _Connection, data: bytes) -> None:
         """Bytes came."""
-        if link.up:
-            self.follower.received(link.number, data, self.now())
-        elif self.hub is not None:
-            self.hub.received(link.number, data, self.now())
+        if connection.up:
+            self.follower.received(connection.number, data, self.now())
+        elif self.distribution_server is not None:
+            self.distribution_server.received(connection.number, data, self.now())
         self._after()
 
-    def blocked(self, link: _Link, blocked: bool) -> None:
+    def blocked(self, connection: _Connection, blocked: bool) -> None:
         """The connection takes no more for now, or does again."""
-        if not link.up and self.hub is not None:
-            self.hub.blocked(link.number, blocked, self.now())
+        if not connection.up and self.distribution_server is not None:
+            self.distribution_server.blocked(connection.number, blocked, self.now())
             self._after()
 
-    def lost(self, link: _Link) -> None:
+    def lost(self, connection: _Connection) -> None:
         """A connection is gone."""
-        if link.up:
-            self.follower.lost(link.number, self.now())
-        elif self.hub is not None:
-            self.hub.lost(link.number, self.now())
+        if connection.up:
+            self.follower.lost(connection.number, self.now())
+        elif self.distribution_server is not None:
+            self.distribution_server.lost(connection.number, self.now())
         self._after()
 
     def _tick(self) -> None:
         self._timer, self._timer_at = None, float("inf")
         now = self.now()
         self.follower.tick(now)
-        if self.hub is not None:
-            self.hub.tick(now)
+        if self.distribution_server is not None:
+            self.distribution_server.tick(now)
         self._after()
 
     # ------------------------------------------------------------ what they want done
@@ -186,48 +186,50 @@
         out = self.follower.take()
         for dial in out.dials:
             if not self._closed:
-                self._dials[dial.link] = self._loop.create_task(self._dial(dial.link, dial.address))
+                self._dials[dial.connection_id] = self._loop.create_task(
+                    self._dial(dial.connection_id, dial.address)
+                )
         self._send(self._up, out.sends)
         for number in out.hangups:
             self._hang_up(self._up, number)
         for event in out.events:
             self.tell(event.kind, event.at, **event.values)
         for document in out.apply:
-            if self.hub is not None:
-                self.hub.announce(document, self.now())
+            if self.distribution_server is not None:
+                self.distribution_server.announce(document, self.now())
             self._on_document(document)
         return bool(out.dials or out.sends or out.hangups or out.apply)
 
     def _attend(self) -> bool:
-        if self.hub is None:
+        if self.distribution_server is None:
             return False
-        out = self.hub.take()
+        out = self.distribution_server.take()
         self._send(self._down, out.sends)
         for number in out.hangups:
             self._hang_up(self._down, number)
-        for link, request in out.requests:
+        for connection, request in out.requests:
             if self._on_publish is not None:
-                self._on_publish(link, request)
+                self._on_publish(connection, request)
         for event in out.events:
             self.tell(event.kind, event.at, **event.values)
         return bool(out.sends or out.hangups or out.requests)
 
-    def _send(self, links: dict[int, _Link], sends: list[tuple[int, bytes]]) -> None:
+    def _send(self, connections: dict[int, _Connection], sends: list[tuple[int, bytes]]) -> None:
         for number, frame in sends:
-            link = links.get(number)
-            if link is not None:
-                link.write(frame)
+            connection = connections.get(number)
+            if connection is not None:
+                connection.write(frame)
 
-    def _hang_up(self, links: dict[int, _Link], number: int) -> None:
-        if links is self._up and number in self._dials:
+    def _hang_up(self, connections: dict[int, _Connection], number: int) -> None:
+        if connections is self._up and number in self._dials:
             self._dials.pop(number).cancel()
-        if number in links:
-            links[number].close()
+        if number in connections:
+            connections[number].close()
 
     async def _dial(self, number: int, address: str) -> None:
         try:
             await self._loop.create_connection(
-                lambda: _Link(self, number, self._up, up=True), *split_address(address)
+                lambda: _Connection(self, number, self._up, up=True), *split_address(address)
             )
         except OSError:
             self.follower.lost(number, self.now())
@@ -237,8 +239,8 @@
 
     def _set_timer(self) -> None:
         due = self.follower.next_at()
-        if self.hub is not None:
-            due = min(due, self.hub.next_at())
+        if self.distribution_server is not None:
+            due = min(due, self.distribution_server.next_at())
         if self._closed or due == self._timer_at:
             return
         if self._timer is not None:
@@ -255,8 +257,8 @@
             return
         now = self.now()
         self.follower.close(now)
-        if self.hub is not None:
-            self.hub.close(now)
+        if self.distribution_server is not None:
+            self.distribution_server.close(now)
         self._after()
         self._closed = True
         if self._timer is not None:
@@ -265,15 +267,16 @@
             self._server.close()
         for dial in list(self._dials.values()):
             dial.cancel()
-        links = [*self._up.values(), *self._down.values()]
-        for link in links:
-            link.close()
-        if links:
+        connections = [*self._up.values(), *self._down.values()]
+        for connection in connections:
+            connection.close()
+        if connections:
             await asyncio.wait(
-                [asyncio.ensure_future(link.gone.wait()) for link in links], timeout=FAREWELL_S
+                [asyncio.ensure_future(connection.gone.wait()) for connection in connections],
+                timeout=FAREWELL_S,
             )
-        for link in links:
-            link.abort()
+        for connection in connections:
+            connection.abort()
 
     def tell(self, event: str, at: float | None = None, **values: object) -> None:
         """One structured line; `at_ms` is the machine's monotonic clock, common to all of its processes."""
@@ -281,11 +284,13 @@
         log.info("feed %s", json.dumps({**told, **values}))
 
 
-class _Link(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     """One connection, by its number among those of its side."""
 
-    def __init__(self, carrier: FeedTransport, number: int, links: dict[int, _Link], *, up: bool) -> None:
-        self._carrier, self.number, self._links, self.up = carrier, number, links, up
+    def __init__(
+        self, carrier: FeedTransport, number: int, connections: dict[int, _Connection], *, up: bool
+    ) -> None:
+        self._carrier, self.number, self._links, self.up = carrier, number, connections, up
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._closing = False
--- a/crowpost/config_feed/upstream_connections.py
+++ b/crowpost/config_feed/upstream_connections.py
@@ -12,7 +12,7 @@
 from crowpost.config_feed.tuning import Tuning
 
 STEADY_MS = 10_000.0  # a link that held for so long is forgiven earlier failures
-FRAME_BYTES = 131_072  # that a server may send in one frame: heads or a piece of a body
+MAX_FRAME_BYTES = 131_072  # that a server may send in one frame: heads or a piece of a body
 
 
 @dataclass(slots=True, eq=False)
@@ -63,7 +63,7 @@
         now: float,
     ) -> None:
         self._rng, self._cluster, self._tuning = rng, cluster, tuning
-        self.links: dict[int, UpstreamConnection] = {}
+        self.connections: dict[int, UpstreamConnection] = {}
         self._number = 0
         self.places = [UpstreamState(s, (s.tier, _distance(s, region, zone), rng.random())) for s in servers]
         self.places.sort(key=lambda place: place.nearness)
@@ -73,9 +73,9 @@
 
     def open_links(self) -> list[UpstreamConnection]:
         """The links that are up, the nearest first."""
-        found = [link for link in self.links.values() if link.open]
+        found = [connection for connection in self.connections.values() if connection.open]
         if len(found) > 1:
-            found.sort(key=lambda link: link.place.nearness)
+            found.sort(key=lambda connection: connection.place.nearness)
         return found
 
     def _plan(self) -> tuple[list[UpstreamState], int]:
@@ -84,13 +84,13 @@
         It is worked out anew only after a link came or went, as it is asked after every message.
         """
         if self._planned is None:
-            taken = {id(link.place) for link in self.links.values()}
+            taken = {id(connection.place) for connection in self.connections.values()}
             free = [place for place in self.places if id(place) not in taken]
-            lacking = self._tuning.upstream_connections - len(self.links)
+            lacking = self._tuning.upstream_connections - len(self.connections)
             if lacking <= 0:
                 lacking = 1
-                if all(link.open for link in self.links.values()):  # one at a time
-                    worst = max(link.place.nearness[:2] for link in self.links.values())
+                if all(connection.open for connection in self.connections.values()):  # one at a time
+                    worst = max(connection.place.nearness[:2] for connection in self.connections.values())
                     free = [place for place in free if place.nearness[:2] < worst]
                 else:
                     free = []
@@ -98,9 +98,9 @@
             self._planned = free, lacking
         return self._planned
 
-    def opened(self, link: UpstreamConnection, now: float) -> None:
+    def opened(self, connection: UpstreamConnection, now: float) -> None:
         """A dialled link is up."""
-        link.open, link.since, link.heard = True, now, now
+        connection.open, connection.since, connection.heard = True, now, now
         self._planned = None
 
     def dial(self, now: float) -> list[UpstreamConnection]:
@@ -111,33 +111,35 @@
         made = []
         for place in [p for p in places if p.not_before <= now][:lacking]:
             self._number += 1
-            reader = FrameReader(self._cluster, FRAME_BYTES)
-            link = self.links[self._number] = UpstreamConnection(self._number, place, now, reader, heard=now)
-            made.append(link)
+            reader = FrameReader(self._cluster, MAX_FRAME_BYTES)
+            connection = self.connections[self._number] = UpstreamConnection(
+                self._number, place, now, reader, heard=now
+            )
+            made.append(connection)
             self._planned = None
         return made
 
     def surplus(self) -> UpstreamConnection | None:
         """The farthest link, once a nearer one has greeted and there is one too many."""
-        if len(self.links) <= self._tuning.upstream_connections:
+        if len(self.connections) <= self._tuning.upstream_connections:
             return None
-        greeted = [link for link in self.open_links() if link.greeted]
+        greeted = [connection for connection in self.open_links() if connection.greeted]
         return greeted[-1] if len(greeted) > self._tuning.upstream_connections else None
 
-    def drop(self, link: UpstreamConnection, now: float, failed: bool = True) -> None:
+    def drop(self, connection: UpstreamConnection, now: float, failed: bool = True) -> None:
         """Forget a link; after a failure its server is let alone for a while.
 
         The others are dialled after a short throw, as a server that dies takes many links with it.
         """
-        self.links.pop(link.number, None)
+        self.connections.pop(connection.number, None)
         self._planned = None
-        place, tuning, rng = link.place, self._tuning, self._rng
+        place, tuning, rng = connection.place, self._tuning, self._rng
         if failed:
-            steady = link.greeted and now - link.since >= STEADY_MS
+            steady = connection.greeted and now - connection.since >= STEADY_MS
             place.failures = 1 if steady else place.failures + 1
             wait = min(tuning.max_backoff_ms, tuning.backoff_ms * 2.0 ** min(place.failures, 16))
             place.not_before = now + wait * (0.5 + rng.random())
-            spread = tuning.backoff_ms * (4.0 if self.links else 1.0)
+            spread = tuning.backoff_ms * (4.0 if self.connections else 1.0)
             self._dial_at = max(self._dial_at, now + rng.random() * spread)
         else:
             place.failures, place.not_before = 0, now + tuning.nearer_server_check_ms * (0.5 + rng.random())
@@ -146,21 +148,21 @@
         """When a dial, or the end of a link that says nothing, is due."""
         self._plan()
         due = self._dial_due
-        for link in self.links.values():
-            due = min(due, self.deadline(link), link.beat_at)
+        for connection in self.connections.values():
+            due = min(due, self.deadline(connection), connection.beat_at)
         return due
 
-    def deadline(self, link: UpstreamConnection) -> float:
+    def deadline(self, connection: UpstreamConnection) -> float:
         """When a link is given up unless something comes."""
-        if not link.greeted:
-            return link.since + self._tuning.connect_timeout_ms
-        return link.heard + self._tuning.server_timeout_ms
+        if not connection.greeted:
+            return connection.since + self._tuning.connect_timeout_ms
+        return connection.heard + self._tuning.server_timeout_ms
 
     def shift(self, by: float) -> None:
         """This process stood still: nobody else is to blame."""
-        for link in self.links.values():
-            link.heard += by
-            link.since += by
+        for connection in self.connections.values():
+            connection.heard += by
+            connection.since += by
 
 
 def _distance(server: UpstreamServer, region: str, zone: str) -> int:
--- a/crowpost/lab/feed/gossip_cost.py
+++ b/crowpost/lab/feed/gossip_cost.py
@@ -17,9 +17,9 @@
 BODY = 2_000  # bytes of a change
 
 
-def claim(name: str, head: str) -> Claim:
+def claim(name: str, header: str) -> Claim:
     """A member's claim with the head of a document, or how it stands to it, as a fact."""
-    profile = Profile(name, "10.20.30.40:7000", "e1", started_s=1_700_000_000.123, facts={"feed": head})
+    profile = Profile(name, "10.20.30.40:7000", "e1", started_s=1_700_000_000.123, facts={"feed": header})
     return Claim(name, 0xFFFF_FFFF, 7, Phase.PRESENT, Verdict.NONE, name, "", profile)
 
 
@@ -42,19 +42,19 @@
     Also the seconds that the standings of all would take at gossip's budget.
     """
     tuning = Tuning()
-    head, repeats = drained(1, members, tuning)
-    standings, _ = drained(members, members, tuning)
+    header, repeats = drained(1, members, tuning)
+    apply_statuses, _ = drained(members, members, tuning)
     document = make_document("all", 1, 12, b"x" * BODY, author="ops", reason="a change", writer="p-east")
-    standing = ApplyStatus(document.head.mark, ApplyState.IN_FORCE)
+    apply_status = ApplyStatus(document.header.key, ApplyState.IN_FORCE)
     return {
         "members": members,
         "repeats": repeats,
-        "claim_bytes": round(head / repeats),
-        "gossip_head_bytes": head,
+        "claim_bytes": round(header / repeats),
+        "gossip_head_bytes": header,
         "gossip_body_bytes": round(repeats * BODY),
-        "gossip_standings_bytes": standings,
-        "gossip_standings_s_at_budget": round(standings / tuning.bytes_per_s),
-        "feed_standing_bytes": 2 * len(encode(ApplyReport("node-0001", 2**32 - 1, 12, (standing,)), 0)),
-        "feed_head_bytes": 2 * len(encode(DocumentHeaders((document.head,)), 0)),
+        "gossip_standings_bytes": apply_statuses,
+        "gossip_standings_s_at_budget": round(apply_statuses / tuning.bytes_per_s),
+        "feed_standing_bytes": 2 * len(encode(ApplyReport("node-0001", 2**32 - 1, 12, (apply_status,)), 0)),
+        "feed_head_bytes": 2 * len(encode(DocumentHeaders((document.header,)), 0)),
         "feed_body_bytes": BODY,
     }
--- a/crowpost/lab/feed/network.py
+++ b/crowpost/lab/feed/network.py
@@ -16,7 +16,7 @@
 from crowpost.lab.engine import Engine
 
 SEGMENT = 1_460  # bytes of payload
-HEADERS = 40  # of TCP and IP, counted for each segment; bare acknowledgements are not counted
+PACKET_OVERHEAD_BYTES = 40  # of TCP and IP, counted for each segment; bare acknowledgements are not counted
 RTO_MS = 200.0
 SYN_MS = 1_000.0  # until a lost SYN is sent again, doubled each time
 RTO_MOST_MS = 60_000.0
@@ -153,7 +153,7 @@
             return
         other, now = conn.other(end), self.engine.now
         segments = -(-len(data) // SEGMENT)
-        size = len(data) + HEADERS * segments
+        size = len(data) + PACKET_OVERHEAD_BYTES * segments
         self.sent[end.name] = self.sent.get(end.name, 0) + size
         part = self.damage.get(end.name, 0.0)
         if part and self.rng.random() < part:
@@ -189,7 +189,7 @@
             self._reset(conn, other)
             return
         segments = -(-len(data) // SEGMENT)
-        self.heard[other.name] = self.heard.get(other.name, 0) + len(data) + HEADERS * segments
+        self.heard[other.name] = self.heard.get(other.name, 0) + len(data) + PACKET_OVERHEAD_BYTES * segments
         other.hear(data)
 
     def read(self, end: ConnectionEnd, size: int) -> None:
--- a/crowpost/lab/feed/process.py
+++ b/crowpost/lab/feed/process.py
@@ -30,10 +30,14 @@
     """One life of a process."""
 
     def __init__(
-        self, spec: ProcessSpec, follower: Follower | None, hub: DistributionServer | None, offset: float
+        self,
+        spec: ProcessSpec,
+        follower: Follower | None,
+        distribution_server: DistributionServer | None,
+        offset: float,
     ) -> None:
         self.spec, self.name = spec, spec.name
-        self.follower, self.hub = follower, hub
+        self.follower, self.distribution_server = follower, distribution_server
         self.offset = offset  # of its clock, in ms
         self.up, self.frozen, self.mute = True, False, False
         self.mailbox: list[Callable[[], None]] = []
@@ -48,7 +52,7 @@
 class Change:
     """A document that was acknowledged: who is to have it in force, and who had it after how many ms."""
 
-    head: DocumentHeader
+    header: DocumentHeader
     at: float
     owed: dict[str, float]  # name, and since when it counts for that one
     took: dict[str, float] = field(default_factory=dict)
--- a/crowpost/lab/feed/publishing.py
+++ b/crowpost/lab/feed/publishing.py
@@ -66,15 +66,15 @@
         return crash == step
 
     def _keep(self, process: Process, record: bytes, document: Document, crash: str) -> None:
-        world, head = self._world, document.head
-        assert process.hub is not None
+        world, header = self._world, document.header
+        assert process.distribution_server is not None
         self._synced[process.name].append(record)
-        process.spec.disk[head.scope] = document
+        process.spec.disk[header.scope] = document
         if self._crashes(process, crash, "synced"):
             return
-        world.acknowledged(head)
+        world.acknowledged(header)
         try:
-            process.hub.announce(document, world.engine.now + process.offset)
+            process.distribution_server.announce(document, world.engine.now + process.offset)
         except FeedError as error:
             world.faults.append(f"{process.name} cannot hold what it acknowledged: {error}")
         if crash == "announced":
--- a/crowpost/lab/feed/real_processes.py
+++ b/crowpost/lab/feed/real_processes.py
@@ -174,11 +174,11 @@
         )
         if not isinstance(answer, PublishAccepted):
             raise RuntimeError(f"not published: {answer}")
-        return answer.head.version
+        return answer.header.version
 
-    async def bytes_of(self, hub: Process) -> float:
+    async def bytes_of(self, distribution_server: Process) -> float:
         """Bytes that a relay or publisher has sent and got from those that watch it."""
-        answer = await ask(hub.listens, StatusRequest(1), CLUSTER, 2.0)
+        answer = await ask(distribution_server.listens, StatusRequest(1), CLUSTER, 2.0)
         assert isinstance(answer, StatusResponse)
         return float(sum(answer.value["counts"].get(f"bytes_{way}", 0) for way in ("in", "out")))
 
--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -310,7 +310,7 @@
     took = sorted(ms / 1000.0 for change in world.changes[first:] for ms in change.took.values())
     counts: dict[str, int] = {}
     for process in world.processes.values():
-        for core in (process.follower, process.hub):
+        for core in (process.follower, process.distribution_server):
             if core is not None:
                 for key, count in core.counts.items():
                     counts[f"{process.spec.role} {key}"] = counts.get(f"{process.spec.role} {key}", 0) + count
@@ -361,8 +361,8 @@
     runs = [old for old in record.pop("runs") if _key(old) != _key(run)]
     lines = ",\n".join(json.dumps(one, sort_keys=True) for one in sorted([*runs, run], key=_key))
     record["gossip"] = [cost(members) for members in GOSSIP]
-    head = json.dumps(record, sort_keys=True)[:-1]
-    path.write_text(f'{head}, "runs": [\n{lines}\n]}}\n')
+    start = json.dumps(record, sort_keys=True)[:-1]
+    path.write_text(f'{start}, "runs": [\n{lines}\n]}}\n')
 
 
 def _key(run: dict[str, Any]) -> tuple[str, str, int, int]:
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -71,10 +71,10 @@
     def _live(self, spec: ProcessSpec) -> Process:
         rng = random.Random(self.rng.getrandbits(64))
         offset = rng.uniform(0.0, 1e6)
-        now, birth = self.engine.now + offset, rng.getrandbits(32)
-        everything = spec.role != "node"
-        table, hub = DocumentTable(self.tuning), None
-        interest = Subscription(spec.region, spec.service, "" if everything else spec.name, everything)
+        now, instance_id = self.engine.now + offset, rng.getrandbits(32)
+        all_scopes = spec.role != "node"
+        table, distribution_server = DocumentTable(self.tuning), None
+        interest = Subscription(spec.region, spec.service, "" if all_scopes else spec.name, all_scopes)
         follower = Follower(
             CLUSTER,
             spec.name,
@@ -83,16 +83,16 @@
             role=spec.role,
             region=spec.region,
             zone=spec.zone,
-            judged=not everything,
+            judged=not all_scopes,
             rng=rng,
-            birth=birth,
+            instance_id=instance_id,
             now=now,
             tuning=self.tuning,
             table=table,
             kept=list(spec.disk.values()),
         )
-        if everything:
-            hub = DistributionServer(
+        if all_scopes:
+            distribution_server = DistributionServer(
                 CLUSTER,
                 spec.name,
                 role=spec.role,
@@ -100,11 +100,11 @@
                 zone=spec.zone,
                 table=table,
                 publishes=spec.role == "publisher",
-                birth=birth,
+                instance_id=instance_id,
                 now=now,
                 tuning=self.tuning,
             )
-        process = Process(spec, follower, hub, offset)
+        process = Process(spec, follower, distribution_server, offset)
         self.processes[spec.name] = self.by_address[spec.address] = process
         self.net.dark.pop(spec.name, None)
         self.note("live", spec.name)
@@ -131,10 +131,10 @@
         self.kill(name)
         spec, now = self.specs[name], self.engine.now
         process = self._live(spec)
-        latest = {change.head.scope: change for change in self.changes}
+        latest = {change.header.scope: change for change in self.changes}
         for scope, change in latest.items():
             held = spec.disk.get(scope)
-            if self.meant(spec, scope) and (held is None or held.head.rank < change.head.rank):
+            if self.meant(spec, scope) and (held is None or held.header.rank < change.header.rank):
                 change.owed[name] = now
                 self._open[scope][change] = None
         return process
@@ -202,8 +202,8 @@
         now = self.engine.now + process.offset
         if process.follower is not None and process.follower.next_at() <= now:
             process.follower.tick(now)
-        if process.hub is not None and process.hub.next_at() <= now:
-            process.hub.tick(now)
+        if process.distribution_server is not None and process.distribution_server.next_at() <= now:
+            process.distribution_server.tick(now)
         self.after(process)
 
     def after(self, process: Process) -> None:
@@ -211,9 +211,9 @@
         if process.follower is not None:
             self._carry_follower(process, process.follower)
             due = process.follower.next_at()
-        if process.hub is not None:
-            self._carry_hub(process, process.hub)
-            due = min(due, process.hub.next_at())
+        if process.distribution_server is not None:
+            self._carry_hub(process, process.distribution_server)
+            due = min(due, process.distribution_server.next_at())
         due += LATE_MS - process.offset
         process.spins = process.spins + 1 if due <= self.engine.now else 0
         if process.spins > 1_000:
@@ -227,50 +227,52 @@
     def _carry_follower(self, process: Process, follower: Follower) -> None:
         out = follower.take()
         for dial in out.dials:
-            self._dial(process, dial.link, dial.address)
-        for link, data in out.sends:
-            self._write(process, "f", link, data)
-        for link in out.hangups:
-            self._hang_up(process, "f", link)
+            self._dial(process, dial.connection_id, dial.address)
+        for connection_id, data in out.sends:
+            self._write(process, "f", connection_id, data)
+        for connection_id in out.hangups:
+            self._hang_up(process, "f", connection_id)
         for document in out.apply:
-            if process.hub is not None:
-                process.hub.announce(document, self.engine.now + process.offset)
+            if process.distribution_server is not None:
+                process.distribution_server.announce(document, self.engine.now + process.offset)
             else:
                 self.engine.after(
                     self.rng.uniform(*APPLY_MS), self.call, process, partial(self._apply, process, document)
                 )
 
-    def _carry_hub(self, process: Process, hub: DistributionServer) -> None:
-        out = hub.take()
-        for link, data in out.sends:
-            self._write(process, "h", link, data)
-        for link in out.hangups:
-            self._hang_up(process, "h", link)
+    def _carry_hub(self, process: Process, distribution_server: DistributionServer) -> None:
+        out = distribution_server.take()
+        for connection_id, data in out.sends:
+            self._write(process, "h", connection_id, data)
+        for connection_id in out.hangups:
+            self._hang_up(process, "h", connection_id)
 
     # ------------------------------------------------------------ connections
 
-    def _end(self, process: Process, side: str, link: int) -> ConnectionEnd:
+    def _end(self, process: Process, side: str, connection_id: int) -> ConnectionEnd:
         spec = process.spec
 
         def hear(data: bytes) -> None:
-            self.call(process, partial(self._hear, process, side, link, data))
+            self.call(process, partial(self._hear, process, side, connection_id, data))
 
         def close() -> None:
-            self.call(process, partial(self._lost, process, side, link))
+            self.call(process, partial(self._lost, process, side, connection_id))
 
         def full(blocked: bool) -> None:
             if side == "h":
-                self.call(process, partial(self._blocked, process, link, blocked))
+                self.call(process, partial(self._blocked, process, connection_id, blocked))
 
-        end = process.ends[side, link] = ConnectionEnd(spec.name, spec.region, spec.zone, hear, close, full)
+        end = process.ends[side, connection_id] = ConnectionEnd(
+            spec.name, spec.region, spec.zone, hear, close, full
+        )
         return end
 
-    def _dial(self, process: Process, link: int, address: str) -> None:
-        end = self._end(process, "f", link)
+    def _dial(self, process: Process, connection_id: int, address: str) -> None:
+        end = self._end(process, "f", connection_id)
 
         def find() -> ConnectionEnd | None:
             target = self.by_address.get(address)
-            if target is None or target.hub is None:
+            if target is None or target.distribution_server is None:
                 return None
             if not target.up and not self.net.dark.get(target.name):
                 return None
@@ -284,96 +286,96 @@
             taken.conn = conn
             conn.ends = (end, taken)
             self.call(target, partial(self._accepted, target, target.links))
-            self.call(process, partial(self._connected, process, link))
+            self.call(process, partial(self._connected, process, connection_id))
 
         self.net.dial(end, find, up)
 
-    def _write(self, process: Process, side: str, link: int, data: bytes) -> None:
-        end = process.ends.get((side, link))
+    def _write(self, process: Process, side: str, connection_id: int, data: bytes) -> None:
+        end = process.ends.get((side, connection_id))
         if end is None:
             return
         if process.mute and side == "h" and len(data) > 600:
             data = data[: len(data) // 2]  # half a body, then nothing any more
-            process.ends.pop((side, link))
+            process.ends.pop((side, connection_id))
         self.net.send(end, data)
 
-    def _hang_up(self, process: Process, side: str, link: int) -> None:
-        end = process.ends.pop((side, link), None)
+    def _hang_up(self, process: Process, side: str, connection_id: int) -> None:
+        end = process.ends.pop((side, connection_id), None)
         if end is not None:
             self.net.close(end)
 
-    def _connected(self, process: Process, link: int) -> None:
+    def _connected(self, process: Process, connection_id: int) -> None:
         assert process.follower is not None
-        process.follower.connected(link, self.engine.now + process.offset)
+        process.follower.connected(connection_id, self.engine.now + process.offset)
 
-    def _accepted(self, process: Process, link: int) -> None:
-        assert process.hub is not None
-        process.hub.accepted(link, self.engine.now + process.offset)
+    def _accepted(self, process: Process, connection_id: int) -> None:
+        assert process.distribution_server is not None
+        process.distribution_server.accepted(connection_id, self.engine.now + process.offset)
 
-    def _blocked(self, process: Process, link: int, blocked: bool) -> None:
-        assert process.hub is not None
-        process.hub.blocked(link, blocked, self.engine.now + process.offset)
+    def _blocked(self, process: Process, connection_id: int, blocked: bool) -> None:
+        assert process.distribution_server is not None
+        process.distribution_server.blocked(connection_id, blocked, self.engine.now + process.offset)
 
-    def _hear(self, process: Process, side: str, link: int, data: bytes) -> None:
-        end = process.ends.get((side, link))
+    def _hear(self, process: Process, side: str, connection_id: int, data: bytes) -> None:
+        end = process.ends.get((side, connection_id))
         if end is not None:
             self.net.read(end, len(data))
-        core = process.follower if side == "f" else process.hub
+        core = process.follower if side == "f" else process.distribution_server
         assert core is not None
-        core.received(link, data, self.engine.now + process.offset)
+        core.received(connection_id, data, self.engine.now + process.offset)
 
-    def _lost(self, process: Process, side: str, link: int) -> None:
-        process.ends.pop((side, link), None)
-        core = process.follower if side == "f" else process.hub
+    def _lost(self, process: Process, side: str, connection_id: int) -> None:
+        process.ends.pop((side, connection_id), None)
+        core = process.follower if side == "f" else process.distribution_server
         assert core is not None
-        core.lost(link, self.engine.now + process.offset)
+        core.lost(connection_id, self.engine.now + process.offset)
 
     # ------------------------------------------------------------ documents
 
     def _apply(self, process: Process, document: Document) -> None:
-        follower, head = process.follower, document.head
+        follower, header = process.follower, document.header
         assert follower is not None
         taken = self.history.setdefault(process.name, [])
-        before = process.spec.disk.get(head.scope)
+        before = process.spec.disk.get(header.scope)
         if not document.whole:
-            self.faults.append(f"{process.name} was given a body that is not the head's: {head}")
-        if before is not None and before.head.rank >= head.rank:
-            self.faults.append(f"{process.name} went back from {before.head} to {head}")
+            self.faults.append(f"{process.name} was given a body that is not the head's: {header}")
+        if before is not None and before.header.rank >= header.rank:
+            self.faults.append(f"{process.name} went back from {before.header} to {header}")
         why = self.refuses(process.name, document)
         if not why:
-            process.spec.disk[head.scope] = document
+            process.spec.disk[header.scope] = document
             taken.append(document)
-            self.note("in force", process.name, head.scope, head.era, head.version)
-            for change in list(self._open.get(head.scope, ())):
-                if change.head.rank <= head.rank and process.name in change.owed:
+            self.note("in force", process.name, header.scope, header.epoch, header.version)
+            for change in list(self._open.get(header.scope, ())):
+                if change.header.rank <= header.rank and process.name in change.owed:
                     change.took[process.name] = self.engine.now - change.owed.pop(process.name)
                     if not change.owed:
-                        del self._open[head.scope][change]
-        follower.applied(head.scope, head, why, self.engine.now + process.offset)
+                        del self._open[header.scope][change]
+        follower.applied(header.scope, header, why, self.engine.now + process.offset)
 
     @staticmethod
     def meant(spec: ProcessSpec, scope: str) -> bool:
-        return spec.role == "node" and Subscription(spec.region, spec.service, spec.name).wants(scope)
+        return spec.role == "node" and Subscription(spec.region, spec.service, spec.name).includes(scope)
 
     # ------------------------------------------------------------ looks
 
-    def acknowledged(self, head: DocumentHeader) -> None:
+    def acknowledged(self, header: DocumentHeader) -> None:
         """A document was: it is owed to all that it is meant for and that run."""
         now = self.engine.now
-        self.note("acknowledged", head.scope, head.era, head.version)
+        self.note("acknowledged", header.scope, header.epoch, header.version)
         owed = {
             name: now
             for name, spec in self.specs.items()
-            if self.meant(spec, head.scope) and self.processes[name].up
+            if self.meant(spec, header.scope) and self.processes[name].up
         }
-        change = Change(head, now, owed)
+        change = Change(header, now, owed)
         self.changes.append(change)
-        self._open.setdefault(head.scope, {})[change] = None
+        self._open.setdefault(header.scope, {})[change] = None
 
     def unreached(self) -> dict[str, list[str]]:
         """Scope and version, and the names that should have it in force and have not."""
         return {
-            f"{change.head.scope} {change.head.version}": list(change.owed)
+            f"{change.header.scope} {change.header.version}": list(change.owed)
             for change in self.changes
             if change.owed
         }
@@ -388,15 +390,15 @@
         for process in self.processes.values():
             if process.up and process.follower is not None:
                 for scope, document in process.follower.table.documents.items():
-                    if scope not in best or document.head.rank > best[scope].rank:
-                        best[scope] = document.head
+                    if scope not in best or document.header.rank > best[scope].rank:
+                        best[scope] = document.header
         for process in self.processes.values():
             if not process.up or process.follower is None:
                 continue
-            for scope, head in best.items():
-                if process.follower.interest.wants(scope):
+            for scope, header in best.items():
+                if process.follower.interest.includes(scope):
                     held = process.follower.table.get(scope)
-                    if held is None or held.head != head:
+                    if held is None or held.header != header:
                         return False
         return True
 
--- a/crowpost/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -47,7 +47,7 @@
         return self.address
 
     def _apply(self, document: Document) -> None:
-        self.carrier.applied(document.head, "")
+        self.carrier.applied(document.header, "")
 
     def row(self) -> bytes:
         """Followers need not know each other."""
@@ -67,7 +67,7 @@
         """Servers watched, and the version in force."""
         follower = self.carrier.follower
         held = follower.in_force(SCOPE)
-        return f"{len(follower.watched)} {0 if held is None else held.head.version}"
+        return f"{len(follower.watched)} {0 if held is None else held.header.version}"
 
     def awareness(self) -> int:
         """A follower does not judge itself."""
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -222,7 +222,7 @@
     except FeedError as error:
         raise ConfigError(f"NODE_FEED: {error}") from None
     overlays = ConfigurationOverlays(
-        environment, raw, path, [d for d in kept if feed.interest.wants(d.head.scope)]
+        environment, raw, path, [d for d in kept if feed.interest.includes(d.header.scope)]
     )
     overlays.notes += notes
     return overlays
--- a/crowpost/node/config_feed.py
+++ b/crowpost/node/config_feed.py
@@ -13,7 +13,7 @@
 
 from crowpost.config_feed.configuration import FeedConfig
 from crowpost.config_feed.document_cache import DocumentCache
-from crowpost.config_feed.documents import WHY_BYTES, Document
+from crowpost.config_feed.documents import MAX_REJECTION_BYTES, Document
 from crowpost.config_feed.transport import FeedTransport
 from crowpost.node.config import ConfigError
 from crowpost.node.configuration_overlays import ConfigurationOverlays, ReloadableSettings
@@ -46,8 +46,14 @@
         tell = self._carrier.tell
         for note in self._overlays.notes:
             tell("note", text=note)
-        for head in self._overlays.heads():
-            tell("kept", scope=head.scope, era=head.era, version=head.version, digest=head.digest.hex()[:16])
+        for header in self._overlays.headers():
+            tell(
+                "kept",
+                scope=header.scope,
+                era=header.epoch,
+                version=header.version,
+                digest=header.digest.hex()[:16],
+            )
         self._carrier.start()
 
     def rebase(self, discovery: tuple[str, int]) -> tuple[str, int]:
@@ -59,33 +65,33 @@
 
     def _document(self, document: Document) -> None:
         """A document came whole: in force from here on, or refused with a line."""
-        head, began, cpu, why = document.head, time.perf_counter(), time.thread_time(), ""
+        header, began, cpu, why = document.header, time.perf_counter(), time.thread_time(), ""
         try:
             proposal = self._overlays.propose(document)
             self._take_over(proposal.live)
             self._overlays.take(proposal)
         except ConfigError as error:
-            why = " ".join(str(error).split()).encode()[:WHY_BYTES].decode(errors="ignore")
+            why = " ".join(str(error).split()).encode()[:MAX_REJECTION_BYTES].decode(errors="ignore")
         spent_us = round(1e6 * (time.perf_counter() - began))
         self._longest_us = max(self._longest_us, spent_us)
         self._most_cpu_us = max(self._most_cpu_us, round(1e6 * (time.thread_time() - cpu)))
         told: dict[str, Any] = {
-            "scope": head.scope,
-            "era": head.era,
-            "version": head.version,
-            "digest": head.digest.hex()[:16],
+            "scope": header.scope,
+            "era": header.epoch,
+            "version": header.version,
+            "digest": header.digest.hex()[:16],
         }
-        told |= {"author": head.author, "reason": head.reason, "took_us": spent_us}
+        told |= {"author": header.author, "reason": header.reason, "took_us": spent_us}
         if why:
-            self._refused[head.scope] = head.version
+            self._refused[header.scope] = header.version
             self._carrier.tell("refused", **told, why=why)
-            self._carrier.applied(head, why)
+            self._carrier.applied(header, why)
             return
-        self._refused.pop(head.scope, None)
+        self._refused.pop(header.scope, None)
         self._taken += 1
         self._carrier.tell("in force", **told)
         if self._shelf is None or self._thread is None:
-            self._carrier.applied(head, "")
+            self._carrier.applied(header, "")
             return
         # Told to be in force once it also survives a restart.
         self._loop.run_in_executor(self._thread, self._shelf.write, document).add_done_callback(
@@ -93,19 +99,19 @@
         )
 
     def _written(self, document: Document, work: asyncio.Future[None]) -> None:
-        head = document.head
+        header = document.header
         error = work.exception()
         if error is not None:
             self._unkept += 1
             why = getattr(error, "strerror", None) or str(error)
-            self._carrier.tell("unkept", scope=head.scope, version=head.version, why=why)
-        self._carrier.applied(head, "")
+            self._carrier.tell("unkept", scope=header.scope, version=header.version, why=why)
+        self._carrier.applied(header, "")
 
     def figures(self) -> dict[str, float]:
         """Figures by name and label, for the second address."""
         counts = self._carrier.follower.counts
         return {
-            **{f'feed_version{{scope="{h.scope}"}}': h.version for h in self._overlays.heads()},
+            **{f'feed_version{{scope="{h.scope}"}}': h.version for h in self._overlays.headers()},
             **{f'feed_refused_version{{scope="{scope}"}}': v for scope, v in self._refused.items()},
             "feed_taken": self._taken,
             "feed_refused": len(self._refused),
--- a/crowpost/node/configuration_overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -72,13 +72,13 @@
     def _start(self, kept: list[Document]) -> None:
         """Begin with what was in force, or without all of it where that no longer fits the file."""
         try:
-            found = {d.head.scope: (d.head, parse(d.body)) for d in kept}
+            found = {d.header.scope: (d.header, parse(d.body)) for d in kept}
             merged = _merged(self._file, found)
             self._in_force = found
             self._read(merged)
         except ConfigError as error:
             self._in_force = {}
-            scopes = ", ".join(d.head.scope for d in kept)
+            scopes = ", ".join(d.header.scope for d in kept)
             self.notes.append(f"began without what was last in force ({scopes}): {error}")
             return
         self._running, self.kept = merged, kept
@@ -95,7 +95,7 @@
     def propose(self, document: Document) -> ProposedConfiguration:
         """Check a document; ConfigError, in a line that names the key, where the node cannot take it."""
         overlay = parse(document.body)
-        proposed = {**self._in_force, document.head.scope: (document.head, overlay)}
+        proposed = {**self._in_force, document.header.scope: (document.header, overlay)}
         try:
             merged = _merged(self._file, proposed)
             for key in differences(self._running, merged):
@@ -115,10 +115,10 @@
 
     def take(self, proposal: ProposedConfiguration) -> None:
         """A proposal is in force."""
-        self._in_force[proposal.document.head.scope] = proposal.document.head, proposal.overlay
+        self._in_force[proposal.document.header.scope] = proposal.document.header, proposal.overlay
         self._running, self.live = proposal.merged, proposal.live
 
-    def heads(self) -> list[DocumentHeader]:
+    def headers(self) -> list[DocumentHeader]:
         """Of the documents in force."""
         return [self._in_force[scope][0] for scope in order(self._in_force)]
 
--- a/tests/config_feed/fleet.py
+++ b/tests/config_feed/fleet.py
@@ -108,7 +108,7 @@
         file.write_text(text)
         return str(file)
 
-    async def hub(self, name: str, upstreams: list[str]) -> Process:
+    async def distribution_server(self, name: str, upstreams: list[str]) -> Process:
         """Start a publisher or relay, or start it again where it was."""
         role = "publisher" if name == "p" else "relay"
         more = {"directory": str(self.path / "ledger")} if role == "publisher" else {}
@@ -125,7 +125,7 @@
         raw = {"seed": "1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}}
         known = listing(1, row("a", self.server.address))
         config.write_text(json.dumps({**raw, "known": known, "settings": settings(registryMode="pushed")}))
-        relays = [hub for hub in self.at if hub != "p"]
+        relays = [distribution_server for distribution_server in self.at if distribution_server != "p"]
         folder = str(self.path / f"{name}-feed")
         environment = {
             "NODE_NAME": name,
@@ -160,8 +160,10 @@
     async with StubServer([reply("200 OK", b"old")]) as server, StubDiscovery() as discovery:
         world = Fleet(path, discovery, server)
         try:
-            await world.hub("p", [])
-            await asyncio.gather(world.hub("r0", ["p"]), world.hub("r1", ["p"]))
+            await world.distribution_server("p", [])
+            await asyncio.gather(
+                world.distribution_server("r0", ["p"]), world.distribution_server("r1", ["p"])
+            )
             started = await asyncio.gather(*(world.node(f"n{i}") for i in range(nodes)))
             for process, _ in started:
                 for relay in ("r0", "r1"):
@@ -178,7 +180,7 @@
 
 def version(answer: Message) -> int:
     assert isinstance(answer, PublishAccepted), answer
-    return answer.head.version
+    return answer.header.version
 
 
 async def in_force(processes: list[Process], number: int, scope: str = "all") -> list[dict[str, Any]]:
--- a/tests/config_feed/test_command.py
+++ b/tests/config_feed/test_command.py
@@ -68,13 +68,13 @@
 
 def test_nodes_that_were_replaced_are_left_out_of_the_picture_in_the_end() -> None:
     def follower(name: str, linked: bool, age_ms: float) -> dict[str, Any]:
-        standing = {"scope": "all", "era": 1, "version": 1, "digest": "0", "state": "in force", "why": ""}
+        apply_status = {"scope": "all", "era": 1, "version": 1, "digest": "0", "state": "in force", "why": ""}
         told = {"name": name, "role": "node", "region": "r", "zone": "", "service": "s", "birth": 1}
         told |= {"counter": 1, "age_ms": age_ms, "linked": linked}
-        return told | {"standings": [{**standing, "since_ms": 5.0}]}
+        return told | {"standings": [{**apply_status, "since_ms": 5.0}]}
 
-    head = {"scope": "all", "era": 1, "version": 1, "digest": "0", "writer": "p"}
-    status: dict[str, Any] = {"name": "p", "heads": [head], "conflicts": [], "counts": {}}
+    header = {"scope": "all", "era": 1, "version": 1, "digest": "0", "writer": "p"}
+    status: dict[str, Any] = {"name": "p", "heads": [header], "conflicts": [], "counts": {}}
     rows = [follower("here", True, 1_000.0), follower("slow", True, 700_000.0)]
     rows += [follower("away", False, 11_000.0), follower("replaced", False, 600_001.0)]
     found = picture([{**status, "followers": rows}], {})
@@ -131,8 +131,8 @@
     tmp_path: Path, text: str, said: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "p.toml"
-    head = '[feed]\ncluster = "c"\nname = "p"\nrole = "publisher"\nregion = "north"\n'
-    file.write_text(head + text + '\npublishers = {south = "q"}\n')
+    header = '[feed]\ncluster = "c"\nname = "p"\nrole = "publisher"\nregion = "north"\n'
+    file.write_text(header + text + '\npublishers = {south = "q"}\n')
     assert feed_main([str(file)]) == 2
     told = capsys.readouterr().err
     assert told.startswith(f"crowpost.feed: {file}: {said}") and told.count("\n") == 1
--- a/tests/config_feed/test_cores.py
+++ b/tests/config_feed/test_cores.py
@@ -25,7 +25,7 @@
 from crowpost.config_feed.follower import Follower
 from crowpost.config_feed.follower_status import merge
 from crowpost.config_feed.frames import (
-    LENGTH,
+    FRAME_LENGTH,
     FrameError,
     FrameReader,
     MessageKind,
@@ -55,27 +55,27 @@
 
 
 def doc(
-    version: int = 1, body: bytes = b"{}", *, scope: str = "all", era: int = 1, by: str = "p-east"
+    version: int = 1, body: bytes = b"{}", *, scope: str = "all", epoch: int = 1, by: str = "p-east"
 ) -> Document:
-    return make_document(scope, era, version, body, author="ops", reason="test", writer=by)
+    return make_document(scope, epoch, version, body, author="ops", reason="test", writer=by)
 
 
 # ---------------------------------------------------------------- words and bytes
 
-HEAD = doc(7, b"x" * 40, scope="service/s1").head
-MARK = HEAD.mark
+HEADER = doc(7, b"x" * 40, scope="service/s1").header
+KEY = HEADER.key
 MESSAGES: list[Message] = [
-    Hello("n1", "node", "east", "e1", "s1", False, 7, (MARK,)),
-    DocumentHeaders((HEAD, doc(2).head)),
-    FetchRequest(MARK, 16, 24),
-    BodyChunk(MARK, 16, b"\x00" * 24),
-    BodyUnavailable(MARK, "busy"),
+    Hello("n1", "node", "east", "e1", "s1", False, 7, (KEY,)),
+    DocumentHeaders((HEADER, doc(2).header)),
+    FetchRequest(KEY, 16, 24),
+    BodyChunk(KEY, 16, b"\x00" * 24),
+    BodyUnavailable(KEY, "busy"),
     Heartbeat(2**55),
-    ApplyReport("n1", 7, 3, (ApplyStatus(MARK, ApplyState.REFUSED, "no such key"),)),
+    ApplyReport("n1", 7, 3, (ApplyStatus(KEY, ApplyState.REFUSED, "no such key"),)),
     StatusRequest(9),
     StatusResponse(9, {"name": "r1", "heads": []}),
     PublishRequest(1, "node/n1", b"{}", "me", "why", "east", 4, True),
-    PublishAccepted(1, HEAD),
+    PublishAccepted(1, HEADER),
     PublishRejected(1, "publish to p-west"),
     Goodbye("in order"),
 ]
@@ -87,7 +87,7 @@
     reader = FrameReader(T)
     found = [item for byte in frame for item in reader.feed(bytes([byte]))]
     assert found == [(message, len(frame))]
-    body = frame[LENGTH.size :]
+    body = frame[FRAME_LENGTH.size :]
     for at in range(len(body)):
         for bit in (0, 3, 7):
             damaged = body[:at] + bytes([body[at] ^ (1 << bit)]) + body[at + 1 :]
@@ -106,10 +106,10 @@
     good = encode(Heartbeat(1), T)
     cases = {
         "cluster": encode(Heartbeat(1), cluster_tag("other")),
-        "magic": LENGTH.pack(20) + b"GET / HTTP/1.1\r\n\r\n..",
-        "oversized": LENGTH.pack(2_000_000),
+        "magic": FRAME_LENGTH.pack(20) + b"GET / HTTP/1.1\r\n\r\n..",
+        "oversized": FRAME_LENGTH.pack(2_000_000),
         "checksum": good[:-1] + bytes([good[-1] ^ 1]),
-        "malformed": LENGTH.pack(3) + b"CF\x01",
+        "malformed": FRAME_LENGTH.pack(3) + b"CF\x01",
     }
     for kind, data in cases.items():
         reader = FrameReader(T, 1_000_000)
@@ -162,15 +162,15 @@
             region="east",
             zone="e1",
             rng=random.Random(1),
-            birth=7,
+            instance_id=7,
             now=0.0,
             tuning=tuning,
             **more,  # type: ignore[arg-type]
         )
-        self.links: dict[str, int] = {}
+        self.connection_ids: dict[str, int] = {}
         self.to(1_000.0)
-        for name, link in list(self.links.items()):
-            self.follower.connected(link, self.now)
+        for name, connection_id in list(self.connection_ids.items()):
+            self.follower.connected(connection_id, self.now)
             self.say(name, Hello(name, "relay"))
 
     def to(self, now: float) -> None:
@@ -187,48 +187,52 @@
         """Go on for so long, with all servers alive and holding what the follower holds."""
         for _ in range(int(ms // 1_000.0)):
             self.to(self.now + 1_000.0)
-            for server in self.links:
+            for server in self.connection_ids:
                 self.say(server, Heartbeat(self.follower.table.digest(self.follower.interest)))
 
     def say(self, server: str, message: Message | bytes) -> None:
         data = message if isinstance(message, bytes) else encode(message, T)
-        self.follower.received(self.links[server], data, self.now)
+        self.follower.received(self.connection_ids[server], data, self.now)
         self._take()
 
     def _take(self) -> None:
         out = self.follower.take()
         for dial in out.dials:
-            self.links[dial.address[0]] = dial.link
-        for link, frame in out.sends:
-            self.seen.append((link, decode(frame[LENGTH.size :], T)))
+            self.connection_ids[dial.address[0]] = dial.connection_id
+        for connection_id, frame in out.sends:
+            self.seen.append((connection_id, decode(frame[FRAME_LENGTH.size :], T)))
         self.hangups += out.hangups
         for document in out.apply:
             self.applied.append(document)
-            self.follower.applied(document.head.scope, document.head, self.why, self.now)
+            self.follower.applied(document.header.scope, document.header, self.why, self.now)
             self._take()
 
     def fetches(self, server: str) -> list[FetchRequest]:
-        return [m for link, m in self.seen if link == self.links[server] and isinstance(m, FetchRequest)]
+        return [
+            m
+            for connection_id, m in self.seen
+            if connection_id == self.connection_ids[server] and isinstance(m, FetchRequest)
+        ]
 
     def give(self, server: str, document: Document) -> None:
         """Told of by a server, and given by it."""
-        self.say(server, DocumentHeaders((document.head,)))
+        self.say(server, DocumentHeaders((document.header,)))
         self.to(self.now + Tuning().prefer_nearest_ms + 1.0)
-        self.say(server, BodyChunk(document.head.mark, 0, document.body))
+        self.say(server, BodyChunk(document.header.key, 0, document.body))
 
     def versions(self) -> list[int]:
-        return [document.head.version for document in self.applied]
+        return [document.header.version for document in self.applied]
 
 
 def test_heads_come_from_both_servers_and_the_body_once_from_the_nearer() -> None:
     p = Played()
-    assert list(p.links) == ["a", "b"]
+    assert list(p.connection_ids) == ["a", "b"]
     d = doc(1, b"body")
-    p.say("b", DocumentHeaders((d.head,)))
+    p.say("b", DocumentHeaders((d.header,)))
     assert not p.fetches("b")  # the nearer is given time to tell of it as well
-    p.say("a", DocumentHeaders((d.head,)))
+    p.say("a", DocumentHeaders((d.header,)))
     assert [f.length for f in p.fetches("a")] == [4] and not p.fetches("b")
-    p.say("a", BodyChunk(d.head.mark, 0, b"body"))
+    p.say("a", BodyChunk(d.header.key, 0, b"body"))
     assert p.applied == [d] and p.follower.in_force("all") == d
     p.wait(10_000.0)
     assert not p.fetches("b") and len(p.fetches("a")) == 1
@@ -238,18 +242,18 @@
     p = Played()
     d = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.head,)))
-    p.say("a", BodyChunk(d.head.mark, 0, b"0123"))
+        p.say(server, DocumentHeaders((d.header,)))
+    p.say("a", BodyChunk(d.header.key, 0, b"0123"))
     p.to(p.now + 990.0)
     assert not p.fetches("b")
     p.to(p.now + 20.0)
     assert [(f.offset, f.length) for f in p.fetches("b")] == [(4, 6)]
-    p.say("b", BodyChunk(d.head.mark, 4, b"456789"))
+    p.say("b", BodyChunk(d.header.key, 4, b"456789"))
     assert p.applied == [d] and p.follower.counts["taken_over"] == 1
     # The one that stalled is asked last for a while.
     e = doc(2, b"abc")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((e.head,)))
+        p.say(server, DocumentHeaders((e.header,)))
     assert len(p.fetches("a")) == 1 and len(p.fetches("b")) == 2
 
 
@@ -257,9 +261,9 @@
     p = Played()
     d = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.head,)))
-    p.say("a", BodyChunk(d.head.mark, 0, b"01"))
-    p.follower.lost(p.links["a"], p.now)
+        p.say(server, DocumentHeaders((d.header,)))
+    p.say("a", BodyChunk(d.header.key, 0, b"01"))
+    p.follower.lost(p.connection_ids["a"], p.now)
     p._take()
     assert [(f.offset, f.length) for f in p.fetches("b")] == [(2, 8)]
 
@@ -268,13 +272,13 @@
     p = Played()
     d = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.head,)))
-    p.say("a", BodyChunk(d.head.mark, 0, b"0123456780"))
+        p.say(server, DocumentHeaders((d.header,)))
+    p.say("a", BodyChunk(d.header.key, 0, b"0123456780"))
     assert p.applied == [] and p.follower.counts["dropped_digest"] == 1
     assert len(p.fetches("a")) == 1
     p.to(p.now + 1_100.0)
     assert [(f.offset, f.length) for f in p.fetches("b")] == [(0, 10)]
-    p.say("b", BodyChunk(d.head.mark, 0, d.body))
+    p.say("b", BodyChunk(d.header.key, 0, d.body))
     assert p.applied == [d]
 
 
@@ -282,15 +286,15 @@
     p = Played()
     d = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.head,)))
-    p.say("a", BodyChunk(d.head.mark, 0, b"xx"))  # wrong, though its checksum is right
+        p.say(server, DocumentHeaders((d.header,)))
+    p.say("a", BodyChunk(d.header.key, 0, b"xx"))  # wrong, though its checksum is right
     p.to(p.now + 1_001.0)
-    p.say("b", BodyChunk(d.head.mark, 2, b"23456789"))
+    p.say("b", BodyChunk(d.header.key, 2, b"23456789"))
     assert p.applied == [] and p.follower.counts["dropped_digest"] == 1
     p.wait(5_000.0)
     asked = p.fetches("b")[-1]
     assert (asked.offset, asked.length) == (0, 10)
-    p.say("b", BodyChunk(d.head.mark, 0, d.body))
+    p.say("b", BodyChunk(d.header.key, 0, d.body))
     assert p.applied == [d]
 
 
@@ -298,16 +302,16 @@
     p = Played()
     lie = DocumentHeader("all", 1, 99, b"\x01" * 32, 4, "x", "", "p-east")
     p.say("a", DocumentHeaders((lie,)))
-    p.say("b", DocumentHeaders((doc(6, b"good").head,)))
-    p.say("a", BodyChunk(lie.mark, 0, b"evil"))
+    p.say("b", DocumentHeaders((doc(6, b"good").header,)))
+    p.say("a", BodyChunk(lie.key, 0, b"evil"))
     p.to(p.now + 1_500.0)
-    p.say("b", BodyChunk(doc(6, b"good").head.mark, 0, b"good"))
+    p.say("b", BodyChunk(doc(6, b"good").header.key, 0, b"good"))
     assert p.versions() == [6]
 
 
 def test_damaged_frames_are_left_out_and_too_many_end_the_link() -> None:
     p = Played()
-    good = encode(DocumentHeaders((doc().head,)), T)
+    good = encode(DocumentHeaders((doc().header,)), T)
     bad = good[:-3] + bytes([good[-3] ^ 16]) + good[-2:]
     for _ in range(2):
         p.say("a", bad)
@@ -315,19 +319,19 @@
     p.say("a", good)
     assert p.fetches("a")
     p.say("a", bad)
-    assert p.hangups == [p.links["a"]]
+    assert p.hangups == [p.connection_ids["a"]]
 
 
 def test_another_clusters_server_is_left_at_once() -> None:
     p = Played()
-    p.say("a", encode(DocumentHeaders((doc().head,)), cluster_tag("elsewhere")))
-    assert p.hangups == [p.links["a"]] and p.follower.counts["dropped_cluster"] == 1
+    p.say("a", encode(DocumentHeaders((doc().header,)), cluster_tag("elsewhere")))
+    assert p.hangups == [p.connection_ids["a"]] and p.follower.counts["dropped_cluster"] == 1
     assert not p.fetches("a")
 
 
 def test_a_document_that_is_too_large_is_not_asked_for() -> None:
     p = Played(Tuning(max_document_bytes=1_000))
-    p.say("a", DocumentHeaders((doc(1, b"x" * 1_001).head,)))
+    p.say("a", DocumentHeaders((doc(1, b"x" * 1_001).header,)))
     p.wait(5_000.0)
     assert not p.fetches("a") and p.follower.counts["dropped_too_large"] == 1
     p.give("a", doc(2, b"x" * 1_000))
@@ -340,28 +344,28 @@
     p.give("a", new)
     asked = len(p.fetches("a"))
     for replay in (
-        DocumentHeaders((old.head,)),
-        BodyChunk(old.head.mark, 0, b"old"),
-        DocumentHeaders((new.head,)),
+        DocumentHeaders((old.header,)),
+        BodyChunk(old.header.key, 0, b"old"),
+        DocumentHeaders((new.header,)),
     ):
         p.say("a", replay)
-    p.say("b", BodyChunk(new.head.mark, 0, b"new"))
+    p.say("b", BodyChunk(new.header.key, 0, b"new"))
     p.to(p.now + 3_000.0)
     assert p.versions() == [5] and len(p.fetches("a")) == asked and not p.fetches("b")
     counts = p.follower.counts
     assert counts["dropped_older"] == 1 and counts["known"] == 1 and counts["dropped_unasked"] == 2
-    p.give("a", doc(1, b"restored", era=2))  # a publisher restored from a backup: a new era goes over it
-    assert p.follower.in_force("all") == doc(1, b"restored", era=2)
+    p.give("a", doc(1, b"restored", epoch=2))  # a publisher restored from a backup: a new era goes over it
+    assert p.follower.in_force("all") == doc(1, b"restored", epoch=2)
 
 
 def test_a_newer_version_takes_the_place_of_one_under_way() -> None:
     p = Played()
-    p.say("a", DocumentHeaders((doc(1, b"0123").head,)))
-    p.say("a", BodyChunk(doc(1, b"0123").head.mark, 0, b"01"))
-    p.say("a", DocumentHeaders((doc(2, b"4567").head,)))
-    p.say("a", BodyChunk(doc(1, b"0123").head.mark, 2, b"23"))
+    p.say("a", DocumentHeaders((doc(1, b"0123").header,)))
+    p.say("a", BodyChunk(doc(1, b"0123").header.key, 0, b"01"))
+    p.say("a", DocumentHeaders((doc(2, b"4567").header,)))
+    p.say("a", BodyChunk(doc(1, b"0123").header.key, 2, b"23"))
     assert p.applied == []
-    p.say("a", BodyChunk(doc(2, b"4567").head.mark, 0, b"4567"))
+    p.say("a", BodyChunk(doc(2, b"4567").header.key, 0, b"4567"))
     assert p.versions() == [2] and p.follower.counts["coalesced"] == 1
 
 
@@ -373,7 +377,7 @@
     p.give("b", answers[1 - first])
     assert p.follower.in_force("all") == answers[1]
     (conflict,) = p.follower.conflicts()
-    assert (conflict.kept, conflict.dropped) == (answers[1].head, answers[0].head)
+    assert (conflict.kept, conflict.dropped) == (answers[1].header, answers[0].header)
     assert conflict.rule == "writer" and p.follower.counts["conflicts"] == 1
 
 
@@ -383,14 +387,14 @@
     p.why = "no such key: speeed"
     p.give("a", doc(2, b"bad"))
     assert p.follower.in_force("all") == doc(1, b"good")
-    (standing,) = p.follower.standings()
-    assert (standing.mark.version, standing.state, standing.why) == (
+    (apply_status,) = p.follower.apply_statuses()
+    assert (apply_status.key.version, apply_status.state, apply_status.why) == (
         2,
         ApplyState.REFUSED,
         "no such key: speeed",
     )
     told = [m for _, m in p.seen if isinstance(m, ApplyReport)]
-    assert told[-1].standings == (standing,) and told[-1].counter > told[0].counter
+    assert told[-1].apply_statuses == (apply_status,) and told[-1].counter > told[0].counter
     p.why = ""
     p.give("a", doc(3, b"good"))
     assert p.follower.in_force("all") == doc(3, b"good")
@@ -400,25 +404,29 @@
     p = Played()
     p.give("a", doc(1, b"x"))
     p.give("a", doc(1, b"y", scope="service/s1"))
-    assert sorted(link for link, m in p.seen if isinstance(m, ApplyReport)) == sorted(
-        list(p.links.values()) * 2
+    assert sorted(connection_id for connection_id, m in p.seen if isinstance(m, ApplyReport)) == sorted(
+        list(p.connection_ids.values()) * 2
     )
-    lost = p.links["b"]
+    lost = p.connection_ids["b"]
     p.follower.lost(lost, p.now)
     p._take()
     p.to(p.now + 2_000.0)
-    assert p.links["b"] != lost
-    p.follower.connected(p.links["b"], p.now)
+    assert p.connection_ids["b"] != lost
+    p.follower.connected(p.connection_ids["b"], p.now)
     p.say("b", Hello("b", "relay"))
-    (report,) = [m for link, m in p.seen if isinstance(m, ApplyReport) and link == p.links["b"]]
-    assert [s.mark.scope for s in report.standings] == ["all", "service/s1"]
+    (report,) = [
+        m
+        for connection_id, m in p.seen
+        if isinstance(m, ApplyReport) and connection_id == p.connection_ids["b"]
+    ]
+    assert [s.key.scope for s in report.apply_statuses] == ["all", "service/s1"]
 
 
 def test_what_was_kept_is_in_force_without_any_server() -> None:
     p = Played(kept=[doc(3, b"kept"), doc(1, b"of another", scope="node/other")])
     assert p.follower.in_force("all") == doc(3, b"kept") and p.follower.in_force("node/other") is None
     hello = next(m for _, m in p.seen if isinstance(m, Hello))
-    assert hello.vector == (doc(3, b"kept").head.mark,)
+    assert hello.version_vector == (doc(3, b"kept").header.key,)
 
 
 def test_differing_digests_bring_the_vector_less_and_less_often() -> None:
@@ -430,7 +438,7 @@
         before = len(p.seen)
         for server in ("a", "b"):
             p.say(server, Heartbeat(1 if server == "a" else 0))
-        times += [p.now for link, m in p.seen[before:] if isinstance(m, Hello)]
+        times += [p.now for connection_id, m in p.seen[before:] if isinstance(m, Hello)]
     assert hellos == 2 and 4 <= len(times) <= 7  # of 60 beats
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert gaps == sorted(gaps)
@@ -441,7 +449,7 @@
     for _ in range(4):
         p.to(p.now + 1_400.0)
         p.say("a", Heartbeat(0))
-    assert p.hangups == [p.links["b"]]
+    assert p.hangups == [p.connection_ids["b"]]
 
 
 def test_a_process_that_slept_blames_nobody() -> None:
@@ -482,7 +490,7 @@
     p = Played(tuning)
     body = random.Random(1).randbytes(30_000)
     d = doc(1, body)
-    p.say("a", DocumentHeaders((d.head,)))
+    p.say("a", DocumentHeaders((d.header,)))
     began, given = p.now, 0
     while not p.applied:
         for server in ("a", "b"):
@@ -491,7 +499,7 @@
         if given < len(asked):
             f = asked[given]
             given += 1
-            p.say("a", BodyChunk(f.mark, f.offset, body[f.offset : f.offset + f.length]))
+            p.say("a", BodyChunk(f.key, f.offset, body[f.offset : f.offset + f.length]))
         total = sum(f.length for f in asked)
         assert total <= 10_000 + (p.now - began) / 1000.0 * 1_000.0
         p.to(p.now + 500.0)
@@ -501,25 +509,25 @@
 def test_what_is_asked_for_and_held_back_may_come_at_once_and_is_within_the_tokens_all_the_same() -> None:
     p = Played(Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0))
     d = doc(1, b"x" * 3_000)
-    p.say("a", DocumentHeaders((d.head,)))
+    p.say("a", DocumentHeaders((d.header,)))
     p.wait(25_000.0)  # alive, and no body: it is asked for again as far as may be
     asked = p.fetches("a")
     assert len(asked) > 1 and sum(f.length for f in asked) <= 10_000
     for f in asked:
-        p.say("a", BodyChunk(f.mark, f.offset, d.body[f.offset : f.offset + f.length]))
+        p.say("a", BodyChunk(f.key, f.offset, d.body[f.offset : f.offset + f.length]))
     assert p.versions() == [1]
 
 
 def test_a_server_that_holds_back_so_much_that_no_other_can_be_asked_is_left() -> None:
     p = Played(Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0))
-    d, first = doc(1, b"x" * 8_000), p.links["a"]
+    d, first = doc(1, b"x" * 8_000), p.connection_ids["a"]
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.head,)))
+        p.say(server, DocumentHeaders((d.header,)))
     p.wait(12_000.0)
     assert p.hangups[0] == first
     while not p.applied and p.now < 60_000.0:
         for f in p.fetches("b"):
-            p.say("b", BodyChunk(f.mark, f.offset, d.body[f.offset : f.offset + f.length]))
+            p.say("b", BodyChunk(f.key, f.offset, d.body[f.offset : f.offset + f.length]))
         p.wait(1_000.0)
     assert p.versions() == [1]
 
@@ -532,44 +540,51 @@
 
     def __init__(self, tuning: Tuning | None = None, publishes: bool = False) -> None:
         self.now = 0.0
-        self.hub = DistributionServer(
+        self.distribution_server = DistributionServer(
             "c", "r1", table=DocumentTable(tuning), publishes=publishes, now=0.0, tuning=tuning
         )
         self.said: dict[int, list[Message]] = {}
         self.hangups: list[int] = []
 
-    def watch(self, link: int, name: str, *vector: Document, everything: bool = False) -> None:
-        self.hub.accepted(link, self.now)
-        role = "relay" if everything else "node"
-        marks = tuple(document.head.mark for document in vector)
-        self.say(link, Hello(name, role, "east", "e1", "s1", everything, link, marks))
+    def watch(
+        self, connection_id: int, name: str, *version_vector: Document, all_scopes: bool = False
+    ) -> None:
+        self.distribution_server.accepted(connection_id, self.now)
+        role = "relay" if all_scopes else "node"
+        keys = tuple(document.header.key for document in version_vector)
+        self.say(connection_id, Hello(name, role, "east", "e1", "s1", all_scopes, connection_id, keys))
 
-    def say(self, link: int, message: Message) -> None:
-        self.hub.received(link, encode(message, T), self.now)
+    def say(self, connection_id: int, message: Message) -> None:
+        self.distribution_server.received(connection_id, encode(message, T), self.now)
         self.take()
 
     def take(self) -> None:
-        out = self.hub.take()
-        for link, frame in out.sends:
-            self.said.setdefault(link, []).append(decode(frame[LENGTH.size :], T))
+        out = self.distribution_server.take()
+        for connection_id, frame in out.sends:
+            self.said.setdefault(connection_id, []).append(decode(frame[FRAME_LENGTH.size :], T))
         self.hangups += out.hangups
 
     def to(self, now: float) -> None:
-        while self.hub.next_at() <= now:
-            self.now = max(self.now, self.hub.next_at())
-            self.hub.tick(self.now)
+        while self.distribution_server.next_at() <= now:
+            self.now = max(self.now, self.distribution_server.next_at())
+            self.distribution_server.tick(self.now)
             self.take()
         self.now = now
 
     def announce(self, document: Document) -> None:
-        self.hub.announce(document, self.now)
+        self.distribution_server.announce(document, self.now)
         self.take()
 
-    def heads(self, link: int) -> list[int]:
-        return [h.version for m in self.said.get(link, []) if isinstance(m, DocumentHeaders) for h in m.heads]
+    def headers(self, connection_id: int) -> list[int]:
+        return [
+            h.version
+            for m in self.said.get(connection_id, [])
+            if isinstance(m, DocumentHeaders)
+            for h in m.headers
+        ]
 
-    def pieces(self, link: int) -> list[BodyChunk]:
-        return [m for m in self.said.get(link, []) if isinstance(m, BodyChunk)]
+    def pieces(self, connection_id: int) -> list[BodyChunk]:
+        return [m for m in self.said.get(connection_id, []) if isinstance(m, BodyChunk)]
 
 
 def test_a_watch_begins_with_what_is_newer_and_goes_on_with_what_is_meant_for_it() -> None:
@@ -578,36 +593,36 @@
         s.announce(d)
     s.watch(1, "n1", doc(5))
     s.watch(2, "n2", doc(4))
-    s.watch(3, "r2", everything=True)
-    assert s.heads(1) == [2] and sorted(s.heads(2)) == [2, 4, 5] and sorted(s.heads(3)) == [2, 4, 5, 9]
+    s.watch(3, "r2", all_scopes=True)
+    assert s.headers(1) == [2] and sorted(s.headers(2)) == [2, 4, 5] and sorted(s.headers(3)) == [2, 4, 5, 9]
     s.announce(doc(10, scope="region/west"))
     s.announce(doc(6))
-    assert s.heads(1) == [2, 6] and s.heads(2)[-1] == 6 and s.heads(3)[-2:] == [10, 6]
+    assert s.headers(1) == [2, 6] and s.headers(2)[-1] == 6 and s.headers(3)[-2:] == [10, 6]
 
 
 def test_a_link_that_takes_nothing_is_told_the_newest_only_once_it_does() -> None:
     s = Served()
     s.watch(1, "n1")
-    s.hub.blocked(1, True, s.now)
+    s.distribution_server.blocked(1, True, s.now)
     for version in range(1, 50):
         s.announce(doc(version))
     s.to(5_000.0)
-    assert s.heads(1) == []
-    s.hub.blocked(1, False, s.now)
+    assert s.headers(1) == []
+    s.distribution_server.blocked(1, False, s.now)
     s.take()
-    assert s.heads(1) == [49]
+    assert s.headers(1) == [49]
 
 
 def test_a_link_that_takes_nothing_for_long_is_dropped_and_so_is_a_silent_one() -> None:
     s = Served()
     s.watch(1, "n1")
     s.watch(2, "n2")
-    s.hub.blocked(1, True, s.now)
+    s.distribution_server.blocked(1, True, s.now)
     for _ in range(20):
         s.to(s.now + 1_500.0)
         s.say(1, Heartbeat(0))
     assert s.hangups == [2, 1] or s.hangups == [1, 2]
-    assert s.hub.followers == 0
+    assert s.distribution_server.followers == 0
 
 
 def test_bodies_go_out_in_pieces_within_the_bytes_of_the_link_and_of_the_hub() -> None:
@@ -616,20 +631,20 @@
     s = Served(tuning)
     d = doc(1, random.Random(1).randbytes(100_000))
     s.announce(d)
-    for link in range(1, 11):
-        s.watch(link, f"n{link}")
-        s.say(link, FetchRequest(d.head.mark, 0, 100_000))
+    for connection_id in range(1, 11):
+        s.watch(connection_id, f"n{connection_id}")
+        s.say(connection_id, FetchRequest(d.header.key, 0, 100_000))
     for _ in range(60):
-        sent = sum(len(piece.data) for link in range(1, 11) for piece in s.pieces(link))
+        sent = sum(len(piece.data) for connection_id in range(1, 11) for piece in s.pieces(connection_id))
         assert sent <= 50_000 + s.now / 1000.0 * 50_000 + tuning.chunk_bytes
-        for link in range(1, 11):
-            got = sum(len(piece.data) for piece in s.pieces(link))
+        for connection_id in range(1, 11):
+            got = sum(len(piece.data) for piece in s.pieces(connection_id))
             assert got <= 30_000 + s.now / 1000.0 * 4_000 + tuning.chunk_bytes
-            s.say(link, Heartbeat(0))
+            s.say(connection_id, Heartbeat(0))
         s.to(s.now + 500.0)
-    for link in range(1, 11):
-        assert b"".join(piece.data for piece in s.pieces(link)) == d.body
-        assert all(len(piece.data) <= tuning.chunk_bytes for piece in s.pieces(link))
+    for connection_id in range(1, 11):
+        assert b"".join(piece.data for piece in s.pieces(connection_id)) == d.body
+        assert all(len(piece.data) <= tuning.chunk_bytes for piece in s.pieces(connection_id))
 
 
 def test_fetches_beyond_the_queue_are_told_to_come_again() -> None:
@@ -640,13 +655,13 @@
     )
     d = doc(1, b"x" * 5_000)
     s.announce(d)
-    for link in range(1, 31):
-        s.watch(link, f"n{link}")
-    for link in range(1, 31):
+    for connection_id in range(1, 31):
+        s.watch(connection_id, f"n{connection_id}")
+    for connection_id in range(1, 31):
         for _ in range(80):
-            s.say(link, FetchRequest(d.head.mark, 0, 5_000))
+            s.say(connection_id, FetchRequest(d.header.key, 0, 5_000))
     busy = sum(isinstance(m, BodyUnavailable) and m.why == "busy" for said in s.said.values() for m in said)
-    assert busy == s.hub.counts["busy"] >= 30 * (80 - 64)
+    assert busy == s.distribution_server.counts["busy"] >= 30 * (80 - 64)
 
 
 def test_what_is_held_no_longer_is_told_to_be_gone() -> None:
@@ -654,39 +669,39 @@
     s.announce(doc(1, b"one"))
     s.watch(1, "n1")
     s.announce(doc(2, b"two"))
-    s.say(1, FetchRequest(doc(1, b"one").head.mark, 0, 3))
-    assert s.said[1][-1] == BodyUnavailable(doc(1, b"one").head.mark, "gone")
+    s.say(1, FetchRequest(doc(1, b"one").header.key, 0, 3))
+    assert s.said[1][-1] == BodyUnavailable(doc(1, b"one").header.key, "gone")
 
 
 def test_a_hub_takes_so_many_links_and_turns_others_away() -> None:
     s = Served(Tuning(max_connections=3))
-    for link in range(1, 5):
-        s.watch(link, f"n{link}")
-    assert s.hangups == [4] and s.said[4] == [Goodbye("full")] and s.hub.followers == 3
+    for connection_id in range(1, 5):
+        s.watch(connection_id, f"n{connection_id}")
+    assert s.hangups == [4] and s.said[4] == [Goodbye("full")] and s.distribution_server.followers == 3
 
 
 def test_only_a_publisher_takes_publishes() -> None:
     s = Served()
-    s.hub.accepted(1, 0.0)
+    s.distribution_server.accepted(1, 0.0)
     s.say(1, PublishRequest(8, "all", b"", "me", ""))
     assert s.said[1] == [PublishRejected(8, "a relay takes no documents; publish to a publisher")]
     s = Served(publishes=True)
-    s.hub.accepted(1, 0.0)
-    s.hub.received(1, encode(PublishRequest(8, "all", b"", "me", ""), T), 0.0)
-    ((link, request),) = s.hub.take().requests
-    s.hub.answer(link, PublishAccepted(request.number, HEAD), 1.0)
+    s.distribution_server.accepted(1, 0.0)
+    s.distribution_server.received(1, encode(PublishRequest(8, "all", b"", "me", ""), T), 0.0)
+    ((connection_id, request),) = s.distribution_server.take().requests
+    s.distribution_server.answer(connection_id, PublishAccepted(request.number, HEADER), 1.0)
     s.take()
-    assert s.said[1] == [PublishAccepted(8, HEAD)]
+    assert s.said[1] == [PublishAccepted(8, HEADER)]
 
 
 def test_messages_out_of_place_or_damaged_end_a_followers_link() -> None:
     s = Served()
-    s.hub.accepted(1, 0.0)
-    s.say(1, FetchRequest(MARK, 0, 1))
-    s.hub.accepted(2, 0.0)
-    s.hub.received(2, encode(Heartbeat(0), cluster_tag("other")), 0.0)
+    s.distribution_server.accepted(1, 0.0)
+    s.say(1, FetchRequest(KEY, 0, 1))
+    s.distribution_server.accepted(2, 0.0)
+    s.distribution_server.received(2, encode(Heartbeat(0), cluster_tag("other")), 0.0)
     s.take()
-    assert s.hangups == [1, 2] and s.hub.counts["dropped_cluster"] == 1
+    assert s.hangups == [1, 2] and s.distribution_server.counts["dropped_cluster"] == 1
 
 
 def test_status_of_two_hubs_is_put_together_by_counter_and_age() -> None:
@@ -699,15 +714,17 @@
         s.watch(2, "n2")
         s.watch(3, "gone")
     for s, d, counter in ((one, new, 5), (two, old, 4)):
-        s.say(1, ApplyReport("n1", 1, counter, (ApplyStatus(d.head.mark, ApplyState.IN_FORCE),)))
-    two.say(2, ApplyReport("n2", 2, 1, (ApplyStatus(new.head.mark, ApplyState.REFUSED, "no"),)))
-    two.say(2, ApplyReport("n2", 2, 0, (ApplyStatus(old.head.mark, ApplyState.IN_FORCE),)))  # an older report
+        s.say(1, ApplyReport("n1", 1, counter, (ApplyStatus(d.header.key, ApplyState.IN_FORCE),)))
+    two.say(2, ApplyReport("n2", 2, 1, (ApplyStatus(new.header.key, ApplyState.REFUSED, "no"),)))
+    two.say(
+        2, ApplyReport("n2", 2, 0, (ApplyStatus(old.header.key, ApplyState.IN_FORCE),))
+    )  # an older report
     two.say(2, ApplyReport("n1", 1, 9, ()))  # it speaks for another
     for s in (one, two):
-        s.hub.lost(3, 10.0)
+        s.distribution_server.lost(3, 10.0)
     for statuses in (
-        [one.hub.status(20.0), two.hub.status(20.0)],
-        [two.hub.status(20.0), one.hub.status(20.0)],
+        [one.distribution_server.status(20.0), two.distribution_server.status(20.0)],
+        [two.distribution_server.status(20.0), one.distribution_server.status(20.0)],
     ):
         found = merge(statuses)
         assert found["heads"]["all"]["version"] == 2
@@ -716,7 +733,7 @@
         assert n2["refused"] == {"all": "no"} and n2["lags"] == []
         assert gone["lags"] == ["all"] and not gone["linked"]
     # It is also what goes over the wire.
-    one.hub.accepted(9, 20.0)
+    one.distribution_server.accepted(9, 20.0)
     one.say(9, StatusRequest(4))
     answer = one.said[9][0]
     assert isinstance(answer, StatusResponse) and merge([answer.value])["followers"]["n1"]["counter"] == 5
@@ -736,8 +753,8 @@
     other = DocumentTable()
     for d in (doc(1, b"x" * 60, scope="region/east"), doc(3, b"")):
         other.put(d)
-    everything = Subscription(everything=True)
-    assert table.digest(everything) == other.digest(everything) != 0
+    all_scopes = Subscription(all_scopes=True)
+    assert table.digest(all_scopes) == other.digest(all_scopes) != 0
     assert table.digest(Subscription("west")) == DocumentTable().digest(Subscription()) ^ other.digest(
         Subscription("west")
     )
@@ -747,8 +764,8 @@
     s = Served()
     s.watch(1, "n1")
     s.now += 60_000.0
-    s.hub.tick(s.now)
+    s.distribution_server.tick(s.now)
     s.to(s.now + 5_000.0)
-    assert s.hangups == [] and s.hub.counts["slept"] == 1
+    assert s.hangups == [] and s.distribution_server.counts["slept"] == 1
     s.to(s.now + 20_000.0)
     assert s.hangups == [1]
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -118,7 +118,7 @@
     with pytest.raises(ConfigError) as error:
         overlays.propose(document(body))
     assert str(error.value).startswith(said)
-    assert overlays.live == before and not overlays.heads()
+    assert overlays.live == before and not overlays.headers()
     take(overlays, document(connect(70.0)))
     assert overlays.live.connect_timeout_ms == 70.0, "and the next one is not held against it"
 
@@ -152,7 +152,7 @@
     assert overlays.live.discovery == (HOST, 1)
     for bad in (document(b"?"), document({"discovery": "nowhere"}), document({"settings": {"profiles": []}})):
         overlays = ConfigurationOverlays({}, file(), "", [*kept[1:], bad])
-        assert overlays.live.discovery == FILE and overlays.kept == [] and not overlays.heads()
+        assert overlays.live.discovery == FILE and overlays.kept == [] and not overlays.headers()
         assert overlays.notes[0].startswith("began without what was last in force (node/n0, all): ")
 
 
@@ -215,7 +215,7 @@
     config = load(told)
     assert config.feed is not None and config.overlays is not None
     assert config.discovery == FED and config.overlays.live.discovery == FED
-    assert [h.scope for h in config.overlays.heads()] == ["service/cart"]
+    assert [h.scope for h in config.overlays.headers()] == ["service/cart"]
     assert load({**told, "NODE_DISCOVERY": f"{HOST}:1"}).discovery == FED
     assert load({**told, "NODE_FEED": ""}).discovery == FILE
     told["NODE_NAME"] = "n1"
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -77,9 +77,9 @@
             assert max(event["took_us"] for event in told) < 50_000  # what it takes is measured elsewhere
             found = await world.status(lambda f: f["followers"]["n0"]["refused"] == {"node/n0": why})
             assert found["followers"]["n1"]["refused"] == {} and not found["silent"] and not found["whole"]
-            heads = found["heads"]
-            assert (heads["all"]["in_force"], heads["all"]["meant"]) == (2, 2)
-            assert (heads["node/n0"]["in_force"], heads["node/n0"]["meant"]) == (0, 1)
+            headers = found["heads"]
+            assert (headers["all"]["in_force"], headers["all"]["meant"]) == (2, 2)
+            assert (headers["node/n0"]["in_force"], headers["node/n0"]["meant"]) == (0, 1)
             answer = await callers[0].ask("look")
             assert answer.body == b"new", "the connection still stands"
             for caller in callers:
@@ -98,7 +98,7 @@
             await world.processes["p"].kill()
             with pytest.raises(FeedError):
                 await world.publish(connect(102.0))
-            await world.hub("p", [])
+            await world.distribution_server("p", [])
             answer = await world.publish(connect(102.0), if_version=0)
             assert isinstance(answer, PublishRejected) and answer.why == "all is at version 1 and not at 0"
             assert version(await world.publish(connect(102.0), if_version=1)) == 2
@@ -141,7 +141,7 @@
             caller = await Caller.connect(address)
             assert (await caller.ask("look")).body == b"old"
             for name in ("p", "r0", "r1"):
-                await world.hub(name, [] if name == "p" else ["p"])
+                await world.distribution_server(name, [] if name == "p" else ["p"])
             await process.event("in force", scope="region/north", version=3)
             assert (await caller.ask("look")).status == 200
             caller.close()
@@ -162,13 +162,16 @@
             await in_force([started[0][0]], 3)
             await world.processes["p"].kill()
             (tmp_path / "ledger").rename(tmp_path / "lost")
-            publisher = await world.hub("p", ["r0", "r1"])
+            publisher = await world.distribution_server("p", ["r0", "r1"])
             await publisher.event("set_back", scope="all", version=3, era=2)
             answer = await world.publish(connect(200.0), if_version=3)
-            assert isinstance(answer, PublishAccepted) and (answer.head.era, answer.head.version) == (2, 4)
+            assert isinstance(answer, PublishAccepted) and (answer.header.epoch, answer.header.version) == (
+                2,
+                4,
+            )
             await in_force([started[0][0]], 4)
             await publisher.kill()
-            publisher = await world.hub("p", ["r0", "r1"])
+            publisher = await world.distribution_server("p", ["r0", "r1"])
             assert version(await world.publish({}, back=True)) == 5, "both are in the new directory"
 
     run(play())
--- a/tests/config_feed/test_publication_log.py
+++ b/tests/config_feed/test_publication_log.py
@@ -93,7 +93,7 @@
         assert refusal(book, table, scope, region=region).startswith(said)
         assert book.documents() == []
     else:
-        assert publish(book, table, scope, region=region).head.writer == name
+        assert publish(book, table, scope, region=region).header.writer == name
 
 
 def test_the_writer_of_a_node_stays_whatever_region_is_said_later() -> None:
@@ -101,7 +101,7 @@
     publish(south, table, "node/n1", region="south")
     said = refusal(north, table, "node/n1", region="north")
     assert said == "node/n1 is written by p-s, which wrote it first, and not by p-n"
-    assert publish(south, table, "node/n1", region="north").head.version == 2
+    assert publish(south, table, "node/n1", region="north").header.version == 2
 
 
 # ---------------------------------------------------------------- versions
@@ -110,20 +110,20 @@
 def test_versions_rise_in_each_scope_and_a_condition_holds_also_for_what_is_not_on_the_disk_yet() -> None:
     book, table = ledger(), DocumentTable()
     one = book.publish(asked(if_version=0), table)[1]
-    assert one.head.version == 1
+    assert one.header.version == 1
     # In the same millisecond, before the first is kept or told: one of the two has its way.
     assert refusal(book, table, if_version=0) == "all is at version 1 and not at 0"
-    assert book.publish(asked(if_version=1), table)[1].head.version == 2
-    assert book.publish(asked("service/cart"), table)[1].head.version == 1
+    assert book.publish(asked(if_version=1), table)[1].header.version == 2
+    assert book.publish(asked("service/cart"), table)[1].header.version == 1
     assert refusal(book, table, "service/cart", if_version=7) == "service/cart is at version 1 and not at 7"
-    assert [(d.head.scope, d.head.version) for d in book.documents()] == [("all", 2), ("service/cart", 1)]
+    assert [(d.header.scope, d.header.version) for d in book.documents()] == [("all", 2), ("service/cart", 1)]
 
 
 def test_a_version_that_only_others_know_of_is_not_used_again() -> None:
     book, table = ledger(), DocumentTable()
     table.put(make_document("all", 3, 8, b"x", author="", reason="", writer="p-old"))
-    head = publish(book, table).head
-    assert (head.era, head.version) == (3, 9)
+    header = publish(book, table).header
+    assert (header.epoch, header.version) == (3, 9)
 
 
 def test_back_publishes_the_body_before_as_a_new_version_and_that_can_be_taken_back_too() -> None:
@@ -134,7 +134,7 @@
     assert refusal(book, table, back=True) == said
     publish(book, table, "all", b"2")
     assert [publish(book, table, back=True).body for _ in range(3)] == [b"1", b"2", b"1"]
-    assert table.documents["all"].head.version == 5
+    assert table.documents["all"].header.version == 5
     assert refusal(book, table, back=True, if_version=4) == "all is at version 5 and not at 4"
 
 
@@ -152,7 +152,7 @@
     assert "in 2 scopes" in refusal(book, table, "service/b", b"")
     with pytest.raises(FeedError, match="author is longer than 64 bytes"):
         book.publish(PublishRequest(1, "all", b"{}", "x" * 65, ""), table)
-    assert [d.head.version for d in book.documents()] == [2, 1], "a refusal takes no version"
+    assert [d.header.version for d in book.documents()] == [2, 1], "a refusal takes no version"
 
 
 @pytest.mark.parametrize(
@@ -196,7 +196,7 @@
     ]
     records.append(book.restored())
     for again in (ledger(records=records), ledger(records=book.snapshot())):
-        assert again.documents() == book.documents() and again.era == 2
+        assert again.documents() == book.documents() and again.epoch == 2
         assert again.publish(asked(back=True), table)[1] == book.publish(asked(back=True), table)[1]
         book = ledger(records=records)
     for bad in (b"", b"\xc1", b"\x92\x07\x00", records[0][:-1] + b"?", b"\x93\x01\x90\xc4\x00"):
@@ -210,7 +210,7 @@
     lost = publish(book, table, "all", b"lost")
     book = ledger(records=backup)
     book.restored()
-    assert book.publish(asked(body=b"new"), DocumentTable())[1].head.rank > lost.head.rank
+    assert book.publish(asked(body=b"new"), DocumentTable())[1].header.rank > lost.header.rank
 
 
 def test_a_state_that_was_set_back_learns_from_the_fleet_and_begins_the_next_era() -> None:
@@ -219,13 +219,13 @@
     lost, other = publish(book, table, "all", b"lost"), publish(book, table, "region/north", b"lost too")
     book = ledger(records=backup)
     records = book.seen(lost)
-    assert len(records) == 2 and book.era == 2
-    assert len(book.seen(other)) == 1 and book.era == 2, "one restore is one era"
+    assert len(records) == 2 and book.epoch == 2
+    assert len(book.seen(other)) == 1 and book.epoch == 2, "one restore is one era"
     assert not book.seen(lost) and not book.seen(
         make_document("all", 9, 9, b"", author="", reason="", writer="p-s")
     )
     assert ledger(records=[*backup, *records]).documents() == [lost]
-    assert publish(book, table, "all", b"new").head.rank > lost.head.rank
+    assert publish(book, table, "all", b"new").header.rank > lost.header.rank
     assert publish(book, table, "all", back=True).body == b"lost"
 
 
@@ -249,9 +249,9 @@
         self.table = DocumentTable()
 
     def assign(self, document: Document) -> None:
-        head = document.head
-        key = head.scope, head.era, head.version
-        assert self.assigned.setdefault(key, head.digest) == head.digest, "a version was used twice"
+        header = document.header
+        key = header.scope, header.epoch, header.version
+        assert self.assigned.setdefault(key, header.digest) == header.digest, "a version was used twice"
 
     def work(self, disk: TraceDisk, publishes: int = 7) -> Iterator[None]:
         """Open, publish, and pause after each step of the disk."""
@@ -278,7 +278,7 @@
             def kept(pending: list[tuple[int, Document]] = pending) -> None:
                 for sequence, document in pending:
                     if sequence <= store.kept:
-                        self.acknowledged[document.head.scope] = document
+                        self.acknowledged[document.header.scope] = document
                         self.table.put(document)
 
             yield from do_jobs(disk, store, kept)
@@ -287,12 +287,14 @@
         """What a new process finds: all that was acknowledged, nothing half, and no version free again."""
         found, identity = recover(disk.names(), disk.read, "feed", ID)
         book = opened(found)
-        held = {document.head.scope: document for document in book.documents()}
+        held = {document.header.scope: document for document in book.documents()}
         for scope, document in self.acknowledged.items():
-            assert held[scope].head.rank >= document.head.rank, "an acknowledged document is lost"
+            assert held[scope].header.rank >= document.header.rank, "an acknowledged document is lost"
         for document in held.values():
-            head = document.head
-            assert document.whole and self.assigned[head.scope, head.era, head.version] == head.digest
+            header = document.header
+            assert (
+                document.whole and self.assigned[header.scope, header.epoch, header.version] == header.digest
+            )
         for operation in found.repairs:
             disk.perform(operation)
         seen = dict(self.acknowledged)
@@ -300,9 +302,9 @@
             table = DocumentTable()  # of a process that has just begun
             document = book.publish(asked(scope, b"after the crash"), table)[1]
             if scope in seen:
-                assert document.head.version > seen[scope].head.version, "a version was used twice"
+                assert document.header.version > seen[scope].header.version, "a version was used twice"
             if scope in held:
-                assert document.head.version == held[scope].head.version + 1
+                assert document.header.version == held[scope].header.version + 1
                 assert book.publish(asked(scope, back=True), table)[1].body == held[scope].body
 
 
--- a/tests/config_feed/test_simulation.py
+++ b/tests/config_feed/test_simulation.py
@@ -16,7 +16,7 @@
 )
 from crowpost.config_feed.follower import Follower
 from crowpost.config_feed.follower_status import merge
-from crowpost.config_feed.frames import FRAME
+from crowpost.config_feed.frames import FRAME_OVERHEAD_BYTES
 from crowpost.config_feed.tuning import Tuning
 from crowpost.lab.feed.network import NetworkConditions
 from crowpost.lab.feed.publishing import STEPS
@@ -61,7 +61,7 @@
     assert acknowledged == (2 if step == "announced" else 1)
     world.restart("p-east")
     world.run(10_000.0)
-    held = {world.processes[name].spec.disk["all"].head.version for name in made.nodes}
+    held = {world.processes[name].spec.disk["all"].header.version for name in made.nodes}
     assert held == ({1} if step in ("received", "appended") else {2})  # as far as it was on the disk
     made.publish("all")
     world.run(3_000.0)
@@ -69,7 +69,7 @@
     bodies: dict[int, set[bytes]] = {}
     for taken in world.history.values():
         for document in taken:
-            bodies.setdefault(document.head.version, set()).add(document.head.digest)
+            bodies.setdefault(document.header.version, set()).add(document.header.digest)
     assert all(len(found) == 1 for found in bodies.values())  # no version was given out twice
 
 
@@ -125,7 +125,7 @@
         node = world.processes["n3"].follower
         assert node is not None
         kept = node.in_force("all")
-        assert kept is not None and kept.head.version >= world.changes[-1].head.version - 1
+        assert kept is not None and kept.header.version >= world.changes[-1].header.version - 1
         world.run(3_000.0)
         settled(made)
 
@@ -145,9 +145,11 @@
     assert worst(made, 1) < 2.0
     cores = [made.world.processes[name].follower for name in made.nodes]
     assert sum(core.counts["bodies"] for core in cores if core is not None) == 200  # each asked once
-    hubs = [made.world.processes[f"r-{zone}"].hub for _, zone in made.zones]
-    links = [hub.followers for hub in hubs if hub is not None]
-    assert max(links) < 2 * 2 * 200 / 7  # no relay is left with all of them
+    hubs = [made.world.processes[f"r-{zone}"].distribution_server for _, zone in made.zones]
+    connection_ids = [
+        distribution_server.followers for distribution_server in hubs if distribution_server is not None
+    ]
+    assert max(connection_ids) < 2 * 2 * 200 / 7  # no relay is left with all of them
 
 
 def test_documents_damaged_on_the_way_are_never_taken() -> None:
@@ -163,7 +165,7 @@
     dropped = [
         core.counts["dropped_checksum"] + core.counts["dropped_magic"] + core.counts["dropped_oversized"]
         for process in world.processes.values()
-        for core in (process.follower, process.hub)
+        for core in (process.follower, process.distribution_server)
         if core is not None
     ]
     assert sum(dropped) > 20
@@ -175,8 +177,8 @@
         made.publish("all")
     made.world.run(2_000.0)
     settled(made)
-    assert [change.head.version for change in made.world.changes] == [1, 2, 3]
-    assert all(made.world.specs[name].disk["all"].head.version == 3 for name in made.nodes)
+    assert [change.header.version for change in made.world.changes] == [1, 2, 3]
+    assert all(made.world.specs[name].disk["all"].header.version == 3 for name in made.nodes)
 
 
 def test_regions_cut_for_an_hour_go_on_and_are_joined_without_loss() -> None:
@@ -192,14 +194,14 @@
             made.publish("all")
         world.run(600_000.0)
     in_force = world.specs["n1"].disk
-    assert in_force["region/west"].head.version == 6 and in_force["all"].head.version == 1
+    assert in_force["region/west"].header.version == 6 and in_force["all"].header.version == 1
     assert list(world.unreached()) == ["all 2"]
     world.net.join("east", "west")
     world.run(13_000.0)
     settled(made)
     for name in ("p-east", "p-west", "r-e1", "r-w1"):
         table = world.processes[name].follower.table  # type: ignore[union-attr]
-        assert {s: d.head.version for s, d in table.documents.items()} == {
+        assert {s: d.header.version for s, d in table.documents.items()} == {
             "all": 2,
             "region/east": 6,
             "region/west": 6,
@@ -216,13 +218,17 @@
     made.ledger.writers["p-west"] = replace(made.ledger.writers["p-west"], home="west")  # configured wrongly
     made.publish("all", "p-west")
     world.run(5_000.0)
-    assert len({world.specs[name].disk["all"].head.digest for name in made.nodes}) == 2
+    assert len({world.specs[name].disk["all"].header.digest for name in made.nodes}) == 2
     world.net.join("east", "west")
     world.run(30_000.0)
     assert world.faults == [] and world.converged()
-    assert {world.specs[name].disk["all"].head.writer for name in made.nodes} == {"p-west"}
-    hubs = [process for process in world.processes.values() if process.hub is not None]
-    told = [p.hub.status(world.engine.now + p.offset) for p in hubs if p.hub is not None]
+    assert {world.specs[name].disk["all"].header.writer for name in made.nodes} == {"p-west"}
+    hubs = [process for process in world.processes.values() if process.distribution_server is not None]
+    told = [
+        p.distribution_server.status(world.engine.now + p.offset)
+        for p in hubs
+        if p.distribution_server is not None
+    ]
     # All whose answer had to give way know of both, and so does a status that asks all.
     for status in [merge(told), *(status for status in told if status["region"] == "east")]:
         found = status["conflicts"]
@@ -362,9 +368,9 @@
     for name in made.nodes:
         ranks: dict[str, tuple[int, int, str, bytes]] = {}
         for document in world.history.get(name, []):
-            head = document.head
-            assert document.whole and head.rank > ranks.get(head.scope, (0, 0, "", b""))
-            ranks[head.scope] = head.rank
+            header = document.header
+            assert document.whole and header.rank > ranks.get(header.scope, (0, 0, "", b""))
+            ranks[header.scope] = header.rank
 
 
 def test_every_case_of_the_measurements_runs() -> None:
@@ -374,7 +380,7 @@
         found = play(case, 7, 1)
         assert found["unreached"] == 0 and found["faults"] == [] and found["in_force_s"]["worst"] < 13.0
     assert len(CASES) >= 13
-    assert FRAME == 16
+    assert FRAME_OVERHEAD_BYTES == 16
 
 
 def test_the_command_keeps_a_record_and_says_in_one_line_what_it_cannot_do(tmp_path: Path) -> None:
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -105,16 +105,16 @@
 def feed_frames() -> dict[str, bytes]:
     """A frame of every message kind of the feed, by its number."""
     document = a_document("region/north", 7, b'{"discovery": "127.0.0.1:8501"}')
-    head, mark = document.head, document.head.mark
-    standings = tuple(ApplyStatus(mark, state, f"as {state}") for state in ApplyState)
+    head, key = document.header, document.header.key
+    apply_statuses = tuple(ApplyStatus(key, state, f"as {state}") for state in ApplyState)
     sent: list[feed_messages.Message] = [
-        feed_messages.Hello("n1", "node", "north", "n1", "cart", False, 99, (mark,)),
+        feed_messages.Hello("n1", "node", "north", "n1", "cart", False, 99, (key,)),
         feed_messages.DocumentHeaders((head, head)),
-        feed_messages.FetchRequest(mark, 100, 2_000),
-        feed_messages.BodyChunk(mark, 100, b"piece"),
-        feed_messages.BodyUnavailable(mark, "busy"),
+        feed_messages.FetchRequest(key, 100, 2_000),
+        feed_messages.BodyChunk(key, 100, b"piece"),
+        feed_messages.BodyUnavailable(key, "busy"),
         feed_messages.Heartbeat(123_456),
-        feed_messages.ApplyReport("n1", 99, 5, standings),
+        feed_messages.ApplyReport("n1", 99, 5, apply_statuses),
         feed_messages.StatusRequest(3),
         feed_messages.StatusResponse(3, {"name": "r1", "held": [1, 2]}),
         feed_messages.PublishRequest(4, "service/cart", b"{}", "staff", "a reason", "north", 6, True),
