--- a/crowpost/cli/feed.py
+++ b/crowpost/cli/feed.py
@@ -14,8 +14,8 @@
 from crowpost.cli.terminal import console
 
 if TYPE_CHECKING:
-    from crowpost.feed.messages import Publish
-    from crowpost.feed.model import Document
+    from crowpost.config_feed.documents import Document
+    from crowpost.config_feed.messages import PublishRequest
 
 app = typer.Typer(help="Configuration for a whole fleet, published once.", no_args_is_help=True)
 out = console()
@@ -40,7 +40,7 @@
 
 
 def _addresses(at: str) -> list[str]:
-    from crowpost.feed.config import split_address
+    from crowpost.config_feed.configuration import split_address
 
     addresses = [address.strip() for address in at.split(",") if address.strip()]
     if not addresses:
@@ -67,7 +67,7 @@
 
     Example: crowpost feed run publisher.toml
     """
-    from crowpost.feed.__main__ import main
+    from crowpost.config_feed.command import main
 
     raise typer.Exit(main([file, *(["--restored"] if restored else [])]))
 
@@ -88,8 +88,8 @@
 
     Example: crowpost feed publish moved.json --scope region/north --reason "lists moved" --at 10.0.0.9:7400
     """
-    from crowpost.feed.messages import Publish
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.messages import PublishRequest
 
     try:
         if file == "-":
@@ -99,7 +99,7 @@
                 body = opened.read()
     except OSError as error:
         raise FeedError(f"{file}: {error.strerror}") from None
-    _publish(Publish(1, scope, body, author, reason, region, if_version), at, cluster, as_json)
+    _publish(PublishRequest(1, scope, body, author, reason, region, if_version), at, cluster, as_json)
 
 
 @app.command()
@@ -116,36 +116,39 @@
 
     Example: crowpost feed back region/north --reason "calls fail since" --if-version 12 --at 10.0.0.9:7400
     """
-    from crowpost.feed.messages import Publish
+    from crowpost.config_feed.messages import PublishRequest
 
-    _publish(Publish(1, scope, b"", author, reason, "", if_version, back=True), at, cluster, as_json)
+    _publish(PublishRequest(1, scope, b"", author, reason, "", if_version, back=True), at, cluster, as_json)
 
 
-def _publish(asked: Publish, at: str, cluster: str, as_json: bool) -> None:
-    from crowpost.feed.carrier import ask
-    from crowpost.feed.messages import Published, Refused
-    from crowpost.feed.model import FeedError, Tuning, make_document, split_scope
+def _publish(asked: PublishRequest, at: str, cluster: str, as_json: bool) -> None:
+    from crowpost.config_feed.documents import FeedError, make_document, split_scope
+    from crowpost.config_feed.messages import PublishAccepted, PublishRejected
+    from crowpost.config_feed.transport import ask
+    from crowpost.config_feed.tuning import Tuning
 
     split_scope(asked.scope)
     # What cannot be meant is said here, before anybody is asked; so is what no frame could carry.
     make_document(asked.scope, 0, 1, b"", author=asked.author, reason=asked.reason, writer="")
-    if len(asked.body) > Tuning().document_bytes:
-        most = Tuning().document_bytes
+    if len(asked.body) > Tuning().max_document_bytes:
+        most = Tuning().max_document_bytes
         raise FeedError(f"{asked.scope}: {len(asked.body)} bytes, {most} at the most")
     answer = asyncio.run(ask(_addresses(at)[0], asked, _cluster(cluster), PUBLISH_S))
-    if isinstance(answer, Refused):
+    if isinstance(answer, PublishRejected):
         if as_json:
             print(json.dumps({"published": False, "why": answer.why}))
         else:
             print(f"refused: {answer.why}", file=sys.stderr)
         raise typer.Exit(1)
-    assert isinstance(answer, Published)
-    head = answer.head
+    assert isinstance(answer, PublishAccepted)
+    header = answer.header
     if as_json:
-        told = {"published": True, "scope": head.scope, "era": head.era, "version": head.version}
-        print(json.dumps({**told, "digest": head.digest.hex(), "size": head.size, "writer": head.writer}))
+        told = {"published": True, "scope": header.scope, "era": header.epoch, "version": header.version}
+        print(
+            json.dumps({**told, "digest": header.digest.hex(), "size": header.size, "writer": header.writer})
+        )
     else:
-        out.print(f"{head.scope} is at version {head.version} (era {head.era}, {head.size} bytes)")
+        out.print(f"{header.scope} is at version {header.version} (era {header.epoch}, {header.size} bytes)")
 
 
 # ---------------------------------------------------------------- status
@@ -159,7 +162,7 @@
 
     Example: crowpost feed status --at 10.0.0.9:7400,10.0.1.9:7400 --cluster c1
     """
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.documents import FeedError
 
     addresses = _addresses(at)
     told, silent = asyncio.run(ask_all(addresses, _cluster(cluster), ASK_S))
@@ -178,16 +181,16 @@
     addresses: list[str], cluster: str, within_s: float
 ) -> tuple[list[dict[str, Any]], dict[str, str]]:
     """The statuses of those that answer in time, all asked at once; and by address why not of the others."""
-    from crowpost.feed.carrier import ask
-    from crowpost.feed.messages import AskStatus, Status
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.messages import StatusRequest, StatusResponse
+    from crowpost.config_feed.transport import ask
 
     async def one(address: str) -> dict[str, Any] | str:
         try:
-            answer = await ask(address, AskStatus(1), cluster, within_s)
+            answer = await ask(address, StatusRequest(1), cluster, within_s)
         except FeedError as error:
             return str(error)
-        assert isinstance(answer, Status)
+        assert isinstance(answer, StatusResponse)
         return answer.value
 
     answers = await asyncio.gather(*(one(address) for address in addresses))
@@ -197,20 +200,20 @@
 
 def picture(told: list[dict[str, Any]], silent: dict[str, str]) -> dict[str, Any]:
     """The statuses as one: `heads` with how many have each, `followers`, `silent` hubs, `whole` if all is."""
-    from crowpost.feed.model import wanted
-    from crowpost.feed.status import merge
+    from crowpost.config_feed.documents import wanted
+    from crowpost.config_feed.follower_status import merge
 
     found = merge(told)
     followers = {n: f for n, f in found["followers"].items() if f["role"] != "watch"}
     found["gone"] = sorted(n for n, f in followers.items() if not f["linked"] and f["age_ms"] > GONE_MS)
     found["followers"] = {n: f for n, f in followers.items() if n not in found["gone"]}
     nodes = {name: one for name, one in found["followers"].items() if one["role"] == "node"}
-    for scope, head in found["heads"].items():
+    for scope, header in found["heads"].items():
         meant = {n: f for n, f in nodes.items() if wanted(scope, f["region"], f["service"], n)}
         held = [r for f in meant.values() for r in f["standings"] if r["scope"] == scope]
-        force = [r for r in held if r["state"] == "in force" and r["version"] == head["version"]]
-        head["meant"], head["in_force"] = len(meant), len(force)
-        head["last_since_ms"] = min((row["since_ms"] for row in force), default=None)
+        force = [r for r in held if r["state"] == "in force" and r["version"] == header["version"]]
+        header["meant"], header["in_force"] = len(meant), len(force)
+        header["last_since_ms"] = min((row["since_ms"] for row in force), default=None)
     for one in found["followers"].values():
         one["unheard"] = not one["linked"] or one["age_ms"] > SILENT_MS
     found["silent"], found["answered"] = silent, [status["name"] for status in told]
@@ -222,12 +225,12 @@
 
 def _show(found: dict[str, Any]) -> None:
     table = Table("scope", "version", "digest", "bytes", "author", "reason", "in force", "last", box=None)
-    for scope, head in sorted(found["heads"].items()):
-        version = str(head["version"]) + (f" (era {head['era']})" if head["era"] > 1 else "")
-        have = f"{head['in_force']} of {head['meant']}"
-        last = _ago(head["last_since_ms"])
-        size = str(head["size"])
-        table.add_row(scope, version, head["digest"], size, head["author"], head["reason"], have, last)
+    for scope, header in sorted(found["heads"].items()):
+        version = str(header["version"]) + (f" (era {header['era']})" if header["era"] > 1 else "")
+        have = f"{header['in_force']} of {header['meant']}"
+        last = _ago(header["last_since_ms"])
+        size = str(header["size"])
+        table.add_row(scope, version, header["digest"], size, header["author"], header["reason"], have, last)
     out.print(table)
     lines = [line for name, one in found["followers"].items() for line in _amiss(name, one)]
     for line in lines[:NAMED]:
@@ -288,9 +291,9 @@
 
 
 async def _watch(addresses: list[str], cluster: str, count: int, as_json: bool) -> None:
-    from crowpost.feed.carrier import Carrier
-    from crowpost.feed.config import FeedConfig
-    from crowpost.feed.model import Server
+    from crowpost.config_feed.configuration import FeedConfig
+    from crowpost.config_feed.documents import UpstreamServer
+    from crowpost.config_feed.transport import FeedTransport
 
     enough = asyncio.Event()
     seen = 0
@@ -300,20 +303,25 @@
         if count and seen == count:
             return
         seen += 1
-        head = document.head
+        header = document.header
         if as_json:
-            told = {"scope": head.scope, "era": head.era, "version": head.version, "size": head.size}
-            told |= {"digest": head.digest.hex(), "author": head.author, "reason": head.reason}
+            told = {
+                "scope": header.scope,
+                "era": header.epoch,
+                "version": header.version,
+                "size": header.size,
+            }
+            told |= {"digest": header.digest.hex(), "author": header.author, "reason": header.reason}
             print(json.dumps({**told, "at": round(time.time(), 3)}), flush=True)
         else:
             at = time.strftime("%H:%M:%S")
-            why = f"{head.author}: {head.reason}"
-            print(f"{at} {head.scope} version {head.version}, {head.size} bytes, {why}", flush=True)
+            why = f"{header.author}: {header.reason}"
+            print(f"{at} {header.scope} version {header.version}, {header.size} bytes, {why}", flush=True)
         if count and seen == count:
             enough.set()
 
-    servers = tuple(Server(address) for address in addresses)
-    carrier = Carrier(FeedConfig(cluster, "watch", "watch", upstreams=servers), print_line)
+    servers = tuple(UpstreamServer(address) for address in addresses)
+    carrier = FeedTransport(FeedConfig(cluster, "watch", "watch", upstreams=servers), print_line)
     carrier.start()
     await enough.wait()
     await carrier.close()
--- a/crowpost/feed/model.py
+++ b/crowpost/config_feed/documents.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-WIRE = 1
-NAME_BYTES = 64
-REASON_BYTES = 200
-WHY_BYTES = 200
-HEADERS = 40  # bytes of TCP and IP around a frame, counted against the budgets
-PREFIX = 8  # bytes of a digest that tell two bodies apart where no adversary chose them
+WIRE_VERSION = 1
+MAX_NAME_BYTES = 64
+MAX_REASON_BYTES = 200
+MAX_REJECTION_BYTES = 200
+PACKET_OVERHEAD_BYTES = 40  # bytes of TCP and IP around a frame, counted against the budgets
+DIGEST_PREFIX_BYTES = 8  # bytes of a digest that tell two bodies apart where no adversary chose them
 _WORD = 2**63
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 _KINDS = ("all", "region", "service", "node")  # from the widest scope to the narrowest
@@ -55,11 +55,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class DocumentHeader:
     """What there is to know of a document without its body."""
 
     scope: str
-    era: int
+    epoch: int
     version: int
     digest: bytes  # SHA-256 of the body
     size: int  # of the body, in bytes
@@ -70,15 +70,15 @@
     def __post_init__(self) -> None:
         split_scope(self.scope)
         for label, text, most in (
-            ("author", self.author, NAME_BYTES),
-            ("reason", self.reason, REASON_BYTES),
-            ("writer", self.writer, NAME_BYTES),
+            ("author", self.author, MAX_NAME_BYTES),
+            ("reason", self.reason, MAX_REASON_BYTES),
+            ("writer", self.writer, MAX_NAME_BYTES),
         ):
             if len(text.encode()) > most:
                 raise FeedError(f"{label} is longer than {most} bytes: {text[:60]!r}")
         if len(self.digest) != 32:
             raise FeedError(f"a digest of {len(self.digest)} bytes")
-        if not (0 <= self.era < _WORD and 0 < self.version < _WORD and 0 <= self.size < _WORD):
+        if not (0 <= self.epoch < _WORD and 0 < self.version < _WORD and 0 <= self.size < _WORD):
             raise FeedError(f"{self.scope}: era, version or size out of bounds")
 
     @property
@@ -88,19 +88,19 @@
         Era and version decide; only where a cut left two answers for one version, the writer's name does, so
         that all processes choose alike.  The digest comes last, for a writer that answered twice itself.
         """
-        return self.era, self.version, self.writer, self.digest
+        return self.epoch, self.version, self.writer, self.digest
 
     @property
-    def mark(self) -> Mark:
-        return Mark(self.scope, self.era, self.version, self.digest[:PREFIX])
+    def key(self) -> VersionKey:
+        return VersionKey(self.scope, self.epoch, self.version, self.digest[:DIGEST_PREFIX_BYTES])
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class VersionKey:
     """A head in short: which document, told apart from another answer to the same version."""
 
     scope: str
-    era: int
+    epoch: int
     version: int
     digest: bytes  # the first PREFIX bytes
 
@@ -109,24 +109,24 @@
 class Document:
     """A head and the body that it names."""
 
-    head: Head
+    header: DocumentHeader
     body: bytes
 
     @property
     def whole(self) -> bool:
         """Whether the body is the one that the head names."""
-        return len(self.body) == self.head.size and hashlib.sha256(self.body).digest() == self.head.digest
+        return len(self.body) == self.header.size and hashlib.sha256(self.body).digest() == self.header.digest
 
 
 def make_document(
-    scope: str, era: int, version: int, body: bytes, *, author: str, reason: str, writer: str
+    scope: str, epoch: int, version: int, body: bytes, *, author: str, reason: str, writer: str
 ) -> Document:
     """A document with its digest; FeedError for fields out of their bounds."""
     digest = hashlib.sha256(body).digest()
-    return Document(Head(scope, era, version, digest, len(body), author, reason, writer), body)
+    return Document(DocumentHeader(scope, epoch, version, digest, len(body), author, reason, writer), body)
 
 
-class State(StrEnum):
+class ApplyState(StrEnum):
     """How a node stands to a document."""
 
     HELD = "held"  # by a relay or publisher, which passes it on and judges nothing
@@ -135,43 +135,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ApplyStatus:
     """How one process stands to the newest document of a scope that it got whole."""
 
-    mark: Mark
-    state: State
+    key: VersionKey
+    state: ApplyState
     why: str = ""  # it was refused
 
 
 def shorten(why: str) -> str:
     """As much of a reason as a report carries."""
-    return why.encode()[:WHY_BYTES].decode(errors="ignore")
+    return why.encode()[:MAX_REJECTION_BYTES].decode(errors="ignore")
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
     """Two answers for one scope in one era: which one holds, which one does not, and by which rule."""
 
-    kept: Head
-    dropped: Head
+    kept: DocumentHeader
+    dropped: DocumentHeader
     rule: str  # "version": the higher; "writer": of equal versions the later name; "digest": of one writer
 
 
 @dataclass(frozen=True, slots=True)
-class Interest:
+class Subscription:
     """Which documents a follower watches: those meant for one node, or all there are."""
 
     region: str = ""
     service: str = ""
     node: str = ""
-    everything: bool = False
+    all_scopes: bool = False
 
-    def wants(self, scope: str) -> bool:
-        return self.everything or wanted(scope, self.region, self.service, self.node)
+    def includes(self, scope: str) -> bool:
+        return self.all_scopes or wanted(scope, self.region, self.service, self.node)
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class UpstreamServer:
     """A hub that may be watched.  tier: those of a lower one are always tried first."""
 
     address: str
@@ -181,56 +181,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dial:
+class ConnectRequest:
     """Connect to an address; the link is this number from now on."""
 
-    link: int
+    connection_id: int
     address: str
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class FeedEvent:
     """Something that a log line should tell; values are plain."""
 
     kind: str  # linked, lost, whole, taken_over, conflict, dropped, slept, standing
     at: float  # ms
     values: dict[str, object]
-
-
-@dataclass(frozen=True, slots=True)
-class Tuning:
-    """Times in ms and bounds, for followers and hubs; the figures are measured in docs/feed.md."""
-
-    watches: int = 2  # servers that a follower watches at once
-    beat_ms: float = 2_000.0  # a link says at least so often that it is alive
-    silent_ms: float = 4_500.0  # a server that says nothing for so long is given up
-    follower_silent_ms: float = 20_000.0  # a follower may sleep for longer than a server
-    dial_ms: float = 2_000.0  # for a connection, and for the first word on it
-    backoff_ms: float = 250.0  # before a server is dialled again, doubled each time, with jitter
-    backoff_most_ms: float = 4_000.0
-    improve_ms: float = 45_000.0  # between looks whether a nearer server is back, in the mean
-    near_ms: float = 250.0  # that the nearer server has to tell of a document which the other told of
-    take_over_ms: float = 1_000.0  # without a byte of a body until the other server is asked for the rest
-    slow_ms: float = 10_000.0  # that a server which let a body wait is asked last
-    vector_ms: float = 2_000.0  # between vectors sent for a differing digest, doubled each time
-    vector_most_ms: float = 64_000.0
-    late_ms: float = 500.0  # a tick that comes later than so: this process stood still
-    bytes_per_s: float = 3_300.0  # of a node, both ways: a third of its 10 kB/s for all control
-    bytes_saved: float = 100_000.0  # of that, saved up in quiet for a burst
-    link_bytes_per_s: float = 3_300.0  # that a hub sends to one node
-    link_bytes_saved: float = 100_000.0
-    relay_bytes_per_s: float = 200_000.0  # of a relay or publisher that follows, and sent to one of these
-    relay_bytes_saved: float = 2_000_000.0
-    hub_bytes_per_s: float = 4_000_000.0  # that a hub sends in all
-    hub_bytes_saved: float = 4_000_000.0
-    piece_bytes: int = 16_384  # of a body in one frame, so that a stall shows
-    document_bytes: int = 262_144
-    documents: int = 4_096
-    table_bytes: int = 33_554_432  # of bodies held
-    fetches: int = 32  # bodies that a hub serves at once; others queue
-    queue: int = 4_096  # fetches that wait at a hub; any more are told that it is busy
-    wants: int = 4  # bodies that a follower of few scopes fetches at once
-    relay_wants: int = 32  # and one of all scopes
-    followers: int = 2_048  # links that a hub takes
-    damaged: int = 3  # frames of a link that may be damaged until it is given up
-    status_ms: float = 2_000.0  # that a status may take
--- a/crowpost/lab/feedledger.py
+++ b/crowpost/lab/feed/publishing.py
@@ -4,11 +4,11 @@
 
 from functools import partial
 
-from crowpost.feed.ledger import Ledger, Writers
-from crowpost.feed.messages import Publish
-from crowpost.feed.model import Document, FeedError
-from crowpost.lab.feedprocess import Process
-from crowpost.lab.feedworld import World
+from crowpost.config_feed.documents import Document, FeedError
+from crowpost.config_feed.messages import PublishRequest
+from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
+from crowpost.lab.feed.process import Process
+from crowpost.lab.feed.world import World
 
 FSYNC_MS = (2.0, 10.0)
 STEPS = ("received", "appended", "synced", "announced")  # of a publish, in order
@@ -21,20 +21,20 @@
     publisher, whom it holds to be whose writer; two that do not agree give two answers.
     """
 
-    def __init__(self, world: World, writers: dict[str, Writers]) -> None:
+    def __init__(self, world: World, writers: dict[str, WriteAuthority]) -> None:
         self._world, self.writers = world, writers
         self._synced: dict[str, list[bytes]] = {}  # records on the disk, by publisher
-        self._ledgers: dict[str, Ledger] = {}  # of the life at hand
+        self._ledgers: dict[str, PublicationLog] = {}  # of the life at hand
         self._synced_at: dict[str, float] = {}
         world.killed = self._killed
 
     def _killed(self, name: str) -> None:
         self._ledgers.pop(name, None)
 
-    def _ledger(self, name: str) -> Ledger:
+    def _ledger(self, name: str) -> PublicationLog:
         if name not in self._ledgers:
             records = self._synced.setdefault(name, [])
-            self._ledgers[name] = Ledger(self.writers[name], _anything, records, self._world.tuning)
+            self._ledgers[name] = PublicationLog(self.writers[name], _anything, records, self._world.tuning)
         return self._ledgers[name]
 
     def publish(self, by: str, scope: str, body: bytes, crash: str = "") -> None:
@@ -48,7 +48,7 @@
             return
         assert process.follower is not None
         region = process.spec.region
-        asked = Publish(1, scope, body, "ops", "a change", region)
+        asked = PublishRequest(1, scope, body, "ops", "a change", region)
         try:
             record, document = self._ledger(by).publish(asked, process.follower.table)
         except FeedError as error:
@@ -66,15 +66,15 @@
         return crash == step
 
     def _keep(self, process: Process, record: bytes, document: Document, crash: str) -> None:
-        world, head = self._world, document.head
-        assert process.hub is not None
+        world, header = self._world, document.header
+        assert process.distribution_server is not None
         self._synced[process.name].append(record)
-        process.spec.disk[head.scope] = document
+        process.spec.disk[header.scope] = document
         if self._crashes(process, crash, "synced"):
             return
-        world.acknowledged(head)
+        world.acknowledged(header)
         try:
-            process.hub.announce(document, world.engine.now + process.offset)
+            process.distribution_server.announce(document, world.engine.now + process.offset)
         except FeedError as error:
             world.faults.append(f"{process.name} cannot hold what it acknowledged: {error}")
         if crash == "announced":
--- a/crowpost/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -7,9 +7,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from crowpost.feed.carrier import Carrier
-from crowpost.feed.config import FeedConfig
-from crowpost.feed.model import Document, Server
+from crowpost.config_feed.configuration import FeedConfig
+from crowpost.config_feed.documents import Document, UpstreamServer
+from crowpost.config_feed.transport import FeedTransport
 from crowpost.lab.scale.hollow import Cut
 from crowpost.lab.scale.places import Place
 
@@ -21,17 +21,19 @@
 
     def __init__(self, place: Place, cut: Cut) -> None:
         self._place = place
-        self._carrier: Carrier | None = None
+        self._carrier: FeedTransport | None = None
         self.address = ""
 
     @property
-    def carrier(self) -> Carrier:
+    def carrier(self) -> FeedTransport:
         assert self._carrier is not None
         return self._carrier
 
     async def start(self, settings: Mapping[str, Any]) -> str:
         """settings: `cluster`, `region`, and `upstreams`, each an address and a zone."""
-        upstreams = [Server(address, settings["region"], zone) for address, zone in settings["upstreams"]]
+        upstreams = [
+            UpstreamServer(address, settings["region"], zone) for address, zone in settings["upstreams"]
+        ]
         near = upstreams[self._place.zone % len(upstreams)].zone
         config = FeedConfig(
             settings["cluster"],
@@ -40,12 +42,12 @@
             zone=near,
             upstreams=tuple(upstreams),
         )
-        self._carrier = Carrier(config, self._apply)
+        self._carrier = FeedTransport(config, self._apply)
         self._carrier.start()
         return self.address
 
     def _apply(self, document: Document) -> None:
-        self.carrier.applied(document.head, "")
+        self.carrier.applied(document.header, "")
 
     def row(self) -> bytes:
         """Followers need not know each other."""
@@ -65,7 +67,7 @@
         """Servers watched, and the version in force."""
         follower = self.carrier.follower
         held = follower.in_force(SCOPE)
-        return f"{len(follower.watched)} {0 if held is None else held.head.version}"
+        return f"{len(follower.watched)} {0 if held is None else held.header.version}"
 
     def awareness(self) -> int:
         """A follower does not judge itself."""
