--- a/crowpost/cli/main.py
+++ b/crowpost/cli/main.py
@@ -31,7 +31,7 @@
     from crowpost.lab.revisions import PolicyError
     from crowpost.lab.runs import RunFolderError
     from crowpost.lab.scenario import ScenarioError
-    from crowpost.members.model import MemberError
+    from crowpost.membership.model import MemberError
     from crowpost.store.model import StoreError
 
     try:
--- a/crowpost/cli/members.py
+++ b/crowpost/cli/members.py
@@ -19,9 +19,9 @@
 
 
 def _view(address: str) -> dict[str, Any]:
-    from crowpost.members.carrier import ask
-    from crowpost.members.model import MemberError
-    from crowpost.members.wire import Kind
+    from crowpost.membership.model import MemberError
+    from crowpost.membership.transport import ask
+    from crowpost.membership.wire import Kind
 
     if not address:
         raise typer.BadParameter("name a member with --at HOST:PORT, or in CROWPOST_MEMBERS")
@@ -111,7 +111,7 @@
 
 
 def _compare(view: dict[str, Any], as_json: bool) -> None:
-    from crowpost.members.carrier import ask_all
+    from crowpost.membership.transport import ask_all
 
     alive = {m["name"]: m["address"] for m in view["members"] if m["state"] not in ("dead", "left")}
     asked = asyncio.run(ask_all(alive, ASK_S))
@@ -141,8 +141,8 @@
 
     Example: crowpost members leave --at 10.0.0.4:7946
     """
-    from crowpost.members.carrier import ask
-    from crowpost.members.wire import Kind
+    from crowpost.membership.transport import ask
+    from crowpost.membership.wire import Kind
 
     address = at or ctx.obj
     view = _view(address)
@@ -156,6 +156,6 @@
 
     Example: crowpost members run members.toml
     """
-    from crowpost.members.__main__ import main
+    from crowpost.membership.__main__ import main
 
     raise typer.Exit(main([file]))
--- a/crowpost/lab/capacity/ranking.py
+++ b/crowpost/lab/capacity/ranking.py
@@ -100,7 +100,7 @@
     return [
         Duty(
             "membership",
-            "crowpost/members: gossip among all",
+            "crowpost/membership: gossip among all",
             share(node["membership"], budget),
             _membership(demand, share(node["membership"], budget)),
             asked=True,
@@ -166,10 +166,11 @@
 def _membership(demand: Demand, need: Figure) -> Figure:
     """By the members that it takes, and by the node's budget where it needs more than that."""
     if "members" not in demand.built:
-        return demand.coded(0.0, "crowpost.members, not there")
-    from crowpost.members.model import Tuning
+        return demand.coded(0.0, "crowpost.membership, not there")
+    from crowpost.membership.model import Tuning
 
-    most = demand.coded(Tuning().most_members, "crowpost.members.model.most_members").over(demand.servers())
+    limit = demand.coded(Tuning().most_members, "crowpost.membership.model.most_members")
+    most = limit.over(demand.servers())
     within = demand.coded(100.0, "the whole budget").over(need)
     return _at_most_one(min((most, within), key=lambda figure: figure.mid))
 
--- a/crowpost/lab/feedgossip.py
+++ b/crowpost/lab/feedgossip.py
@@ -11,8 +11,8 @@
 from crowpost.feed.messages import Heads, Report
 from crowpost.feed.model import Standing, State, make_document
 from crowpost.feed.wire import encode
-from crowpost.members.gossip import Gossip
-from crowpost.members.model import Claim, Phase, Profile, Tuning, Verdict
+from crowpost.membership.broadcast_queue import Gossip
+from crowpost.membership.model import Claim, Phase, Profile, Tuning, Verdict
 
 BODY = 2_000  # bytes of a change
 
--- a/crowpost/lab/membership.py
+++ b/crowpost/lab/membership/front_nodes.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from crowpost.interface import NodesPresent
+from crowpost.lab.membership.simulation import Process, Swarm, Weather
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
-from crowpost.lab.swim import Process, Swarm, Weather
-from crowpost.members.model import Change
-from crowpost.members.presence import ORDINAL, STAGE, Presence, Share
+from crowpost.membership.model import Change
+from crowpost.membership.work_share import ORDINAL, STAGE, Presence, Share
 
 LOOK_MS = 250.0  # as often as a real node looks at what is due
 WEATHER = Weather(loss=0.01, delay=(0.2, 1.0))
--- a/crowpost/lab/swim.py
+++ b/crowpost/lab/membership/simulation.py
@@ -15,10 +15,10 @@
 import numpy as np
 
 from crowpost.lab.engine import Engine, Planned
-from crowpost.members import exchange
-from crowpost.members.core import Members
-from crowpost.members.gossip import Gossip
-from crowpost.members.model import Change, MemberError, Phase, Profile, Tuning
+from crowpost.membership import sync
+from crowpost.membership.broadcast_queue import Gossip
+from crowpost.membership.core import Members
+from crowpost.membership.model import Change, MemberError, Phase, Profile, Tuning
 
 MAILBOX = 400  # datagrams that wait for a process that does not run; further ones are lost
 
@@ -246,16 +246,16 @@
             return
         if not self.may_pass(target.name, process.name):
             return
-        self.engine.after(3 * self._delay(), self._meet, process, target, exchange.hello(process.core))
+        self.engine.after(3 * self._delay(), self._meet, process, target, sync.hello(process.core))
 
     def _meet(self, process: Process, target: Process, frame: bytes) -> None:
         if not all(p.up and not p.frozen for p in (process, target)):
             return
         now = self.engine.now
         try:
-            table = exchange.answer(target.core, frame, now)
-            rest = exchange.settle(process.core, table, now)
-            exchange.finish(target.core, rest, now)
+            table = sync.answer(target.core, frame, now)
+            rest = sync.settle(process.core, table, now)
+            sync.finish(target.core, rest, now)
         except MemberError:
             process.core.counts["exchanges_refused"] += 1
         for end, sent in ((process, len(frame) + len(rest)), (target, len(table))):
--- a/crowpost/lab/rig/storm.py
+++ b/crowpost/lab/rig/storm.py
@@ -19,7 +19,7 @@
 from crowpost.lab.rig.plan import Act, Storm, timetable
 from crowpost.lab.rig.processes import RigProcess
 from crowpost.lab.rig.relays import Relays
-from crowpost.members.carrier import ask_all
+from crowpost.membership.transport import ask_all
 from crowpost.node.kept import read
 from crowpost.store.carrier import look
 from crowpost.store.model import StoreError
--- a/crowpost/lab/runs.py
+++ b/crowpost/lab/runs.py
@@ -13,7 +13,7 @@
 
 from crowpost.lab.faults import Faults
 from crowpost.lab.measure import ENDS, Measure
-from crowpost.lab.membership import FrontMembership
+from crowpost.lab.membership.front_nodes import FrontMembership
 from crowpost.lab.memory import VARIANTS, FrontMemory
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
--- a/crowpost/lab/scale/hollow.py
+++ b/crowpost/lab/scale/hollow.py
@@ -11,12 +11,12 @@
 from typing import Any, Protocol
 
 from crowpost.lab.scale.places import Place, zone_of
-from crowpost.members.carrier import FRAME_S, Carrier
-from crowpost.members.config import MembersConfig
-from crowpost.members.gossip import Gossip
-from crowpost.members.model import Phase, split_address
-from crowpost.members.presence import ORDINAL, STAGE
-from crowpost.members.wire import claim_row, pack, read_claim, unpack
+from crowpost.membership.broadcast_queue import Gossip
+from crowpost.membership.configuration import MembersConfig
+from crowpost.membership.model import Phase, split_address
+from crowpost.membership.transport import FRAME_S, Carrier
+from crowpost.membership.wire import claim_row, pack, read_claim, unpack
+from crowpost.membership.work_share import ORDINAL, STAGE
 
 CLUSTER = "scale"
 
--- a/crowpost/lab/scale/simulated.py
+++ b/crowpost/lab/scale/simulated.py
@@ -5,10 +5,10 @@
 from random import Random
 from typing import Any
 
+from crowpost.lab.membership.simulation import Swarm, Weather
 from crowpost.lab.scale.places import places
 from crowpost.lab.scale.slopes import Piece
 from crowpost.lab.scale.target import Topology
-from crowpost.lab.swim import Swarm, Weather
 
 WARM_MS = 5_000.0
 STEP_MS = 1_000.0
--- a/crowpost/members/__init__.py
+++ b/crowpost/members/__init__.py
@@ -1,4 +1,1 @@
-"""Membership: which processes of a cluster are present, by SWIM with suspicion and Lifeguard's awareness.
-
-The core (`core`, with `view`, `gossip` and `wire`) does no I/O; `carrier` puts it on UDP and TCP.
-"""
+"""The earlier name of `crowpost.membership`, kept for the command `python -m crowpost.members FILE`."""
--- a/crowpost/members/gossip.py
+++ b/crowpost/membership/broadcast_queue.py
@@ -8,8 +8,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from crowpost.members.model import Claim, Tuning, Verdict
-from crowpost.members.wire import claim_row, pack
+from crowpost.membership.model import Claim, Tuning, Verdict
+from crowpost.membership.wire import claim_row, pack
 
 OVERDRAWN_ROOM = 200  # bytes of claims that a datagram carries though the budget is overdrawn
 
--- a/crowpost/members/config.py
+++ b/crowpost/membership/configuration.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field, fields
 from typing import Any
 
-from crowpost.members.model import MemberError, Profile, Tuning, split_address
-from crowpost.members.presence import LEAST_PART, SETTLE_MS
+from crowpost.membership.model import MemberError, Profile, Tuning, split_address
+from crowpost.membership.work_share import LEAST_PART, SETTLE_MS
 from crowpost.tables import Table, TableError, numbers, read_file
 
 
--- a/crowpost/members/core.py
+++ b/crowpost/membership/core.py
@@ -16,13 +16,13 @@
 from collections import Counter
 from dataclasses import dataclass, field, replace
 
-from crowpost.members.claims import Claims
-from crowpost.members.gossip import Gossip
-from crowpost.members.model import Change, Claim, Member, Phase, Profile, Tuning, Verdict
-from crowpost.members.probing import Failed, Prober
-from crowpost.members.schedule import Schedule, Timer
-from crowpost.members.view import View
-from crowpost.members.wire import (
+from crowpost.membership.broadcast_queue import Gossip
+from crowpost.membership.failure_detector import Failed, Prober
+from crowpost.membership.model import Change, Claim, Member, Phase, Profile, Tuning, Verdict
+from crowpost.membership.timers import Schedule, Timer
+from crowpost.membership.updates import Claims
+from crowpost.membership.view import View
+from crowpost.membership.wire import (
     Foreign,
     Kind,
     Message,
--- a/crowpost/members/probing.py
+++ b/crowpost/membership/failure_detector.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from crowpost.members.model import Claim, Member, Tuning, Verdict
-from crowpost.members.schedule import Schedule, Timer
-from crowpost.members.view import View
-from crowpost.members.wire import Kind, Message
+from crowpost.membership.model import Claim, Member, Tuning, Verdict
+from crowpost.membership.timers import Schedule, Timer
+from crowpost.membership.view import View
+from crowpost.membership.wire import Kind, Message
 
 AWARENESS_MOST = 4  # of one's own slowness: periods and waits are up to five times as long
 STEPS = (0.3, 0.6)  # parts of a period after which helpers are asked
--- a/crowpost/members/exchange.py
+++ b/crowpost/membership/sync.py
@@ -9,10 +9,10 @@
 
 from typing import Any
 
-from crowpost.members.core import Members
-from crowpost.members.model import MemberError, Verdict
-from crowpost.members.view import BUCKETS
-from crowpost.members.wire import (
+from crowpost.membership.core import Members
+from crowpost.membership.model import MemberError, Verdict
+from crowpost.membership.view import BUCKETS
+from crowpost.membership.wire import (
     Foreign,
     Kind,
     claim_row,
--- a/crowpost/members/carrier.py
+++ b/crowpost/membership/transport.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from crowpost.members import exchange
-from crowpost.members.config import MembersConfig
-from crowpost.members.core import Members
-from crowpost.members.model import Change, MemberError, Phase, Profile, split_address
-from crowpost.members.wire import FRAME_BYTES, LENGTH, Kind, pack, seal, tag, unpack, unseal
+from crowpost.membership import sync
+from crowpost.membership.configuration import MembersConfig
+from crowpost.membership.core import Members
+from crowpost.membership.model import Change, MemberError, Phase, Profile, split_address
+from crowpost.membership.wire import FRAME_BYTES, LENGTH, Kind, pack, seal, tag, unpack, unseal
 
 log = logging.getLogger(__name__)
 
@@ -175,12 +175,12 @@
             core.counts["exchanges_failed"] += 1
             return
         try:
-            self._write(writer, exchange.hello(core))
+            self._write(writer, sync.hello(core))
             table = await _frame(reader, core)
-            self._write(writer, exchange.settle(core, table, self.now()))
+            self._write(writer, sync.settle(core, table, self.now()))
             self._after()
             await _frame(reader, core)  # the other has it all
-        except exchange.Refused as error:
+        except sync.Refused as error:
             core.counts["exchanges_refused"] += 1
             _tell("refused", self.now(), member=self._config.name, address=address, text=str(error))
         except (OSError, EOFError, TimeoutError, MemberError):
@@ -210,18 +210,18 @@
         frame = await _frame(reader, core)
         kind, _ = unseal(frame, None)
         if kind is Kind.VIEW:
-            self._write(writer, seal(Kind.VIEW, tag(core.cluster), pack(exchange.snapshot(core, self.now()))))
+            self._write(writer, seal(Kind.VIEW, tag(core.cluster), pack(sync.snapshot(core, self.now()))))
         elif kind is Kind.LEAVE:
             unseal(frame, tag(core.cluster))
             self.leave("asked to leave")
             self.leaving.set()
             self._write(writer, seal(Kind.DONE, tag(core.cluster), pack([core.me.name])))
         else:
-            reply = exchange.answer(core, frame, self.now())
+            reply = sync.answer(core, frame, self.now())
             self._write(writer, reply)
             self._after()
             if unseal(reply, None)[0] is Kind.TABLE:
-                exchange.finish(core, await _frame(reader, core), self.now())
+                sync.finish(core, await _frame(reader, core), self.now())
                 self._after()
                 self._write(writer, seal(Kind.DONE, tag(core.cluster), pack([core.me.name])))
         async with asyncio.timeout(FRAME_S):
--- a/crowpost/members/claims.py
+++ b/crowpost/membership/updates.py
@@ -7,11 +7,11 @@
 from collections import Counter
 from dataclasses import replace
 
-from crowpost.members.gossip import Gossip
-from crowpost.members.model import Claim, Member, Phase, Profile, Tuning, Verdict
-from crowpost.members.probing import Prober
-from crowpost.members.schedule import Schedule, Timer
-from crowpost.members.view import View
+from crowpost.membership.broadcast_queue import Gossip
+from crowpost.membership.failure_detector import Prober
+from crowpost.membership.model import Claim, Member, Phase, Profile, Tuning, Verdict
+from crowpost.membership.timers import Schedule, Timer
+from crowpost.membership.view import View
 
 WITNESSES = 5.0  # members, in the mean, that look at a newly suspected one at once
 CONFIRM_PART = 0.5  # of the usual repeats, for one more accuser of a member that is suspected already
--- a/crowpost/members/view.py
+++ b/crowpost/membership/view.py
@@ -5,8 +5,8 @@
 import zlib
 from collections.abc import Iterable
 
-from crowpost.members.model import Change, Claim, Member, Profile, Tuning, Verdict
-from crowpost.members.wire import pack
+from crowpost.membership.model import Change, Claim, Member, Profile, Tuning, Verdict
+from crowpost.membership.wire import pack
 
 BUCKETS = 64  # parts of the table that are compared and exchanged apart
 
--- a/crowpost/members/wire.py
+++ b/crowpost/membership/wire.py
@@ -14,7 +14,7 @@
 
 import msgpack
 
-from crowpost.members.model import (
+from crowpost.membership.model import (
     NAME_BYTES,
     WHY_BYTES,
     WIRE,
--- a/crowpost/members/presence.py
+++ b/crowpost/membership/work_share.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from crowpost.members.model import Member, Phase, Verdict
+from crowpost.membership.model import Member, Phase, Verdict
 
 STAGE, ORDINAL = "stage", "ordinal"  # facts that a node carries
 HOLD_MOST = 64.0  # times the settling time, for a member that flaps
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from crowpost.feed.config import FeedConfig
-    from crowpost.members.config import MembersConfig
+    from crowpost.membership.configuration import MembersConfig
     from crowpost.node.overlays import Overlays
     from crowpost.store.config import StateConfig
 
@@ -170,8 +170,8 @@
     path = environment.get("NODE_MEMBERS", "")
     if not path:
         return None
-    from crowpost.members.config import load as load_members
-    from crowpost.members.model import MemberError
+    from crowpost.membership.configuration import load as load_members
+    from crowpost.membership.model import MemberError
 
     try:
         return load_members(path, name)
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 
 from crowpost.interface import NodesPresent, Settings
-from crowpost.members.carrier import Carrier
-from crowpost.members.config import MembersConfig
-from crowpost.members.model import Change, Phase
-from crowpost.members.presence import ORDINAL, STAGE, Presence, Share
+from crowpost.membership.configuration import MembersConfig
+from crowpost.membership.model import Change, Phase
+from crowpost.membership.transport import Carrier
+from crowpost.membership.work_share import ORDINAL, STAGE, Presence, Share
 
 LOOK_S = 0.25  # between looks at whether this node is ready, and at what is due
 
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -241,7 +241,7 @@
         """Membership, where it is configured; nothing of it is imported where it is not."""
         if self._config.members is None:
             return
-        from crowpost.members.model import Phase as MemberPhase
+        from crowpost.membership.model import Phase as MemberPhase
         from crowpost.node.membership import Membership
 
         def phase() -> MemberPhase:
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -23,16 +23,16 @@
 import crowpost.cli.main as crowpost
 import crowpost.feed.messages as feed_messages
 import crowpost.feed.wire as feed_wire
-import crowpost.members.wire as member_wire
+import crowpost.membership.wire as member_wire
 from crowpost.feed.ledger import Ledger, Writers
 from crowpost.feed.messages import Publish
 from crowpost.feed.model import Document, Standing, State, make_document
 from crowpost.feed.shelf import Shelf
 from crowpost.feed.table import Table
 from crowpost.interface import RememberedEndpoint
-from crowpost.members import exchange
-from crowpost.members.core import Members
-from crowpost.members.model import Claim, Phase, Profile, Verdict
+from crowpost.membership import sync
+from crowpost.membership.core import Members
+from crowpost.membership.model import Claim, Phase, Profile, Verdict
 from crowpost.node.config import load as load_config
 from crowpost.node.kept import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
 from crowpost.node.metrics import Metrics
@@ -85,13 +85,13 @@
         Members(CLUSTER, Profile(name, f"127.0.0.1:{port}", "north"), (), seed=1, birth=port, now=0.0)
         for name, port in (("n1", 7001), ("n2", 7002))
     )
-    frames["exchange-hello"] = hello = exchange.hello(one)
-    frames["exchange-table"] = table = exchange.answer(two, hello, 10.0)
-    frames["exchange-rest"] = rest = exchange.settle(one, table, 20.0)
-    exchange.finish(two, rest, 30.0)
+    frames["exchange-hello"] = hello = sync.hello(one)
+    frames["exchange-table"] = table = sync.answer(two, hello, 10.0)
+    frames["exchange-rest"] = rest = sync.settle(one, table, 20.0)
+    sync.finish(two, rest, 30.0)
     other = Members("other", Profile("n8", "127.0.0.1:7008"), (), seed=1, birth=8, now=0.0)
-    frames["exchange-refused"] = exchange.answer(other, hello, 10.0)
-    view = member_wire.pack(exchange.snapshot(one, 40.0))
+    frames["exchange-refused"] = sync.answer(other, hello, 10.0)
+    view = member_wire.pack(sync.snapshot(one, 40.0))
     kinds = member_wire.Kind
     for kind, body in (
         (kinds(20), view),
--- /dev/null
+++ b/tests/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of crowpost.membership and of its simulation."""
--- a/tests/test_members.py
+++ b/tests/membership/test_protocol.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from crowpost.lab.swim import Process, Swarm, Weather
-from crowpost.members import exchange
-from crowpost.members.core import HEAD_ROOM, Members
-from crowpost.members.model import WIRE, Claim, MemberError, Phase, Profile, Verdict
-from crowpost.members.wire import (
+from crowpost.lab.membership.simulation import Process, Swarm, Weather
+from crowpost.membership import sync
+from crowpost.membership.core import HEAD_ROOM, Members
+from crowpost.membership.model import WIRE, Claim, MemberError, Phase, Profile, Verdict
+from crowpost.membership.wire import (
     HEAD,
     MAGIC,
     Foreign,
@@ -123,12 +123,12 @@
         return Members(cluster, Profile("a", "127.0.0.1:1"), (), seed=1, birth=5, now=0.0)
 
     ours, theirs = core("main"), core("other")
-    with pytest.raises(exchange.Refused, match="this is cluster 'main', not 'other'"):
-        exchange.settle(theirs, exchange.answer(ours, exchange.hello(theirs), 1.0), 1.0)
-    old = bytearray(exchange.hello(ours))
+    with pytest.raises(sync.Refused, match="this is cluster 'main', not 'other'"):
+        sync.settle(theirs, sync.answer(ours, sync.hello(theirs), 1.0), 1.0)
+    old = bytearray(sync.hello(ours))
     old[2] = WIRE + 2
-    with pytest.raises(exchange.Refused, match=f"wire version {WIRE + 2}, this process speaks {WIRE}"):
-        exchange.settle(ours, exchange.answer(ours, bytes(old), 1.0), 1.0)
+    with pytest.raises(sync.Refused, match=f"wire version {WIRE + 2}, this process speaks {WIRE}"):
+        sync.settle(ours, sync.answer(ours, bytes(old), 1.0), 1.0)
 
 
 def test_a_neighbouring_wire_version_that_appends_to_its_messages_is_understood() -> None:
@@ -429,8 +429,8 @@
         body = pack([sender, junk(), junk(), junk(), [junk(), junk()]])
         core.handle(seal(Kind(rng.randrange(1, 6)), tag("swarm"), body), made.engine.now)
         frame = seal(Kind(rng.choice([16, 17, 18])), tag("swarm"), pack([junk(), junk(), junk()]))
-        exchange.answer(core, frame, made.engine.now)
-        for take in (exchange.settle, exchange.finish):
+        sync.answer(core, frame, made.engine.now)
+        for take in (sync.settle, sync.finish):
             with contextlib.suppress(MemberError):  # a list that is empty is no nonsense
                 take(core, frame, made.engine.now)
     assert states(made.processes["n0"]) == before
--- a/tests/test_carrier.py
+++ b/tests/membership/test_transport.py
@@ -14,12 +14,12 @@
 
 from crowpost.cli.members import disagreements
 from crowpost.lab.rig.processes import node_config
-from crowpost.members.carrier import Carrier, ask
-from crowpost.members.config import MembersConfig, load
-from crowpost.members.core import Members
-from crowpost.members.model import Claim, MemberError, Phase, Profile, Tuning, Verdict
-from crowpost.members.presence import Presence, Share, seats
-from crowpost.members.wire import Kind
+from crowpost.membership.configuration import MembersConfig, load
+from crowpost.membership.core import Members
+from crowpost.membership.model import Claim, MemberError, Phase, Profile, Tuning, Verdict
+from crowpost.membership.transport import Carrier, ask
+from crowpost.membership.wire import Kind
+from crowpost.membership.work_share import Presence, Share, seats
 from tests.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
 from tests.test_cli import crowpost
 
@@ -130,9 +130,9 @@
 
 
 def test_with_membership_off_nothing_of_it_is_imported() -> None:
-    code = (
-        "import sys, crowpost.__main__; print([m for m in sys.modules if 'members' in m or 'msgpack' in m])"
-    )
+    names = ("membership", "members", "msgpack")
+    loaded = f"[m for m in sys.modules if any(name in m for name in {names})]"
+    code = f"import sys, crowpost.__main__; print({loaded})"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from crowpost.members.config import MembersConfig
+from crowpost.membership.configuration import MembersConfig
 from crowpost.node.config import Config, Limits, flat
 from crowpost.node.discovery import Naming
 from crowpost.node.node import Node
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -10,13 +10,13 @@
 import pytest
 
 import crowpost.feed.wire as feed_wire
-import crowpost.members.wire as member_wire
+import crowpost.membership.wire as member_wire
 from crowpost.feed.config import load as load_feed
 from crowpost.feed.ledger import Ledger, Writers
 from crowpost.feed.model import FeedError
 from crowpost.feed.shelf import Shelf
 from crowpost.lab.scenario import load as load_scenario
-from crowpost.members.config import load as load_members
+from crowpost.membership.configuration import load as load_members
 from crowpost.node.kept import read
 from crowpost.store.carrier import look, open_locked
 from crowpost.store.config import load as load_state
