--- a/crowpost/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -386,7 +386,7 @@
 
     Example: crowpost lab swarm --members 1000 --loss 0.2
     """
-    from crowpost.lab.membership.simulation import measure_all
+    from crowpost.lab.membership.measurement import measure_all
 
     if kills >= members:
         raise typer.BadParameter(f"{kills} kills of {members} members")
--- a/crowpost/cli/main.py
+++ b/crowpost/cli/main.py
@@ -31,12 +31,12 @@
     from crowpost.lab.revisions import PolicyError
     from crowpost.lab.runs import RunFolderError
     from crowpost.lab.scenario import ScenarioError
-    from crowpost.membership.model import MemberError
+    from crowpost.membership.errors import MembershipError
     from crowpost.store.model import StoreError
 
     try:
         app()
-    except (ScenarioError, RunFolderError, PolicyError, MemberError, StoreError, FeedError) as error:
+    except (ScenarioError, RunFolderError, PolicyError, MembershipError, StoreError, FeedError) as error:
         print(f"crowpost: {error}", file=sys.stderr)
         sys.exit(2)
 
--- a/crowpost/cli/members.py
+++ b/crowpost/cli/members.py
@@ -19,15 +19,15 @@
 
 
 def _view(address: str) -> dict[str, Any]:
-    from crowpost.membership.model import MemberError
-    from crowpost.membership.transport import ask
-    from crowpost.membership.wire import Kind
+    from crowpost.membership.errors import MembershipError
+    from crowpost.membership.query import query
+    from crowpost.membership.wire import MessageKind
 
     if not address:
         raise typer.BadParameter("name a member with --at HOST:PORT, or in CROWPOST_MEMBERS")
-    view = asyncio.run(ask(address, Kind.VIEW, ""))
+    view = asyncio.run(query(address, MessageKind.VIEW, ""))
     if not isinstance(view, dict) or "members" not in view:
-        raise MemberError(f"{address}: no view of members")
+        raise MembershipError(f"{address}: no view of members")
     return view
 
 
@@ -111,10 +111,10 @@
 
 
 def _compare(view: dict[str, Any], as_json: bool) -> None:
-    from crowpost.membership.transport import ask_all
+    from crowpost.membership.query import query_views
 
     alive = {m["name"]: m["address"] for m in view["members"] if m["state"] not in ("dead", "left")}
-    asked = asyncio.run(ask_all(alive, ASK_S))
+    asked = asyncio.run(query_views(alive, ASK_S))
     silent = {name: said for name, said in asked.items() if isinstance(said, str)}
     views = {name: said for name, said in asked.items() if not isinstance(said, str)}
     found = disagreements(views)
@@ -141,12 +141,12 @@
 
     Example: crowpost members leave --at 10.0.0.4:7946
     """
-    from crowpost.membership.transport import ask
-    from crowpost.membership.wire import Kind
+    from crowpost.membership.query import query
+    from crowpost.membership.wire import MessageKind
 
     address = at or ctx.obj
     view = _view(address)
-    done = asyncio.run(ask(address, Kind.LEAVE, view["cluster"]))
+    done = asyncio.run(query(address, MessageKind.LEAVE, view["cluster"]))
     out.print(f"{done[0]} has left cluster {view['cluster']}")
 
 
--- a/crowpost/lab/capacity/ranking.py
+++ b/crowpost/lab/capacity/ranking.py
@@ -167,9 +167,9 @@
     """By the members that it takes, and by the node's budget where it needs more than that."""
     if "members" not in demand.built:
         return demand.coded(0.0, "crowpost.membership, not there")
-    from crowpost.membership.model import Tuning
+    from crowpost.membership.settings import ProtocolSettings
 
-    limit = demand.coded(Tuning().most_members, "crowpost.membership.model.most_members")
+    limit = demand.coded(ProtocolSettings().max_members, "crowpost.membership.settings.max_members")
     most = limit.over(demand.servers())
     within = demand.coded(100.0, "the whole budget").over(need)
     return _at_most_one(min((most, within), key=lambda figure: figure.mid))
--- a/crowpost/lab/capacity/roles.py
+++ b/crowpost/lab/capacity/roles.py
@@ -10,7 +10,7 @@
 from crowpost.lab.capacity.lines import at
 from crowpost.lab.capacity.machines import KEEPER, LIST, PUBLISHER, RELAY, Machine
 from crowpost.lab.capacity.ranking import CONFIGURATION, FIGURES, LISTS, MINUTE_S
-from crowpost.membership.model import Tuning
+from crowpost.membership.settings import ProtocolSettings
 
 GROWTH = (1.0, 2.0, 5.0)  # the sizes that the page looks at, in parts of the target
 STEP = 0.05
@@ -155,7 +155,7 @@
     cost, _ = summed("all", demand.node(times))
     budget = demand.budget()
     assert budget.core and budget.memory and budget.bytes
-    most = demand.coded(Tuning().most_members, "crowpost.membership.model.most_members")
+    most = demand.coded(ProtocolSettings().max_members, "crowpost.membership.settings.max_members")
     return [
         Limit("processor time", cost.core, budget.core),
         Limit("memory", cost.memory, budget.memory),
--- a/crowpost/lab/feedgossip.py
+++ b/crowpost/lab/feedgossip.py
@@ -1,6 +1,6 @@
 """The way not taken: what a change would cost a node if the members passed it on among themselves.
 
-Measured on the queue of gossip that membership has: whoever learns a claim passes it on so many times for
+Measured on the broadcast queue that membership has: whoever learns a claim passes it on so many times for
 each power of ten of members.  What a member sends until its queue is empty is what it receives in the mean.
 """
 
@@ -11,26 +11,27 @@
 from crowpost.feed.messages import Heads, Report
 from crowpost.feed.model import Standing, State, make_document
 from crowpost.feed.wire import encode
-from crowpost.membership.broadcast_queue import Gossip
-from crowpost.membership.model import Claim, Phase, Profile, Tuning, Verdict
+from crowpost.membership.broadcast_queue import BroadcastQueue
+from crowpost.membership.model import Liveness, Phase, Profile, StateUpdate
+from crowpost.membership.settings import ProtocolSettings
 
 BODY = 2_000  # bytes of a change
 
 
-def claim(name: str, head: str) -> Claim:
+def claim(name: str, head: str) -> StateUpdate:
     """A member's claim with the head of a document, or how it stands to it, as a fact."""
     profile = Profile(name, "10.20.30.40:7000", "e1", started_s=1_700_000_000.123, facts={"feed": head})
-    return Claim(name, 0xFFFF_FFFF, 7, Phase.PRESENT, Verdict.NONE, name, "", profile)
+    return StateUpdate(name, 0xFFFF_FFFF, 7, Phase.PRESENT, Liveness.ALIVE, name, "", profile)
 
 
-def drained(claims: int, members: int, tuning: Tuning) -> tuple[int, float]:
+def drained(claims: int, members: int, tuning: ProtocolSettings) -> tuple[int, float]:
     """Bytes of claims that one member sends until it has nothing left to pass on, and how often each."""
-    gossip = Gossip(tuning)
+    queue = BroadcastQueue(tuning)
     for i in range(claims):
-        gossip.add(claim(f"node-{i:04}", "all 1 12 0123456789abcdef"), members)
+        queue.enqueue(claim(f"node-{i:04}", "all 1 12 0123456789abcdef"), members)
     sent = rows = 0
-    while len(gossip):
-        taken = gossip.take(tuning.datagram_bytes, 0.0)
+    while len(queue):
+        taken = queue.take(tuning.max_datagram_bytes, 0.0)
         sent += sum(map(len, taken))
         rows += len(taken)
     return sent, rows / claims
@@ -41,7 +42,7 @@
 
     Also the seconds that the standings of all would take at gossip's budget.
     """
-    tuning = Tuning()
+    tuning = ProtocolSettings()
     head, repeats = drained(1, members, tuning)
     standings, _ = drained(members, members, tuning)
     document = make_document("all", 1, 12, b"x" * BODY, author="ops", reason="a change", writer="p-east")
@@ -53,7 +54,7 @@
         "gossip_head_bytes": head,
         "gossip_body_bytes": round(repeats * BODY),
         "gossip_standings_bytes": standings,
-        "gossip_standings_s_at_budget": round(standings / tuning.bytes_per_s),
+        "gossip_standings_s_at_budget": round(standings / tuning.send_rate_bytes_per_s),
         "feed_standing_bytes": 2 * len(encode(Report("node-0001", 2**32 - 1, 12, (standing,)), 0)),
         "feed_head_bytes": 2 * len(encode(Heads((document.head,)), 0)),
         "feed_body_bytes": BODY,
--- a/crowpost/lab/membership/front_nodes.py
+++ b/crowpost/lab/membership/front_nodes.py
@@ -3,61 +3,64 @@
 from __future__ import annotations
 
 from crowpost.interface import NodesPresent
-from crowpost.lab.membership.simulation import Process, Swarm, Weather
+from crowpost.lab.membership.simulation import NetworkConditions, SimulatedCluster, SimulatedProcess
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
-from crowpost.membership.model import Change
-from crowpost.membership.work_share import ORDINAL, STAGE, Presence, Share
+from crowpost.membership.model import StateChange
+from crowpost.membership.work_share import INDEX_FACT, STAGE_FACT, WorkShare, WorkShareTracker
 
-LOOK_MS = 250.0  # as often as a real node looks at what is due
-WEATHER = Weather(loss=0.01, delay=(0.2, 1.0))
+CHECK_INTERVAL_MS = 250.0  # as on a real node
+CONDITIONS = NetworkConditions(loss_rate=0.01, delay_ms=(0.2, 1.0))
+ROLE = "node"
+MAX_CONTACTS = 3
 
 
 class FrontMembership:
-    """Each front node is a member; what it holds of the others goes to its module."""
+    """Makes each front node a member, and tells its decision module how many nodes share the work."""
 
     def __init__(self, platform: Platform, seed: int) -> None:
         self._platform = platform
-        self._swarm = Swarm(seed, WEATHER, engine=platform.engine)
-        self._swarm.keep_history = False
-        self._swarm.watch = self._changed
-        self._presence: dict[str, Presence] = {}
+        self._cluster = SimulatedCluster(seed, CONDITIONS, engine=platform.engine)
+        self._cluster.keep_history = False
+        self._cluster.on_change = self._on_change
+        self._trackers: dict[str, WorkShareTracker] = {}
         self._nodes: dict[str, SimNode] = {}
         for node in platform.nodes[0]:
             self._start(node, contacts=())
-        self._swarm.acquaint()
-        platform.engine.after(LOOK_MS, self._look)
+        self._cluster.preload_views()
+        platform.engine.after(CHECK_INTERVAL_MS, self._check)
 
     def _start(self, node: SimNode, contacts: tuple[str, ...]) -> None:
         settings = node.settings
+        stage = str(settings.stage)
+        configured = WorkShare(settings.node_count, settings.node_index)
         self._nodes[node.name] = node
-        self._presence[node.name] = Presence(
-            "node", str(settings.stage), Share(settings.node_count, settings.node_index)
-        )
-        facts = {STAGE: str(settings.stage), ORDINAL: str(settings.node_index)}
-        self._swarm.start(node.name, contacts, facts=facts)
-
-    def _look(self) -> None:
-        """Follow the platform: which nodes have died, and which are back; then what is due."""
-        self._platform.engine.after(LOOK_MS, self._look)
+        self._trackers[node.name] = WorkShareTracker(ROLE, stage, configured)
+        facts = {STAGE_FACT: stage, INDEX_FACT: str(settings.node_index)}
+        self._cluster.start(node.name, contacts, facts=facts)
+
+    def _check(self) -> None:
+        """Follow the nodes that died or came back on the platform, and update shares that are due."""
+        self._platform.engine.after(CHECK_INTERVAL_MS, self._check)
         for node in self._platform.nodes[0]:
             known = self._nodes[node.name]
             if known is not node:
-                living = [p.address for p in self._swarm.living()]
-                self._start(node, tuple(living[:3]))
+                addresses = [process.address for process in self._cluster.running()]
+                self._start(node, tuple(addresses[:MAX_CONTACTS]))
             elif not node.up:
-                self._swarm.kill(node.name)
-        for process in self._swarm.living():
-            if self._platform.engine.now >= self._presence[process.name].next_at:
-                self._feed(process)
+                self._cluster.kill(node.name)
+        for process in self._cluster.running():
+            if self._platform.engine.now >= self._trackers[process.name].next_due_ms:
+                self._update_share(process)
 
-    def _changed(self, process: Process, change: Change) -> None:
-        self._feed(process)
+    def _on_change(self, process: SimulatedProcess, change: StateChange) -> None:  # noqa: ARG002 - any change
+        self._update_share(process)
 
-    def _feed(self, process: Process) -> None:
+    def _update_share(self, process: SimulatedProcess) -> None:
         core = process.core
-        if not core.joined or process.name not in self._presence:
+        if not core.joined or process.name not in self._trackers:
             return
-        share = self._presence[process.name].look(core.view.members, process.name, self._platform.engine.now)
+        tracker = self._trackers[process.name]
+        share = tracker.update(core.view.members, process.name, self._platform.engine.now)
         if share is not None:
-            self._nodes[process.name].hear(NodesPresent(share.present, share.node_index))
+            self._nodes[process.name].hear(NodesPresent(share.node_count, share.node_index))
--- a/crowpost/lab/membership/simulation.py
+++ b/crowpost/lab/membership/simulation.py
@@ -1,383 +1,258 @@
-"""Membership in simulated time: the real cores on a network with loss, cuts, starved and paused members.
+"""Membership in simulated time: the real protocol cores on a simulated network.
 
-Equal arguments give an equal run.  What is measured: when a death is first held and when all know it, members
-held dead though they live, and bytes for each member.
+The network loses, delays and duplicates datagrams and can be partitioned; processes can be killed, paused,
+or starved of CPU time again and again.  Equal arguments give an equal run.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Iterable
-from concurrent.futures import ProcessPoolExecutor
-from dataclasses import dataclass, field
-from functools import partial
-
-import numpy as np
+from dataclasses import dataclass
 
 from crowpost.lab.engine import Engine, Planned
 from crowpost.membership import sync
-from crowpost.membership.broadcast_queue import Gossip
-from crowpost.membership.core import Members
-from crowpost.membership.model import Change, MemberError, Phase, Profile, Tuning
+from crowpost.membership.core import MembershipCore, Output
+from crowpost.membership.errors import MembershipError
+from crowpost.membership.model import Phase, Profile, StateChange
+from crowpost.membership.settings import ProtocolSettings
 
-MAILBOX = 400  # datagrams that wait for a process that does not run; further ones are lost
+CLUSTER = "swarm"
+MAX_WAITING_DATAGRAMS = 400  # for a process that does not run; further ones are lost
+MAX_STRAGGLER_DELAY_MS = 500.0
+SYNC_LEGS = 3  # one-way delays before the frames of a sync are handled
+SYNC_OVERHEAD_BYTES = 12  # of length prefixes, for each end
 
 
 @dataclass(frozen=True)
-class Weather:
-    """The network and the machines; times in ms."""
+class NetworkConditions:
+    """The conditions of network and machines; times are in ms, rates and fractions from 0 to 1."""
 
-    loss: float = 0.0
-    delay: tuple[float, float] = (0.1, 1.0)
-    duplicates: float = 0.0
-    straggle: float = 0.0  # part of the datagrams that take up to half a second longer
-    starved: float = 0.0  # part of the members that stand still again and again
-    still: tuple[float, float] = (100.0, 1_500.0)
-    running: tuple[float, float] = (300.0, 3_000.0)
+    loss_rate: float = 0.0
+    delay_ms: tuple[float, float] = (0.1, 1.0)
+    duplicate_rate: float = 0.0
+    straggler_rate: float = 0.0  # of datagrams that take up to half a second longer
+    starved_fraction: float = 0.0  # of members that are paused again and again
+    pause_ms: tuple[float, float] = (100.0, 1_500.0)
+    run_ms: tuple[float, float] = (300.0, 3_000.0)  # between two pauses
 
 
-class Process:
-    """One process: a core, and whether it runs."""
+class SimulatedProcess:
+    """A core, and whether its process runs."""
 
-    def __init__(self, name: str, core: Members) -> None:
-        self.name, self.core = name, core
-        self.address = core.me.profile.address
+    def __init__(self, name: str, core: MembershipCore) -> None:
+        self.name = name
+        self.core = core
+        self.address = core.local_member.profile.address
         self.up = True
-        self.frozen = False
-        self.mailbox: list[bytes] = []
-        self.wake: Planned | None = None
-        self.wake_at = float("inf")
-
-
-@dataclass
-class Death:
-    """A process that was killed: when, and when each other process held it dead."""
-
-    name: str
-    at: float
-    owed: set[str]  # processes that have yet to know
-    first: float | None = None
-    everywhere: float | None = None
-
-
-@dataclass
-class Found:
-    """What a run showed."""
-
-    members: int
-    simulated_s: float
-    deaths: list[Death]
-    false_deaths: list[tuple[float, str, str, str]]  # ms, observer, member, why: first holder only
-    bytes_each_s: float  # sent by a member, in the mean
-    bytes_most_s: float  # and by the one that sent the most
-    suspicions: int
-    counts: dict[str, int] = field(default_factory=dict)
-
-    def percentiles(self) -> dict[str, float]:
-        """Seconds to the first holder and to everywhere, median and 99%; NaN: a death that not all know."""
-        first = [(d.first - d.at) / 1000 if d.first else float("nan") for d in self.deaths]
-        whole = [(d.everywhere - d.at) / 1000 if d.everywhere else float("nan") for d in self.deaths]
-        if not self.deaths:
-            return {}
-        return {
-            "first_p50_s": float(np.percentile(first, 50)),
-            "first_p99_s": float(np.percentile(first, 99)),
-            "all_p50_s": float(np.percentile(whole, 50)),
-            "all_p99_s": float(np.percentile(whole, 99)),
-        }
-
-
-class Swarm:
-    """Many processes in one simulated world.  may_pass: whether a link from one name to another is whole."""
+        self.paused = False
+        self.waiting_datagrams: list[bytes] = []
+        self.tick_event: Planned | None = None
+        self.tick_at_ms = float("inf")
+
+
+class SimulatedCluster:
+    """Many processes in one simulated world.
+
+    may_pass: whether datagrams pass from one named process to another.
+    on_change: is called with each change of a process's view.
+    """
 
     def __init__(
         self,
         seed: int,
-        weather: Weather | None = None,
-        tuning: Tuning | None = None,
+        conditions: NetworkConditions | None = None,
+        settings: ProtocolSettings | None = None,
         engine: Engine | None = None,
     ) -> None:
-        self.engine, self.rng = engine or Engine(), random.Random(seed)
-        self.weather, self.tuning = weather or Weather(), tuning or Tuning()
-        self.processes: dict[str, Process] = {}
-        self.by_address: dict[str, Process] = {}
-        self.may_pass: Callable[[str, str], bool] = lambda a, b: True
-        self.history: list[tuple[str, Change]] = []  # observer and change
+        self.engine = engine or Engine()
+        self.rng = random.Random(seed)
+        self.conditions = conditions or NetworkConditions()
+        self.settings = settings or ProtocolSettings()
+        self.processes: dict[str, SimulatedProcess] = {}
+        self.by_address: dict[str, SimulatedProcess] = {}
+        self.may_pass: Callable[[str, str], bool] = lambda source, target: True
+        self.history: list[tuple[str, StateChange]] = []  # with the name of the observer
         self.keep_history = True
-        self.watch: Callable[[Process, Change], None] = lambda process, change: None
+        self.on_change: Callable[[SimulatedProcess, StateChange], None] = lambda process, change: None
 
     # ------------------------------------------------------------ processes
 
-    def start(self, name: str, contacts: Iterable[str] = (), address: str = "", **more: object) -> Process:
-        """A new process, also one back under a name; contacts are addresses."""
+    def start(
+        self, name: str, contacts: Iterable[str] = (), address: str = "", **profile_fields: object
+    ) -> SimulatedProcess:
+        """Start a process, also one that comes back under its name; contacts are addresses."""
         address = address or f"10.0.{len(self.by_address) >> 8}.{len(self.by_address) & 255}:7000"
-        profile = Profile(name, address, **more)  # type: ignore[arg-type]
-        core = Members(
-            "swarm",
+        profile = Profile(name, address, **profile_fields)  # type: ignore[arg-type]
+        core = MembershipCore(
+            CLUSTER,
             profile,
             tuple(contacts),
             seed=self.rng.getrandbits(48),
-            birth=self.rng.getrandbits(32),
+            instance_id=self.rng.getrandbits(32),
             now=self.engine.now,
-            tuning=self.tuning,
+            settings=self.settings,
         )
-        process = Process(name, core)
-        core.declare(Phase.PRESENT, self.engine.now)
-        self.processes[name] = self.by_address[address] = process
-        self._after(process)
+        process = SimulatedProcess(name, core)
+        core.announce_phase(Phase.PRESENT, self.engine.now)
+        self.processes[name] = process
+        self.by_address[address] = process
+        self.process_output(process)
         return process
 
-    def warm(self, count: int) -> None:
-        """So many members that know each other already, as long after their start."""
-        for i in range(count):
-            self.start(f"n{i}")
-        self.acquaint()
+    def start_joined(self, count: int) -> None:
+        """Start so many members that know each other, as long after their start."""
+        for index in range(count):
+            self.start(f"n{index}")
+        self.preload_views()
 
-    def acquaint(self) -> None:
-        """Let all that there are know each other, as long after their start."""
-        claims = [p.core.me_claim for p in self.processes.values()]
+    def preload_views(self) -> None:
+        """Let all processes know each other, as long after their start."""
+        updates = [process.core.own_update for process in self.processes.values()]
         for process in self.processes.values():
-            core = process.core
-            for claim in claims:
-                if claim.name != process.name:
-                    member = core.view.add(claim.profile, claim, 0.0)  # type: ignore[arg-type]
-                    assert member is not None
-                    core.prober.ring.append(claim.name)
-            core.rng.shuffle(core.prober.ring)
-            core.take()
-            core.claims.gossip = Gossip(self.tuning)  # nothing is news to anybody
+            process.core.preload_members(updates, 0.0)
 
     def kill(self, name: str) -> None:
-        """SIGKILL: no good-bye."""
+        """Kill a process, as by SIGKILL: it does not leave."""
         self.processes[name].up = False
 
-    def freeze(self, name: str, for_ms: float) -> None:
-        """SIGSTOP, and SIGCONT after so long."""
+    def pause(self, name: str, duration_ms: float) -> None:
+        """Pause a process, as by SIGSTOP, and resume it after so long."""
         process = self.processes[name]
-        process.frozen = True
-        self.engine.after(for_ms, self._thaw, process)
+        process.paused = True
+        self.engine.after(duration_ms, self._resume, process)
 
     def starve(self) -> set[str]:
-        """Let a part of the members stand still again and again; their names."""
-        names = self.rng.sample(list(self.processes), round(self.weather.starved * len(self.processes)))
+        """Pause a part of the members again and again; return their names."""
+        count = round(self.conditions.starved_fraction * len(self.processes))
+        names = self.rng.sample(list(self.processes), count)
         for name in names:
-            self.engine.after(self.rng.uniform(0, self.weather.running[1]), self._starve_once, name)
+            self.engine.after(self.rng.uniform(0, self.conditions.run_ms[1]), self._starve_once, name)
         return set(names)
 
     def _starve_once(self, name: str) -> None:
-        still = self.rng.uniform(*self.weather.still)
-        self.freeze(name, still)
-        self.engine.after(still + self.rng.uniform(*self.weather.running), self._starve_once, name)
+        duration = self.rng.uniform(*self.conditions.pause_ms)
+        self.pause(name, duration)
+        self.engine.after(duration + self.rng.uniform(*self.conditions.run_ms), self._starve_once, name)
 
-    def _thaw(self, process: Process) -> None:
-        process.frozen = False
+    def _resume(self, process: SimulatedProcess) -> None:
+        process.paused = False
         if not process.up:
             return
-        box, process.mailbox = process.mailbox, []
-        # Which comes first, the timer or the datagram, is the operating system's choice.
+        datagrams = process.waiting_datagrams
+        process.waiting_datagrams = []
+        # Whether the timer or the datagrams come first is the operating system's choice.
         if self.rng.random() < 0.5:
             self._tick(process)
-        for data in box:
-            process.core.handle(data, self.engine.now)
+        for data in datagrams:
+            process.core.handle_datagram(data, self.engine.now)
         self._tick(process)
 
     # ------------------------------------------------------------ time and the network
 
-    def run(self, for_ms: float) -> None:
-        """Go on for so long."""
-        self.engine.run(self.engine.now + for_ms)
+    def run(self, duration_ms: float) -> None:
+        """Run the simulation for so long."""
+        self.engine.run(self.engine.now + duration_ms)
 
-    def _tick(self, process: Process) -> None:
-        process.wake, process.wake_at = None, float("inf")
-        if process.up and not process.frozen:
+    def _tick(self, process: SimulatedProcess) -> None:
+        process.tick_event = None
+        process.tick_at_ms = float("inf")
+        if process.up and not process.paused:
             process.core.tick(self.engine.now)
-            self._after(process)
-
-    def _after(self, process: Process) -> None:
-        core = process.core
-        out = core.take()
-        for address, data in out.datagrams:
-            self._send(process, address, data)
-        for address in out.exchanges:
-            self._exchange(process, address)
-        for change in out.changes:
+            self.process_output(process)
+
+    def process_output(self, process: SimulatedProcess) -> None:
+        """Do what a core asks for, and plan its next tick."""
+        output = process.core.take_output()
+        for address, data in output.datagrams:
+            self.send(process, address, data)
+        for address in output.sync_addresses:
+            self._start_sync(process, address)
+        self._report_changes(process, output)
+        due_ms = process.core.next_due_ms()
+        if due_ms < process.tick_at_ms:
+            if process.tick_event is not None:
+                self.engine.cancel(process.tick_event)
+            process.tick_at_ms = due_ms
+            process.tick_event = self.engine.at(due_ms, self._tick, process)
+
+    def _report_changes(self, process: SimulatedProcess, output: Output) -> None:
+        for change in output.changes:
             if self.keep_history:
                 self.history.append((process.name, change))
-            self.watch(process, change)
-        due = core.next_at()
-        if due < process.wake_at:
-            if process.wake is not None:
-                self.engine.cancel(process.wake)
-            process.wake_at = due
-            process.wake = self.engine.at(due, self._tick, process)
-
-    def _delay(self) -> float:
-        low, high = self.weather.delay
+            self.on_change(process, change)
+
+    def _draw_delay_ms(self) -> float:
+        low, high = self.conditions.delay_ms
         delay = low + (high - low) * self.rng.random()
-        if self.weather.straggle and self.rng.random() < self.weather.straggle:
-            delay += 500.0 * self.rng.random()
+        rate = self.conditions.straggler_rate
+        if rate and self.rng.random() < rate:
+            delay += MAX_STRAGGLER_DELAY_MS * self.rng.random()
         return delay
 
-    def _send(self, process: Process, address: str, data: bytes) -> None:
+    def send(self, process: SimulatedProcess, address: str, data: bytes) -> None:
+        """Send a datagram, which may be lost, duplicated or late."""
         target = self.by_address.get(address)
-        weather, rng = self.weather, self.rng
         if target is None or not self.may_pass(process.name, target.name):
             return
-        copies = 2 if weather.duplicates and rng.random() < weather.duplicates else 1
-        for _ in range(copies):
-            if not weather.loss or rng.random() >= weather.loss:
-                self.engine.after(self._delay(), self._deliver, address, data)
-
-    def _deliver(self, address: str, data: bytes) -> None:
+        conditions = self.conditions
+        duplicated = conditions.duplicate_rate and self.rng.random() < conditions.duplicate_rate
+        for _ in range(2 if duplicated else 1):
+            if not conditions.loss_rate or self.rng.random() >= conditions.loss_rate:
+                self.engine.after(self._draw_delay_ms(), self.deliver, address, data)
+
+    def deliver(self, address: str, data: bytes) -> None:
+        """Hand a datagram to the process at an address; it waits while that is paused."""
         process = self.by_address.get(address)
         if process is None or not process.up:
             return
-        if process.frozen:
-            if len(process.mailbox) < MAILBOX:
-                process.mailbox.append(data)
+        if process.paused:
+            if len(process.waiting_datagrams) < MAX_WAITING_DATAGRAMS:
+                process.waiting_datagrams.append(data)
             return
-        process.core.handle(data, self.engine.now)
-        self._after(process)
+        process.core.handle_datagram(data, self.engine.now)
+        self.process_output(process)
 
-    def _exchange(self, process: Process, address: str) -> None:
-        """Over TCP: three frames, or nothing where either end or the way is gone."""
+    def _start_sync(self, process: SimulatedProcess, address: str) -> None:
+        """Sync over TCP, which needs a path in both directions."""
         target = self.by_address.get(address)
         if target is None or not self.may_pass(process.name, target.name):
             return
         if not self.may_pass(target.name, process.name):
             return
-        self.engine.after(3 * self._delay(), self._meet, process, target, sync.hello(process.core))
+        request = sync.make_request(process.core)
+        self.engine.after(SYNC_LEGS * self._draw_delay_ms(), self._sync, process, target, request)
 
-    def _meet(self, process: Process, target: Process, frame: bytes) -> None:
-        if not all(p.up and not p.frozen for p in (process, target)):
+    def _sync(self, initiator: SimulatedProcess, responder: SimulatedProcess, request: bytes) -> None:
+        if not all(process.up and not process.paused for process in (initiator, responder)):
             return
         now = self.engine.now
+        response = b""
+        completion = b""
         try:
-            table = sync.answer(target.core, frame, now)
-            rest = sync.settle(process.core, table, now)
-            sync.finish(target.core, rest, now)
-        except MemberError:
-            process.core.counts["exchanges_refused"] += 1
-        for end, sent in ((process, len(frame) + len(rest)), (target, len(table))):
-            end.core.counts["bytes_out"] += sent + 12
-            self._after(end)
-
-    # ------------------------------------------------------------ looks
-
-    def living(self) -> list[Process]:
-        """Processes that run."""
-        return [p for p in self.processes.values() if p.up]
-
-    def agree(self) -> bool:
-        """Whether all that run hold the same, and exactly those that run to be alive."""
-        names = {p.name for p in self.living() if not p.core.left}
-        return all(
-            {m.name for m in p.core.view.members.values() if m.state == "present"} == names
-            for p in self.living()
-            if not p.core.left
-        )
-
-
-def measure_all(
-    members: int,
-    seconds: float,
-    seeds: int,
-    *,
-    loss: float,
-    starved: float,
-    kills: int,
-    jobs: int,
-) -> dict[str, object]:
-    """Runs of the same weather on seeds from 1 on, in worker processes, and their figures together."""
-    work = partial(_measure_one, members, seconds, loss, starved, kills)
-    with ProcessPoolExecutor(jobs) as pool:
-        found = list(pool.map(work, range(1, seeds + 1)))
-    whole = Found(
-        members,
-        seconds * seeds,
-        [death for one in found for death in one.deaths],
-        [false for one in found for false in one.false_deaths],
-        float(np.mean([one.bytes_each_s for one in found])),
-        max(one.bytes_most_s for one in found),
-        sum(one.suspicions for one in found),
-    )
-    return {
-        "members": members,
-        "simulated_s": whole.simulated_s,
-        "loss": loss,
-        "starved": starved,
-        "deaths": len(whole.deaths),
-        "unnoticed": sum(d.everywhere is None for d in whole.deaths),
-        **{name: round(value, 2) for name, value in whole.percentiles().items()},
-        "false_deaths": len(whole.false_deaths),
-        "suspicions": whole.suspicions,
-        "bytes_each_s": round(whole.bytes_each_s),
-        "bytes_most_s": round(whole.bytes_most_s),
-    }
-
-
-def _measure_one(members: int, seconds: float, loss: float, starved: float, kills: int, seed: int) -> Found:
-    return measure(members, seconds, seed, loss=loss, starved=starved, kills=kills)
-
-
-def measure(
-    members: int,
-    seconds: float,
-    seed: int,
-    *,
-    loss: float,
-    starved: float,
-    kills: int,
-    tuning: Tuning | None = None,
-) -> Found:
-    """Members that know each other, in steady weather; some are killed, one after another."""
-    swarm = Swarm(seed, Weather(loss=loss, starved=starved), tuning)
-    swarm.keep_history = False
-    swarm.warm(members)
-    starving = swarm.starve()
-    deaths: dict[str, Death] = {}
-    false: dict[tuple[str, int], tuple[float, str, str, str]] = {}
-
-    def watch(process: Process, change: Change) -> None:
-        if change.after != "dead":
-            return
-        death = deaths.get(change.name)
-        if death is None:
-            if swarm.processes[change.name].up:
-                key = change.name, change.incarnation
-                false.setdefault(key, (change.at, process.name, change.name, change.why))
-            return
-        death.owed.discard(process.name)
-        death.first = death.first or change.at
-        if not death.owed:
-            death.everywhere = death.everywhere or change.at
-
-    def kill(name: str) -> None:
-        swarm.kill(name)
-        for death in deaths.values():
-            death.owed.discard(name)
-        owed = {p.name for p in swarm.living()}
-        deaths[name] = Death(name, swarm.engine.now, owed)
-
-    swarm.watch = watch
-    chosen = swarm.rng.sample([n for n in swarm.processes if n not in starving], kills)
-    warmup = 3_000.0
-    span = seconds * 1000.0 - warmup - 30_000.0
-    for i, name in enumerate(chosen):
-        swarm.engine.at(warmup + span * (i + swarm.rng.random()) / max(kills, 1), kill, name)
-    swarm.run(seconds * 1000.0)
-    counts: dict[str, int] = {}
-    for process in swarm.processes.values():
-        for key, count in process.core.counts.items():
-            counts[key] = counts.get(key, 0) + count
-    sent = [p.core.counts["bytes_out"] / seconds for p in swarm.living()]
-    return Found(
-        members,
-        seconds,
-        list(deaths.values()),
-        list(false.values()),
-        float(np.mean(sent)),
-        max(sent),
-        counts.get("suspicions", 0),
-        counts,
-    )
+            response = sync.handle_request(responder.core, request, now)
+            completion = sync.handle_response(initiator.core, response, now)
+            sync.handle_completion(responder.core, completion, now)
+        except MembershipError:
+            initiator.core.counts["exchanges_refused"] += 1
+        sent_bytes = ((initiator, len(request) + len(completion)), (responder, len(response)))
+        for process, size in sent_bytes:
+            process.core.counts["bytes_out"] += size + SYNC_OVERHEAD_BYTES
+            self.process_output(process)
+
+    # ------------------------------------------------------------ state
+
+    def running(self) -> list[SimulatedProcess]:
+        """Return the processes that were not killed."""
+        return [process for process in self.processes.values() if process.up]
+
+    def views_agree(self) -> bool:
+        """Return whether all running processes hold exactly the running ones to be present."""
+        observers = [process for process in self.running() if not process.core.left]
+        names = {process.name for process in observers}
+        return all(_present_names(process) == names for process in observers)
+
+
+def _present_names(process: SimulatedProcess) -> set[str]:
+    members = process.core.view.members.values()
+    return {member.name for member in members if member.state == Phase.PRESENT.label}
--- a/crowpost/lab/rig/storm.py
+++ b/crowpost/lab/rig/storm.py
@@ -19,7 +19,7 @@
 from crowpost.lab.rig.plan import Act, Storm, timetable
 from crowpost.lab.rig.processes import RigProcess
 from crowpost.lab.rig.relays import Relays
-from crowpost.membership.transport import ask_all
+from crowpost.membership.query import query_views
 from crowpost.node.kept import read
 from crowpost.store.carrier import look
 from crowpost.store.model import StoreError
@@ -260,7 +260,7 @@
             if process.expected_up:
                 assert process.listens is not None
                 addresses[process.name] = "{}:{}".format(*process.listens)
-        return await ask_all(addresses, ASK_S)
+        return await query_views(addresses, ASK_S)
 
     async def _until_one_view(self, within_s: float) -> bool:
         until = self._loop.time() + within_s
--- a/crowpost/lab/scale/hollow.py
+++ b/crowpost/lab/scale/hollow.py
@@ -11,12 +11,12 @@
 from typing import Any, Protocol
 
 from crowpost.lab.scale.places import Place, zone_of
-from crowpost.membership.broadcast_queue import Gossip
-from crowpost.membership.configuration import MembersConfig
+from crowpost.membership.configuration import MembershipConfig
+from crowpost.membership.framing import FRAME_TIMEOUT_S
 from crowpost.membership.model import Phase, split_address
-from crowpost.membership.transport import FRAME_S, Carrier
-from crowpost.membership.wire import claim_row, pack, read_claim, unpack
-from crowpost.membership.work_share import ORDINAL, STAGE
+from crowpost.membership.transport import MembershipTransport
+from crowpost.membership.wire import decode_update, encode_update, pack, unpack
+from crowpost.membership.work_share import INDEX_FACT, STAGE_FACT
 
 CLUSTER = "scale"
 
@@ -88,52 +88,52 @@
 
 
 class _Gated(asyncio.DatagramProtocol):
-    def __init__(self, member: HollowCarrier) -> None:
+    def __init__(self, member: HollowTransport) -> None:
         self._member = member
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         member = self._member
         if member.running and not member.cut.between(member.region, addr[0]):
-            member.received(data)
+            member.handle_datagram(data)
 
     def error_received(self, exc: Exception) -> None:
         """Nobody listens there."""
 
 
-class HollowCarrier(Carrier):
-    """The real carrier, which stands still until `running`, behind a cut."""
+class HollowTransport(MembershipTransport):
+    """The real transport, which stands still until `running`, behind a cut."""
 
-    def __init__(self, config: MembersConfig, cut: Cut, region: int, running: bool) -> None:
+    def __init__(self, config: MembershipConfig, cut: Cut, region: int, running: bool) -> None:
         super().__init__(config)
         self.cut, self.region, self.running = cut, region, running
 
     async def _bind(self, host: str, port: int) -> None:
         await super()._bind(host, port)
-        assert self._transport is not None
-        self._transport.set_protocol(_Gated(self))
-        self._transport = _Gate(self._transport, self.cut, self.region)  # type: ignore[assignment]
+        assert self._datagrams is not None
+        self._datagrams.set_protocol(_Gated(self))
+        self._datagrams = _Gate(self._datagrams, self.cut, self.region)  # type: ignore[assignment]
 
-    def _after(self) -> None:
+    def _process_output(self) -> None:
         if self.running:
-            super()._after()
+            super()._process_output()
 
     def go(self) -> None:
         """Run from now on: to the core it has slept until now."""
         self.running = True
         self._tick()
 
-    async def _exchange(self, address: str) -> None:
+    async def _sync(self, address: str) -> None:
         if self.cut.between(self.region, split_address(address)[0]):
-            await asyncio.sleep(FRAME_S)  # as a connection to where nothing answers
+            await asyncio.sleep(FRAME_TIMEOUT_S)  # as a connection to where nothing answers
             self.core.counts["exchanges_failed"] += 1
             return
-        await super()._exchange(address)
+        await super()._sync(address)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if not self.running or self.cut.between(self.region, writer.get_extra_info("peername")[0]):
             writer.close()
             return
-        await super()._serve(reader, writer)
+        await super()._handle_connection(reader, writer)
 
 
 class HollowMember:
@@ -141,20 +141,20 @@
 
     def __init__(self, place: Place, cut: Cut) -> None:
         self._place, self._cut = place, cut
-        self._carrier: HollowCarrier | None = None
+        self._member_transport: HollowTransport | None = None
         self.address = ""
         self._incarnation = 0
 
     @property
-    def carrier(self) -> HollowCarrier:
-        assert self._carrier is not None
-        return self._carrier
+    def transport(self) -> HollowTransport:
+        assert self._member_transport is not None
+        return self._member_transport
 
     async def start(self, settings: Mapping[str, Any]) -> str:
         """settings: `join`, addresses; none: it stands still until all are acquainted."""
         join = tuple(settings.get("join", ()))
         place = self._place
-        config = MembersConfig(
+        config = MembershipConfig(
             CLUSTER,
             place.name,
             self.address or f"{place.host}:0",  # back under the address that it had
@@ -162,33 +162,26 @@
             zone=f"z{place.zone}",
             role="node",
         )
-        carrier = HollowCarrier(config, self._cut, place.region, running=bool(join))
-        facts = {STAGE: "0", ORDINAL: str(place.index)}  # what a real node tells of itself
-        self.address = await carrier.start(facts, self._incarnation + 1)
-        self._carrier = carrier
-        carrier.declare(Phase.PRESENT)
+        transport = HollowTransport(config, self._cut, place.region, running=bool(join))
+        facts = {STAGE_FACT: "0", INDEX_FACT: str(place.index)}  # what a real node tells of itself
+        self.address = await transport.start(facts, self._incarnation + 1)
+        self._member_transport = transport
+        transport.announce_phase(Phase.PRESENT)
         return self.address
 
     def row(self) -> bytes:
-        return pack(claim_row(self.carrier.core.me_claim))
+        return pack(encode_update(self.transport.core.own_update))
 
     def acquaint(self, rows: list[bytes]) -> None:
-        core, now = self.carrier.core, self.carrier.now()
-        for row in rows:
-            claim = read_claim(unpack(row))  # read anew by each: nodes of their own would share nothing
-            if claim.name != core.me.name and claim.profile is not None:
-                core.view.add(claim.profile, claim, now)
-                core.prober.ring.append(claim.name)
-        core.rng.shuffle(core.prober.ring)
-        core.joined = True
-        core.take()
-        core.claims.gossip = Gossip(core.tuning)  # nothing is news to anybody
+        core, now = self.transport.core, self.transport.now()
+        # Decoded anew by each: nodes in processes of their own would share nothing.
+        core.preload_members([decode_update(unpack(row)) for row in rows], now)
 
     def go(self) -> None:
-        self.carrier.go()
+        self.transport.go()
 
     def counts(self) -> dict[str, float]:
-        counts = self.carrier.core.counts
+        counts = self.transport.core.counts
         return {
             "messages": counts["datagrams_out"],
             "bytes": counts["bytes_out"],
@@ -198,20 +191,20 @@
         }
 
     def look(self) -> str:
-        core = self.carrier.core
-        return f"{core.view.alive} {core.view.digest}"
+        core = self.transport.core
+        return f"{core.view.alive_count} {core.view.digest}"
 
     def awareness(self) -> int:
         """How slow it holds itself to be."""
-        return self.carrier.core.awareness
+        return self.transport.core.local_health_score
 
     async def end(self, in_order: bool) -> None:
-        carrier = self.carrier
+        transport = self.transport
         if in_order:
-            await carrier.close()
+            await transport.close()
         else:
-            carrier.abort()
-        self._incarnation = carrier.core.me_claim.incarnation
+            transport.abort()
+        self._incarnation = transport.core.own_update.incarnation
 
 
 def _member(place: Place, cut: Cut) -> Duty:
--- a/crowpost/lab/scale/simulated.py
+++ b/crowpost/lab/scale/simulated.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from crowpost.lab.membership.simulation import Swarm, Weather
+from crowpost.lab.membership.simulation import NetworkConditions, SimulatedCluster
 from crowpost.lab.scale.places import places
 from crowpost.lab.scale.slopes import Piece
 from crowpost.lab.scale.target import Topology
@@ -18,9 +18,9 @@
 
 def quiet(piece: Piece, size: int, seconds: float, seed: int) -> None:
     """A quiet cluster of x members: a point of the duty membership."""
-    swarm = Swarm(seed, Weather())
+    swarm = SimulatedCluster(seed, NetworkConditions())
     swarm.keep_history = False
-    swarm.warm(size)
+    swarm.start_joined(size)
     swarm.run(WARM_MS)
     before = _sent(swarm)
     swarm.run(seconds * 1000.0)
@@ -30,20 +30,20 @@
     piece.point("membership", size, "simulated", f"seed {seed}", seconds, measure)
 
 
-def _sent(swarm: Swarm) -> tuple[float, float]:
+def _sent(swarm: SimulatedCluster) -> tuple[float, float]:
     counts = [p.core.counts for p in swarm.processes.values()]
     return float(sum(c["datagrams_out"] for c in counts)), float(sum(c["bytes_out"] for c in counts))
 
 
 def region_cut(topology: Topology, size: int, for_s: float, seed: int) -> dict[str, Any]:
     """The regions cut off from each other for so long, and joined; looked at once a second."""
-    swarm = Swarm(seed, Weather())
+    swarm = SimulatedCluster(seed, NetworkConditions())
     swarm.keep_history = False
     spots = places(topology, size)
     rng = Random(f"cut {seed}")
     for place in spots:
         swarm.start(place.name, zone=f"z{place.zone}")
-    swarm.acquaint()
+    swarm.preload_views()
     region = {place.name: place.region for place in spots}
     sizes = {r: list(region.values()).count(r) for r in set(region.values())}
     begins = WARM_MS + 5_000.0 * rng.random()
@@ -63,7 +63,11 @@
 
     def apart() -> bool:
         """Whether each region holds just its own members alive."""
-        return all(p.core.view.alive == sizes[region[p.name]] for p in swarm.processes.values())
+        return all(p.core.view.alive_count == sizes[region[p.name]] for p in swarm.processes.values())
+
+    def together() -> bool:
+        """Whether all hold all members alive."""
+        return all(p.core.view.alive_count == size for p in swarm.processes.values())
 
     swarm.may_pass = lambda a, b: region[a] == region[b]
     known: float | None = None
@@ -75,7 +79,11 @@
     joined = swarm.engine.now
     calm, whole = 0, None
     for _ in range(SETTLE_STEPS):
-        calm = calm + 1 if step() and all(p.core.view.alive == size for p in swarm.processes.values()) else 0
+        calm = (
+            calm + 1
+            if step() and all(p.core.view.alive_count == size for p in swarm.processes.values())
+            else 0
+        )
         if calm == 1:
             whole = (swarm.engine.now - joined) / 1000.0
         if calm == CALM_STEPS:
@@ -103,19 +111,19 @@
 
 def zone_loss(topology: Topology, size: int, for_s: float, seed: int) -> dict[str, Any]:
     """All of a zone are killed and stay so: when all others hold them dead, looked at once a second."""
-    swarm = Swarm(seed, Weather())
+    swarm = SimulatedCluster(seed, NetworkConditions())
     swarm.keep_history = False
     spots = places(topology, size)
     for place in spots:
         swarm.start(place.name, zone=f"z{place.zone}")
-    swarm.acquaint()
+    swarm.preload_views()
     swarm.run(WARM_MS)
     zone = Random(f"zone {seed}").choice(spots).zone
     victims = [place.name for place in spots if place.zone == zone]
     first = last = _sent(swarm)
     for name in victims:
         swarm.kill(name)
-    living = swarm.living()
+    living = swarm.running()
     left, begins, series = len(living), swarm.engine.now, []
     known: float | None = None
     for second in range(1, int(for_s) + 1):
@@ -123,7 +131,7 @@
         now = _sent(swarm)
         series.append((float(second), (now[1] - last[1]) / left * 1000.0 / STEP_MS))
         last = now
-        if all(p.core.view.alive == left for p in living):
+        if all(p.core.view.alive_count == left for p in living):
             known = float(second)
             break
     spent, quiet_bytes = (swarm.engine.now - begins) / 1000.0, first[1] / begins * 1000.0
--- a/crowpost/membership/__init__.py
+++ b/crowpost/membership/__init__.py
@@ -1,4 +1,5 @@
-"""Membership: which processes of a cluster are present, by SWIM with suspicion and Lifeguard's awareness.
+"""Membership: which processes of a cluster are present, by SWIM with the extensions of Lifeguard.
 
-The core (`core`, with `view`, `gossip` and `wire`) does no I/O; `carrier` puts it on UDP and TCP.
+`core` is the protocol without I/O, and `sync` its anti-entropy; `transport` runs both on UDP and TCP.
+`work_share` derives from a view how many nodes share the work.  `configuration` reads the TOML file.
 """
--- a/crowpost/membership/__main__.py
+++ b/crowpost/membership/__main__.py
@@ -1,4 +1,7 @@
-"""python -m crowpost.members FILE: a member alone, until SIGTERM or until it is asked to leave."""
+"""Run a member that does nothing else: python -m crowpost.membership FILE.
+
+It runs until SIGTERM or SIGINT, or until it is asked to leave.
+"""
 
 from __future__ import annotations
 
@@ -10,38 +13,43 @@
 
 import uvloop
 
-from crowpost.membership.configuration import MembersConfig, load
-from crowpost.membership.model import MemberError, Phase
-from crowpost.membership.transport import Carrier
+from crowpost.membership.configuration import MembershipConfig, load
+from crowpost.membership.errors import MembershipError
+from crowpost.membership.model import Phase
+from crowpost.membership.transport import MembershipTransport
+
+EXIT_OK = 0
+EXIT_UNUSABLE = 2
+COMMAND = "crowpost.members"  # as operators know it: part of the texts on standard error
 
 
-async def serve(config: MembersConfig) -> None:
-    """Join, be present, and leave in order."""
-    carrier = Carrier(config)
+async def serve(config: MembershipConfig) -> None:
+    """Join the cluster, be present until asked to stop, and leave."""
+    transport = MembershipTransport(config)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, carrier.leaving.set)
-    await carrier.start()
-    carrier.declare(Phase.PRESENT)
-    await carrier.leaving.wait()
-    await carrier.close()
+        loop.add_signal_handler(number, transport.leave_requested.set)
+    await transport.start()
+    transport.announce_phase(Phase.PRESENT)
+    await transport.leave_requested.wait()
+    await transport.close()
 
 
 def main(arguments: list[str]) -> int:
-    """Exit code 0 after an orderly end, 2 with one line for what cannot be used."""
+    """Return exit code 0 after a regular end, 2 with one line on standard error for unusable arguments."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     if len(arguments) != 1:
-        print("usage: python -m crowpost.members FILE", file=sys.stderr)
-        return 2
+        print(f"usage: python -m {COMMAND} FILE", file=sys.stderr)
+        return EXIT_UNUSABLE
     try:
         uvloop.run(serve(load(arguments[0], os.environ.get("NODE_NAME", ""))))
-    except MemberError as error:
-        print(f"crowpost.members: {error}", file=sys.stderr)
-        return 2
+    except MembershipError as error:
+        print(f"{COMMAND}: {error}", file=sys.stderr)
+        return EXIT_UNUSABLE
     except OSError as error:
-        print(f"crowpost.members: members.listen cannot be used: {error}", file=sys.stderr)
-        return 2
-    return 0
+        print(f"{COMMAND}: members.listen cannot be used: {error}", file=sys.stderr)
+        return EXIT_UNUSABLE
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/crowpost/membership/broadcast_queue.py
+++ b/crowpost/membership/broadcast_queue.py
@@ -1,6 +1,4 @@
-"""Claims that are still to be passed on: each so many times, the weightiest first, within a budget of
-bytes.
-"""
+"""The queue of updates to broadcast by gossip, within a budget of bytes."""
 
 from __future__ import annotations
 
@@ -8,82 +6,101 @@
 from collections import deque
 from dataclasses import dataclass
 
-from crowpost.membership.model import Claim, Tuning, Verdict
-from crowpost.membership.wire import claim_row, pack
+from crowpost.membership.model import Liveness, StateUpdate
+from crowpost.membership.settings import ProtocolSettings
+from crowpost.membership.wire import encode_update, pack
 
-OVERDRAWN_ROOM = 200  # bytes of claims that a datagram carries though the budget is overdrawn
+OVERDRAWN_BYTES = 200  # of updates that a datagram carries though the budget is overdrawn
+MIN_TRANSMITS = 2
 
 
 @dataclass(slots=True)
-class _Rumour:
+class _Broadcast:
     name: str
-    packed: bytes
-    left: int  # 0 also once a later claim on the same member took its place
+    encoded: bytes
+    remaining: int  # transmissions; 0 also once a later update on the same member replaced this one
 
 
-class Gossip:
-    """A queue of claims and a token bucket of bytes.
+class BroadcastQueue:
+    """Updates that are each sent a limited number of times, and a token bucket of bytes.
 
-    Deaths, departures and refutations go before suspicions: under a storm of suspicions those that end them
-    must still get through.
+    Deaths, departures and refutations go before suspicions: when many members are suspected at once, the
+    updates that end the suspicions must still get through.
     """
 
-    def __init__(self, tuning: Tuning) -> None:
-        self._tuning = tuning
-        self._queues: tuple[deque[_Rumour], deque[_Rumour]] = (deque(), deque())
-        self._latest: dict[str, _Rumour] = {}
-        self._tokens = tuning.bytes_saved
-        self._at = 0.0
+    def __init__(self, settings: ProtocolSettings) -> None:
+        self._settings = settings
+        self._urgent: deque[_Broadcast] = deque()
+        self._suspicions: deque[_Broadcast] = deque()
+        self._latest: dict[str, _Broadcast] = {}
+        self._tokens = settings.burst_bytes
+        self._refilled_at_ms = 0.0
 
     def __len__(self) -> int:
         return len(self._latest)
 
-    def add(self, claim: Claim, members: int, part: float = 1.0) -> None:
-        """Pass this claim on, in place of any earlier one on the same member; part: of the usual repeats."""
-        old = self._latest.get(claim.name)
-        if old is not None:
-            old.left = 0
-        left = math.ceil(part * self._tuning.repeats * math.log10(max(members, 2) + 1))
-        rumour = self._latest[claim.name] = _Rumour(claim.name, pack(claim_row(claim)), max(left, 2))
-        self._queues[claim.verdict is Verdict.SUSPECTED].appendleft(rumour)
-
-    def may_spend(self, now: float) -> bool:
-        """Whether the budget lets a round of gossip go that is nothing else; time in ms."""
+    def enqueue(self, update: StateUpdate, member_count: int, transmit_fraction: float = 1.0) -> None:
+        """Queue an update in place of any earlier one on the same member.
+
+        `transmit_fraction` is the part of the usual number of transmissions.
+        """
+        replaced = self._latest.get(update.name)
+        if replaced is not None:
+            replaced.remaining = 0
+        scale = math.log10(max(member_count, 2) + 1)
+        transmits = math.ceil(transmit_fraction * self._settings.retransmit_multiplier * scale)
+        encoded = pack(encode_update(update))
+        broadcast = _Broadcast(update.name, encoded, max(transmits, MIN_TRANSMITS))
+        self._latest[update.name] = broadcast
+        queue = self._suspicions if update.liveness is Liveness.SUSPECT else self._urgent
+        queue.appendleft(broadcast)
+
+    def has_budget(self, now: float) -> bool:
+        """Return whether the budget allows for datagrams that carry nothing but gossip."""
         self._refill(now)
         return self._tokens > 0.0
 
-    def spend(self, size: int, now: float) -> None:
-        """Count bytes sent."""
+    def record_sent(self, size: int, now: float) -> None:
+        """Take the bytes of a datagram off the budget."""
         self._refill(now)
         self._tokens -= size
 
     def _refill(self, now: float) -> None:
-        rate = self._tuning.bytes_per_s
-        self._tokens = min(self._tuning.bytes_saved, self._tokens + (now - self._at) * rate / 1000.0)
-        self._at = now
+        elapsed_ms = now - self._refilled_at_ms
+        earned = elapsed_ms * self._settings.send_rate_bytes_per_s / 1000.0
+        self._tokens = min(self._settings.burst_bytes, self._tokens + earned)
+        self._refilled_at_ms = now
 
-    def take(self, room: int, now: float) -> list[bytes]:
-        """Packed claims that fit into so many bytes; into few while the budget is overdrawn.
+    def take(self, max_bytes: int, now: float) -> list[bytes]:
+        """Return encoded updates that fit into so many bytes, and count one transmission of each.
 
-        Never into none: what goes anyway carries news at little cost, and probes alone may use up the budget.
+        While the budget is overdrawn only a few are returned, but never none: a datagram that is sent
+        anyway carries them at little cost, and probes alone may use up the budget.
         """
         taken: list[bytes] = []
         if not self._latest:
             return taken
-        if not self.may_spend(now):
-            room = min(room, OVERDRAWN_ROOM)
-        for queue in self._queues:
-            again: list[_Rumour] = []
-            while queue and len(queue[0].packed) <= room:
-                rumour = queue.popleft()
-                if not rumour.left:
-                    continue
-                room -= len(rumour.packed)
-                taken.append(rumour.packed)
-                rumour.left -= 1
-                if rumour.left:
-                    again.append(rumour)
-                else:
-                    del self._latest[rumour.name]
-            queue.extend(again)
+        if not self.has_budget(now):
+            max_bytes = min(max_bytes, OVERDRAWN_BYTES)
+        for queue in (self._urgent, self._suspicions):
+            batch = self._take_from(queue, max_bytes)
+            max_bytes -= sum(map(len, batch))
+            taken += batch
+        return taken
+
+    def _take_from(self, queue: deque[_Broadcast], max_bytes: int) -> list[bytes]:
+        taken: list[bytes] = []
+        again: list[_Broadcast] = []
+        while queue and len(queue[0].encoded) <= max_bytes:
+            broadcast = queue.popleft()
+            if not broadcast.remaining:
+                continue
+            max_bytes -= len(broadcast.encoded)
+            taken.append(broadcast.encoded)
+            broadcast.remaining -= 1
+            if broadcast.remaining:
+                again.append(broadcast)
+            else:
+                del self._latest[broadcast.name]
+        queue.extend(again)
         return taken
--- a/crowpost/membership/configuration.py
+++ b/crowpost/membership/configuration.py
@@ -1,67 +1,97 @@
-"""The membership of a process as its TOML file says it; errors name file and key in one line."""
+"""The membership configuration of a process, read from a TOML file; errors name file and key in one line."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field, fields
+from dataclasses import dataclass, field
 from typing import Any
 
-from crowpost.membership.model import MemberError, Profile, Tuning, split_address
-from crowpost.membership.work_share import LEAST_PART, SETTLE_MS
+from crowpost.membership.errors import MembershipError
+from crowpost.membership.model import Profile, split_address
+from crowpost.membership.settings import ProtocolSettings
+from crowpost.membership.work_share import DEFAULT_MIN_NODE_FRACTION, DEFAULT_SETTLE_MS
 from crowpost.tables import Table, TableError, numbers, read_file
 
+DEFAULT_ROLE = "node"
+MAX_SETTLE_MS = 3_600_000.0
+
+# The keys of the table [members], in the order in which errors list them.
+TABLE_KEYS = (
+    "cluster",
+    "name",
+    "listen",
+    "advertise",
+    "join",
+    "zone",
+    "role",
+    "feed",
+    "settle_ms",
+    "least_part",
+    "facts",
+    "tuning",
+)
+
 
 @dataclass(frozen=True, slots=True)
-class MembersConfig:
-    """What the table [members] holds.  Addresses are host:port; listen may name port 0."""
+class MembershipConfig:
+    """The table [members].  Addresses are host:port; `listen` may name port 0."""
 
     cluster: str
     name: str
     listen: str
-    advertise: str = ""  # what others reach it at; empty: where it listens
+    advertise: str = ""  # the address at which others reach this process; empty: where it listens
     join: tuple[str, ...] = ()
     zone: str = ""
-    role: str = "node"
-    feed: bool = False  # whether the nodes present take the place of the counts in the settings
-    settle_ms: float = SETTLE_MS
-    least_part: float = LEAST_PART
+    role: str = DEFAULT_ROLE
+    share_work: bool = False  # whether the nodes present replace the counts in the settings
+    settle_ms: float = DEFAULT_SETTLE_MS
+    min_node_fraction: float = DEFAULT_MIN_NODE_FRACTION
     facts: dict[str, str] = field(default_factory=dict)
-    tuning: Tuning = field(default_factory=Tuning)
+    protocol: ProtocolSettings = field(default_factory=ProtocolSettings)
 
 
-def load(path: str, name: str = "") -> MembersConfig:
-    """The file's [members]; name: where the file has none.  MemberError for what cannot be used."""
+def load(path: str, default_name: str = "") -> MembershipConfig:
+    """Return the file's configuration; raise MembershipError if it cannot be used.
+
+    `default_name` is the name of the process where the file has none.
+    """
     try:
-        return _read(read_file(path), name)
-    except (TableError, MemberError) as error:
-        raise MemberError(f"{path}: {error}") from None
+        return _read(read_file(path), default_name)
+    except (TableError, MembershipError) as error:
+        raise MembershipError(f"{path}: {error}") from error
 
 
-def _read(raw: dict[str, Any], name: str) -> MembersConfig:
-    table = Table("members", raw.get("members"), [f.name for f in fields(MembersConfig)])
-    config = MembersConfig(
+def _read(raw: dict[str, Any], default_name: str) -> MembershipConfig:
+    table = Table("members", raw.get("members"), TABLE_KEYS)
+    config = MembershipConfig(
         cluster=table.text("cluster", needed=True),
-        name=table.text("name", name, needed=True),
+        name=table.text("name", default_name, needed=True),
         listen=table.text("listen", needed=True),
         advertise=table.text("advertise"),
         join=table.texts("join", "addresses"),
         zone=table.text("zone"),
-        role=table.text("role", "node"),
-        feed=table.flag("feed", False),
-        settle_ms=table.number("settle_ms", SETTLE_MS, 0.0, 3_600_000.0),
-        least_part=table.number("least_part", LEAST_PART, 0.0, 1.0),
+        role=table.text("role", DEFAULT_ROLE),
+        share_work=table.flag("feed", False),
+        settle_ms=table.number("settle_ms", DEFAULT_SETTLE_MS, 0.0, MAX_SETTLE_MS),
+        min_node_fraction=table.number("least_part", DEFAULT_MIN_NODE_FRACTION, 0.0, 1.0),
         facts=dict(table.mapping("facts")),
-        tuning=Tuning(**numbers("members.tuning", table.get("tuning") or {}, Tuning)),
+        protocol=ProtocolSettings(**numbers("members.tuning", table.get("tuning") or {}, ProtocolSettings)),
     )
-    for key, address in (("listen", config.listen), *(("join", a) for a in config.join)):
-        _address(f"members.{key}", address)
-    if config.advertise:
-        _address("members.advertise", config.advertise)
+    _check_addresses(config)
+    # The profile checks the bounds of what the process will carry.
     Profile(config.name, config.advertise or config.listen, config.zone, config.role, facts=config.facts)
     return config
 
 
-def _address(key: str, text: str) -> None:
+def _check_addresses(config: MembershipConfig) -> None:
+    _check_address("members.listen", config.listen)
+    for address in config.join:
+        _check_address("members.join", address)
+    if config.advertise:
+        _check_address("members.advertise", config.advertise)
+
+
+def _check_address(key: str, address: str) -> None:
     try:
-        split_address(text)
-    except MemberError as error:
-        raise MemberError(f"{key}: {error}") from None
+        split_address(address)
+    except MembershipError as error:
+        raise MembershipError(f"{key}: {error}") from error
--- a/crowpost/membership/core.py
+++ b/crowpost/membership/core.py
@@ -1,63 +1,60 @@
-"""The membership of one process, without I/O: datagrams, ticks and times in; datagrams, exchanges and changes
-out.
-
-SWIM (Das, Gupta, Motivala, 2002): every period one member is probed, directly and through helpers; one that
-does not answer is suspected, and dead once a time has passed in which it did not refute that.  Lifeguard
-(Dadgar et al., 2018): the time of a suspicion shrinks with independent accusers, and a process that notices
-its own slowness probes less often and waits longer.  Two additions: a member is suspected only once it has
-failed a second look, and a process that was stopped moves all of its deadlines on by as long as it slept,
-so that on waking it accuses nobody.  `claims` holds what is held of whom, `probing` who is looked at.
+"""The membership protocol of one process, without I/O.
+
+Datagrams and times go in; datagrams to send, addresses to sync with and changes of the view come out.
+
+Sources: SWIM (Das, Gupta, Motivala, 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018).  Added to them: a
+member is suspected only after a second failed probe, and a process that was stopped postpones its timers by
+as long as it stood still, so that it suspects nobody when it runs again.
 """
 
 from __future__ import annotations
 
-import math
 import random
 from collections import Counter
-from dataclasses import dataclass, field, replace
-
-from crowpost.membership.broadcast_queue import Gossip
-from crowpost.membership.failure_detector import Failed, Prober
-from crowpost.membership.model import Change, Claim, Member, Phase, Profile, Tuning, Verdict
-from crowpost.membership.timers import Schedule, Timer
-from crowpost.membership.updates import Claims
-from crowpost.membership.view import View
-from crowpost.membership.wire import (
-    Foreign,
-    Kind,
-    Message,
-    Sender,
-    claim_row,
-    datagram,
-    pack,
-    read_datagram,
-    tag,
-)
-
-LATE = 0.5  # part of a period by which a timer may be late before this process calls itself slow
-WINDOW = 512  # datagrams of a sender that may overtake each other; older ones are replays
-TELL_MS = 1_000.0  # between two tellings of one member what is held of it
-FORGET_EVERY_MS = 60_000.0
-FAREWELLS = 8  # members that a departure is told directly
-JOIN_FIRST_MS = 500.0  # until other contacts are asked; half as long again each time
-HEAD_ROOM = 270  # bytes of a datagram that are kept for its head: the longest names and addresses fit
-
-
-@dataclass
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
+
+from crowpost.membership.broadcast_queue import BroadcastQueue
+from crowpost.membership.errors import InvalidMessageError
+from crowpost.membership.failure_detector import FailureDetector, ProbeVerdict
+from crowpost.membership.model import Liveness, Member, Phase, Profile, StateChange, StateUpdate
+from crowpost.membership.outbox import Outbox, OutgoingDatagram
+from crowpost.membership.settings import ProtocolSettings
+from crowpost.membership.sync_planner import SyncPlanner
+from crowpost.membership.timers import Timer, TimerKind, TimerQueue
+from crowpost.membership.updates import UpdateProcessor
+from crowpost.membership.view import MembershipView
+from crowpost.membership.wire import Message, MessageKind, Sender, cluster_tag, decode_datagram
+
+MAX_TIMER_DELAY_FRACTION = 0.5  # of a period; a timer that is later shows that this process did not run
+REPLAY_WINDOW = 512  # datagrams of a sender that may overtake each other; older ones are replays
+MIN_NOTIFY_INTERVAL_MS = 1_000.0  # between two datagrams that tell a member what is held of it
+REMOVE_EXPIRED_INTERVAL_MS = 60_000.0
+MAX_LEAVE_RECIPIENTS = 8  # members to which a leave message is sent directly
+FIRST_JOIN_RETRY_MS = 500.0
+JOIN_BACKOFF_FACTOR = 1.5
+CONTACTS_PER_JOIN = 2
+
+
+@dataclass(frozen=True, slots=True)
 class Output:
-    """What a call of the core left to be done.  exchanges: addresses to exchange tables with."""
+    """What is to be done after calls of the core."""
+
+    datagrams: list[OutgoingDatagram]
+    sync_addresses: list[str]
+    changes: list[StateChange]
+    log_messages: list[str]
 
-    datagrams: list[tuple[str, bytes]] = field(default_factory=list)
-    exchanges: list[str] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
-    notes: list[str] = field(default_factory=list)
 
+class MembershipCore:
+    """The protocol state of one process.
 
-class Members:
-    """Feed it datagrams and ticks with times in ms that never go back; `take` what follows from them.
+    Call `handle_datagram`, and `tick` when `next_due_ms` has come; then do what `take_output` returns.  Times
+    are in ms and never go back.
 
-    contacts: addresses of members to join by, any of which may be down.  birth: 32 random bits, new for each
-    process.  incarnation: to begin with; beyond its predecessor's, the others take it for the newer at once.
+    contacts: addresses of members to join through, any of which may be down.
+    instance_id: 32 random bits, new for each process.
+    incarnation: the first; where it is beyond that of the predecessor, the others accept it at once.
     """
 
     def __init__(
@@ -67,306 +64,315 @@
         contacts: tuple[str, ...],
         *,
         seed: int,
-        birth: int,
+        instance_id: int,
         now: float,
-        tuning: Tuning | None = None,
+        settings: ProtocolSettings | None = None,
         incarnation: int = 1,
     ) -> None:
-        self.cluster, self.tuning = cluster, tuning or Tuning()
+        self.cluster = cluster
+        self.settings = settings or ProtocolSettings()
         self.rng = random.Random(seed)
-        self.view = View(self.tuning)
         self.counts: Counter[str] = Counter()
-        self._tag = tag(cluster)
-        self._contacts = tuple(c for c in contacts if c != profile.address)
-        own = Claim(profile.name, birth, incarnation, Phase.JOINING, Verdict.NONE, profile.name, "", profile)
-        me = self.view.add(profile, own, now)
-        assert me is not None  # the table is empty
-        self.me = me
-        self._schedule = Schedule()
-        self.claims = Claims(own, me, self.view, self.tuning, self.rng, self.counts, self._schedule, now)
-        self.prober = Prober(self.view, me, self.tuning, self.rng, self.counts, self._schedule, self._send)
-        self.claims.prober = self.prober
-        self.claims.joined = not self._contacts
-        self._counter = 0
-        self._differs: float | None = None  # since when the views of others have not been this one
-        self._synced = -math.inf
-        self._out = Output()
-        self._schedule.at(now + self.rng.random() * self.tuning.probe_ms, Timer.ROUND)
-        self._schedule.at(now + self.rng.random() * self.tuning.sync_ms, Timer.SYNC)
-        self._schedule.at(now + (0.5 + self.rng.random()) * self.tuning.rejoin_ms, Timer.REJOIN)
-        self._schedule.at(now + FORGET_EVERY_MS, Timer.FORGET)
+        self.view = MembershipView(self.settings)
+        self._tag = cluster_tag(cluster)
+        self._contacts = tuple(contact for contact in contacts if contact != profile.address)
+        self._timers = TimerQueue()
+        self._sync_planner = SyncPlanner(self.view, self.settings)
+        own_update = StateUpdate(
+            profile.name, instance_id, incarnation, Phase.JOINING, Liveness.ALIVE, profile.name, "", profile
+        )
+        local_member = self.view.add(profile, own_update, now)
+        assert local_member is not None  # the view is empty
+        self.local_member = local_member
+        shared = (self.settings, self.rng, self.counts, self._timers)
+        self.updates = UpdateProcessor(own_update, local_member, self.view, *shared, now)
+        self._outbox = Outbox(self.updates, self.settings, self.counts, self._tag)
+        self.detector = FailureDetector(self.view, local_member, *shared, self._outbox.send)
+        self.updates.detector = self.detector
+        self.updates.joined = not self._contacts
+        self._schedule_first_timers(now)
+
+    def _schedule_first_timers(self, now: float) -> None:
+        settings = self.settings
+        probe_delay = self.rng.random() * settings.probe_interval_ms
+        self._timers.schedule(now + probe_delay, TimerKind.PROBE_ROUND)
+        sync_delay = self.rng.random() * settings.sync_interval_ms
+        self._timers.schedule(now + sync_delay, TimerKind.SYNC)
+        self._schedule_with_jitter(TimerKind.PROBE_DEAD, settings.dead_probe_interval_ms, now)
+        self._timers.schedule(now + REMOVE_EXPIRED_INTERVAL_MS, TimerKind.REMOVE_EXPIRED)
         if self._contacts:
-            self._schedule.at(now, Timer.JOIN)
+            self._timers.schedule(now, TimerKind.JOIN)
 
-    # ------------------------------------------------------------ how it stands
+    def _schedule_with_jitter(self, kind: TimerKind, interval_ms: float, now: float) -> None:
+        """Schedule a timer after 0.5 to 1.5 intervals."""
+        self._timers.schedule(now + (0.5 + self.rng.random()) * interval_ms, kind)
+
+    # ------------------------------------------------------------ state
 
     @property
-    def me_claim(self) -> Claim:
-        """What this process says of itself."""
-        return self.claims.own
+    def own_update(self) -> StateUpdate:
+        """What this process announces of itself."""
+        return self.updates.own_update
 
     @property
     def joined(self) -> bool:
-        """Whether this process has met the others, or is the first."""
-        return self.claims.joined
-
-    @joined.setter
-    def joined(self, value: bool) -> None:
-        self.claims.joined = value
+        """Whether this process has synced with another, or is the first of its cluster."""
+        return self.updates.joined
 
     @property
-    def yielded(self) -> bool:
-        """Whether a newer process of the same name stands for this one."""
-        return self.claims.yielded
+    def superseded(self) -> bool:
+        """Whether a newer process of the same name has taken this one's place."""
+        return self.updates.superseded
 
     @property
     def left(self) -> bool:
-        """Whether this process has said good-bye."""
-        return self.claims.left
+        """Whether this process has announced that it left."""
+        return self.updates.left
 
     @property
-    def awareness(self) -> int:
-        """How slow this process holds itself to be, from 0 to 4."""
-        return self.prober.awareness
-
-    @property
-    def gossip(self) -> Gossip:
-        """What is still to be passed on."""
-        return self.claims.gossip
-
-    # ------------------------------------------------------------ in and out
-
-    def next_at(self) -> float:
-        """When `tick` is due next, in ms."""
-        return self._schedule.next_at()
-
-    def take(self) -> Output:
-        """All that is to be done since the last call."""
-        if self.claims.wants_table:
-            self.claims.wants_table = False
-            self._exchange_with(self.prober.any())
-        out, self._out = self._out, Output()
-        out.changes, self.view.changes = self.view.changes, []
-        out.notes, self.claims.notes = self.claims.notes, []
-        return out
+    def local_health_score(self) -> int:
+        """How slow this process takes itself to be, from 0 (healthy) to 4."""
+        return self.detector.local_health_score
+
+    # ------------------------------------------------------------ input and output
+
+    def next_due_ms(self) -> float:
+        """Return when `tick` must be called next."""
+        return self._timers.next_due_ms()
+
+    def take_output(self) -> Output:
+        """Return all that is to be done since the last call."""
+        if self.updates.needs_sync:
+            self.updates.needs_sync = False
+            self._sync_planner.request_with(self.detector.random_peer())
+        output = Output(
+            self._outbox.take(), self._sync_planner.take(), self.view.changes, self.updates.log_messages
+        )
+        self.view.changes = []
+        self.updates.log_messages = []
+        return output
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
-        self._notice_sleep(now)
-        while (due := self._schedule.pop_due(now)) is not None:
-            kind, name, number = due
-            match kind:
-                case Timer.ROUND:
-                    self._schedule.at(now + self.prober.period(), Timer.ROUND)
-                    if not self.yielded and not self.left:
-                        self.prober.round(now)
-                case Timer.STEP:
-                    self.prober.step(number, now)
-                case Timer.JUDGE:
-                    self._judge(number, now)
-                case Timer.SUSPICION:
-                    self.claims.expire(name, number, now)
-                case Timer.GOSSIP:
-                    self._spread(now)
-                case Timer.SYNC:
-                    self._schedule.at(now + (0.5 + self.rng.random()) * self.tuning.sync_ms, Timer.SYNC)
-                    self._exchange_with(self.prober.any())
-                case Timer.REJOIN:
-                    self._call_the_dead(now)
-                case Timer.JOIN:
-                    self._join(number, now)
-                case Timer.FORGET:
-                    self._schedule.at(now + FORGET_EVERY_MS, Timer.FORGET)
-                    self.view.forget(now, self.me.name)
-                case Timer.NACK:
-                    self.prober.give_up(number, now)
-
-    def handle(self, data: bytes, now: float) -> None:
-        """Take in a datagram; what is none of this cluster's is counted and dropped."""
-        self._notice_sleep(now)
+        """Run the timers that are due."""
+        self._detect_pause(now)
+        while (timer := self._timers.pop_due(now)) is not None:
+            self._run_timer(timer, now)
+
+    def _run_timer(self, timer: Timer, now: float) -> None:
+        match timer.kind:
+            case TimerKind.INDIRECT_PROBE:
+                self.detector.send_indirect_probes(timer.number, now)
+            case TimerKind.PROBE_TIMEOUT:
+                self._on_probe_timeout(timer.number, now)
+            case TimerKind.SUSPICION_TIMEOUT:
+                self.updates.on_suspicion_timeout(timer.name, timer.number, now)
+            case TimerKind.GOSSIP:
+                self._send_gossip(now)
+            case TimerKind.JOIN:
+                self._join(timer.number, now)
+            case TimerKind.PING_REQ_TIMEOUT:
+                self.detector.on_ping_req_timeout(timer.number, now)
+            case _:
+                self._run_periodic_timer(timer.kind, now)
+
+    def _run_periodic_timer(self, kind: TimerKind, now: float) -> None:
+        match kind:
+            case TimerKind.PROBE_ROUND:
+                self._timers.schedule(now + self.detector.probe_interval_ms(), kind)
+                if not self.superseded and not self.left:
+                    self.detector.start_round(now)
+            case TimerKind.SYNC:
+                self._schedule_with_jitter(kind, self.settings.sync_interval_ms, now)
+                self._sync_planner.request_with(self.detector.random_peer())
+            case TimerKind.PROBE_DEAD:
+                self._schedule_with_jitter(kind, self.settings.dead_probe_interval_ms, now)
+                self._probe_dead_member(now)
+            case TimerKind.REMOVE_EXPIRED:
+                self._timers.schedule(now + REMOVE_EXPIRED_INTERVAL_MS, kind)
+                self.view.remove_expired(now, self.local_member.name)
+
+    def handle_datagram(self, data: bytes, now: float) -> None:
+        """Process a received datagram; one that is not valid in this cluster is counted and dropped."""
+        self._detect_pause(now)
         self.counts["bytes_in"] += len(data)
         self.counts["datagrams_in"] += 1
         try:
-            message = read_datagram(data, self._tag, self.tuning.datagram_bytes)
-        except Foreign as error:
-            self.counts[f"dropped_{error.kind}"] += 1
+            message = decode_datagram(data, self._tag, self.settings.max_datagram_bytes)
+        except InvalidMessageError as error:
+            self.counts[f"dropped_{error.reason}"] += 1
             return
-        self._hear(message, now)
-
-    def claim(self, claim: Claim, now: float, *, from_table: bool = False) -> None:
-        """Take in a claim; from_table: of an exchanged table."""
-        self.claims.take(claim, now, from_table=from_table)
-
-    def _notice_sleep(self, now: float) -> None:
-        """A timer that is late tells of one's own slowness: what others did meanwhile cannot be judged."""
-        late = now - self.next_at()
-        if late >= LATE * self.tuning.probe_ms:
+        self._process_message(message, now)
+
+    def apply_update(self, update: StateUpdate, now: float, *, from_sync: bool = False) -> None:
+        """Apply an update; `from_sync` says that it comes from a sync and not from a datagram."""
+        self.updates.apply(update, now, from_sync=from_sync)
+
+    def mark_joined(self) -> None:
+        """Note that this process has synced with another member."""
+        self.updates.joined = True
+
+    def preload_members(self, updates: Iterable[StateUpdate], now: float) -> None:
+        """Know these members from the start, as long after a join; for simulations."""
+        for update in updates:
+            if update.name == self.local_member.name or update.profile is None:
+                continue
+            self.view.add(update.profile, update, now)
+            self.detector.probe_order.append(update.name)
+        self.rng.shuffle(self.detector.probe_order)
+        self.mark_joined()
+        self.take_output()
+        self.updates.broadcasts = BroadcastQueue(self.settings)  # the others know all of it, too
+
+    def _detect_pause(self, now: float) -> None:
+        """Postpone all timers if one is so late that this process cannot have run."""
+        delay = now - self.next_due_ms()
+        if delay >= MAX_TIMER_DELAY_FRACTION * self.settings.probe_interval_ms:
             self.counts["late"] += 1
-            self._schedule.shift(late)
-            self.prober.slept()
+            self._timers.postpone_all(delay)
+            self.detector.on_process_paused()
 
-    def _judge(self, number: int, now: float) -> None:
-        found = self.prober.judge(number, now)
-        if found is None:
+    def _on_probe_timeout(self, number: int, now: float) -> None:
+        failure = self.detector.on_probe_timeout(number, now)
+        if failure is None:
             return
-        failed, member = found
-        match failed:
-            case Failed.ACCUSE:
-                self.claims.accuse(member, now)
-            case Failed.CONFIRM:
-                self.claims.confirm(member, self.me.name, now)
-            case Failed.BURY:
-                self.claims.bury(member, now)
-
-    # ------------------------------------------------------------ what this process says of itself
-
-    def declare(self, phase: Phase, now: float, why: str = "") -> None:
-        """Say of oneself: joining, present or leaving."""
-        if phase is not self.me_claim.phase and not self.left:
-            self.claims.restate(now, phase=phase, why=why)
+        match failure.verdict:
+            case ProbeVerdict.SUSPECT:
+                self.updates.suspect(failure.member, now)
+            case ProbeVerdict.CONFIRM_SUSPICION:
+                self.updates.confirm_suspicion(failure.member, self.local_member.name, now)
+            case ProbeVerdict.DECLARE_DEAD:
+                self.updates.declare_dead(failure.member, now)
+
+    # ------------------------------------------------------------ announcements
+
+    def announce_phase(self, phase: Phase, now: float, reason: str = "") -> None:
+        """Announce the phase of this process, if it is another one than before."""
+        if phase is not self.own_update.phase and not self.left:
+            self.updates.announce(now, phase=phase, reason=reason)
 
     def set_facts(self, facts: dict[str, str], now: float) -> None:
-        """Replace the facts that this process carries; MemberError beyond the bounds."""
-        self.claims.restate(now, profile=replace(self.me_claim.profile or self.me.profile, facts=facts))
+        """Replace the facts of this process; raise MembershipError beyond the bounds."""
+        profile = self.own_update.profile or self.local_member.profile
+        self.updates.announce(now, profile=replace(profile, facts=facts))
 
-    def leave(self, now: float, why: str = "in order") -> None:
-        """Say good-bye: an orderly end, which nobody takes for a death."""
-        if self.yielded or self.left:
+    def leave(self, now: float, reason: str = "in order") -> None:
+        """Announce that this process leaves, so that its end is not taken for a death."""
+        if self.superseded or self.left:
             return
-        self.claims.restate(now, verdict=Verdict.LEFT, why=why)
-        others = [m for m in self.view.members.values() if m.alive and m is not self.me]
-        for member in self.rng.sample(others, min(FAREWELLS, len(others))):
-            self._send(member.profile.address, Kind.GOSSIP, now)
+        self.updates.announce(now, liveness=Liveness.LEFT, reason=reason)
+        others = [m for m in self.view.members.values() if m.alive and m is not self.local_member]
+        for member in self.rng.sample(others, min(MAX_LEAVE_RECIPIENTS, len(others))):
+            self._outbox.send(member.profile.address, MessageKind.GOSSIP, now)
 
     # ------------------------------------------------------------ datagrams
 
-    def _send(
-        self,
-        address: str,
-        kind: Kind,
-        now: float,
-        number: int = 0,
-        subject: str = "",
-        first: list[Claim] | None = None,
-    ) -> None:
-        if self.yielded:
-            return  # the newer process speaks for this name
-        self._counter = (self._counter + 1) % 2**32
-        own = self.me_claim
-        sender = Sender(own.name, own.birth, own.incarnation, own.phase, self._counter, self.view.digest)
-        rows = [pack(claim_row(claim)) for claim in first or ()]
-        rows += self.gossip.take(self.tuning.datagram_bytes - HEAD_ROOM - sum(map(len, rows)), now)
-        reply_to = self.me.profile.address if kind in (Kind.PING, Kind.ASK) else ""
-        data = datagram(Message(kind, sender, number, subject, reply_to), self._tag, rows)
-        self.gossip.spend(len(data), now)
-        self.counts["bytes_out"] += len(data)
-        self.counts["datagrams_out"] += 1
-        self._out.datagrams.append((address, data))
-
-    def _hear(self, message: Message, now: float) -> None:
-        s = message.sender
-        if s.name == self.me.name:
-            if s.birth != self.me_claim.birth:
-                self.claim(Claim(s.name, s.birth, s.incarnation, s.phase, Verdict.NONE, s.name), now)
+    def _process_message(self, message: Message, now: float) -> None:
+        sender = message.sender
+        if sender.name == self.local_member.name:
+            if sender.instance_id != self.own_update.instance_id:
+                self.apply_update(sender.to_update(), now)
             return
-        member = self.view.get(s.name)
+        member = self.view.get(sender.name)
         reply_to = message.reply_to or (member.profile.address if member is not None else "")
-        if member is not None and member.birth == s.birth:
-            if s.counter + WINDOW <= member.counter:
-                self.counts["dropped_replayed"] += 1
-                return
-            member.counter = max(member.counter, s.counter)
-            member.heard, member.doubts = now, 0
-            if s.incarnation > member.incarnation or s.phase is not member.phase:
-                self.claim(Claim(s.name, s.birth, s.incarnation, s.phase, Verdict.NONE, s.name), now)
-        elif member is not None and (s.incarnation, s.birth) < (member.incarnation, member.birth):
-            # A process that was replaced, or one that has yet to learn of its name's history, or a replay.
-            self.counts["dropped_outdated"] += 1
-            self._tell(member, reply_to, now)
+        if not self._accept_sender(sender, member, reply_to, now):
             return
-        else:
-            self._exchange_at(reply_to, now)  # its profile is not known here
-        for claim in message.claims:
-            self.claim(claim, now)
-        self._answer(message, member, reply_to, now)
-        self._compare(s, member, now)
-
-    def _answer(self, message: Message, member: Member | None, reply_to: str, now: float) -> None:
+        for update in message.updates:
+            self.apply_update(update, now)
+        self._respond(message, member, reply_to, now)
+        self._sync_planner.compare_digest(sender.view_digest, member, now)
+
+    def _accept_sender(self, sender: Sender, member: Member | None, reply_to: str, now: float) -> bool:
+        """Record what a datagram says of its sender; return False if the datagram is to be dropped."""
+        if member is not None and member.instance_id == sender.instance_id:
+            if sender.datagram_counter + REPLAY_WINDOW <= member.datagram_counter:
+                self.counts["dropped_replayed"] += 1
+                return False
+            member.datagram_counter = max(member.datagram_counter, sender.datagram_counter)
+            member.last_heard_ms = now
+            member.failed_probes = 0
+            if sender.incarnation > member.incarnation or sender.phase is not member.phase:
+                self.apply_update(sender.to_update(), now)
+            return True
+        if member is not None:
+            held = (member.incarnation, member.instance_id)
+            if (sender.incarnation, sender.instance_id) < held:
+                # A process that was replaced, one that has yet to learn of its predecessor, or a replay.
+                self.counts["dropped_outdated"] += 1
+                self._notify(member, reply_to, now)
+                return False
+        self._sync_planner.request_limited(reply_to, now)  # the sender's profile is not known
+        return True
+
+    def _respond(self, message: Message, member: Member | None, reply_to: str, now: float) -> None:
+        """Handle the kind of a datagram, and tell its sender what it has yet to refute."""
         match message.kind:
-            case Kind.PING if reply_to:
-                if message.subject == self.me.name:
-                    told = [member.claim(full=False)] if member is not None and _owes(member, message) else []
-                    self._send(reply_to, Kind.ACK, now, message.number, self.me.name, told)
+            case MessageKind.PING if reply_to:
+                if message.target == self.local_member.name:
+                    self._send_ack(message, member, reply_to, now)
                     return
-                self.counts["dropped_misdirected"] += 1  # the address belonged to another before
-            case Kind.ASK if reply_to:
-                self.prober.help(message, reply_to, now)
-            case Kind.ACK:
-                self.prober.acknowledged(message, now)
-            case Kind.NACK:
-                self.prober.not_acknowledged(message)
-        if member is not None and _owes(member, message):
-            self._tell(member, reply_to or member.profile.address, now)
-
-    def _tell(self, member: Member, address: str, now: float) -> None:
-        """Tell a process what is held of it, so that it can refute that, or learn whom it replaces."""
-        if address and now - member.told_at >= TELL_MS:
-            member.told_at = now
-            self._send(address, Kind.GOSSIP, now, 0, "", [member.claim()])
-
-    def _spread(self, now: float) -> None:
-        self.claims.spreading = len(self.gossip) > 0 and not self.yielded
-        if not self.claims.spreading:
+                self.counts["dropped_misdirected"] += 1  # the address belonged to another member before
+            case MessageKind.PING_REQ if reply_to:
+                self.detector.on_ping_req(message, reply_to, now)
+            case MessageKind.ACK:
+                self.detector.on_ack(message, now)
+            case MessageKind.NACK:
+                self.detector.on_nack(message)
+        if member is not None and _must_refute(message.sender, member):
+            self._notify(member, reply_to or member.profile.address, now)
+
+    def _send_ack(self, message: Message, member: Member | None, reply_to: str, now: float) -> None:
+        to_refute = []
+        if member is not None and _must_refute(message.sender, member):
+            to_refute.append(member.to_update(include_profile=False))
+        target = self.local_member.name
+        self._outbox.send(reply_to, MessageKind.ACK, now, message.number, target, to_refute)
+
+    def _notify(self, member: Member, address: str, now: float) -> None:
+        """Send a process what is held of it, so that it can refute that or learn whom it replaces."""
+        if address and now - member.notified_at_ms >= MIN_NOTIFY_INTERVAL_MS:
+            member.notified_at_ms = now
+            self._outbox.send(address, MessageKind.GOSSIP, now, 0, "", [member.to_update()])
+
+    def _send_gossip(self, now: float) -> None:
+        """Send queued broadcasts to a few random members, and schedule the next round."""
+        broadcasts = self.updates.broadcasts
+        self.updates.gossip_scheduled = len(broadcasts) > 0 and not self.superseded
+        if not self.updates.gossip_scheduled:
             return
-        self._schedule.at(now + self.tuning.gossip_ms, Timer.GOSSIP)
-        if self.gossip.may_spend(now):
-            for _ in range(self.tuning.fanout):
-                member = self.prober.any()
-                if member is not None and len(self.gossip):
-                    self._send(member.profile.address, Kind.GOSSIP, now)
-
-    # ------------------------------------------------------------ exchanges of tables
-
-    def _compare(self, sender: Sender, member: Member | None, now: float) -> None:
-        """Views that go on differing are exchanged: a claim may have missed somebody."""
-        if sender.digest == self.view.digest:
-            self._differs = None
-        elif self._differs is None:
-            self._differs = now
-        elif member is not None and now - max(self._differs, self._synced) >= self.tuning.mismatch_ms:
-            self._exchange_at(member.profile.address, now)
-
-    def _exchange_at(self, address: str, now: float) -> None:
-        if address and now - self._synced >= min(TELL_MS, self.tuning.mismatch_ms):
-            self._synced = now
-            self._out.exchanges.append(address)
-
-    def _exchange_with(self, member: Member | None) -> None:
-        if member is not None:
-            self._out.exchanges.append(member.profile.address)
+        self._timers.schedule(now + self.settings.gossip_interval_ms, TimerKind.GOSSIP)
+        if not broadcasts.has_budget(now):
+            return
+        for _ in range(self.settings.gossip_fanout):
+            member = self.detector.random_peer()
+            if member is not None and len(broadcasts):
+                self._outbox.send(member.profile.address, MessageKind.GOSSIP, now)
+
+    # ------------------------------------------------------------ joins
 
-    def _join(self, tries: int, now: float) -> None:
-        """Ask a contact for its table, another one each time, until one has answered."""
+    def _join(self, attempts: int, now: float) -> None:
+        """Sync with some of the contacts, with a growing pause, until one has answered."""
         if self.joined:
             return
-        for contact in self.rng.sample(self._contacts, min(len(self._contacts), 2)):
-            self._out.exchanges.append(contact)
-        wait = min(JOIN_FIRST_MS * 1.5**tries, self.tuning.rejoin_ms) * (0.5 + self.rng.random())
-        self._schedule.at(now + wait, Timer.JOIN, "", tries + 1)
-
-    def _call_the_dead(self, now: float) -> None:
-        """Ask now and then after one that is held dead: after a cut nobody else would."""
-        self._schedule.at(now + (0.5 + self.rng.random()) * self.tuning.rejoin_ms, Timer.REJOIN)
-        if self.yielded:
-            self._exchange_with(self.prober.any())  # how does the newer process fare?
+        for contact in self.rng.sample(self._contacts, min(len(self._contacts), CONTACTS_PER_JOIN)):
+            self._sync_planner.request(contact)
+        backoff = FIRST_JOIN_RETRY_MS * JOIN_BACKOFF_FACTOR**attempts
+        interval = min(backoff, self.settings.dead_probe_interval_ms)
+        delay = interval * (0.5 + self.rng.random())
+        self._timers.schedule(now + delay, TimerKind.JOIN, "", attempts + 1)
+
+    def _probe_dead_member(self, now: float) -> None:
+        """Ping a member that is held dead: after a partition nothing else would bring both sides together."""
+        if self.superseded:
+            self._sync_planner.request_with(self.detector.random_peer())  # is the newer process alive?
             return
-        dead = [m for m in self.view.members.values() if m.verdict is Verdict.DEAD and m is not self.me]
+        members = self.view.members.values()
+        dead = [m for m in members if m.liveness is Liveness.DEAD and m is not self.local_member]
         if dead:
-            self.prober.call(self.rng.choice(dead), now)
-        elif self.view.alive == 1 and self._contacts:
-            self._out.exchanges.append(self.rng.choice(self._contacts))
+            self.detector.ping_dead_member(self.rng.choice(dead), now)
+        elif self.view.alive_count == 1 and self._contacts:
+            self._sync_planner.request(self.rng.choice(self._contacts))
 
 
-def _owes(member: Member, message: Message) -> bool:
-    """Whether something is held of a datagram's sender that it has yet to refute."""
-    return bool(member.verdict) and message.sender.incarnation <= member.incarnation
+def _must_refute(sender: Sender, member: Member) -> bool:
+    """Return whether something is held of a datagram's sender that it has yet to refute."""
+    return member.liveness is not Liveness.ALIVE and sender.incarnation <= member.incarnation
--- a/crowpost/membership/failure_detector.py
+++ b/crowpost/membership/failure_detector.py
@@ -1,4 +1,9 @@
-"""Probes: whom this process looks at, through whom, and what a look that failed means."""
+"""The failure detector: which member is probed, through whom, and what a failed probe means.
+
+Each protocol period one member is pinged, and through others (ping-req) if it does not answer (SWIM,
+section 3).  The local health score follows Lifeguard, section IV.A.  Added to both: a member is suspected
+only once a second probe, a period later, has failed as well.
+"""
 
 from __future__ import annotations
 
@@ -8,227 +13,271 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from crowpost.membership.model import Claim, Member, Tuning, Verdict
-from crowpost.membership.timers import Schedule, Timer
-from crowpost.membership.view import View
-from crowpost.membership.wire import Kind, Message
+from crowpost.membership.model import Liveness, Member, StateUpdate
+from crowpost.membership.settings import ProtocolSettings
+from crowpost.membership.timers import TimerKind, TimerQueue
+from crowpost.membership.view import MembershipView
+from crowpost.membership.wire import Message, MessageKind
+
+MAX_LOCAL_HEALTH_SCORE = 4  # periods and timeouts are up to five times as long
+INDIRECT_PROBE_FRACTIONS = (0.3, 0.6)  # of a period, after which other members are asked to probe
+NACK_FRACTION = 0.25  # of a period, after which a member that was asked reports that it got no answer
+PROBES_BEFORE_SUSPICION = 2  # failed in a row
+MAX_PROBES_BEFORE_DEATH = 3  # of a suspected member, before it is declared dead
+MAX_PEER_DRAWS = 8  # of a random member, before it is taken that there is none
+_NUMBER_END = 2**32
+
+# Address, kind, time, probe number, target, and updates that go first: sends a datagram.
+SendDatagram = Callable[[str, MessageKind, float, int, str, list[StateUpdate]], None]
+
 
-AWARENESS_MOST = 4  # of one's own slowness: periods and waits are up to five times as long
-STEPS = (0.3, 0.6)  # parts of a period after which helpers are asked
-NACK_AT = 0.25  # part of a period after which a helper says that it got no answer
-LOOKS = 2  # probes in a row, a period apart, that a member fails before it is suspected
-LAST_LOOKS = 3  # at the most, before a suspected member is declared dead
+class ProbeVerdict(Enum):
+    """What follows for a member from a probe that failed."""
 
-# Address, kind, time, number, subject, and claims that go first: sends a datagram.
-Send = Callable[[str, Kind, float, int, str, list[Claim]], None]
+    SUSPECT = "suspect"
+    CONFIRM_SUSPICION = "confirm suspicion"
+    DECLARE_DEAD = "declare dead"
 
 
-class Failed(Enum):
-    """What follows from a look that failed."""
+@dataclass(frozen=True, slots=True)
+class ProbeFailure:
+    """A probe that failed, where something follows from it."""
 
-    ACCUSE = "accuse"
-    CONFIRM = "confirm"
-    BURY = "bury"
+    verdict: ProbeVerdict
+    member: Member
 
 
 @dataclass(slots=True)
 class _Probe:
     member: Member
     number: int
-    suspicion: int  # its generation when the probe began
-    last: int = 0  # so many failed looks, this one included, decide that suspicion; 0: it is not the matter
+    suspicion_generation: int  # of the member, when the probe began
+    final_probes: int = 0  # failed probes, this one included, that declare the member dead; 0: none do
     answered: bool = False
-    asked: int = 0
+    helpers_asked: int = 0
     nacks: int = 0
 
 
 @dataclass(slots=True)
-class _Errand:
-    """An indirect probe that this process makes for another."""
+class _IndirectProbe:
+    """A probe that this process makes for another."""
 
-    address: str
-    number: int  # the requester's own
-    subject: str
+    requester_address: str
+    requester_number: int
+    target: str
 
 
-class Prober:
-    """Goes through the members in a shuffled order, one each period, and knows how slow this process is."""
+class FailureDetector:
+    """Probes one member in each protocol period, in a shuffled order, and rates its own health."""
 
     def __init__(
         self,
-        view: View,
-        me: Member,
-        tuning: Tuning,
+        view: MembershipView,
+        local_member: Member,
+        settings: ProtocolSettings,
         rng: random.Random,
         counts: Counter[str],
-        schedule: Schedule,
-        send: Send,
+        timers: TimerQueue,
+        send: SendDatagram,
     ) -> None:
-        self._view, self._me, self._tuning, self._rng = view, me, tuning, rng
-        self._counts, self._schedule, self._send = counts, schedule, send
-        self.awareness = 0
-        self.ring: list[str] = []
-        self._place = 0
-        self._again: Member | None = None  # failed its last probe: looked at a second time
-        self._probes: dict[int, _Probe] = {}  # under way, by number
-        self._errands: dict[int, _Errand] = {}
-        self._number = 0
-
-    # ------------------------------------------------------------ one's own slowness
-
-    def aware(self, by: int) -> None:
-        """Take this process for slower or quicker."""
-        self.awareness = min(max(self.awareness + by, 0), AWARENESS_MOST)
-
-    def slept(self) -> None:
-        """This process stood still: what came of the looks under way is not known."""
-        self.aware(1)
+        self._view = view
+        self._local_member = local_member
+        self._settings = settings
+        self._rng = rng
+        self._counts = counts
+        self._timers = timers
+        self._send = send
+        self.local_health_score = 0  # 0: healthy; rises with signs that this process is slow
+        self.probe_order: list[str] = []
+        self._next_index = 0
+        self._retry: Member | None = None  # failed its last probe, and is probed again in the next round
+        self._probes: dict[int, _Probe] = {}  # in flight, by number
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
+        self._last_number = 0
+
+    # ------------------------------------------------------------ local health
+
+    def adjust_local_health(self, delta: int) -> None:
+        """Raise the local health score by `delta`, or lower it; it stays within its bounds."""
+        self.local_health_score = min(max(self.local_health_score + delta, 0), MAX_LOCAL_HEALTH_SCORE)
+
+    def on_process_paused(self) -> None:
+        """Void all probes in flight: this process did not run, so their results are not known."""
+        self.adjust_local_health(1)
         for probe in self._probes.values():
             probe.answered = True
-        self._again = None
+        self._retry = None
 
-    def period(self) -> float:
-        """Time in ms between two looks."""
-        return self._tuning.probe_ms * (1 + self.awareness)
+    def probe_interval_ms(self) -> float:
+        """Return the time between two rounds of probes."""
+        return self._settings.probe_interval_ms * (1 + self.local_health_score)
 
-    # ------------------------------------------------------------ whom
+    # ------------------------------------------------------------ choice of members
 
-    def enter(self, name: str) -> None:
-        """From now on this member is looked at, too, and asked for help."""
-        at = self._rng.randrange(len(self.ring) + 1)
-        self.ring.insert(at, name)
-        self._place += at < self._place
+    def add_target(self, name: str) -> None:
+        """Probe this member from now on; it is put at a random place of the order (SWIM, section 4.3)."""
+        index = self._rng.randrange(len(self.probe_order) + 1)
+        self.probe_order.insert(index, name)
+        if index < self._next_index:
+            self._next_index += 1
 
-    def any(self) -> Member | None:
-        """Some other member that is alive; None where there is none."""
-        for _ in range(8):
-            if not self.ring:
+    def random_peer(self) -> Member | None:
+        """Return a random other member that is alive; None if none was found."""
+        for _ in range(MAX_PEER_DRAWS):
+            if not self.probe_order:
                 return None
-            member = self._view.get(self.ring[self._rng.randrange(len(self.ring))])
-            if member is not None and member.alive and member is not self._me:
+            name = self.probe_order[self._rng.randrange(len(self.probe_order))]
+            member = self._view.get(name)
+            if self._is_alive_peer(member):
                 return member
         return None
 
-    def _next(self) -> Member | None:
-        """The next member in a shuffled order that all are gone through in."""
-        for _ in range(len(self.ring) + 1):
-            if self._place >= len(self.ring):
-                self.ring = [n for n in self.ring if (m := self._view.get(n)) is not None and m.alive]
-                self._rng.shuffle(self.ring)
-                self._place = 0
-                if not self.ring:
+    def _is_alive_peer(self, member: Member | None) -> bool:
+        return member is not None and member.alive and member is not self._local_member
+
+    def _next_target(self) -> Member | None:
+        """Return the next member of the order, which is shuffled after each pass."""
+        for _ in range(len(self.probe_order) + 1):
+            if self._next_index >= len(self.probe_order):
+                self._reshuffle()
+                if not self.probe_order:
                     return None
-            member = self._view.get(self.ring[self._place])
-            self._place += 1
-            if member is not None and member.alive and member is not self._me:
+            member = self._view.get(self.probe_order[self._next_index])
+            self._next_index += 1
+            if self._is_alive_peer(member):
                 return member
         return None
 
-    # ------------------------------------------------------------ looks
+    def _reshuffle(self) -> None:
+        members = (self._view.get(name) for name in self.probe_order)
+        self.probe_order = [member.name for member in members if member is not None and member.alive]
+        self._rng.shuffle(self.probe_order)
+        self._next_index = 0
 
-    def round(self, now: float) -> None:
-        """Look at the next member."""
-        member = self._again or self._next()
-        self._again = None
+    # ------------------------------------------------------------ probes
+
+    def start_round(self, now: float) -> None:
+        """Probe the next member, or once more the one that failed in the last round."""
+        member = self._retry or self._next_target()
+        self._retry = None
         if member is not None:
-            self.look(member, now)
+            self.probe(member, now)
+
+    def probe(self, member: Member, now: float, *, final_probes: int = 0) -> None:
+        """Start a probe.
 
-    def look(self, member: Member, now: float, *, last: int = 0) -> None:
-        """Begin a probe; last: the member is dead if so many in a row fail, this one being the first."""
+        Where `final_probes` is set, the member is dead if so many probes in a row fail, this one included.
+        """
         number = self._new_number()
-        self._probes[number] = _Probe(member, number, member.timer, last)
+        self._probes[number] = _Probe(member, number, member.suspicion_generation, final_probes)
         self._counts["probes"] += 1
         self._ping(member, number, now)
-        period = self.period()
-        for part in STEPS:
-            self._schedule.at(now + part * period, Timer.STEP, "", number)
-        self._schedule.at(now + period, Timer.JUDGE, "", number)
-
-    def last_look(self, member: Member, now: float) -> None:
-        """Begin the looks that decide a suspicion; one that is slow itself does not trust a single one."""
-        self.look(member, now, last=1 + min(self.awareness, LAST_LOOKS - 1))
-
-    def call(self, member: Member, now: float) -> None:
-        """A probe of which nothing follows, but for what its answer says."""
+        interval = self.probe_interval_ms()
+        for fraction in INDIRECT_PROBE_FRACTIONS:
+            self._timers.schedule(now + fraction * interval, TimerKind.INDIRECT_PROBE, "", number)
+        self._timers.schedule(now + interval, TimerKind.PROBE_TIMEOUT, "", number)
+
+    def probe_before_death(self, member: Member, now: float) -> None:
+        """Start the final probes of a suspected member; a process that is slow itself needs more of them."""
+        final_probes = 1 + min(self.local_health_score, MAX_PROBES_BEFORE_DEATH - 1)
+        self.probe(member, now, final_probes=final_probes)
+
+    def ping_dead_member(self, member: Member, now: float) -> None:
+        """Ping a member that is held dead; nothing follows if it does not answer."""
         self._ping(member, self._new_number(), now)
 
     def _new_number(self) -> int:
-        self._number = (self._number + 1) % 2**32
-        return self._number
+        self._last_number = (self._last_number + 1) % _NUMBER_END
+        return self._last_number
 
     def _ping(self, member: Member, number: int, now: float) -> None:
-        # One that is suspected is told so at once, and refutes it with its answer.
-        told = [member.claim(full=False)] if member.verdict else []
-        self._send(member.profile.address, Kind.PING, now, number, member.name, told)
+        # A member that is suspected learns so from the ping, and refutes it with its ack.
+        suspicion = [] if member.liveness is Liveness.ALIVE else [member.to_update(include_profile=False)]
+        self._send(member.profile.address, MessageKind.PING, now, number, member.name, suspicion)
 
-    def step(self, number: int, now: float) -> None:
-        """No answer yet: once more directly, and through some helpers."""
+    def send_indirect_probes(self, number: int, now: float) -> None:
+        """Ping again, directly and through other members, if there is no answer yet."""
         probe = self._probes.get(number)
         if probe is None or probe.answered:
             return
         self._ping(probe.member, number, now)
-        for _ in range(self._tuning.helpers):
-            helper = self.any()
+        for _ in range(self._settings.indirect_probes):
+            helper = self.random_peer()
             if helper is not None and helper is not probe.member:
-                probe.asked += 1
-                self._send(helper.profile.address, Kind.ASK, now, number, probe.member.name, [])
+                probe.helpers_asked += 1
+                target = probe.member.name
+                self._send(helper.profile.address, MessageKind.PING_REQ, now, number, target, [])
 
-    def judge(self, number: int, now: float) -> tuple[Failed, Member] | None:
-        """The time of a probe is over; what follows, if anything does."""
+    def on_probe_timeout(self, number: int, now: float) -> ProbeFailure | None:
+        """End a probe; return what follows if it failed, None if nothing does."""
         probe = self._probes.pop(number)
         member = probe.member
-        if probe.last and probe.suspicion == member.timer:
-            # A look that this process slept through decides nothing; one that was answered is followed by the
-            # refutation, or is made again.
-            if probe.answered or probe.last > 1:
-                self.look(member, now, last=probe.last - (not probe.answered))
-                return None
-            return Failed.BURY, member
+        if probe.final_probes and probe.suspicion_generation == member.suspicion_generation:
+            return self._end_final_probe(probe, now)
         if probe.answered or not member.alive:
             return None
         self._counts["probes_failed"] += 1
-        if probe.asked and not probe.nacks:
-            self.aware(1)  # not even helpers were heard: the fault may be here
-        member.doubts += 1
-        if member.verdict is Verdict.SUSPECTED:
-            return Failed.CONFIRM, member
-        if member.doubts >= LOOKS:
-            return Failed.ACCUSE, member
-        self._again = member
+        if probe.helpers_asked and not probe.nacks:
+            self.adjust_local_health(1)  # not even the helpers were heard: the fault may be local
+        member.failed_probes += 1
+        if member.liveness is Liveness.SUSPECT:
+            return ProbeFailure(ProbeVerdict.CONFIRM_SUSPICION, member)
+        if member.failed_probes >= PROBES_BEFORE_SUSPICION:
+            return ProbeFailure(ProbeVerdict.SUSPECT, member)
+        self._retry = member
         return None
 
-    # ------------------------------------------------------------ answers and errands
+    def _end_final_probe(self, probe: _Probe, now: float) -> ProbeFailure | None:
+        """End a final probe.
+
+        An answered one is repeated until the refutation arrives.  So is one during which this process did
+        not run, since that decides nothing.
+        """
+        if probe.answered:
+            self.probe(probe.member, now, final_probes=probe.final_probes)
+            return None
+        if probe.final_probes > 1:
+            self.probe(probe.member, now, final_probes=probe.final_probes - 1)
+            return None
+        return ProbeFailure(ProbeVerdict.DECLARE_DEAD, probe.member)
+
+    # ------------------------------------------------------------ answers, and probes for others
 
-    def acknowledged(self, message: Message, now: float) -> None:
-        """An answer to a probe of this process, or to one that it made for another."""
-        errand = self._errands.pop(message.number, None)
-        if errand is not None:
-            self._send(errand.address, Kind.ACK, now, errand.number, errand.subject, [])
+    def on_ack(self, message: Message, now: float) -> None:
+        """Handle the answer to a probe of this process, or to one that it made for another."""
+        indirect = self._indirect_probes.pop(message.number, None)
+        if indirect is not None:
+            self._reply_to_requester(MessageKind.ACK, indirect, now)
             return
         probe = self._probes.get(message.number)
-        if probe is not None and probe.member.name == message.subject and not probe.answered:
+        if probe is not None and probe.member.name == message.target and not probe.answered:
             probe.answered = True
-            probe.member.doubts = 0
-            self.aware(-1)
+            probe.member.failed_probes = 0
+            self.adjust_local_health(-1)
 
-    def not_acknowledged(self, message: Message) -> None:
-        """A helper got no answer, but could say so."""
+    def on_nack(self, message: Message) -> None:
+        """Handle the report of a helper that it got no answer."""
         probe = self._probes.get(message.number)
         if probe is not None:
             probe.nacks += 1
 
-    def help(self, message: Message, address: str, now: float) -> None:
-        """Another asks this process to probe a member for it."""
-        subject = self._view.get(message.subject)
-        if subject is None:
+    def on_ping_req(self, message: Message, address: str, now: float) -> None:
+        """Probe a member for another process, which is reached at `address`."""
+        target = self._view.get(message.target)
+        if target is None:
             return
         number = self._new_number()
-        self._errands[number] = _Errand(address, message.number, message.subject)
-        self._ping(subject, number, now)
-        self._schedule.at(now + NACK_AT * self._tuning.probe_ms, Timer.NACK, "", number)
-
-    def give_up(self, number: int, now: float) -> None:
-        """A probe for another was not answered in time."""
-        errand = self._errands.pop(number, None)
-        if errand is not None:
-            self._send(errand.address, Kind.NACK, now, errand.number, errand.subject, [])
+        self._indirect_probes[number] = _IndirectProbe(address, message.number, message.target)
+        self._ping(target, number, now)
+        timeout = NACK_FRACTION * self._settings.probe_interval_ms
+        self._timers.schedule(now + timeout, TimerKind.PING_REQ_TIMEOUT, "", number)
+
+    def on_ping_req_timeout(self, number: int, now: float) -> None:
+        """Report that a probe for another process was not answered in time."""
+        indirect = self._indirect_probes.pop(number, None)
+        if indirect is not None:
+            self._reply_to_requester(MessageKind.NACK, indirect, now)
+
+    def _reply_to_requester(self, kind: MessageKind, indirect: _IndirectProbe, now: float) -> None:
+        address = indirect.requester_address
+        self._send(address, kind, now, indirect.requester_number, indirect.target, [])
--- /dev/null
+++ b/crowpost/membership/framing.py
@@ -0,0 +1,32 @@
+"""Frames on TCP streams: a length and that many bytes."""
+
+from __future__ import annotations
+
+import asyncio
+
+from crowpost.membership.errors import MembershipError
+from crowpost.membership.wire import LENGTH_PREFIX, MAX_FRAME_BYTES
+
+FRAME_TIMEOUT_S = 3.0  # for each frame, and for a connection
+
+
+async def read_frame(reader: asyncio.StreamReader) -> bytes:
+    """Return the next frame.
+
+    Raise MembershipError if it is too long, TimeoutError if it is late, EOFError if the stream ends.
+    """
+    async with asyncio.timeout(FRAME_TIMEOUT_S):
+        (size,) = LENGTH_PREFIX.unpack(await reader.readexactly(LENGTH_PREFIX.size))
+        if size > MAX_FRAME_BYTES:
+            raise MembershipError(f"a frame of {size} bytes")
+        return await reader.readexactly(size)
+
+
+def write_frame(writer: asyncio.StreamWriter, frame: bytes) -> None:
+    """Write a frame; the caller drains the stream."""
+    writer.write(LENGTH_PREFIX.pack(len(frame)) + frame)
+
+
+def stream_bytes(frame: bytes) -> int:
+    """Return the size of a frame on a stream."""
+    return LENGTH_PREFIX.size + len(frame)
--- a/crowpost/membership/model.py
+++ b/crowpost/membership/model.py
@@ -1,9 +1,9 @@
-"""What is known of a member, how its states are ordered, and the bounds on what it may carry.
+"""Members, their states, and the updates that change them.
 
-A member's process declares its own phase; what others hold of it is a verdict.  Each declaration of its own
-raises its incarnation, and of two claims the higher (incarnation, verdict) holds: so a suspicion or a death
-is refuted by the next incarnation and by nothing else.  No wall clock takes part: `started_s` is only
-shown.
+A process announces its own phase; what others hold of it is its liveness.  Every announcement raises the
+incarnation of the process.  Of two updates the one with the higher (incarnation, liveness) wins, so a
+suspicion or a death is refuted by a higher incarnation only (SWIM, section 4.2).  No wall clock is used:
+`started_s` is only shown.
 """
 
 from __future__ import annotations
@@ -12,179 +12,189 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-WIRE = 1  # version of the messages; a neighbouring one is understood
-NAME_BYTES = 64
-ADDRESS_BYTES = 21
-ZONE_BYTES = 32
-ROLE_BYTES = 16
-WHY_BYTES = 64
-FACTS = 6
-FACT_KEY_BYTES = 24
-FACT_VALUE_BYTES = 64
+from crowpost.membership.errors import MembershipError
 
+WIRE_VERSION = 1  # of the messages; a neighbouring version is understood
 
-class MemberError(ValueError):
-    """A member, message or setting that cannot be meant; its text is one line."""
+# Bounds on what a member carries, so that one update always fits into a datagram.
+MAX_NAME_BYTES = 64
+MAX_ADDRESS_BYTES = 21
+MAX_ZONE_BYTES = 32
+MAX_ROLE_BYTES = 16
+MAX_REASON_BYTES = 64
+MAX_FACTS = 6
+MAX_FACT_KEY_BYTES = 24
+MAX_FACT_VALUE_BYTES = 64
+
+_IPV4_PARTS = 4
+_MAX_OCTET = 255
+_MAX_PORT = 65_535
 
 
 class Phase(IntEnum):
-    """What a process says of itself."""
+    """The life cycle phase that a process announces of itself."""
 
     JOINING = 0
     PRESENT = 1
     LEAVING = 2
 
+    @property
+    def label(self) -> str:
+        """The word for this phase in views, metrics and logs."""
+        return _PHASE_LABELS[self]
+
 
-class Verdict(IntEnum):
-    """What is held of it, in the order of strength at one incarnation."""
+class Liveness(IntEnum):
+    """What the others hold of a process, in the order of precedence at one incarnation."""
 
-    NONE = 0
-    SUSPECTED = 1
+    ALIVE = 0
+    SUSPECT = 1
     DEAD = 2
     LEFT = 3
 
+    @property
+    def label(self) -> str:
+        """The word for this liveness in views, metrics and logs."""
+        return _LIVENESS_LABELS[self]
+
+
+_PHASE_LABELS = {Phase.JOINING: "joining", Phase.PRESENT: "present", Phase.LEAVING: "leaving"}
+_LIVENESS_LABELS = {
+    Liveness.ALIVE: "alive",
+    Liveness.SUSPECT: "suspected",
+    Liveness.DEAD: "dead",
+    Liveness.LEFT: "left",
+}
+
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """What a process carries besides its state; bounded, so that one always fits into a datagram."""
+    """The description of a process that travels with its updates; raises MembershipError beyond a bound."""
 
     name: str
-    address: str  # host:port that others reach it at, by UDP and TCP
+    address: str  # host:port at which others reach it, by UDP and TCP
     zone: str = ""
     role: str = "node"
-    wire: int = WIRE
+    wire_version: int = WIRE_VERSION
     started_s: float = 0.0  # Unix time, only shown
     facts: dict[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        for label, text, most in (
-            ("name", self.name, NAME_BYTES),
-            ("address", self.address, ADDRESS_BYTES),
-            ("zone", self.zone, ZONE_BYTES),
-            ("role", self.role, ROLE_BYTES),
+        for label, text, limit in (
+            ("name", self.name, MAX_NAME_BYTES),
+            ("address", self.address, MAX_ADDRESS_BYTES),
+            ("zone", self.zone, MAX_ZONE_BYTES),
+            ("role", self.role, MAX_ROLE_BYTES),
         ):
-            if len(text.encode()) > most:
-                raise MemberError(f"{label} is longer than {most} bytes: {text[:80]!r}")
+            if len(text.encode()) > limit:
+                raise MembershipError(f"{label} is longer than {limit} bytes: {text[:80]!r}")
         if not self.name:
-            raise MemberError("name is empty")
+            raise MembershipError("name is empty")
         split_address(self.address)
-        if len(self.facts) > FACTS:
-            raise MemberError(f"{len(self.facts)} facts, {FACTS} at the most")
+        self._check_facts()
+
+    def _check_facts(self) -> None:
+        if len(self.facts) > MAX_FACTS:
+            raise MembershipError(f"{len(self.facts)} facts, {MAX_FACTS} at the most")
         for key, value in self.facts.items():
-            if len(key.encode()) > FACT_KEY_BYTES or len(value.encode()) > FACT_VALUE_BYTES:
-                raise MemberError(
-                    f"fact {key[:40]!r} is longer than {FACT_KEY_BYTES} and {FACT_VALUE_BYTES} bytes"
-                )
+            if len(key.encode()) > MAX_FACT_KEY_BYTES or len(value.encode()) > MAX_FACT_VALUE_BYTES:
+                bounds = f"{MAX_FACT_KEY_BYTES} and {MAX_FACT_VALUE_BYTES} bytes"
+                raise MembershipError(f"fact {key[:40]!r} is longer than {bounds}")
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of 'host:port', the host an IPv4 address; MemberError for anything else.
+    """Return host and port of 'host:port'; raise MembershipError if the host is no IPv4 address.
 
-    No name: what a peer claims is sent to as it stands, and nothing may wait for a look-up.
+    Names are not accepted: addresses come from other members, and sending must not wait for a look-up.
     """
     host, _, port = address.rpartition(":")
     parts = host.split(".")
     numbers = [int(p) for p in (*parts, port) if p.isascii() and p.isdigit() and len(p) < 6]
-    if len(numbers) != 5 or len(parts) != 4 or max(numbers[:4]) > 255 or numbers[4] > 65535:
-        raise MemberError(f"not an IPv4 address and a port: {address!r}")
-    return host, numbers[4]
+    complete = len(parts) == _IPV4_PARTS and len(numbers) == _IPV4_PARTS + 1
+    if not complete or max(numbers[:_IPV4_PARTS]) > _MAX_OCTET or numbers[-1] > _MAX_PORT:
+        raise MembershipError(f"not an IPv4 address and a port: {address!r}")
+    return host, numbers[-1]
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    """One statement on a member, as it travels; `profile` goes with it where it may be new to others."""
+class StateUpdate:
+    """One statement about a member, as it travels; `profile` is added where others may not know it."""
 
     name: str
-    birth: int  # 32 random bits that tell two processes of one name apart
+    instance_id: int  # 32 random bits that tell two processes of one name apart
     incarnation: int
     phase: Phase
-    verdict: Verdict
-    by: str  # who said so first
-    why: str = ""
+    liveness: Liveness
+    origin: str  # the member that said so first
+    reason: str = ""
     profile: Profile | None = None
 
     @property
-    def rank(self) -> tuple[int, int]:
-        return self.incarnation, int(self.verdict)
+    def precedence(self) -> tuple[int, int]:
+        """The key by which one of two updates on the same process wins."""
+        return self.incarnation, int(self.liveness)
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """What this process holds of one member; times are ms on its own monotonic clock."""
+    """The state of one member as this process holds it; times are ms on its own monotonic clock."""
 
     profile: Profile
-    birth: int
+    instance_id: int
     incarnation: int
     phase: Phase
-    verdict: Verdict
-    by: str
-    why: str
-    since: float  # when it came into this state here
-    heard: float = -math.inf  # when it last said anything to this process itself
-    counter: int = -1  # of its datagrams, the highest that came
-    doubts: int = 0  # probes in a row that it did not answer
-    accusers: frozenset[str] = frozenset()
-    timer: int = 0  # generation of the timer of its suspicion
-    condemned: float = math.inf  # when a death that another declared holds here, unless it is refuted first
-    told_at: float = -math.inf  # when it was last told what is held of it
-    deaths: int = 0  # how often it was held dead here
+    liveness: Liveness
+    origin: str
+    reason: str
+    state_since_ms: float
+    last_heard_ms: float = -math.inf  # of a datagram from the member itself
+    datagram_counter: int = -1  # the highest that was received
+    failed_probes: int = 0  # in a row
+    suspected_by: frozenset[str] = frozenset()
+    suspicion_generation: int = 0  # timers of an earlier generation are void
+    death_due_ms: float = math.inf  # when a death declared by another takes effect, unless refuted
+    notified_at_ms: float = -math.inf  # when it was last sent what is held of it
+    death_count: int = 0
 
     @property
     def name(self) -> str:
+        """The member's name."""
         return self.profile.name
 
     @property
     def alive(self) -> bool:
-        """Neither dead nor left."""
-        return self.verdict < Verdict.DEAD
+        """Whether the member is neither dead nor left."""
+        return self.liveness < Liveness.DEAD
 
     @property
     def state(self) -> str:
-        """One word: joining, present, leaving, suspected, dead or left."""
-        return (self.verdict.name if self.verdict else self.phase.name).lower()
-
-    def claim(self, full: bool = True) -> Claim:
-        profile = self.profile if full else None
-        return Claim(
-            self.name, self.birth, self.incarnation, self.phase, self.verdict, self.by, self.why, profile
+        """The member's state in one word: joining, present, leaving, suspected, dead or left."""
+        return self.phase.label if self.liveness is Liveness.ALIVE else self.liveness.label
+
+    def to_update(self, *, include_profile: bool = True) -> StateUpdate:
+        """Return an update that says what is held of this member."""
+        return StateUpdate(
+            self.name,
+            self.instance_id,
+            self.incarnation,
+            self.phase,
+            self.liveness,
+            self.origin,
+            self.reason,
+            self.profile if include_profile else None,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """A member came into another state, here."""
+class StateChange:
+    """A member came into another state in the view of this process."""
 
-    at: float  # ms
+    at_ms: float
     name: str
     before: str  # "" for a member that was not known
     after: str
-    by: str
-    why: str
+    origin: str
+    reason: str
     role: str
     incarnation: int
-    birth: int
-
-
-@dataclass(frozen=True, slots=True)
-class Tuning:
-    """Times of the protocol, in ms, and its bounds.  Source: SWIM (Das et al., 2002), Lifeguard (Dadgar et
-    al., 2018); the figures are measured in docs/membership.md.
-    """
-
-    probe_ms: float = 500.0  # one member is probed in each such period
-    helpers: int = 4  # asked for an indirect probe, at each of two steps
-    suspicion: float = 1.2  # least time of a suspicion, in periods, for each power of ten of members
-    suspicion_most: float = 5.0  # and the most, in times of the least: before any other has confirmed it
-    confirmations: int = 3  # that bring it down to the least
-    gossip_ms: float = 150.0  # between rounds of gossip while there is any
-    fanout: int = 3
-    repeats: float = 5.0  # how often a claim is passed on, for each power of ten of members
-    sync_ms: float = 30_000.0  # between exchanges of tables with anybody
-    mismatch_ms: float = 10_000.0  # and with one whose view has differed for so long
-    rejoin_ms: float = 5_000.0  # between calls at members held dead
-    forget_ms: float = 7_200_000.0  # dead and left members are remembered for so long
-    most_members: int = 5_000
-    most_gone: int = 4_096  # dead and left members kept at the most
-    datagram_bytes: int = 1_200
-    bytes_per_s: float = 1_800.0  # that gossip may take in the mean, probes included; those always go
-    bytes_saved: float = 54_000.0  # of that, saved up in quiet: many deaths at once must not wait for it
+    instance_id: int
--- a/crowpost/membership/sync.py
+++ b/crowpost/membership/sync.py
@@ -1,139 +1,126 @@
-"""Exchanges of tables between two processes, as frames: hello, table, rest.
+"""Anti-entropy sync of the views of two processes, as three frames; without I/O.
 
-The caller names the digests of its table's parts; the other sends what it holds in those that differ, and
-gets the caller's in return.  Equal views cost a few hundred bytes whatever the size of the cluster.  No I/O
-here either.
+1. The initiator sends a request with the digests of its buckets.
+2. The responder answers with its digests and its updates on the buckets that differ.
+3. The initiator completes the sync with its own updates on these buckets.
+
+Equal views cost a few hundred bytes whatever the size of the cluster.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-from crowpost.membership.core import Members
-from crowpost.membership.model import MemberError, Verdict
-from crowpost.membership.view import BUCKETS
+from crowpost.membership.core import MembershipCore
+from crowpost.membership.errors import InvalidMessageError, InvalidMessageReason, SyncRefusedError
+from crowpost.membership.model import StateUpdate
+from crowpost.membership.view import BUCKET_COUNT
 from crowpost.membership.wire import (
-    Foreign,
-    Kind,
-    claim_row,
+    MessageKind,
+    cluster_tag,
+    decode_frame,
+    decode_update,
+    encode_frame,
+    encode_update,
+    malformed,
     pack,
-    read_claim,
-    seal,
-    tag,
     unpack,
-    unseal,
 )
 
-
-class Refused(MemberError):  # noqa: N818 - named for what it says
-    """The other process will not have this one; its text says why."""
+MAX_REFUSAL_CHARS = 200
+MAX_SHOWN_CLUSTER_CHARS = 64
 
 
-def hello(core: Members) -> bytes:
-    """The first frame, from the process that calls."""
-    rows = [] if core.yielded else [claim_row(core.me_claim)]
-    return _frame(core, Kind.HELLO, [core.cluster, core.view.buckets if core.joined else [], rows])
+def make_request(core: MembershipCore) -> bytes:
+    """Return the initiator's first frame."""
+    rows = [] if core.superseded else [encode_update(core.own_update)]
+    digests = core.view.bucket_digests if core.joined else []
+    return _encode(core, MessageKind.SYNC_REQUEST, [core.cluster, digests, rows])
 
 
-def answer(core: Members, frame: bytes, now: float) -> bytes:
-    """The second frame, from the one called: what it holds in the parts that differ, or why it refuses."""
+def handle_request(core: MembershipCore, frame: bytes, now: float) -> bytes:
+    """Apply the initiator's request; return the response, or a refusal with its reason."""
     try:
-        kind, body = unseal(frame, None)
-        if kind is not Kind.HELLO:
-            raise Foreign("kind", f"{kind.name} is no hello")
-        cluster, buckets, rows, *_ = _list(body)
-        if cluster != core.cluster:
-            raise Foreign("cluster", f"this is cluster {core.cluster!r}, not {str(cluster)[:64]!r}")
-        differing = core.view.differing(_digests(buckets))
-        claims = [read_claim(row) for row in rows]
-    except (Foreign, TypeError, ValueError) as error:
-        core.counts[f"dropped_{getattr(error, 'kind', 'malformed')}"] += 1
-        return seal(Kind.REFUSED, tag(core.cluster), pack([str(error)[:200]]))
-    table = [claim_row(c) for c in core.view.claims(differing)]
-    frame = _frame(core, Kind.TABLE, [core.view.buckets, table])
-    for claim in claims:
-        core.claim(claim, now, from_table=True)
-    return frame
-
-
-def settle(core: Members, frame: bytes, now: float) -> bytes:
-    """The third frame, from the caller, which takes in the second; Refused or Foreign where that is none."""
-    kind, body = unseal(frame, None)
-    if kind is Kind.REFUSED:
-        raise Refused(str(_list(body)[0])[:200])
-    if kind is not Kind.TABLE:
-        raise Foreign("kind", f"{kind.name} is no table")
-    buckets, rows, *_ = _list(body)
-    differing = core.view.differing(_digests(buckets))
-    mine = [] if core.yielded else core.view.claims(differing)
-    reply = _frame(core, Kind.REST, [[claim_row(c) for c in mine]])
-    _take(core, rows, now)
-    core.joined = True
+        differing, updates = _decode_request(core, frame)
+    except (InvalidMessageError, TypeError, ValueError) as error:
+        return _refuse(core, error)
+    rows = [encode_update(update) for update in core.view.updates_in(differing)]
+    response = _encode(core, MessageKind.SYNC_RESPONSE, [core.view.bucket_digests, rows])
+    for update in updates:
+        core.apply_update(update, now, from_sync=True)
+    return response
+
+
+def _decode_request(core: MembershipCore, frame: bytes) -> tuple[list[int], list[StateUpdate]]:
+    """Return the buckets that differ, and the initiator's own update."""
+    kind, body = decode_frame(frame, None)
+    if kind is not MessageKind.SYNC_REQUEST:
+        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is no hello")
+    cluster, digests, rows, *_ = _decode_list(body)
+    if cluster != core.cluster:
+        other = str(cluster)[:MAX_SHOWN_CLUSTER_CHARS]
+        text = f"this is cluster {core.cluster!r}, not {other!r}"
+        raise InvalidMessageError(InvalidMessageReason.CLUSTER, text)
+    differing = core.view.differing_buckets(_decode_digests(digests))
+    return differing, [decode_update(row) for row in rows]
+
+
+def _refuse(core: MembershipCore, error: Exception) -> bytes:
+    reason = error.reason if isinstance(error, InvalidMessageError) else InvalidMessageReason.MALFORMED
+    core.counts[f"dropped_{reason}"] += 1
+    return _encode(core, MessageKind.SYNC_REFUSED, [str(error)[:MAX_REFUSAL_CHARS]])
+
+
+def handle_response(core: MembershipCore, frame: bytes, now: float) -> bytes:
+    """Apply the response; return the initiator's completion.
+
+    Raise SyncRefusedError if the responder refused, InvalidMessageError if the frame is no response.
+    """
+    kind, body = decode_frame(frame, None)
+    if kind is MessageKind.SYNC_REFUSED:
+        raise SyncRefusedError(str(_decode_list(body)[0])[:MAX_REFUSAL_CHARS])
+    if kind is not MessageKind.SYNC_RESPONSE:
+        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is no table")
+    digests, rows, *_ = _decode_list(body)
+    differing = core.view.differing_buckets(_decode_digests(digests))
+    own_updates = [] if core.superseded else core.view.updates_in(differing)
+    own_rows = [encode_update(update) for update in own_updates]
+    completion = _encode(core, MessageKind.SYNC_COMPLETION, [own_rows])
+    _apply(core, rows, now)
+    core.mark_joined()
     core.counts["exchanges"] += 1
-    return reply
+    return completion
 
 
-def finish(core: Members, frame: bytes, now: float) -> None:
-    """The one called takes in the third frame."""
-    kind, body = unseal(frame, tag(core.cluster))
-    if kind is not Kind.REST:
-        raise Foreign("kind", f"{kind.name} is no rest")
-    _take(core, _list(body)[0], now)
+def handle_completion(core: MembershipCore, frame: bytes, now: float) -> None:
+    """Apply the initiator's completion; raise InvalidMessageError if the frame is none."""
+    kind, body = decode_frame(frame, cluster_tag(core.cluster))
+    if kind is not MessageKind.SYNC_COMPLETION:
+        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is no rest")
+    _apply(core, _decode_list(body)[0], now)
     core.counts["exchanges"] += 1
 
 
-def _take(core: Members, rows: Any, now: float) -> None:
+def _apply(core: MembershipCore, rows: Any, now: float) -> None:
     if not isinstance(rows, list):
-        raise Foreign("malformed", "a table that is no list")
-    for claim in [read_claim(row) for row in rows]:
-        core.claim(claim, now, from_table=True)
+        raise malformed("a table that is no list")
+    updates = [decode_update(row) for row in rows]
+    for update in updates:
+        core.apply_update(update, now, from_sync=True)
 
 
-def _frame(core: Members, kind: Kind, value: list[Any]) -> bytes:
-    return seal(kind, tag(core.cluster), pack(value))
+def _encode(core: MembershipCore, kind: MessageKind, items: list[Any]) -> bytes:
+    return encode_frame(kind, cluster_tag(core.cluster), pack(items))
 
 
-def _list(body: bytes) -> list[Any]:
+def _decode_list(body: bytes) -> list[Any]:
     value = unpack(body)
     if not isinstance(value, list) or not value:
-        raise Foreign("malformed", "a frame that holds no list")
+        raise malformed("a frame that holds no list")
     return value
 
 
-def _digests(buckets: Any) -> list[int]:
-    if not isinstance(buckets, list) or len(buckets) not in (0, BUCKETS):
-        raise Foreign("malformed", "digests of another number")
-    return [int(b) for b in buckets]
-
-
-def snapshot(core: Members, now: float) -> dict[str, Any]:
-    """The whole view as plain values: times are ages in ms."""
-    return {
-        "cluster": core.cluster,
-        "by": core.me.name,
-        "yielded": core.yielded,
-        "digest": f"{core.view.digest:08x}",
-        "awareness": core.awareness,
-        "counts": dict(core.counts),
-        "members": [
-            {
-                "name": m.name,
-                "state": m.state,
-                "phase": m.phase.name.lower(),
-                "address": m.profile.address,
-                "zone": m.profile.zone,
-                "role": m.profile.role,
-                "wire": m.profile.wire,
-                "started_s": m.profile.started_s,
-                "facts": m.profile.facts,
-                "incarnation": m.incarnation,
-                "birth": f"{m.birth:08x}",
-                "said_by": m.by,
-                "why": m.why,
-                "since_ms": round(now - m.since, 1),
-                "heard_ms": None if m.heard < 0 else round(now - m.heard, 1),
-                "accusers": sorted(m.accusers) if m.verdict is Verdict.SUSPECTED else [],
-            }
-            for m in sorted(core.view.members.values(), key=lambda m: m.name)
-        ],
-    }
+def _decode_digests(digests: Any) -> list[int]:
+    if not isinstance(digests, list) or len(digests) not in (0, BUCKET_COUNT):
+        raise malformed("digests of another number")
+    return [int(digest) for digest in digests]
--- a/crowpost/membership/timers.py
+++ b/crowpost/membership/timers.py
@@ -1,52 +1,60 @@
-"""When a member's timers are due."""
+"""The timers of the protocol, ordered by the time at which they are due."""
 
 from __future__ import annotations
 
 import heapq
 import math
+from dataclasses import dataclass
 from enum import IntEnum
 
 
-class Timer(IntEnum):
-    """What a timer is for."""
+class TimerKind(IntEnum):
+    """What is to be done when a timer is due."""
 
-    ROUND = 0
-    STEP = 1
-    SUSPICION = 2
+    PROBE_ROUND = 0
+    INDIRECT_PROBE = 1
+    SUSPICION_TIMEOUT = 2
     GOSSIP = 3
     SYNC = 4
-    REJOIN = 5
+    PROBE_DEAD = 5
     JOIN = 6
-    FORGET = 7
-    NACK = 8
-    JUDGE = 9
+    REMOVE_EXPIRED = 7
+    PING_REQ_TIMEOUT = 8
+    PROBE_TIMEOUT = 9
 
 
-class Schedule:
-    """A heap of timers: time in ms, kind, a name and a number; equal times in the order of setting."""
+@dataclass(frozen=True, slots=True)
+class Timer:
+    """What a timer is for; `name` and `number` say which member and probe, where it concerns one."""
+
+    kind: TimerKind
+    name: str = ""
+    number: int = 0
+
+
+class TimerQueue:
+    """A heap of timers; those due at the same time come in the order in which they were scheduled."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[float, int, Timer, str, int]] = []
-        self._set = 0
+        self._heap: list[tuple[float, int, Timer]] = []
+        self._scheduled = 0
 
-    def at(self, when: float, kind: Timer, name: str = "", number: int = 0) -> None:
-        """Set a timer."""
-        self._set += 1
-        heapq.heappush(self._heap, (when, self._set, kind, name, number))
+    def schedule(self, due_ms: float, kind: TimerKind, name: str = "", number: int = 0) -> None:
+        """Add a timer."""
+        self._scheduled += 1
+        heapq.heappush(self._heap, (due_ms, self._scheduled, Timer(kind, name, number)))
 
-    def next_at(self) -> float:
-        """When the next is due; infinity if none is set."""
+    def next_due_ms(self) -> float:
+        """Return when the next timer is due; infinity if there is none."""
         return self._heap[0][0] if self._heap else math.inf
 
-    def pop_due(self, now: float) -> tuple[Timer, str, int] | None:
-        """The earliest that is due, which is taken off; None if none is."""
+    def pop_due(self, now: float) -> Timer | None:
+        """Remove and return the earliest timer that is due; None if none is."""
         if not self._heap or self._heap[0][0] > now:
             return None
-        _, _, kind, name, number = heapq.heappop(self._heap)
-        return kind, name, number
-
-    def shift(self, by: float) -> None:
-        """Move all on by as long; equal shifts keep the order, so the heap stays one."""
-        self._heap = [
-            (when + by, place, kind, name, number) for when, place, kind, name, number in self._heap
-        ]
+        _, _, timer = heapq.heappop(self._heap)
+        return timer
+
+    def postpone_all(self, delay_ms: float) -> None:
+        """Postpone every timer by the same time; their order stays, so the list stays a heap."""
+        self._heap = [(due_ms + delay_ms, order, timer) for due_ms, order, timer in self._heap]
--- a/crowpost/membership/transport.py
+++ b/crowpost/membership/transport.py
@@ -1,4 +1,7 @@
-"""The core on sockets: datagrams on UDP, tables on TCP, one address for both.  It decides nothing."""
+"""The protocol core on sockets: datagrams on UDP and frames on TCP, at one address.
+
+The transport decides nothing: it passes on what is received, and does what the core asks for.
+"""
 
 from __future__ import annotations
 
@@ -12,232 +15,255 @@
 from typing import Any
 
 from crowpost.membership import sync
-from crowpost.membership.configuration import MembersConfig
-from crowpost.membership.core import Members
-from crowpost.membership.model import Change, MemberError, Phase, Profile, split_address
-from crowpost.membership.wire import FRAME_BYTES, LENGTH, Kind, pack, seal, tag, unpack, unseal
+from crowpost.membership.configuration import MembershipConfig
+from crowpost.membership.core import MembershipCore, Output
+from crowpost.membership.errors import MembershipError, SyncRefusedError
+from crowpost.membership.framing import FRAME_TIMEOUT_S, read_frame, stream_bytes, write_frame
+from crowpost.membership.model import Phase, Profile, StateChange, split_address
+from crowpost.membership.snapshot import view_snapshot
+from crowpost.membership.wire import MessageKind, cluster_tag, decode_frame, encode_frame, pack
 
 log = logging.getLogger(__name__)
 
-FRAME_S = 3.0  # for each frame of an exchange, and for a connection
-PEERS_MOST = 16  # connections that are answered at once; more wait in the listener's queue
-CALLS_MOST = 4  # exchanges of this process's own at once; more are left out, as the next one brings the same
-ASK_AT_ONCE = 64  # members that one command asks at the same time
-FAREWELL_S = 0.3  # that a departure has to be passed on
-BIND_TRIES = 20  # for one port that is free on UDP and TCP
-BUFFER = 1 << 18  # bytes of datagrams that the socket keeps for a process that hardly runs
+MAX_INBOUND_CONNECTIONS = 16  # answered at once; more wait in the listener's queue
+MAX_OUTBOUND_SYNCS = 4  # at once; more are dropped, since the next sync brings the same
+LEAVE_DELAY_S = 0.3  # for a leave message to be passed on
+MAX_BIND_ATTEMPTS = 20  # to find one port that is free on UDP and TCP
+RECEIVE_BUFFER_BYTES = 1 << 18  # of datagrams, kept for a process that hardly runs
+INSTANCE_ID_BITS = 32
+SEED_BITS = 64
+
 
+class MembershipTransport:
+    """One member on the running event loop.
 
-class Carrier:
-    """One member on the running loop.  on_change is called after every change of the view."""
+    `on_change` is called after every change of the view.
+    """
 
     def __init__(
-        self, config: MembersConfig, on_change: Callable[[list[Change]], None] | None = None
+        self, config: MembershipConfig, on_change: Callable[[list[StateChange]], None] | None = None
     ) -> None:
         self._config = config
         self._on_change = on_change
         self._loop = asyncio.get_running_loop()
-        self._transport: asyncio.DatagramTransport | None = None
+        self._host = ""
+        self._datagrams: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = float("inf")
-        self._calls: set[asyncio.Task[None]] = set()
-        self._peers = asyncio.Semaphore(PEERS_MOST)
-        self._core: Members | None = None
-        self.leaving = asyncio.Event()  # an operator asked this member to leave
+        self._timer_due_ms = float("inf")
+        self._syncs: set[asyncio.Task[None]] = set()
+        self._inbound_slots = asyncio.Semaphore(MAX_INBOUND_CONNECTIONS)
+        self._core: MembershipCore | None = None
+        self.leave_requested = asyncio.Event()  # by an operator
 
     @property
-    def core(self) -> Members:
-        """The member itself; there from `start` on."""
+    def core(self) -> MembershipCore:
+        """The protocol core, which exists from `start` on."""
         assert self._core is not None
         return self._core
 
     def now(self) -> float:
-        """Monotonic time in ms."""
+        """Return the monotonic time in ms."""
         return 1000.0 * self._loop.time()
 
     async def start(self, facts: dict[str, str] | None = None, incarnation: int = 1) -> str:
-        """Bind, begin to join, and return the address that others are told; OSError where it cannot bind."""
+        """Bind and begin to join; return the bound address.  Raise OSError if it cannot be bound."""
         config = self._config
-        host, port = split_address(config.listen)
-        await self._bind(host, port)
-        assert self._transport is not None
-        bound = "{}:{}".format(*self._transport.get_extra_info("sockname")[:2])
-        address = config.advertise or bound
-        self._host = host
-        self._core = Members(
+        self._host, port = split_address(config.listen)
+        await self._bind(self._host, port)
+        assert self._datagrams is not None
+        host, port = self._datagrams.get_extra_info("sockname")[:2]
+        bound = f"{host}:{port}"
+        profile = Profile(
+            config.name,
+            config.advertise or bound,
+            config.zone,
+            config.role,
+            started_s=round(time.time(), 3),
+            facts={**(facts or {}), **config.facts},
+        )
+        self._core = MembershipCore(
             config.cluster,
-            Profile(
-                config.name,
-                address,
-                config.zone,
-                config.role,
-                started_s=round(time.time(), 3),
-                facts={**(facts or {}), **config.facts},
-            ),
-            tuple(a for a in config.join if a != bound),
-            seed=secrets.randbits(64),
-            birth=secrets.randbits(32),
+            profile,
+            tuple(address for address in config.join if address != bound),
+            seed=secrets.randbits(SEED_BITS),
+            instance_id=secrets.randbits(INSTANCE_ID_BITS),
             now=self.now(),
-            tuning=config.tuning,
+            settings=config.protocol,
             incarnation=incarnation,
         )
-        _tell("start", self.now(), member=config.name, listens=bound, address=address, cluster=config.cluster)
-        self._after()
+        self._log_event("start", self.now(), listens=bound, address=profile.address, cluster=config.cluster)
+        self._process_output()
         return bound
 
     async def _bind(self, host: str, port: int) -> None:
-        for tries in range(BIND_TRIES):
+        """Bind one port on UDP and TCP; port 0 stands for any that is free on both."""
+        for attempt in range(1, MAX_BIND_ATTEMPTS + 1):
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             try:
                 sock.bind((host, port))
+                bound_port = sock.getsockname()[1]
                 server = await asyncio.start_server(
-                    self._serve, host, sock.getsockname()[1], reuse_address=True
+                    self._handle_connection, host, bound_port, reuse_address=True
                 )
             except OSError:
                 sock.close()
-                if port or tries == BIND_TRIES - 1:
+                if port or attempt == MAX_BIND_ATTEMPTS:
                     raise
                 continue
             self._server = server
-            self._transport, _ = await self._loop.create_datagram_endpoint(
-                lambda: _Datagrams(self), sock=sock
+            self._datagrams, _ = await self._loop.create_datagram_endpoint(
+                lambda: _DatagramProtocol(self), sock=sock
             )
             return
 
-    # ------------------------------------------------------------ the core's work
+    # ------------------------------------------------------------ input and output of the core
 
-    def received(self, data: bytes) -> None:
-        """A datagram came."""
-        self.core.handle(data, self.now())
-        self._after()
+    def handle_datagram(self, data: bytes) -> None:
+        """Pass on a received datagram."""
+        self.core.handle_datagram(data, self.now())
+        self._process_output()
+
+    def announce_phase(self, phase: Phase, reason: str = "") -> None:
+        """Announce the phase of this process."""
+        self.core.announce_phase(phase, self.now(), reason)
+        self._process_output()
 
     def _tick(self) -> None:
         self._timer = None
-        self._timer_at = float("inf")
+        self._timer_due_ms = float("inf")
         self.core.tick(self.now())
-        self._after()
-
-    def declare(self, phase: Phase, why: str = "") -> None:
-        """Say of this process: joining, present or leaving."""
-        self.core.declare(phase, self.now(), why)
-        self._after()
-
-    def _after(self) -> None:
-        out = self.core.take()
-        for address, data in out.datagrams:
-            if self._transport is not None:
-                try:
-                    self._transport.sendto(data, split_address(address))
-                except (OSError, ValueError):
-                    self.core.counts["unsendable"] += 1  # an address that cannot be: its probes fail
-        for address in out.exchanges:
-            if len(self._calls) < CALLS_MOST:
-                call = self._loop.create_task(self._exchange(address))
-                self._calls.add(call)
-                call.add_done_callback(self._calls.discard)
-        for note in out.notes:
-            _tell("note", self.now(), member=self._config.name, text=note)
-        for change in out.changes:
-            _tell(
-                "change",
-                change.at,
-                member=self._config.name,
-                about=change.name,
-                before=change.before,
-                after=change.after,
-                by=change.by,
-                why=change.why,
-                incarnation=change.incarnation,
-                birth=f"{change.birth:08x}",
-            )
-        due = self.core.next_at()
-        if self._transport is not None and due < self._timer_at:
-            if self._timer is not None:
-                self._timer.cancel()
-            self._timer_at = due
-            self._timer = self._loop.call_at(due / 1000.0, self._tick)
-        if out.changes and self._on_change is not None:
-            self._on_change(out.changes)
-
-    # ------------------------------------------------------------ tables
-
-    async def _exchange(self, address: str) -> None:
-        core = self.core
+        self._process_output()
+
+    def _process_output(self) -> None:
+        """Do what the core asks for, and set the timer to its next due time."""
+        output = self.core.take_output()
+        for address, data in output.datagrams:
+            self._send(address, data)
+        for address in output.sync_addresses:
+            self._start_sync(address)
+        self._log_output(output)
+        self._set_timer(self.core.next_due_ms())
+        if output.changes and self._on_change is not None:
+            self._on_change(output.changes)
+
+    def _send(self, address: str, data: bytes) -> None:
+        if self._datagrams is None:
+            return
         try:
-            async with asyncio.timeout(FRAME_S):
-                reader, writer = await asyncio.open_connection(
-                    *split_address(address), local_addr=(self._host, 0)
-                )
+            self._datagrams.sendto(data, split_address(address))
+        except (OSError, ValueError):
+            self.core.counts["unsendable"] += 1  # an address that cannot exist: its probes will fail
+
+    def _set_timer(self, due_ms: float) -> None:
+        if self._datagrams is None or due_ms >= self._timer_due_ms:
+            return
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_due_ms = due_ms
+        self._timer = self._loop.call_at(due_ms / 1000.0, self._tick)
+
+    # ------------------------------------------------------------ sync
+
+    def _start_sync(self, address: str) -> None:
+        if len(self._syncs) < MAX_OUTBOUND_SYNCS:
+            task = self._loop.create_task(self._sync(address))
+            self._syncs.add(task)
+            task.add_done_callback(self._syncs.discard)
+
+    async def _sync(self, address: str) -> None:
+        """Sync with another member, as the initiator."""
+        try:
+            async with asyncio.timeout(FRAME_TIMEOUT_S):
+                host, port = split_address(address)
+                reader, writer = await asyncio.open_connection(host, port, local_addr=(self._host, 0))
         except (OSError, TimeoutError):
-            core.counts["exchanges_failed"] += 1
+            self.core.counts["exchanges_failed"] += 1
             return
         try:
-            self._write(writer, sync.hello(core))
-            table = await _frame(reader, core)
-            self._write(writer, sync.settle(core, table, self.now()))
-            self._after()
-            await _frame(reader, core)  # the other has it all
-        except sync.Refused as error:
-            core.counts["exchanges_refused"] += 1
-            _tell("refused", self.now(), member=self._config.name, address=address, text=str(error))
-        except (OSError, EOFError, TimeoutError, MemberError):
-            core.counts["exchanges_failed"] += 1
+            self._write(writer, sync.make_request(self.core))
+            response = await self._read(reader)
+            self._write(writer, sync.handle_response(self.core, response, self.now()))
+            self._process_output()
+            await self._read(reader)  # the responder has applied all of it
+        except SyncRefusedError as error:
+            self.core.counts["exchanges_refused"] += 1
+            self._log_event("refused", self.now(), address=address, text=str(error))
+        except (OSError, EOFError, TimeoutError, MembershipError):
+            self.core.counts["exchanges_failed"] += 1
         finally:
             writer.close()
 
-    def _write(self, writer: asyncio.StreamWriter, frame: bytes) -> None:
-        self.core.counts["bytes_out"] += LENGTH.size + len(frame)
-        writer.write(LENGTH.pack(len(frame)) + frame)
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        async with self._peers:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer a connection of another process; errors end this connection only."""
+        async with self._inbound_slots:
             try:
                 await self._answer(reader, writer)
             except (OSError, EOFError, TimeoutError):
                 pass
-            except MemberError:
+            except MembershipError:
                 self.core.counts["frames_dropped"] += 1
-            except Exception:
-                log.exception("fault in an exchange")
+            except Exception:  # nothing that one connection brings may end the process
+                log.exception("unexpected error on a membership connection")
             finally:
                 writer.close()
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        core = self.core
-        frame = await _frame(reader, core)
-        kind, _ = unseal(frame, None)
-        if kind is Kind.VIEW:
-            self._write(writer, seal(Kind.VIEW, tag(core.cluster), pack(sync.snapshot(core, self.now()))))
-        elif kind is Kind.LEAVE:
-            unseal(frame, tag(core.cluster))
+        frame = await self._read(reader)
+        kind, _ = decode_frame(frame, None)
+        if kind is MessageKind.VIEW:
+            self._write(writer, self._encode(MessageKind.VIEW, view_snapshot(self.core, self.now())))
+        elif kind is MessageKind.LEAVE:
+            decode_frame(frame, cluster_tag(self.core.cluster))
             self.leave("asked to leave")
-            self.leaving.set()
-            self._write(writer, seal(Kind.DONE, tag(core.cluster), pack([core.me.name])))
+            self.leave_requested.set()
+            self._write_done(writer)
         else:
-            reply = sync.answer(core, frame, self.now())
-            self._write(writer, reply)
-            self._after()
-            if unseal(reply, None)[0] is Kind.TABLE:
-                sync.finish(core, await _frame(reader, core), self.now())
-                self._after()
-                self._write(writer, seal(Kind.DONE, tag(core.cluster), pack([core.me.name])))
-        async with asyncio.timeout(FRAME_S):
+            await self._answer_sync(frame, reader, writer)
+        async with asyncio.timeout(FRAME_TIMEOUT_S):
             await writer.drain()
 
-    # ------------------------------------------------------------ the end
+    async def _answer_sync(
+        self, frame: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Sync with another member, as the responder."""
+        response = sync.handle_request(self.core, frame, self.now())
+        self._write(writer, response)
+        self._process_output()
+        kind, _ = decode_frame(response, None)
+        if kind is MessageKind.SYNC_RESPONSE:
+            sync.handle_completion(self.core, await self._read(reader), self.now())
+            self._process_output()
+            self._write_done(writer)
+
+    def _encode(self, kind: MessageKind, value: Any) -> bytes:
+        return encode_frame(kind, cluster_tag(self.core.cluster), pack(value))
+
+    def _write_done(self, writer: asyncio.StreamWriter) -> None:
+        self._write(writer, self._encode(MessageKind.DONE, [self.core.local_member.name]))
+
+    def _write(self, writer: asyncio.StreamWriter, frame: bytes) -> None:
+        self.core.counts["bytes_out"] += stream_bytes(frame)
+        write_frame(writer, frame)
 
-    def leave(self, why: str = "in order") -> None:
-        """Tell the others that this is no death."""
-        self.core.leave(self.now(), why)
-        self._after()
+    async def _read(self, reader: asyncio.StreamReader) -> bytes:
+        frame = await read_frame(reader)
+        self.core.counts["bytes_in"] += stream_bytes(frame)
+        return frame
 
-    async def close(self, why: str = "in order") -> None:
-        """Leave, let that be passed on, and close."""
-        self.leave(why)
-        await asyncio.sleep(FAREWELL_S)
+    # ------------------------------------------------------------ end
+
+    def leave(self, reason: str = "in order") -> None:
+        """Announce that this process leaves, so that its end is not taken for a death."""
+        self.core.leave(self.now(), reason)
+        self._process_output()
+
+    async def close(self, reason: str = "in order") -> None:
+        """Leave, wait until that has been passed on, and close."""
+        self.leave(reason)
+        await asyncio.sleep(LEAVE_DELAY_S)
         self.abort()
 
     def abort(self) -> None:
@@ -246,70 +272,42 @@
             self._timer.cancel()
         if self._server is not None:
             self._server.close()
-        if self._transport is not None:
-            self._transport.close()
-            self._transport = None
-        for call in self._calls:
-            call.cancel()
-
-
-class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, carrier: Carrier) -> None:
-        self._carrier = carrier
-
-    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        self._carrier.received(data)
-
-    def error_received(self, exc: Exception) -> None:
-        """An address where nobody listens: the probe that goes unanswered tells of it."""
-
-
-async def _frame(reader: asyncio.StreamReader, core: Members | None = None) -> bytes:
-    """One frame; MemberError for one that is too long."""
-    async with asyncio.timeout(FRAME_S):
-        (size,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
-        if size > FRAME_BYTES:
-            raise MemberError(f"a frame of {size} bytes")
-        frame = await reader.readexactly(size)
-    if core is not None:
-        core.counts["bytes_in"] += LENGTH.size + size
-    return frame
-
-
-async def ask(address: str, kind: Kind, cluster: str, within_s: float = FRAME_S) -> Any:
-    """What a member answers to VIEW or LEAVE; MemberError, in one line, where none comes."""
-    try:
-        async with asyncio.timeout(within_s):
-            reader, writer = await asyncio.open_connection(*split_address(address))
-            try:
-                frame = seal(kind, tag(cluster), pack([cluster]))
-                writer.write(LENGTH.pack(len(frame)) + frame)
-                _, body = unseal(await _frame(reader), None)
-                return unpack(body)
-            finally:
-                writer.close()
-    except TimeoutError:
-        raise MemberError(f"{address}: no answer within {within_s:g} s") from None
-    except (OSError, EOFError) as error:
-        raise MemberError(f"{address}: {str(error) or 'closed without an answer'}") from None
-
+        if self._datagrams is not None:
+            self._datagrams.close()
+            self._datagrams = None
+        for task in self._syncs:
+            task.cancel()
+
+    # ------------------------------------------------------------ log
+
+    def _log_output(self, output: Output) -> None:
+        for text in output.log_messages:
+            self._log_event("note", self.now(), text=text)
+        for change in output.changes:
+            self._log_event(
+                "change",
+                change.at_ms,
+                about=change.name,
+                before=change.before,
+                after=change.after,
+                by=change.origin,
+                why=change.reason,
+                incarnation=change.incarnation,
+                birth=f"{change.instance_id:08x}",
+            )
 
-async def ask_all(addresses: dict[str, str], within_s: float) -> dict[str, dict[str, Any] | str]:
-    """The views of many members by name, asked at once; for one that does not answer why, in one line."""
-    gate = asyncio.Semaphore(ASK_AT_ONCE)
+    def _log_event(self, event: str, at_ms: float, **values: object) -> None:
+        """Log one line of JSON; `at_ms` is the monotonic clock that all processes of a machine share."""
+        line = {"event": event, "at_ms": round(at_ms, 1), "member": self._config.name, **values}
+        log.info("members %s", json.dumps(line))
 
-    async def one(address: str) -> dict[str, Any] | str:
-        async with gate:
-            try:
-                view: dict[str, Any] = await ask(address, Kind.VIEW, "", within_s)
-            except MemberError as error:
-                return str(error)
-            return view
 
-    found = await asyncio.gather(*(one(address) for address in addresses.values()))
-    return dict(zip(addresses, found, strict=True))
+class _DatagramProtocol(asyncio.DatagramProtocol):
+    def __init__(self, transport: MembershipTransport) -> None:
+        self._transport = transport
 
+    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:  # noqa: ARG002 - asyncio's
+        self._transport.handle_datagram(data)
 
-def _tell(event: str, at: float, **values: object) -> None:
-    """One structured line; `at_ms` is the machine's monotonic clock, common to all of its processes."""
-    log.info("members %s", json.dumps({"event": event, "at_ms": round(at, 1), **values}))
+    def error_received(self, exc: Exception) -> None:
+        """Ignore an address where nobody listens: the probe that is not answered shows it."""
--- a/crowpost/membership/updates.py
+++ b/crowpost/membership/updates.py
@@ -1,4 +1,4 @@
-"""Claims: what this process says of itself, what it takes over from others, how long a suspicion lasts."""
+"""State updates: what this process announces of itself, and how it applies what others say."""
 
 from __future__ import annotations
 
@@ -7,254 +7,297 @@
 from collections import Counter
 from dataclasses import replace
 
-from crowpost.membership.broadcast_queue import Gossip
-from crowpost.membership.failure_detector import Prober
-from crowpost.membership.model import Claim, Member, Phase, Profile, Tuning, Verdict
-from crowpost.membership.timers import Schedule, Timer
-from crowpost.membership.view import View
+from crowpost.membership.broadcast_queue import BroadcastQueue
+from crowpost.membership.failure_detector import FailureDetector
+from crowpost.membership.model import Liveness, Member, Phase, Profile, StateUpdate
+from crowpost.membership.settings import ProtocolSettings
+from crowpost.membership.suspicion import suspicion_timeout_ms
+from crowpost.membership.timers import TimerKind, TimerQueue
+from crowpost.membership.view import MembershipView
 
-WITNESSES = 5.0  # members, in the mean, that look at a newly suspected one at once
-CONFIRM_PART = 0.5  # of the usual repeats, for one more accuser of a member that is suspected already
-HEAR_OUT_MS = 1_000.0  # that a member is suspected here at the least before another's word makes it dead
-YOUNG_MS = 5_000.0  # after its start a process takes over its name; later it gives way to a newer one
-BYSTANDER = 1.5  # times a suspicion's length, for one that has not accused the member itself
+IMMEDIATE_PROBERS = 5.0  # members, in the mean, that probe a newly suspected member at once
+CONFIRMATION_TRANSMIT_FRACTION = 0.5  # of the usual transmissions, for a confirmation of a suspicion
+MIN_SUSPICION_MS = 1_000.0  # that a member is suspected here before another's word makes it dead
+STARTUP_GRACE_MS = 5_000.0  # after its start a process takes over its name; later a newer one replaces it
+NON_ACCUSER_FACTOR = 1.5  # of a suspicion's timeout, at a process that has not accused the member itself
+NON_ACCUSER_JITTER = 0.5
 
 
-class Claims:
-    """The claims that hold, of this process and of all others.
+class UpdateProcessor:
+    """Applies state updates on this process and on all other members.
 
-    joined: whether this process has met the others, or is to be the first.  yielded: a newer process of the
-    same name stands for it.  wants_table: a claim came that cannot be understood without an exchange of
-    tables.
+    joined: this process has synced with another, or is the first of its cluster.
+    superseded: a newer process of the same name has taken its place.
+    needs_sync: an update arrived that cannot be applied without a sync.
     """
 
     def __init__(
         self,
-        own: Claim,
-        me: Member,
-        view: View,
-        tuning: Tuning,
+        own_update: StateUpdate,
+        local_member: Member,
+        view: MembershipView,
+        settings: ProtocolSettings,
         rng: random.Random,
         counts: Counter[str],
-        schedule: Schedule,
+        timers: TimerQueue,
         now: float,
     ) -> None:
-        self.own, self.me, self.view = own, me, view
-        self.gossip = Gossip(tuning)
-        self.joined = self.yielded = self.wants_table = False
-        self.spreading = False  # a round of gossip is planned
-        self.notes: list[str] = []
-        self._began = now
-        self._tuning, self._rng, self._counts, self._schedule = tuning, rng, counts, schedule
-        self.prober: Prober  # set by the owner of both
+        self.own_update = own_update
+        self.local_member = local_member
+        self.view = view
+        self.broadcasts = BroadcastQueue(settings)
+        self.joined = False
+        self.superseded = False
+        self.needs_sync = False
+        self.gossip_scheduled = False
+        self.log_messages: list[str] = []
+        self.detector: FailureDetector  # set by the owner of both
+        self._started_ms = now
+        self._settings = settings
+        self._rng = rng
+        self._counts = counts
+        self._timers = timers
 
     @property
     def left(self) -> bool:
-        """Whether this process has said good-bye."""
-        return self.own.verdict is Verdict.LEFT
+        """Whether this process has announced that it left."""
+        return self.own_update.liveness is Liveness.LEFT
 
-    # ------------------------------------------------------------ of this process
+    # ------------------------------------------------------------ updates on this process
 
-    def restate(
+    def announce(
         self,
         now: float,
-        incarnation: int = 0,
+        min_incarnation: int = 0,
         *,
         phase: Phase | None = None,
-        verdict: Verdict | None = None,
-        why: str = "",
+        liveness: Liveness | None = None,
+        reason: str = "",
         profile: Profile | None = None,
     ) -> None:
-        """Say something else of oneself, under a new incarnation: at the least the next."""
-        own = self.own
-        self.own = replace(
+        """Announce another state of this process, under the next incarnation or `min_incarnation`."""
+        own = self.own_update
+        self.own_update = replace(
             own,
-            incarnation=max(incarnation, own.incarnation + 1),
+            incarnation=max(min_incarnation, own.incarnation + 1),
             phase=own.phase if phase is None else phase,
-            verdict=own.verdict if verdict is None else verdict,
-            why=why,
+            liveness=own.liveness if liveness is None else liveness,
+            reason=reason,
             profile=profile or own.profile,
         )
-        if not self.yielded:
-            self.view.set(self.me, self.own, now)
-            self.pass_on(self.own, now)
-
-    def _about_me(self, claim: Claim, now: float) -> None:
-        """A claim on this process's name: refute it, or give way to a newer process of the same name."""
-        own = self.own
-        if self.yielded and claim.birth == self.me.birth and claim.verdict >= Verdict.DEAD:
-            # Whatever this process has said of itself meanwhile, nobody heard it.
-            end = claim.verdict.name.lower()
-            self.notes.append(f"{own.name}: the newer process is {end}, back in place")
-            self.yielded = False
-            self.restate(now, claim.incarnation + 1)
-        elif self.left or claim.incarnation < own.incarnation:
+        if not self.superseded:
+            self.view.apply(self.local_member, self.own_update, now)
+            self.broadcast(self.own_update, now)
+
+    def _apply_to_self(self, update: StateUpdate, now: float) -> None:
+        """Apply an update on this process's name: refute it, or yield to a newer process of that name."""
+        own = self.own_update
+        about_successor = update.instance_id == self.local_member.instance_id
+        if self.superseded and about_successor and update.liveness >= Liveness.DEAD:
+            self._take_place_back(update, now)
+        elif self.left or update.incarnation < own.incarnation:
             return
-        elif claim.birth == own.birth:
-            if (claim.verdict or claim.phase is not own.phase) and not self.yielded:
-                self._counts["refuted"] += 1
-                self.prober.aware(1)
-                self.restate(now, claim.incarnation + 1)
-        elif claim.verdict >= Verdict.DEAD or now - self._began < YOUNG_MS:
-            # The one that had the name is gone, or its place is being taken over by this process.
-            self.restate(now, claim.incarnation + 1)
-        elif (claim.incarnation, claim.birth) > (own.incarnation, own.birth):
-            self._give_way(claim, now)
+        elif update.instance_id == own.instance_id:
+            if not self.superseded and (update.liveness, update.phase) != (Liveness.ALIVE, own.phase):
+                self._refute(update, now)
+        elif update.liveness >= Liveness.DEAD or now - self._started_ms < STARTUP_GRACE_MS:
+            # The predecessor is gone, or this process is about to take over its name.
+            self.announce(now, update.incarnation + 1)
+        elif (update.incarnation, update.instance_id) > (own.incarnation, own.instance_id):
+            self._yield_to(update, now)
         else:
-            self.restate(now, claim.incarnation + 1)
+            self.announce(now, update.incarnation + 1)
+
+    def _refute(self, update: StateUpdate, now: float) -> None:
+        self._counts["refuted"] += 1
+        self.detector.adjust_local_health(1)
+        self.announce(now, update.incarnation + 1)
 
-    def _give_way(self, claim: Claim, now: float) -> None:
-        if claim.profile is None and claim.birth != self.me.birth:
-            self.wants_table = True
+    def _take_place_back(self, update: StateUpdate, now: float) -> None:
+        name = self.own_update.name
+        self.log_messages.append(f"{name}: the newer process is {update.liveness.label}; active again")
+        self.superseded = False
+        # Announcements that were made while superseded were not sent to anybody.
+        self.announce(now, update.incarnation + 1)
+
+    def _yield_to(self, update: StateUpdate, now: float) -> None:
+        if update.profile is None and update.instance_id != self.local_member.instance_id:
+            self.needs_sync = True
             return
-        if not self.yielded:
-            self.yielded = True
+        if not self.superseded:
+            self.superseded = True
             self._counts["yielded"] += 1
-            self.notes.append(f"{claim.name}: a newer process of this name stands for it now")
-        if self.view.wins(claim, self.me):
-            self.view.set(self.me, claim, now)
+            self.log_messages.append(f"{update.name}: superseded by a newer process of this name")
+        if self.view.supersedes(update, self.local_member):
+            self.view.apply(self.local_member, update, now)
 
-    # ------------------------------------------------------------ of others
+    # ------------------------------------------------------------ updates on others
 
-    def take(self, claim: Claim, now: float, *, from_table: bool = False) -> None:
-        """Take in a claim.  from_table: a death in an exchanged table is only a suspicion here.
+    def apply(self, update: StateUpdate, now: float, *, from_sync: bool = False) -> None:
+        """Apply an update.
 
-        After a cut each side holds the other dead; were that taken over, all would be dead for all until
-        each had refuted it.
+        A death that comes from a sync is applied as a suspicion: after a network partition each side holds
+        the other dead, and each member must first get the chance to refute that.
         """
-        if claim.name == self.me.name:
-            self._about_me(claim, now)
+        if update.name == self.local_member.name:
+            self._apply_to_self(update, now)
             return
-        member = self.view.get(claim.name)
+        member = self.view.get(update.name)
         if member is None:
-            self._newcomer(claim, now)
+            self._add_member(update, now)
             return
-        same = claim.birth == member.birth
-        if claim.verdict is Verdict.DEAD and member.alive and same:
-            if from_table:
-                claim = replace(claim, verdict=Verdict.SUSPECTED)
-            elif member.verdict is Verdict.NONE or now - member.since < HEAR_OUT_MS:
-                self._condemn(member, claim, now)
+        same_process = update.instance_id == member.instance_id
+        if update.liveness is Liveness.DEAD and member.alive and same_process:
+            if from_sync:
+                update = replace(update, liveness=Liveness.SUSPECT)
+            elif self._must_defer_death(member, now):
+                self._defer_death(member, update, now)
                 return
-        if not self.view.wins(claim, member):
-            suspects = claim.rank == (member.incarnation, Verdict.SUSPECTED)
-            if same and suspects and member.verdict is Verdict.SUSPECTED:
-                self.confirm(member, claim.by, now)
-        elif same or claim.profile is not None:
-            self._let_hold(member, claim, now)
+        if not self.view.supersedes(update, member):
+            if same_process and self._is_same_suspicion(update, member):
+                self.confirm_suspicion(member, update.origin, now)
+        elif same_process or update.profile is not None:
+            self._accept(member, update, now)
         else:
             self._counts["lacking"] += 1
 
-    def _let_hold(self, member: Member, claim: Claim, now: float) -> None:
-        was = member.verdict
-        self.view.set(member, claim, now)
-        self.pass_on(claim, now)
-        self._follow(member, was, now)
+    @staticmethod
+    def _is_same_suspicion(update: StateUpdate, member: Member) -> bool:
+        suspected = member.liveness is Liveness.SUSPECT
+        return suspected and update.precedence == (member.incarnation, Liveness.SUSPECT)
+
+    @staticmethod
+    def _must_defer_death(member: Member, now: float) -> bool:
+        return member.liveness is Liveness.ALIVE or now - member.state_since_ms < MIN_SUSPICION_MS
 
-    def _condemn(self, member: Member, claim: Claim, now: float) -> None:
-        """A death of which this process had no inkling: the member is heard out before it holds.
+    def _defer_death(self, member: Member, update: StateUpdate, now: float) -> None:
+        """Suspect a member that another declared dead; the death takes effect if it does not refute that.
 
-        Guards against what is said behind a cut just before it ends: without this a member that all could
-        reach was dead for all until it had refuted that.
+        Without this a death that was declared behind a partition, just before its end, held at all members
+        until it was refuted, though all of them could reach the member.
         """
-        if claim.incarnation < member.incarnation:
+        if update.incarnation < member.incarnation:
             return
-        self.take(replace(claim, verdict=Verdict.SUSPECTED), now)
-        if member.verdict is Verdict.SUSPECTED and math.isinf(member.condemned):
-            member.condemned = member.since + HEAR_OUT_MS
-            member.timer += 1
-            self._plan_expiry(member, now)
-
-    def _newcomer(self, claim: Claim, now: float) -> None:
-        if claim.profile is None:
+        self.apply(replace(update, liveness=Liveness.SUSPECT), now)
+        if member.liveness is Liveness.SUSPECT and math.isinf(member.death_due_ms):
+            member.death_due_ms = member.state_since_ms + MIN_SUSPICION_MS
+            member.suspicion_generation += 1
+            self._schedule_suspicion_timeout(member, now)
+
+    def _add_member(self, update: StateUpdate, now: float) -> None:
+        if update.profile is None:
             self._counts["lacking"] += 1
             return
-        if claim.verdict < Verdict.DEAD and self.view.alive >= self._tuning.most_members:
-            self.view.refused += 1
+        if update.liveness < Liveness.DEAD and self.view.alive_count >= self._settings.max_members:
+            self.view.rejected_updates += 1
             return
-        member = self.view.add(claim.profile, claim, now)
+        member = self.view.add(update.profile, update, now)
         if member is not None:
-            self.pass_on(claim, now)
-            self._follow(member, Verdict.NONE, now)
+            self.broadcast(update, now)
+            self._on_liveness(member, Liveness.ALIVE, now)
             if member.alive:
-                self.prober.enter(member.name)
-
-    def _follow(self, member: Member, was: Verdict, now: float) -> None:
-        """After a claim has won: begin or end a suspicion, and the probing of the member."""
-        member.timer += 1
-        if member.verdict is Verdict.SUSPECTED:
-            member.accusers = frozenset((member.by,))
-            self._plan_expiry(member, now)
-            if member.by != self.me.name and self._rng.random() * self.view.alive < WITNESSES:
-                # A few of all who hear of it look at once, so that it need not wait for their turns.
-                self.prober.look(member, now)
+                self.detector.add_target(member.name)
+
+    def _accept(self, member: Member, update: StateUpdate, now: float) -> None:
+        before = member.liveness
+        self.view.apply(member, update, now)
+        self.broadcast(update, now)
+        self._on_liveness(member, before, now)
+
+    def _on_liveness(self, member: Member, before: Liveness, now: float) -> None:
+        """Begin or end a suspicion, and the probes of a member, after an update was accepted."""
+        member.suspicion_generation += 1
+        if member.liveness is Liveness.SUSPECT:
+            self._begin_suspicion(member, now)
         else:
-            member.condemned = math.inf
-            member.accusers = frozenset()
-            member.doubts = 0
-        if was is Verdict.SUSPECTED and member.verdict is Verdict.NONE:
+            member.death_due_ms = math.inf
+            member.suspected_by = frozenset()
+            member.failed_probes = 0
+        if before is Liveness.SUSPECT and member.liveness is Liveness.ALIVE:
             self._counts["false_suspicions"] += 1
-        elif was is Verdict.DEAD and member.alive:
+        elif before is Liveness.DEAD and member.alive:
             self._counts["returned"] += 1
-        if was >= Verdict.DEAD and member.alive:
-            self.prober.enter(member.name)
+        if before >= Liveness.DEAD and member.alive:
+            self.detector.add_target(member.name)
+
+    # ------------------------------------------------------------ suspicions and deaths
 
-    # ------------------------------------------------------------ suspicions
+    def _begin_suspicion(self, member: Member, now: float) -> None:
+        member.suspected_by = frozenset((member.origin,))
+        self._schedule_suspicion_timeout(member, now)
+        by_another = member.origin != self.local_member.name
+        if by_another and self._rng.random() * self.view.alive_count < IMMEDIATE_PROBERS:
+            # A few of all members probe it at once, so that confirmations need not wait for its turn.
+            self.detector.probe(member, now)
 
-    def accuse(self, member: Member, now: float) -> None:
-        """This process suspects a member."""
+    def suspect(self, member: Member, now: float) -> None:
+        """Suspect a member that did not answer the probes of this process."""
         self._counts["suspicions"] += 1
-        why = f"{member.doubts} probes without answer"
-        self.take(replace(member.claim(full=False), verdict=Verdict.SUSPECTED, by=self.me.name, why=why), now)
+        update = replace(
+            member.to_update(include_profile=False),
+            liveness=Liveness.SUSPECT,
+            origin=self.local_member.name,
+            reason=f"{member.failed_probes} probes without answer",
+        )
+        self.apply(update, now)
 
-    def confirm(self, member: Member, accuser: str, now: float) -> None:
-        """One more accuser of a member that is suspected: its time gets shorter."""
-        if accuser in member.accusers or len(member.accusers) > self._tuning.confirmations:
+    def confirm_suspicion(self, member: Member, accuser: str, now: float) -> None:
+        """Count an independent accuser of a suspected member, which shortens the suspicion's timeout."""
+        enough = len(member.suspected_by) > self._settings.expected_confirmations
+        if accuser in member.suspected_by or enough:
             return
-        member.accusers |= {accuser}
-        member.timer += 1
-        self._plan_expiry(member, now)
-        self.pass_on(replace(member.claim(full=False), by=accuser), now, CONFIRM_PART)
-
-    def _plan_expiry(self, member: Member, now: float) -> None:
-        t = self._tuning
-        least = t.suspicion * t.probe_ms * max(1.0, math.log10(max(self.view.alive, 1)))
-        wanted = min(t.confirmations, self.view.alive - 2)
-        open_part = 0.0
-        if wanted >= 1:
-            open_part = max(0.0, 1.0 - math.log(len(member.accusers)) / math.log(wanted + 1))
-        wait = least * (1.0 + (t.suspicion_most - 1.0) * open_part) * (1.0 + self.prober.awareness / 2)
-        if self.me.name not in member.accusers:
-            # Those who saw nothing themselves leave the last look to those who did, as long as they act.
-            wait *= BYSTANDER + 0.5 * self._rng.random()
-        due = min(member.since + wait, member.condemned)
-        self._schedule.at(max(now, due), Timer.SUSPICION, member.name, member.timer)
-
-    def expire(self, name: str, number: int, now: float) -> None:
-        """The time of a suspicion is over: dead, unless the member answers a last look of this process's own.
-
-        The refutation may have missed just this process, as it does one that hardly runs.
+        member.suspected_by |= {accuser}
+        member.suspicion_generation += 1
+        self._schedule_suspicion_timeout(member, now)
+        update = replace(member.to_update(include_profile=False), origin=accuser)
+        self.broadcast(update, now, CONFIRMATION_TRANSMIT_FRACTION)
+
+    def _schedule_suspicion_timeout(self, member: Member, now: float) -> None:
+        timeout = suspicion_timeout_ms(
+            self._settings,
+            self.view.alive_count,
+            len(member.suspected_by),
+            self.detector.local_health_score,
+        )
+        if self.local_member.name not in member.suspected_by:
+            # The final probes are left to the accusers, as long as they act.
+            timeout *= NON_ACCUSER_FACTOR + NON_ACCUSER_JITTER * self._rng.random()
+        due = max(now, min(member.state_since_ms + timeout, member.death_due_ms))
+        generation = member.suspicion_generation
+        self._timers.schedule(due, TimerKind.SUSPICION_TIMEOUT, member.name, generation)
+
+    def on_suspicion_timeout(self, name: str, generation: int, now: float) -> None:
+        """End a suspicion: the member is dead unless it answers the final probes of this process.
+
+        The refutation may have missed just this process, for example if it hardly ran meanwhile.
         """
         member = self.view.get(name)
-        if member is None or member.timer != number or member.verdict is not Verdict.SUSPECTED:
+        if member is None or member.suspicion_generation != generation:
+            return
+        if member.liveness is not Liveness.SUSPECT:
             return
-        member.timer += 1
-        if now >= member.condemned:
-            self._bury(member, now, member.by, member.why)
+        member.suspicion_generation += 1
+        if now >= member.death_due_ms:
+            self._mark_dead(member, now, member.origin, member.reason)
         else:
-            self.prober.last_look(member, now)
+            self.detector.probe_before_death(member, now)
 
-    def bury(self, member: Member, now: float) -> None:
-        """The last look has failed: this process declares the member dead."""
+    def declare_dead(self, member: Member, now: float) -> None:
+        """Declare a member dead that did not answer the final probes of this process."""
         self._counts["declared_dead"] += 1
-        self._bury(member, now, self.me.name, f"no answer, accused by {len(member.accusers)}")
+        reason = f"no answer, accused by {len(member.suspected_by)}"
+        self._mark_dead(member, now, self.local_member.name, reason)
+
+    def _mark_dead(self, member: Member, now: float, origin: str, reason: str) -> None:
+        update = member.to_update(include_profile=False)
+        self._accept(member, replace(update, liveness=Liveness.DEAD, origin=origin, reason=reason), now)
 
-    def _bury(self, member: Member, now: float, by: str, why: str) -> None:
-        self._let_hold(member, replace(member.claim(full=False), verdict=Verdict.DEAD, by=by, why=why), now)
+    # ------------------------------------------------------------ dissemination
 
-    def pass_on(self, claim: Claim, now: float, part: float = 1.0) -> None:
-        """Tell others, with what goes anyway and in rounds of gossip."""
-        self.gossip.add(claim, self.view.alive, part)
-        if not self.spreading:
-            self.spreading = True
-            self._schedule.at(now + self._rng.random() * self._tuning.gossip_ms, Timer.GOSSIP)
+    def broadcast(self, update: StateUpdate, now: float, transmit_fraction: float = 1.0) -> None:
+        """Queue an update for gossip, and schedule a round of gossip if none is."""
+        self.broadcasts.enqueue(update, self.view.alive_count, transmit_fraction)
+        if not self.gossip_scheduled:
+            self.gossip_scheduled = True
+            delay = self._rng.random() * self._settings.gossip_interval_ms
+            self._timers.schedule(now + delay, TimerKind.GOSSIP)
