--- a/crowpost/membership/view.py
+++ b/crowpost/membership/view.py
@@ -1,119 +1,135 @@
-"""The table of members at one process: which claim holds, a digest of it, and what changed."""
+"""The view of one process: what it holds of each member, a digest of that, and the changes."""
 
 from __future__ import annotations
 
 import zlib
 from collections.abc import Iterable
 
-from crowpost.membership.model import Change, Claim, Member, Profile, Tuning, Verdict
+from crowpost.membership.model import Liveness, Member, Profile, StateChange, StateUpdate
+from crowpost.membership.settings import ProtocolSettings
 from crowpost.membership.wire import pack
 
-BUCKETS = 64  # parts of the table that are compared and exchanged apart
+BUCKET_COUNT = 64  # parts of the view that are compared and synced separately
 
 
-class View:
-    """Members by name.  Equal digests mean: the same processes held to be alive, in the same phases.
+class MembershipView:
+    """Members by name.
 
-    Dead and left members are no part of the digest: that one process has forgotten a death which another
-    still remembers is no disagreement.
+    Equal digests mean that the same processes are held to be alive, in the same phases.  Dead and left
+    members are not part of the digest: two processes need not forget a death at the same time.
     """
 
-    def __init__(self, tuning: Tuning) -> None:
-        self._tuning = tuning
+    def __init__(self, settings: ProtocolSettings) -> None:
+        self._settings = settings
         self.members: dict[str, Member] = {}
-        self.buckets = [0] * BUCKETS
+        self.bucket_digests = [0] * BUCKET_COUNT
         self.digest = 0
-        self.alive = 0  # members neither dead nor left
-        self.changes: list[Change] = []
-        self.refused = 0  # claims that found no room
+        self.alive_count = 0  # members that are neither dead nor left
+        self.changes: list[StateChange] = []
+        self.rejected_updates = 0  # on new members, while the view was full
 
     def get(self, name: str) -> Member | None:
-        """The member of this name, in whatever state."""
+        """Return the member of this name in whatever state; None if it is not known."""
         return self.members.get(name)
 
-    def add(self, profile: Profile, claim: Claim, now: float) -> Member | None:
-        """A member that was not known; None where the table is full."""
-        if len(self.members) >= self._tuning.most_members + self._tuning.most_gone:
-            self.refused += 1
+    def add(self, profile: Profile, update: StateUpdate, now: float) -> Member | None:
+        """Add and return a member that was not known; None if the view is full."""
+        if len(self.members) >= self._settings.max_members + self._settings.max_dead_members:
+            self.rejected_updates += 1
             return None
         member = Member(
-            profile, claim.birth, claim.incarnation, claim.phase, claim.verdict, claim.by, claim.why, now
+            profile,
+            update.instance_id,
+            update.incarnation,
+            update.phase,
+            update.liveness,
+            update.origin,
+            update.reason,
+            now,
         )
         self.members[profile.name] = member
         self._count(member, 1)
-        self._note(member, "", now)
+        self._record_change(member, "", now)
         return member
 
-    def set(self, member: Member, claim: Claim, now: float) -> None:
-        """Let a claim hold of a member, whatever held before."""
-        before, alive = member.state, member.alive
+    def apply(self, member: Member, update: StateUpdate, now: float) -> None:
+        """Set the state of a member to that of an update, whatever was held before."""
+        before = member.state
+        was_alive = member.alive
         self._count(member, -1)
-        if claim.birth != member.birth:
-            member.birth, member.counter = claim.birth, -1
+        if update.instance_id != member.instance_id:
+            member.instance_id = update.instance_id
+            member.datagram_counter = -1
             before = f"{before} (another process)"
-        member.incarnation, member.phase, member.verdict = claim.incarnation, claim.phase, claim.verdict
-        member.by, member.why = claim.by, claim.why
-        if claim.profile is not None:
-            member.profile = claim.profile
-        if alive and not member.alive:
-            member.deaths += claim.verdict is Verdict.DEAD
+        member.incarnation = update.incarnation
+        member.phase = update.phase
+        member.liveness = update.liveness
+        member.origin = update.origin
+        member.reason = update.reason
+        if update.profile is not None:
+            member.profile = update.profile
+        if was_alive and update.liveness is Liveness.DEAD:
+            member.death_count += 1
         self._count(member, 1)
         if member.state != before:
-            member.since = now
-            self._note(member, before, now)
-
-    def wins(self, claim: Claim, member: Member) -> bool:
-        """Whether a claim holds against what is known."""
-        if claim.birth != member.birth:
-            return (claim.incarnation, claim.birth) > (member.incarnation, member.birth)
-        return claim.rank > (member.incarnation, int(member.verdict))
-
-    def _note(self, member: Member, before: str, now: float) -> None:
-        self.changes.append(
-            Change(
-                now,
-                member.name,
-                before,
-                member.state,
-                member.by,
-                member.why,
-                member.profile.role,
-                member.incarnation,
-                member.birth,
-            )
+            member.state_since_ms = now
+            self._record_change(member, before, now)
+
+    @staticmethod
+    def supersedes(update: StateUpdate, member: Member) -> bool:
+        """Return whether an update wins against what is held of a member."""
+        if update.instance_id != member.instance_id:
+            held = (member.incarnation, member.instance_id)
+            return (update.incarnation, update.instance_id) > held
+        return update.precedence > (member.incarnation, int(member.liveness))
+
+    def _record_change(self, member: Member, before: str, now: float) -> None:
+        change = StateChange(
+            now,
+            member.name,
+            before,
+            member.state,
+            member.origin,
+            member.reason,
+            member.profile.role,
+            member.incarnation,
+            member.instance_id,
         )
-
-    def _count(self, member: Member, by: int) -> None:
-        if member.alive:
-            self.alive += by
-            entry = zlib.crc32(pack([member.name, member.birth, member.incarnation, int(member.phase)]))
-            self.buckets[bucket(member.name)] ^= entry
-            self.digest ^= entry
-
-    # ------------------------------------------------------------ exchange and age
-
-    def claims(self, buckets: Iterable[int]) -> list[Claim]:
-        """Whole claims on all members of these parts of the table."""
+        self.changes.append(change)
+
+    def _count(self, member: Member, delta: int) -> None:
+        """Count an alive member in (1) or out (-1); the digests are XOR sums, so both are the same there."""
+        if not member.alive:
+            return
+        self.alive_count += delta
+        identity = [member.name, member.instance_id, member.incarnation, int(member.phase)]
+        checksum = zlib.crc32(pack(identity))
+        self.bucket_digests[bucket_of(member.name)] ^= checksum
+        self.digest ^= checksum
+
+    # ------------------------------------------------------------ sync and expiry
+
+    def updates_in(self, buckets: Iterable[int]) -> list[StateUpdate]:
+        """Return updates with profiles on all members of these buckets."""
         wanted = set(buckets)
-        return [m.claim() for m in self.members.values() if bucket(m.name) in wanted]
-
-    def differing(self, others: list[int]) -> list[int]:
-        """The parts in which another's table differs; all, where it names none."""
-        if len(others) != BUCKETS:
-            return list(range(BUCKETS))
-        return [i for i, own in enumerate(self.buckets) if own != others[i]]
-
-    def forget(self, now: float, keep: str) -> None:
-        """Drop members that died or left long ago, and the oldest of them beyond the bound."""
-        gone = sorted(
-            (m for m in self.members.values() if not m.alive and m.name != keep), key=lambda m: m.since
-        )
-        spare = len(gone) - self._tuning.most_gone
-        for i, member in enumerate(gone):
-            if i < spare or now - member.since >= self._tuning.forget_ms:
+        return [member.to_update() for member in self.members.values() if bucket_of(member.name) in wanted]
+
+    def differing_buckets(self, other_digests: list[int]) -> list[int]:
+        """Return the buckets in which another view differs; all of them if it names no digests."""
+        if len(other_digests) != BUCKET_COUNT:
+            return list(range(BUCKET_COUNT))
+        return [index for index, own in enumerate(self.bucket_digests) if own != other_digests[index]]
+
+    def remove_expired(self, now: float, keep: str) -> None:
+        """Remove members that died or left long ago, and the oldest of them beyond the bound."""
+        gone = [member for member in self.members.values() if not member.alive and member.name != keep]
+        gone.sort(key=lambda member: member.state_since_ms)
+        excess = len(gone) - self._settings.max_dead_members
+        for index, member in enumerate(gone):
+            if index < excess or now - member.state_since_ms >= self._settings.dead_retention_ms:
                 del self.members[member.name]
 
 
-def bucket(name: str) -> int:
-    """The part of the table that a member is in."""
-    return zlib.crc32(name.encode()) % BUCKETS
+def bucket_of(name: str) -> int:
+    """Return the bucket that a member belongs to."""
+    return zlib.crc32(name.encode()) % BUCKET_COUNT
--- a/crowpost/membership/wire.py
+++ b/crowpost/membership/wire.py
@@ -1,7 +1,6 @@
-"""Messages as bytes: a head with magic, version, kind, cluster and checksum, and a MessagePack body.
+"""Messages as bytes: a fixed header and a MessagePack body, the same in datagrams and in frames on TCP.
 
-Datagrams and the frames of a table exchange share the head.  Reading is strict about types and bounds, and
-lenient about items that a neighbouring version appends to a body.
+Decoding is strict about types and bounds.  It ignores items that a neighbouring version appends to a body.
 """
 
 from __future__ import annotations
@@ -14,211 +13,261 @@
 
 import msgpack
 
+from crowpost.membership.errors import InvalidMessageError, InvalidMessageReason
 from crowpost.membership.model import (
-    NAME_BYTES,
-    WHY_BYTES,
-    WIRE,
-    Claim,
-    MemberError,
+    MAX_NAME_BYTES,
+    MAX_REASON_BYTES,
+    WIRE_VERSION,
+    Liveness,
     Phase,
     Profile,
-    Verdict,
+    StateUpdate,
     split_address,
 )
 
 MAGIC = b"CM"
-HEAD = struct.Struct(">2sBBII")  # magic, wire version, kind, cluster, CRC-32 of the body
-LENGTH = struct.Struct(">I")  # in front of a frame on TCP
-FRAME_BYTES = 4_000_000
-_WORD = 2**32
+HEADER = struct.Struct(">2sBBII")  # magic, wire version, kind, cluster tag, CRC-32 of the body
+LENGTH_PREFIX = struct.Struct(">I")  # before each frame on TCP
+MAX_FRAME_BYTES = 4_000_000
+MAX_TEXT_CHARS = 64  # of a name or address in a datagram
+_UINT32_END = 2**32
 
+# MessagePack type bytes of the array that is a datagram's body.
+_ARRAY_OF_FIVE = b"\x95"
+_ARRAY_16 = b"\xdc"
+_ARRAY_16_LENGTH = struct.Struct(">H")
 
-class Kind(IntEnum):
-    """What a message is: the first five are datagrams, the others frames on TCP."""
+
+class MessageKind(IntEnum):
+    """The kind of a message: the first five are datagrams, the others frames on TCP."""
 
     PING = 1
     ACK = 2
-    ASK = 3  # for an indirect probe
+    PING_REQ = 3
     NACK = 4
     GOSSIP = 5
-    HELLO = 16
-    TABLE = 17
-    REST = 18
-    REFUSED = 19
+    SYNC_REQUEST = 16
+    SYNC_RESPONSE = 17
+    SYNC_COMPLETION = 18
+    SYNC_REFUSED = 19
     VIEW = 20
     LEAVE = 21
     DONE = 22
 
+    @property
+    def label(self) -> str:
+        """The name in error texts, which are sent to other versions and therefore do not change."""
+        return _KIND_LABELS.get(self, self.name)
 
-class Foreign(MemberError):  # noqa: N818 - named for what it says
-    """Bytes that are no message of this cluster; `kind` says in a word why, for the counts."""
 
-    def __init__(self, kind: str, text: str) -> None:
-        super().__init__(text)
-        self.kind = kind
+_KIND_LABELS = {
+    MessageKind.PING_REQ: "ASK",
+    MessageKind.SYNC_REQUEST: "HELLO",
+    MessageKind.SYNC_RESPONSE: "TABLE",
+    MessageKind.SYNC_COMPLETION: "REST",
+    MessageKind.SYNC_REFUSED: "REFUSED",
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """Who sent a datagram, and how it stands: a claim of its own on every one."""
+    """The sender of a datagram and its own state, which is part of every datagram."""
 
     name: str
-    birth: int
+    instance_id: int
     incarnation: int
     phase: Phase
-    counter: int  # rises with every datagram of the process, so that one replayed is known
-    digest: int  # of its view
+    datagram_counter: int  # rises with every datagram of the process, so that replays are recognized
+    view_digest: int
+
+    def to_update(self) -> StateUpdate:
+        """Return what the sender says of itself, as an update."""
+        return StateUpdate(
+            self.name, self.instance_id, self.incarnation, self.phase, Liveness.ALIVE, self.name
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A datagram.  subject: whom a probe is about; reply_to: where its sender is reached."""
+    """A datagram."""
 
-    kind: Kind
+    kind: MessageKind
     sender: Sender
-    number: int = 0
-    subject: str = ""
-    reply_to: str = ""
-    claims: tuple[Claim, ...] = ()
+    number: int = 0  # of the probe
+    target: str = ""  # the member that is probed
+    reply_to: str = ""  # the sender's address
+    updates: tuple[StateUpdate, ...] = ()
 
 
-def tag(cluster: str) -> int:
-    """The cluster's name in a head."""
+def cluster_tag(cluster: str) -> int:
+    """Return the checksum of the cluster's name that a header carries."""
     return zlib.crc32(cluster.encode())
 
 
-def seal(kind: Kind, cluster: int, body: bytes) -> bytes:
-    """Head and body."""
-    return HEAD.pack(MAGIC, WIRE, kind, cluster, zlib.crc32(body)) + body
+def encode_frame(kind: MessageKind, tag: int, body: bytes) -> bytes:
+    """Return a header followed by the body."""
+    return HEADER.pack(MAGIC, WIRE_VERSION, kind, tag, zlib.crc32(body)) + body
+
 
+def decode_frame(data: bytes, tag: int | None) -> tuple[MessageKind, bytes]:
+    """Return kind and body of a message; raise InvalidMessageError if it is not valid.
 
-def unseal(data: bytes, cluster: int | None) -> tuple[Kind, bytes]:
-    """Kind and body of a message; Foreign for anything else.  cluster None: of any."""
-    if len(data) < HEAD.size:
-        raise Foreign("short", f"{len(data)} bytes are no message")
-    magic, wire, kind, named, checksum = HEAD.unpack_from(data)
+    `tag` is that of the cluster it must belong to; None accepts any.
+    """
+    if len(data) < HEADER.size:
+        raise InvalidMessageError(InvalidMessageReason.SHORT, f"{len(data)} bytes are no message")
+    magic, wire_version, kind, sender_tag, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise Foreign("magic", "bytes of another protocol")
-    if abs(wire - WIRE) > 1:
-        raise Foreign("wire", f"wire version {wire}, this process speaks {WIRE}")
-    if cluster is not None and named != cluster:
-        raise Foreign("cluster", "a message of another cluster")
-    body = data[HEAD.size :]
+        raise InvalidMessageError(InvalidMessageReason.MAGIC, "bytes of another protocol")
+    if abs(wire_version - WIRE_VERSION) > 1:
+        text = f"wire version {wire_version}, this process speaks {WIRE_VERSION}"
+        raise InvalidMessageError(InvalidMessageReason.WIRE, text)
+    if tag is not None and sender_tag != tag:
+        raise InvalidMessageError(InvalidMessageReason.CLUSTER, "a message of another cluster")
+    body = data[HEADER.size :]
     if zlib.crc32(body) != checksum:
-        raise Foreign("checksum", "a message whose checksum is wrong")
+        raise InvalidMessageError(InvalidMessageReason.CHECKSUM, "a message whose checksum is wrong")
     try:
-        return Kind(kind), body
-    except ValueError:
-        raise Foreign("kind", f"a message of unknown kind {kind}") from None
+        return MessageKind(kind), body
+    except ValueError as error:
+        text = f"a message of unknown kind {kind}"
+        raise InvalidMessageError(InvalidMessageReason.KIND, text) from error
 
 
 def pack(value: Any) -> bytes:
-    """MessagePack."""
+    """Return a value as MessagePack."""
     data: bytes = msgpack.packb(value)
     return data
 
 
 def unpack(body: bytes) -> Any:
-    """The value of a body; Foreign where it is damaged or nested beyond reason."""
+    """Return the value of a body; raise InvalidMessageError if it is damaged or nested too deeply."""
     try:
-        return msgpack.unpackb(body, max_map_len=1_000, max_array_len=100_000, max_bin_len=FRAME_BYTES)
+        return msgpack.unpackb(body, max_map_len=1_000, max_array_len=100_000, max_bin_len=MAX_FRAME_BYTES)
     except (ValueError, RecursionError, msgpack.exceptions.UnpackException) as error:
-        raise Foreign("malformed", f"a body that cannot be read: {error}") from None
+        raise malformed(f"a body that cannot be read: {error}") from error
 
 
-# ---------------------------------------------------------------- claims
+def malformed(text: str) -> InvalidMessageError:
+    """Return the error for a body of the wrong shape."""
+    return InvalidMessageError(InvalidMessageReason.MALFORMED, text)
 
 
-def claim_row(claim: Claim) -> list[Any]:
-    """A claim as a MessagePack value."""
-    row = [
-        claim.name,
-        claim.birth,
-        claim.incarnation,
-        int(claim.phase),
-        int(claim.verdict),
-        claim.by,
-        claim.why,
+# ---------------------------------------------------------------- state updates
+
+
+def encode_update(update: StateUpdate) -> list[Any]:
+    """Return an update as a MessagePack value."""
+    row: list[Any] = [
+        update.name,
+        update.instance_id,
+        update.incarnation,
+        int(update.phase),
+        int(update.liveness),
+        update.origin,
+        update.reason,
     ]
-    p = claim.profile
-    if p is not None:
-        row.append([p.address, p.zone, p.role, p.wire, p.started_s, p.facts])
+    profile = update.profile
+    if profile is not None:
+        row.append(
+            [
+                profile.address,
+                profile.zone,
+                profile.role,
+                profile.wire_version,
+                profile.started_s,
+                profile.facts,
+            ]
+        )
     return row
 
 
-def read_claim(row: Any) -> Claim:
-    """A claim from a MessagePack value; Foreign where it is none."""
+def decode_update(row: Any) -> StateUpdate:
+    """Return an update from a MessagePack value; raise InvalidMessageError if it is none."""
     try:
-        name, birth, incarnation, phase, verdict, by, why, *more = row
-        if not (isinstance(name, str) and isinstance(by, str) and isinstance(why, str)):
-            raise Foreign("malformed", "a claim whose names are no text")
-        if not (_whole(birth) and _whole(incarnation)) or len(why.encode()) > WHY_BYTES:
-            raise Foreign("malformed", "a claim out of its bounds")
-        if len(by.encode()) > NAME_BYTES or not 0 < len(name.encode()) <= NAME_BYTES:
-            raise Foreign("malformed", "a claim with a name out of its bounds")
-        profile = None
-        if more:
-            address, zone, role, wire, started_s, facts, *_ = more[0]
-            texts = (address, zone, role, *facts.keys(), *facts.values())
-            if not all(isinstance(text, str) for text in texts) or not _whole(wire):
-                raise Foreign("malformed", "a profile of other types")
-            profile = Profile(name, address, zone, role, wire, float(started_s), facts)
-        return Claim(name, birth, incarnation, Phase(phase), Verdict(verdict), by, why, profile)
-    except Foreign:
+        return _decode_update(row)
+    except InvalidMessageError:
         raise
     except (TypeError, ValueError, AttributeError, UnicodeError) as error:
-        raise Foreign("malformed", f"a claim that cannot be read: {error}") from None
+        raise malformed(f"a claim that cannot be read: {error}") from error
+
+
+def _decode_update(row: Any) -> StateUpdate:
+    name, instance_id, incarnation, phase, liveness, origin, reason, *more = row
+    if not (isinstance(name, str) and isinstance(origin, str) and isinstance(reason, str)):
+        raise malformed("a claim whose names are no text")
+    in_bounds = _is_uint32(instance_id) and _is_uint32(incarnation)
+    if not in_bounds or len(reason.encode()) > MAX_REASON_BYTES:
+        raise malformed("a claim out of its bounds")
+    if len(origin.encode()) > MAX_NAME_BYTES or not 0 < len(name.encode()) <= MAX_NAME_BYTES:
+        raise malformed("a claim with a name out of its bounds")
+    profile = _decode_profile(name, more[0]) if more else None
+    return StateUpdate(
+        name, instance_id, incarnation, Phase(phase), Liveness(liveness), origin, reason, profile
+    )
+
+
+def _decode_profile(name: str, row: Any) -> Profile:
+    address, zone, role, wire_version, started_s, facts, *_ = row
+    texts = (address, zone, role, *facts.keys(), *facts.values())
+    if not all(isinstance(text, str) for text in texts) or not _is_uint32(wire_version):
+        raise malformed("a profile of other types")
+    return Profile(name, address, zone, role, wire_version, float(started_s), facts)
 
 
-def _whole(value: object) -> bool:
-    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < _WORD
+def _is_uint32(value: object) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < _UINT32_END
 
 
 # ---------------------------------------------------------------- datagrams
 
 
-def datagram(message: Message, cluster: int, rows: list[bytes]) -> bytes:
-    """A datagram; its claims are given packed, as they are sent many times."""
-    s = message.sender
-    head = pack(
-        [
-            [s.name, s.birth, s.incarnation, int(s.phase), s.counter, s.digest],
-            message.number,
-            message.subject,
-            message.reply_to,
-        ]
-    )
-    # The list of claims is written by hand after the four fixed items: an array of five in all.
-    body = b"\x95" + head[1:] + b"\xdc" + struct.pack(">H", len(rows)) + b"".join(rows)
-    return seal(message.kind, cluster, body)
-
-
-def read_datagram(data: bytes, cluster: int, most: int) -> Message:
-    """A datagram's message; Foreign for anything that is none of this cluster's."""
-    if len(data) > most:
-        raise Foreign("oversized", f"{len(data)} bytes, {most} at the most")
-    kind, body = unseal(data, cluster)
-    if kind > Kind.GOSSIP:
-        raise Foreign("kind", f"a datagram of kind {kind.name}")
+def encode_datagram(message: Message, tag: int, encoded_updates: list[bytes]) -> bytes:
+    """Return a datagram.  Its updates are given encoded, since each of them is sent many times."""
+    sender = message.sender
+    sender_row = [
+        sender.name,
+        sender.instance_id,
+        sender.incarnation,
+        int(sender.phase),
+        sender.datagram_counter,
+        sender.view_digest,
+    ]
+    fixed_items = pack([sender_row, message.number, message.target, message.reply_to])
+    # The four fixed items are packed as an array of their own; its type byte is replaced by that of an array
+    # of five, and the list of updates is appended as the fifth.
+    updates = _ARRAY_16 + _ARRAY_16_LENGTH.pack(len(encoded_updates)) + b"".join(encoded_updates)
+    return encode_frame(message.kind, tag, _ARRAY_OF_FIVE + fixed_items[1:] + updates)
+
+
+def decode_datagram(data: bytes, tag: int, max_bytes: int) -> Message:
+    """Return a datagram's message; raise InvalidMessageError if it is not valid in this cluster."""
+    if len(data) > max_bytes:
+        text = f"{len(data)} bytes, {max_bytes} at the most"
+        raise InvalidMessageError(InvalidMessageReason.OVERSIZED, text)
+    kind, body = decode_frame(data, tag)
+    if kind > MessageKind.GOSSIP:
+        raise InvalidMessageError(InvalidMessageReason.KIND, f"a datagram of kind {kind.label}")
     value = unpack(body)
     try:
-        sender, number, subject, reply_to, rows, *_ = value
-        name, birth, incarnation, phase, counter, digest, *_ = sender
-        texts = (name, subject, reply_to)
-        wholes = (birth, incarnation, counter, digest, number)
-        if not all(isinstance(t, str) and len(t) <= 64 for t in texts) or not all(map(_whole, wholes)):
-            raise Foreign("malformed", "a datagram of other types")
-        if reply_to:
-            split_address(reply_to)  # it is answered, and exchanged with, as it stands
-        return Message(
-            kind,
-            Sender(name, birth, incarnation, Phase(phase), counter, digest),
-            number,
-            subject,
-            reply_to,
-            tuple(read_claim(row) for row in rows),
-        )
-    except Foreign:
+        return _decode_message(kind, value)
+    except InvalidMessageError:
         raise
     except (TypeError, ValueError) as error:
-        raise Foreign("malformed", f"a datagram that cannot be read: {error}") from None
+        raise malformed(f"a datagram that cannot be read: {error}") from error
+
+
+def _decode_message(kind: MessageKind, value: Any) -> Message:
+    sender_row, number, target, reply_to, rows, *_ = value
+    name, instance_id, incarnation, phase, counter, digest, *_ = sender_row
+    texts = (name, target, reply_to)
+    integers = (instance_id, incarnation, counter, digest, number)
+    if not all(isinstance(text, str) and len(text) <= MAX_TEXT_CHARS for text in texts):
+        raise malformed("a datagram of other types")
+    if not all(map(_is_uint32, integers)):
+        raise malformed("a datagram of other types")
+    if reply_to:
+        split_address(reply_to)  # replies and syncs go to this address as it stands
+    sender = Sender(name, instance_id, incarnation, Phase(phase), counter, digest)
+    updates = tuple(decode_update(row) for row in rows)
+    return Message(kind, sender, number, target, reply_to, updates)
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from crowpost.feed.config import FeedConfig
-    from crowpost.membership.configuration import MembersConfig
+    from crowpost.membership.configuration import MembershipConfig
     from crowpost.node.overlays import Overlays
     from crowpost.store.config import StateConfig
 
@@ -53,7 +53,7 @@
     path: str  # of the file, which the platform may replace while the node runs
     management: tuple[str, int] | None = None
     accept_fd: int | None = None  # of the clients' listening socket, where the platform holds it
-    members: MembersConfig | None = None  # None: no membership, and nothing of it is imported
+    members: MembershipConfig | None = None  # None: no membership, and nothing of it is imported
     state: StateConfig | None = None  # None: nothing is kept, and nothing of that is imported
     feed: FeedConfig | None = None  # None: no feed of configuration, and nothing of it is imported
     overlays: Overlays | None = None  # the documents of the feed on the file, where there is one
@@ -165,17 +165,17 @@
     return _address(environment, raw, "NODE_MANAGEMENT", "management")
 
 
-def _members(environment: Mapping[str, str], name: str) -> MembersConfig | None:
+def _members(environment: Mapping[str, str], name: str) -> MembershipConfig | None:
     """Membership, where a file for it is named."""
     path = environment.get("NODE_MEMBERS", "")
     if not path:
         return None
     from crowpost.membership.configuration import load as load_members
-    from crowpost.membership.model import MemberError
+    from crowpost.membership.errors import MembershipError
 
     try:
         return load_members(path, name)
-    except MemberError as error:
+    except MembershipError as error:
         raise ConfigError(f"NODE_MEMBERS: {error}") from None
 
 
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -1,5 +1,7 @@
-"""The node as a member of its cluster: its phase out, and the nodes present in.  Only imported where it is
-on.
+"""The node as a member of its cluster.
+
+It announces the node's phase, and tells the decision module how many nodes share the work.  The module is
+imported only where membership is configured.
 """
 
 from __future__ import annotations
@@ -9,81 +11,95 @@
 from collections.abc import Callable
 
 from crowpost.interface import NodesPresent, Settings
-from crowpost.membership.configuration import MembersConfig
-from crowpost.membership.model import Change, Phase
-from crowpost.membership.transport import Carrier
-from crowpost.membership.work_share import ORDINAL, STAGE, Presence, Share
+from crowpost.membership.configuration import MembershipConfig
+from crowpost.membership.model import Phase, StateChange
+from crowpost.membership.transport import MembershipTransport
+from crowpost.membership.work_share import INDEX_FACT, STAGE_FACT, WorkShare, WorkShareTracker
+
+CHECK_INTERVAL_S = 0.25  # between checks of the node's phase and of the share of the work
 
-LOOK_S = 0.25  # between looks at whether this node is ready, and at what is due
+# The states of members that are reported as metrics.
+REPORTED_STATES = ("joining", "present", "suspected", "leaving", "left", "dead")
 
 
 class Membership:
     """Joins this node to its cluster.
 
-    phase: what it says of itself; post: takes events for the module; note: is told of each new incarnation,
-    for the next process.
+    current_phase: returns the phase of the node.
+    post: takes events for the decision module.
+    on_incarnation: is called with each new incarnation, which the next process must exceed.
     """
 
     def __init__(
         self,
-        config: MembersConfig,
+        config: MembershipConfig,
         settings: Settings,
-        phase: Callable[[], Phase],
+        current_phase: Callable[[], Phase],
         post: Callable[[NodesPresent], None],
-        note: Callable[[int], None] = lambda incarnation: None,
+        on_incarnation: Callable[[int], None] = lambda incarnation: None,
     ) -> None:
-        self._config, self._phase, self._post, self._note = config, phase, post, note
-        self._noted = 0
+        self._config = config
+        self._current_phase = current_phase
+        self._post = post
+        self._on_incarnation = on_incarnation
+        self._reported_incarnation = 0
         self._loop = asyncio.get_running_loop()
-        self._carrier = Carrier(config, self._changed)
-        self._facts = {STAGE: str(settings.stage), ORDINAL: str(settings.node_index)}
-        self._presence = Presence(
+        self._transport = MembershipTransport(config, self._on_change)
+        stage = str(settings.stage)
+        self._facts = {STAGE_FACT: stage, INDEX_FACT: str(settings.node_index)}
+        self._share_tracker = WorkShareTracker(
             config.role,
-            str(settings.stage),
-            Share(settings.node_count, settings.node_index),
+            stage,
+            WorkShare(settings.node_count, settings.node_index),
             settle_ms=config.settle_ms,
-            least_part=config.least_part,
+            min_node_fraction=config.min_node_fraction,
         )
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self, incarnation: int = 1) -> None:
-        """Bind and begin to join; OSError where the address cannot be used."""
-        await self._carrier.start(self._facts, incarnation)
-        self._look()
-
-    def _look(self) -> None:
-        self._timer = self._loop.call_later(LOOK_S, self._look)
-        phase = self._phase()
-        core = self._carrier.core
-        if phase is Phase.JOINING and core.me_claim.phase is not Phase.JOINING:
-            phase = Phase.PRESENT  # once ready, a list that has run empty makes no newcomer of a node
-        if phase is not core.me_claim.phase:
-            self._carrier.declare(phase)
-        if core.me_claim.incarnation != self._noted:
-            self._noted = core.me_claim.incarnation
-            self._note(self._noted)
-        if self._carrier.now() >= self._presence.next_at:
-            self._feed()
-
-    def _changed(self, changes: list[Change]) -> None:
-        self._feed()
-
-    def _feed(self) -> None:
-        core = self._carrier.core
-        if not self._config.feed or not core.joined or core.yielded or core.left:
-            return  # one that has not met the others yet would take itself for the only one
-        share = self._presence.look(core.view.members, core.me.name, self._carrier.now())
+        """Bind and begin to join; raise OSError if the address cannot be bound."""
+        await self._transport.start(self._facts, incarnation)
+        self._check()
+
+    def _check(self) -> None:
+        self._timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
+        self._announce_phase()
+        incarnation = self._transport.core.own_update.incarnation
+        if incarnation != self._reported_incarnation:
+            self._reported_incarnation = incarnation
+            self._on_incarnation(incarnation)
+        if self._transport.now() >= self._share_tracker.next_due_ms:
+            self._update_share()
+
+    def _announce_phase(self) -> None:
+        phase = self._current_phase()
+        announced = self._transport.core.own_update.phase
+        if phase is Phase.JOINING and announced is not Phase.JOINING:
+            phase = Phase.PRESENT  # a node that was ready once does not join again when its list runs empty
+        if phase is not announced:
+            self._transport.announce_phase(phase)
+
+    def _on_change(self, changes: list[StateChange]) -> None:  # noqa: ARG002 - the share follows any change
+        self._update_share()
+
+    def _update_share(self) -> None:
+        core = self._transport.core
+        if not self._config.share_work or core.superseded or core.left:
+            return
+        if not core.joined:
+            return  # before it has met the others, a node would take itself for the only one
+        share = self._share_tracker.update(core.view.members, core.local_member.name, self._transport.now())
         if share is not None:
-            self._post(NodesPresent(share.present, share.node_index))
+            self._post(NodesPresent(share.node_count, share.node_index))
 
     def figures(self) -> dict[str, float]:
-        """Figures by name and label, for the second address."""
-        core = self._carrier.core
+        """Return the metrics of membership by name and label."""
+        core = self._transport.core
         counts = core.counts
-        states = Counter(m.state for m in core.view.members.values())
-        named = ("joining", "present", "suspected", "leaving", "left", "dead")
+        states = Counter(member.state for member in core.view.members.values())
+        dropped = sum(count for name, count in counts.items() if name.startswith("dropped_"))
         return {
-            **{f'members{{state="{state}"}}': states[state] for state in named},
+            **{f'members{{state="{state}"}}': states[state] for state in REPORTED_STATES},
             "members_probes": counts["probes"],
             "members_probes_failed": counts["probes_failed"],
             "members_false_suspicions": counts["false_suspicions"],
@@ -91,14 +107,14 @@
             'members_datagrams{way="out"}': counts["datagrams_out"],
             'members_bytes{way="in"}': counts["bytes_in"],
             'members_bytes{way="out"}': counts["bytes_out"],
-            "members_dropped": sum(n for name, n in counts.items() if name.startswith("dropped_")),
-            "members_awareness": core.awareness,
+            "members_dropped": dropped,
+            "members_awareness": core.local_health_score,
             "members_view_digest": core.view.digest,
-            "members_share_of": self._presence.share.present,
+            "members_share_of": self._share_tracker.share.node_count,
         }
 
     async def close(self) -> None:
-        """Leave in order."""
+        """Leave the cluster, and close."""
         if self._timer is not None:
             self._timer.cancel()
-        await self._carrier.close()
+        await self._transport.close()
--- a/crowpost/tables.py
+++ b/crowpost/tables.py
@@ -85,20 +85,22 @@
 
 
 def numbers(name: str, raw: object, kind: type) -> dict[str, Any]:
-    """The numbers that a table sets of a dataclass whose fields are all int or float, above 0 and to 1e9.
+    """Return the numbers that a table sets, by the fields of a dataclass whose fields are int or float.
+
+    A field's key is that of its metadata, `toml`, or its name.  Each number is above 0 and at most 1e9.
 
     name: the table's; TableError for a key that is no field, and for a part of one where a field is whole.
     """
-    known = {f.name: f.type for f in fields(kind)}
+    known = {f.metadata.get("toml", f.name): f for f in fields(kind)}
     table = Table(name, raw, known)
     values: dict[str, Any] = {}
-    for key in known:
+    for key, field in known.items():
         if key not in table:
             continue
         number = table.number(key, 0.0, 1e-3, 1e9)
-        if known[key] == "int":
+        if field.type == "int":
             if number != int(number):
                 raise TableError(f"{name}.{key}: a whole number, not {table.get(key)!r}")
             number = int(number)
-        values[key] = number
+        values[field.name] = number
     return values
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -31,8 +31,9 @@
 from crowpost.feed.table import Table
 from crowpost.interface import RememberedEndpoint
 from crowpost.membership import sync
-from crowpost.membership.core import Members
-from crowpost.membership.model import Claim, Phase, Profile, Verdict
+from crowpost.membership.core import MembershipCore
+from crowpost.membership.model import Liveness, Phase, Profile, StateUpdate
+from crowpost.membership.snapshot import view_snapshot
 from crowpost.node.config import load as load_config
 from crowpost.node.kept import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
 from crowpost.node.metrics import Metrics
@@ -68,37 +69,39 @@
 def member_frames() -> dict[str, bytes]:
     """A frame of every message kind of the members, by a name for each."""
     profile = Profile("n1", "127.0.0.1:7001", "north", "node", 1, 12.5, {"rack": "7", "cell": "b"})
-    claims = (
-        Claim("n1", 11, 3, Phase.PRESENT, Verdict.NONE, "n1", "", profile),
-        Claim("n2", 12, 4, Phase.PRESENT, Verdict.SUSPECTED, "n1", "no answer"),
-        Claim("n4", 14, 5, Phase.LEAVING, Verdict.LEFT, "n4", "in order"),
-        Claim("n5", 15, 6, Phase.JOINING, Verdict.DEAD, "n9", "not refuted"),
+    updates = (
+        StateUpdate("n1", 11, 3, Phase.PRESENT, Liveness.ALIVE, "n1", "", profile),
+        StateUpdate("n2", 12, 4, Phase.PRESENT, Liveness.SUSPECT, "n1", "no answer"),
+        StateUpdate("n4", 14, 5, Phase.LEAVING, Liveness.LEFT, "n4", "in order"),
+        StateUpdate("n5", 15, 6, Phase.JOINING, Liveness.DEAD, "n9", "not refuted"),
     )
-    cluster = member_wire.tag(CLUSTER)
+    cluster = member_wire.cluster_tag(CLUSTER)
     sender = member_wire.Sender("n1", 11, 3, Phase.PRESENT, 77, 0xDEADBEEF)
-    rows = [member_wire.pack(member_wire.claim_row(claim)) for claim in claims]
+    rows = [member_wire.pack(member_wire.encode_update(update)) for update in updates]
     frames = {}
-    for kind in [kind for kind in member_wire.Kind if kind < 16]:
-        message = member_wire.Message(kind, sender, 9, "n2", "127.0.0.1:7001", claims)
-        frames[f"datagram-{int(kind)}"] = member_wire.datagram(message, cluster, rows)
+    for kind in [kind for kind in member_wire.MessageKind if kind < 16]:
+        message = member_wire.Message(kind, sender, 9, "n2", "127.0.0.1:7001", updates)
+        frames[f"datagram-{int(kind)}"] = member_wire.encode_datagram(message, cluster, rows)
     one, two = (
-        Members(CLUSTER, Profile(name, f"127.0.0.1:{port}", "north"), (), seed=1, birth=port, now=0.0)
+        MembershipCore(
+            CLUSTER, Profile(name, f"127.0.0.1:{port}", "north"), (), seed=1, instance_id=port, now=0.0
+        )
         for name, port in (("n1", 7001), ("n2", 7002))
     )
-    frames["exchange-hello"] = hello = sync.hello(one)
-    frames["exchange-table"] = table = sync.answer(two, hello, 10.0)
-    frames["exchange-rest"] = rest = sync.settle(one, table, 20.0)
-    sync.finish(two, rest, 30.0)
-    other = Members("other", Profile("n8", "127.0.0.1:7008"), (), seed=1, birth=8, now=0.0)
-    frames["exchange-refused"] = sync.answer(other, hello, 10.0)
-    view = member_wire.pack(sync.snapshot(one, 40.0))
-    kinds = member_wire.Kind
+    frames["exchange-hello"] = hello = sync.make_request(one)
+    frames["exchange-table"] = table = sync.handle_request(two, hello, 10.0)
+    frames["exchange-rest"] = rest = sync.handle_response(one, table, 20.0)
+    sync.handle_completion(two, rest, 30.0)
+    other = MembershipCore("other", Profile("n8", "127.0.0.1:7008"), (), seed=1, instance_id=8, now=0.0)
+    frames["exchange-refused"] = sync.handle_request(other, hello, 10.0)
+    view = member_wire.pack(view_snapshot(one, 40.0))
+    kinds = member_wire.MessageKind
     for kind, body in (
         (kinds(20), view),
         (kinds(21), member_wire.pack([])),
         (kinds(22), member_wire.pack(["n1"])),
     ):
-        frames[f"frame-{int(kind)}"] = member_wire.seal(kind, cluster, body)
+        frames[f"frame-{int(kind)}"] = member_wire.encode_frame(kind, cluster, body)
     return frames
 
 
--- /dev/null
+++ b/tests/membership/test_command.py
@@ -0,0 +1,33 @@
+"""`crowpost members`: its errors, and the comparison of views."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from crowpost.cli.members import disagreements
+from tests.stubs import HOST
+from tests.test_cli import crowpost
+
+
+def test_the_command_says_in_one_line_whom_it_cannot_reach() -> None:
+    done = crowpost("members", "--at", f"{HOST}:1")
+    assert done.returncode == 2 and done.stderr.startswith(f"crowpost: {HOST}:1: ")
+    done = crowpost("members", "--at", "nowhere")
+    assert (done.returncode, done.stderr) == (2, "crowpost: not an IPv4 address and a port: 'nowhere'\n")
+
+
+def test_compare_names_who_holds_what_else() -> None:
+    def view(**states: str) -> dict[str, Any]:
+        more = {"since_ms": 5.0, "said_by": "x", "why": "w"}
+        return {"members": [{"name": n, "state": s, **more} for n, s in states.items()]}
+
+    views = {
+        "a": view(a="present", b="present", gone="dead"),
+        "b": view(a="present", b="present"),
+        "c": view(a="dead", b="present"),
+    }
+    found = disagreements(views)
+    assert [(one["about"], one["most"], one["holders"]) for one in found] == [("a", "present", 2)]
+    assert [(o["observer"], o["state"], o["since_ms"]) for o in found[0]["others"]] == [("c", "dead", 5.0)]
+    assert json.dumps(found)
--- /dev/null
+++ b/tests/membership/test_configuration.py
@@ -0,0 +1,54 @@
+"""The file that configures a member."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from crowpost.membership.configuration import load
+from tests.membership.files import MINIMAL_FILE
+from tests.test_cli import crowpost
+
+
+def test_a_file_is_read_whole(tmp_path: Path) -> None:
+    file = tmp_path / "m.toml"
+    file.write_text(
+        MINIMAL_FILE
+        + 'join = ["127.0.0.1:1"]\nfeed = true\n[members.facts]\nrack = "7"\n[members.tuning]\nhelpers = 2\n'
+    )
+    found = load(str(file))
+    assert (found.join, found.share_work, found.facts, found.protocol.indirect_probes) == (
+        ("127.0.0.1:1",),
+        True,
+        {"rack": "7"},
+        2,
+    )
+    file.write_text('[members]\ncluster = "c"\nlisten = "127.0.0.1:0"\n')
+    assert load(str(file), "from-the-environment").name == "from-the-environment"
+
+
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("", "members: the table is missing"),
+        ("x", "Expected '='"),
+        ("[members]\n", "members.cluster: is missing"),
+        (MINIMAL_FILE + "wrong = 1\n", "members.wrong: no such key; known are cluster"),
+        (MINIMAL_FILE + 'join = "a:1"\n', "members.join: a list of addresses"),
+        (MINIMAL_FILE + 'join = ["a"]\n', "members.join: not an IPv4 address and a port: 'a'"),
+        (MINIMAL_FILE + "feed = 1\n", "members.feed: true or false"),
+        (MINIMAL_FILE + "least_part = 2\n", "members.least_part: a number from 0 to 1, not 2"),
+        (MINIMAL_FILE + "[members.tuning]\nprobe_ms = 0\n", "members.tuning.probe_ms: a number from 0.001"),
+        (MINIMAL_FILE + "[members.tuning]\nhelpers = 1.5\n", "members.tuning.helpers: a whole number"),
+        (MINIMAL_FILE + "[members.tuning]\nspeed = 1\n", "members.tuning.speed: no such key"),
+        (MINIMAL_FILE + "[members.facts]\na = 1\n", "members.facts: a table of texts"),
+        (MINIMAL_FILE.replace('"n"', f'"{"n" * 65}"'), "name is longer than 64 bytes"),
+    ],
+)
+def test_what_a_file_cannot_mean_is_said_with_file_and_key(tmp_path: Path, text: str, said: str) -> None:
+    file = tmp_path / "m.toml"
+    file.write_text(text)
+    done = crowpost("members", "run", str(file))
+    assert done.returncode == 2 and said in done.stderr and str(file) in done.stderr
+    assert len(done.stderr.splitlines()) == 1
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -10,59 +10,62 @@
 
 import pytest
 
-from crowpost.lab.membership.simulation import Process, Swarm, Weather
+from crowpost.lab.membership.simulation import CLUSTER, NetworkConditions, SimulatedCluster, SimulatedProcess
 from crowpost.membership import sync
-from crowpost.membership.core import HEAD_ROOM, Members
-from crowpost.membership.model import WIRE, Claim, MemberError, Phase, Profile, Verdict
+from crowpost.membership.core import MembershipCore
+from crowpost.membership.errors import InvalidMessageError, MembershipError, SyncRefusedError
+from crowpost.membership.model import WIRE_VERSION, Liveness, Phase, Profile, StateUpdate
+from crowpost.membership.outbox import DATAGRAM_OVERHEAD_BYTES
+from crowpost.membership.settings import ProtocolSettings
 from crowpost.membership.wire import (
-    HEAD,
+    HEADER,
     MAGIC,
-    Foreign,
-    Kind,
     Message,
+    MessageKind,
     Sender,
-    claim_row,
-    datagram,
+    cluster_tag,
+    decode_datagram,
+    decode_update,
+    encode_datagram,
+    encode_frame,
+    encode_update,
     pack,
-    read_claim,
-    read_datagram,
-    seal,
-    tag,
 )
 
-RICH = Weather(loss=0.05, duplicates=0.05, straggle=0.05)
+TAG = cluster_tag(CLUSTER)
+RICH = NetworkConditions(loss_rate=0.05, duplicate_rate=0.05, straggler_rate=0.05)
 
 
-def swarm(count: int, seed: int = 1, weather: Weather | None = None) -> Swarm:
+def swarm(count: int, seed: int = 1, conditions: NetworkConditions | None = None) -> SimulatedCluster:
     """So many processes that all join by the first three, and have met."""
-    made = Swarm(seed, weather)
+    made = SimulatedCluster(seed, conditions)
     contacts = [made.start("n0").address]
     for i in range(1, count):
         process = made.start(f"n{i}", contacts)
         if i < 3:
             contacts.append(process.address)
     made.run(15_000)
-    assert made.agree()
+    assert made.views_agree()
     return made
 
 
-def deaths(made: Swarm, of: str = "") -> list[tuple[str, str]]:
+def deaths(made: SimulatedCluster, of: str = "") -> list[tuple[str, str]]:
     """Observer and member of every change to dead."""
     found = [(seen, c.name) for seen, c in made.history if c.after == "dead"]
     return [pair for pair in found if not of or pair[1] == of]
 
 
-def states(process: Process) -> dict[str, str]:
+def states(process: SimulatedProcess) -> dict[str, str]:
     return {m.name: m.state for m in process.core.view.members.values()}
 
 
-def settle(made: Swarm, within_ms: float) -> None:
+def settle(made: SimulatedCluster, within_ms: float) -> None:
     """Go on until all agree."""
     for _ in range(int(within_ms / 500)):
-        if made.agree():
+        if made.views_agree():
             return
         made.run(500)
-    told = {p.name: {n: s for n, s in states(p).items() if s != "present"} for p in made.living()}
+    told = {p.name: {n: s for n, s in states(p).items() if s != "present"} for p in made.running()}
     pytest.fail(f"no one view after {within_ms} ms: {told}")
 
 
@@ -74,29 +77,29 @@
     made.kill("n7")
     n8 = made.processes["n8"]
     n8.core.leave(made.engine.now)
-    made._after(n8)
+    made.process_output(n8)
     made.run(12_000)
-    for process in made.living():
+    for process in made.running():
         if process is not n8:
             assert states(process)["n7"] == "dead" and states(process)["n8"] == "left"
     n8.up = False
     made.run(20_000)
     assert deaths(made, "n8") == []
     dead = made.processes["n0"].core.view.members["n7"]
-    assert "no answer" in dead.why and dead.by in made.processes
+    assert "no answer" in dead.reason and dead.origin in made.processes
 
 
 def test_a_phase_is_told_to_all() -> None:
     made = swarm(8)
     n3 = made.processes["n3"]
-    n3.core.declare(Phase.LEAVING, made.engine.now, "drained")
-    made._after(n3)
+    n3.core.announce_phase(Phase.LEAVING, made.engine.now, "drained")
+    made.process_output(n3)
     made.run(3_000)
-    assert {states(p)["n3"] for p in made.living()} == {"leaving"}
-    n3.core.declare(Phase.PRESENT, made.engine.now)
-    made._after(n3)
+    assert {states(p)["n3"] for p in made.running()} == {"leaving"}
+    n3.core.announce_phase(Phase.PRESENT, made.engine.now)
+    made.process_output(n3)
     made.run(3_000)
-    assert {states(p)["n3"] for p in made.living()} == {"present"}
+    assert {states(p)["n3"] for p in made.running()} == {"present"}
 
 
 def test_joining_needs_only_one_contact_that_lives_and_goes_on_when_all_are_gone() -> None:
@@ -110,7 +113,7 @@
 
 
 def test_all_start_at_once() -> None:
-    made = Swarm(3)
+    made = SimulatedCluster(3)
     addresses = [f"10.0.0.{i}:7000" for i in range(3)]
     for i in range(80):
         made.start(f"n{i}", addresses, address=addresses[i] if i < 3 else "")
@@ -119,29 +122,33 @@
 
 
 def test_another_cluster_is_refused_with_its_name_and_so_is_a_far_wire_version() -> None:
-    def core(cluster: str) -> Members:
-        return Members(cluster, Profile("a", "127.0.0.1:1"), (), seed=1, birth=5, now=0.0)
+    def core(cluster: str) -> MembershipCore:
+        return MembershipCore(cluster, Profile("a", "127.0.0.1:1"), (), seed=1, instance_id=5, now=0.0)
 
     ours, theirs = core("main"), core("other")
-    with pytest.raises(sync.Refused, match="this is cluster 'main', not 'other'"):
-        sync.settle(theirs, sync.answer(ours, sync.hello(theirs), 1.0), 1.0)
-    old = bytearray(sync.hello(ours))
-    old[2] = WIRE + 2
-    with pytest.raises(sync.Refused, match=f"wire version {WIRE + 2}, this process speaks {WIRE}"):
-        sync.settle(ours, sync.answer(ours, bytes(old), 1.0), 1.0)
+    with pytest.raises(SyncRefusedError, match="this is cluster 'main', not 'other'"):
+        sync.handle_response(theirs, sync.handle_request(ours, sync.make_request(theirs), 1.0), 1.0)
+    old = bytearray(sync.make_request(ours))
+    old[2] = WIRE_VERSION + 2
+    with pytest.raises(
+        SyncRefusedError, match=f"wire version {WIRE_VERSION + 2}, this process speaks {WIRE_VERSION}"
+    ):
+        sync.handle_response(ours, sync.handle_request(ours, bytes(old), 1.0), 1.0)
 
 
 def test_a_neighbouring_wire_version_that_appends_to_its_messages_is_understood() -> None:
     made = swarm(3)
     n0, n1 = made.processes["n0"], made.processes["n1"]
-    s = n1.core.me_claim
-    body = pack([["n1", s.birth, s.incarnation, 1, 9_000, 0, "new"], 7, "n0", n1.address, [], {"more": 1}])
-    head = HEAD.pack(MAGIC, WIRE + 1, int(Kind.PING), tag("swarm"), zlib.crc32(body))
-    n0.core.take()
-    n0.core.handle(head + body, made.engine.now)
-    out = n0.core.take()
+    s = n1.core.own_update
+    body = pack(
+        [["n1", s.instance_id, s.incarnation, 1, 9_000, 0, "new"], 7, "n0", n1.address, [], {"more": 1}]
+    )
+    head = HEADER.pack(MAGIC, WIRE_VERSION + 1, int(MessageKind.PING), TAG, zlib.crc32(body))
+    n0.core.take_output()
+    n0.core.handle_datagram(head + body, made.engine.now)
+    out = n0.core.take_output()
     assert [address for address, _ in out.datagrams] == [n1.address]
-    assert read_datagram(out.datagrams[0][1], tag("swarm"), 1200).kind is Kind.ACK
+    assert decode_datagram(out.datagrams[0][1], TAG, 1200).kind is MessageKind.ACK
 
 
 # ---------------------------------------------------------------- restarts and upgrades
@@ -157,10 +164,10 @@
     new = made.start("n5", [made.processes["n0"].address], address=address or old.address)
     settle(made, 20_000)
     made.run(15_000)
-    assert made.agree() and deaths(made) == []
-    for process in made.living():
+    assert made.views_agree() and deaths(made) == []
+    for process in made.running():
         held = process.core.view.members["n5"]
-        assert held.birth == new.core.me_claim.birth and held.profile.address == new.address
+        assert held.instance_id == new.core.own_update.instance_id and held.profile.address == new.address
 
 
 def test_one_that_comes_back_by_contacts_that_know_nothing_yet_keeps_its_name() -> None:
@@ -176,21 +183,21 @@
     for name, address in old.items():
         made.start(name, [c for c in contacts if c != address], address=address)
     settle(made, 30_000)
-    assert not any(process.core.yielded for process in made.living())
+    assert not any(process.core.superseded for process in made.running())
 
 
 def test_one_that_gave_way_by_mistake_comes_back_whatever_it_said_meanwhile() -> None:
     made = swarm(8)
     n5 = made.processes["n5"]
-    other = replace(n5.core.me_claim, birth=77, incarnation=n5.core.me_claim.incarnation + 1)
-    n5.core.claim(other, made.engine.now)
-    assert n5.core.yielded
+    other = replace(n5.core.own_update, instance_id=77, incarnation=n5.core.own_update.incarnation + 1)
+    n5.core.apply_update(other, made.engine.now)
+    assert n5.core.superseded
     for phase in (Phase.LEAVING, Phase.PRESENT):
-        n5.core.declare(phase, made.engine.now)
-    made._after(n5)
-    made.processes["n0"].core.claim(other, made.engine.now)
+        n5.core.announce_phase(phase, made.engine.now)
+    made.process_output(n5)
+    made.processes["n0"].core.apply_update(other, made.engine.now)
     made.run(60_000)
-    assert not n5.core.yielded and made.agree()
+    assert not n5.core.superseded and made.views_agree()
 
 
 def test_two_processes_of_one_node_are_one_member_and_the_old_ones_end_is_no_death() -> None:
@@ -199,15 +206,15 @@
     made.processes["n5 before"] = old
     new = made.start("n5", [made.processes["n0"].address])
     made.run(15_000)
-    assert old.core.yielded and not new.core.yielded
-    assert all(states(p).get("n5") == "present" for p in made.living())
+    assert old.core.superseded and not new.core.superseded
+    assert all(states(p).get("n5") == "present" for p in made.running())
     old.core.leave(made.engine.now)
-    made._after(old)
+    made.process_output(old)
     made.run(2_000)
     old.up = False
     made.run(20_000)
     assert deaths(made) == [] and all(c.after != "left" for _, c in made.history)
-    assert made.agree()
+    assert made.views_agree()
 
 
 def test_the_old_process_of_an_upgrade_takes_its_place_back_when_the_new_one_dies() -> None:
@@ -216,13 +223,13 @@
     made.processes["n5 before"] = old
     new = made.start("n5", [made.processes["n0"].address])
     made.run(5_000)
-    assert old.core.yielded
+    assert old.core.superseded
     new.up = False
     made.run(40_000)
-    assert not old.core.yielded
-    for process in made.living():
+    assert not old.core.superseded
+    for process in made.running():
         held = process.core.view.members["n5"]
-        assert held.state == "present" and held.birth == old.core.me_claim.birth
+        assert held.state == "present" and held.instance_id == old.core.own_update.instance_id
 
 
 def test_a_wall_clock_that_jumps_changes_nothing() -> None:
@@ -234,7 +241,7 @@
     made.kill("n4")
     new = made.start("n4", [made.processes["n0"].address], started_s=946_684_800.0)
     settle(made, 15_000)
-    assert made.processes["n1"].core.view.members["n4"].birth == new.core.me_claim.birth
+    assert made.processes["n1"].core.view.members["n4"].instance_id == new.core.own_update.instance_id
 
 
 # ---------------------------------------------------------------- bad machines and bad links
@@ -243,16 +250,16 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_one_that_was_stopped_for_15_s_wakes_and_nobody_dies_of_it(seed: int) -> None:
     made = swarm(16, seed)
-    made.freeze("n6", 15_000.0)
+    made.pause("n6", 15_000.0)
     made.run(14_900)
-    assert all(states(p)["n6"] == "dead" for p in made.living() if p.name != "n6")
+    assert all(states(p)["n6"] == "dead" for p in made.running() if p.name != "n6")
     made.history.clear()
     made.run(30_000)
-    assert deaths(made) == [] and made.agree()
+    assert deaths(made) == [] and made.views_agree()
 
 
 def test_many_that_stand_still_again_and_again_do_not_die_of_it() -> None:
-    made = swarm(30, 5, Weather(loss=0.1, starved=0.1))
+    made = swarm(30, 5, NetworkConditions(loss_rate=0.1, starved_fraction=0.1))
     made.starve()
     made.run(300_000)
     assert deaths(made) == []
@@ -262,7 +269,7 @@
     made = swarm(10)
     made.may_pass = lambda a, b: (a, b) != ("n2", "n3")
     made.run(60_000)
-    assert deaths(made) == [] and made.agree()
+    assert deaths(made) == [] and made.views_agree()
 
 
 @pytest.mark.parametrize(("count", "cut", "for_s"), [(24, 12, 30), (100, 10, 150)])
@@ -272,7 +279,7 @@
     side = {f"n{i}" for i in range(cut)}
     made.may_pass = lambda a, b: (a in side) == (b in side)
     made.run(1_000 * for_s)
-    for process in made.living():
+    for process in made.running():
         alive = {n for n, s in states(process).items() if s == "present"}
         assert alive == (side if process.name in side else set(made.processes) - side)
     made.may_pass = lambda a, b: True
@@ -295,7 +302,7 @@
     made.history.clear()
     made.run(30_000)
     wrong = [(seen, name) for seen, name in deaths(made) if (seen in side) == (name in side)]
-    assert wrong == [] and made.agree()
+    assert wrong == [] and made.views_agree()
 
 
 @pytest.mark.parametrize(("count", "gone", "within_ms"), [(60, 9, 9_000), (20, 14, 14_000)])
@@ -303,11 +310,11 @@
     """Seen on sixty real processes: probes used up the budget of bytes, and nothing was passed on for ten
     seconds.
     """
-    made = swarm(count, 3, Weather(loss=0.1))
+    made = swarm(count, 3, NetworkConditions(loss_rate=0.1))
     for i in range(gone):
         made.kill(f"n{i}")
     made.run(within_ms)
-    for process in made.living():
+    for process in made.running():
         assert {n for n, s in states(process).items() if s == "dead"} == {f"n{i}" for i in range(gone)}
 
 
@@ -323,7 +330,7 @@
 
 
 def test_loss_duplicates_and_reordering_together() -> None:
-    made = swarm(20, 6, Weather(loss=0.2, duplicates=0.2, straggle=0.1))
+    made = swarm(20, 6, NetworkConditions(loss_rate=0.2, duplicate_rate=0.2, straggler_rate=0.1))
     made.run(120_000)
     assert deaths(made) == []
     made.kill("n9")
@@ -336,26 +343,26 @@
 def test_datagrams_replayed_from_an_hour_ago_change_nothing() -> None:
     made = swarm(6)
     kept: list[tuple[str, bytes]] = []
-    send = made._send
+    send = made.send
 
-    def tap(process: Process, address: str, data: bytes) -> None:
+    def tap(process: SimulatedProcess, address: str, data: bytes) -> None:
         kept.append((address, data))
         send(process, address, data)
 
-    made._send = tap  # type: ignore[method-assign]
+    made.send = tap  # type: ignore[method-assign]
     made.start("gone", [made.processes["n0"].address])
     made.run(5_000)
     made.kill("gone")
     made.run(20_000)
-    made._send = send  # type: ignore[method-assign]
+    made.send = send  # type: ignore[method-assign]
     made.run(3_600_000)
-    before = {p.name: states(p) for p in made.living()}
+    before = {p.name: states(p) for p in made.running()}
     made.history.clear()
     for address, data in kept:
-        made._deliver(address, data)
+        made.deliver(address, data)
     made.run(20_000)
-    assert {p.name: states(p) for p in made.living()} == before and made.history == []
-    assert sum(p.core.counts["dropped_replayed"] for p in made.living()) > 100
+    assert {p.name: states(p) for p in made.running()} == before and made.history == []
+    assert sum(p.core.counts["dropped_replayed"] for p in made.running()) > 100
 
 
 def test_damaged_cut_oversized_and_foreign_datagrams_are_counted_and_dropped() -> None:
@@ -364,9 +371,8 @@
     good: list[bytes] = []
     for _ in range(40):
         made.run(100)
-        n1.core._send(n0.address, Kind.GOSSIP, made.engine.now, 0, "", [n1.core.me_claim])
-        good += [data for _, data in n1.core._out.datagrams]
-        n1.core._out.datagrams.clear()
+        n1.core._outbox.send(n0.address, MessageKind.GOSSIP, made.engine.now, 0, "", [n1.core.own_update])
+        good += [datagram.data for datagram in n1.core._outbox.take()]
     rng = random.Random(7)
     before, counts = states(n0), n0.core.counts.copy()
     tries = 0
@@ -382,27 +388,33 @@
                     bad = bytearray(rng.randbytes(rng.randrange(1500)))
                 case _:
                     bad += bytes(1201 - len(bad))
-            n0.core.handle(bytes(bad), made.engine.now)
+            n0.core.handle_datagram(bytes(bad), made.engine.now)
             tries += 1
     dropped = sum(v - counts[k] for k, v in n0.core.counts.items() if k.startswith("dropped_"))
     assert states(n0) == before and dropped >= 0.98 * tries  # a flip of a version may make a neighbour's
-    n0.core.handle(seal(Kind.GOSSIP, tag("other"), b"\x95"), made.engine.now)
+    n0.core.handle_datagram(encode_frame(MessageKind.GOSSIP, cluster_tag("other"), b"\x95"), made.engine.now)
     assert n0.core.counts["dropped_cluster"] >= 1
 
 
 def test_a_stranger_that_names_no_address_is_not_answered() -> None:
     made = swarm(3)
     core = made.processes["n0"].core
-    core.take()
+    core.take_output()
     stranger = Sender("x", 1, 1, Phase.PRESENT, 1, 0)
-    core.handle(datagram(Message(Kind.PING, stranger, 1, "n0", "nowhere"), tag("swarm"), []), made.engine.now)
-    out = core.take()
-    assert core.counts["dropped_malformed"] == 1 and not out.exchanges and not out.datagrams
-    core.handle(
-        datagram(Message(Kind.PING, stranger, 1, "n0", "10.1.1.1:5"), tag("swarm"), []), made.engine.now
+    core.handle_datagram(
+        encode_datagram(Message(MessageKind.PING, stranger, 1, "n0", "nowhere"), TAG, []),
+        made.engine.now,
     )
-    out = core.take()
-    assert out.exchanges == ["10.1.1.1:5"] and [address for address, _ in out.datagrams] == ["10.1.1.1:5"]
+    out = core.take_output()
+    assert core.counts["dropped_malformed"] == 1 and not out.sync_addresses and not out.datagrams
+    core.handle_datagram(
+        encode_datagram(Message(MessageKind.PING, stranger, 1, "n0", "10.1.1.1:5"), TAG, []),
+        made.engine.now,
+    )
+    out = core.take_output()
+    assert out.sync_addresses == ["10.1.1.1:5"] and [address for address, _ in out.datagrams] == [
+        "10.1.1.1:5"
+    ]
 
 
 def test_well_sealed_nonsense_is_dropped_too() -> None:
@@ -427,11 +439,11 @@
     for _ in range(3_000):
         sender = ["n1", junk(), junk(), junk(), junk(), junk()]
         body = pack([sender, junk(), junk(), junk(), [junk(), junk()]])
-        core.handle(seal(Kind(rng.randrange(1, 6)), tag("swarm"), body), made.engine.now)
-        frame = seal(Kind(rng.choice([16, 17, 18])), tag("swarm"), pack([junk(), junk(), junk()]))
-        sync.answer(core, frame, made.engine.now)
-        for take in (sync.settle, sync.finish):
-            with contextlib.suppress(MemberError):  # a list that is empty is no nonsense
+        core.handle_datagram(encode_frame(MessageKind(rng.randrange(1, 6)), TAG, body), made.engine.now)
+        frame = encode_frame(MessageKind(rng.choice([16, 17, 18])), TAG, pack([junk(), junk(), junk()]))
+        sync.handle_request(core, frame, made.engine.now)
+        for take in (sync.handle_response, sync.handle_completion):
+            with contextlib.suppress(MembershipError):  # a list that is empty is no nonsense
                 take(core, frame, made.engine.now)
     assert states(made.processes["n0"]) == before
 
@@ -448,25 +460,27 @@
         {"address": "host:1"},
         {"address": "256.0.0.1:1"},
     ):
-        with pytest.raises(MemberError):
+        with pytest.raises(MembershipError):
             Profile(**{"name": "a", "address": "127.0.0.1:1", **bad})  # type: ignore[arg-type]
     widest = Profile(
         "n" * 64, "255.255.255.255:65535", "z" * 32, "r" * 16, facts={f"{i}" * 24: "v" * 64 for i in range(6)}
     )
-    claim = Claim(widest.name, 2**32 - 1, 2**32 - 1, Phase.PRESENT, Verdict.DEAD, "b" * 64, "w" * 64, widest)
-    row = claim_row(claim)
-    assert read_claim(row) == claim and len(pack(row)) < 1_200 - HEAD_ROOM
-    with pytest.raises(Foreign):
-        read_claim(claim_row(replace(claim, why="w" * 65)))
+    update = StateUpdate(
+        widest.name, 2**32 - 1, 2**32 - 1, Phase.PRESENT, Liveness.DEAD, "b" * 64, "w" * 64, widest
+    )
+    row = encode_update(update)
+    assert decode_update(row) == update and len(pack(row)) < 1_200 - DATAGRAM_OVERHEAD_BYTES
+    with pytest.raises(InvalidMessageError):
+        decode_update(encode_update(replace(update, reason="w" * 65)))
 
 
 def test_a_full_table_takes_no_more_and_says_so() -> None:
-    made = Swarm(1, tuning=replace(Swarm(1).tuning, most_members=5, most_gone=2))
+    made = SimulatedCluster(1, settings=ProtocolSettings(max_members=5, max_dead_members=2))
     first = made.start("n0")
     for i in range(1, 9):
         made.start(f"n{i}", [first.address])
     made.run(10_000)
-    assert first.core.view.alive == 5 and first.core.view.refused > 0
+    assert first.core.view.alive_count == 5 and first.core.view.rejected_updates > 0
 
 
 # ---------------------------------------------------------------- one seed, one run
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from crowpost.membership.configuration import MembersConfig
+from crowpost.membership.configuration import MembershipConfig
 from crowpost.node.config import Config, Limits, flat
 from crowpost.node.discovery import Naming
 from crowpost.node.node import Node
@@ -351,7 +351,7 @@
     known: bool = True,
     path: str = "",
     accept_fd: int | None = None,
-    members: MembersConfig | None = None,
+    members: MembershipConfig | None = None,
     state: StateConfig | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -38,13 +38,13 @@
 
 
 def test_datagrams_of_members_are_read_and_written_again_as_before() -> None:
-    cluster = member_wire.tag(build.CLUSTER)
+    cluster = member_wire.cluster_tag(build.CLUSTER)
     frames = [frame for key, frame in recorded("frames-members.json").items() if key.startswith("datagram")]
     assert len(frames) == 5
     for frame in frames:
-        message = member_wire.read_datagram(frame, cluster, 2_000)
-        rows = [member_wire.pack(member_wire.claim_row(claim)) for claim in message.claims]
-        assert member_wire.datagram(message, cluster, rows) == frame
+        message = member_wire.decode_datagram(frame, cluster, 2_000)
+        rows = [member_wire.pack(member_wire.encode_update(update)) for update in message.updates]
+        assert member_wire.encode_datagram(message, cluster, rows) == frame
 
 
 def test_frames_of_the_feed_are_written_as_before() -> None:
