--- /dev/null
+++ b/crowpost/decision_api/__init__.py
@@ -0,0 +1,103 @@
+"""The interface of the decision module: settings, events and actions.
+
+All times are milliseconds on the host's clock, which only has to advance.  An endpoint id is opaque bytes, a
+request id an opaque number; the module hands both back as it got them.
+"""
+
+from crowpost.decision_api.actions import (
+    Action,
+    Cancel,
+    CloseIdle,
+    Fail,
+    HealthCheck,
+    Log,
+    Reject,
+    Send,
+    SetTimer,
+    Subscribe,
+)
+from crowpost.decision_api.endpoints import (
+    EndpointEntry,
+    ListKind,
+    Readiness,
+    RememberedEndpoint,
+)
+from crowpost.decision_api.errors import (
+    DecisionApiError,
+    InvalidSettingsError,
+    SettingsError,
+    UnexpectedEventError,
+)
+from crowpost.decision_api.events import (
+    AttemptEnded,
+    BodySent,
+    EndpointList,
+    Event,
+    HealthCheckEnded,
+    NodesPresent,
+    PeerMessage,
+    RequestAbandoned,
+    RequestArrived,
+    ResponseStarted,
+    StateRestored,
+    TimerFired,
+)
+from crowpost.decision_api.outcomes import (
+    NEVER_RAN,
+    EndpointId,
+    Outcome,
+    RequestId,
+)
+from crowpost.decision_api.settings import (
+    Effect,
+    IdempotencyScope,
+    RequestClass,
+    Settings,
+    Tenant,
+)
+from crowpost.decision_api.settings_reader import (
+    read_settings,
+)
+
+__all__ = [
+    "Action",
+    "AttemptEnded",
+    "BodySent",
+    "Cancel",
+    "CloseIdle",
+    "DecisionApiError",
+    "Effect",
+    "EndpointEntry",
+    "EndpointId",
+    "EndpointList",
+    "Event",
+    "Fail",
+    "HealthCheck",
+    "HealthCheckEnded",
+    "IdempotencyScope",
+    "InvalidSettingsError",
+    "ListKind",
+    "Log",
+    "NEVER_RAN",
+    "NodesPresent",
+    "Outcome",
+    "PeerMessage",
+    "Readiness",
+    "Reject",
+    "RememberedEndpoint",
+    "RequestAbandoned",
+    "RequestArrived",
+    "RequestClass",
+    "RequestId",
+    "ResponseStarted",
+    "Send",
+    "SetTimer",
+    "Settings",
+    "SettingsError",
+    "StateRestored",
+    "Subscribe",
+    "Tenant",
+    "TimerFired",
+    "UnexpectedEventError",
+    "read_settings",
+]
--- /dev/null
+++ b/crowpost/decision_api/endpoints.py
@@ -0,0 +1,50 @@
+"""Rows of the endpoint list, and what an earlier process learned of an endpoint."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from crowpost.decision_api.outcomes import EndpointId
+
+
+class Readiness(Enum):
+    """A server's standing on the server list."""
+
+    GONE = 0
+    READY = 1
+    DRAINING = 2
+
+
+class ListKind(Enum):
+    """How a server list relates to the one before it."""
+
+    FAILED = 0
+    CHANGES = 1
+    CACHED = 2
+    FULL = 3
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointEntry:
+    """A row of the server list.  started_ms 0 means long ago."""
+
+    server: EndpointId
+    readiness: Readiness = Readiness.READY
+    capacity_hint: float = 1.0
+    kind: int = 0
+    zone: int = 0
+    cell: int = 0
+    started_ms: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class RememberedEndpoint:
+    """What a process knew, age_ms ago, of a server that was started at started_ms."""
+
+    server: EndpointId
+    started_ms: float
+    ratio: float  # its share, as a multiple of the mean share
+    average_ms: float | None = None  # None: not called yet
+    ejected: bool = False
+    age_ms: float = 0.0
--- /dev/null
+++ b/crowpost/decision_api/outcomes.py
@@ -0,0 +1,26 @@
+"""Identifiers of endpoints and requests, and the outcomes of attempts."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+EndpointId = bytes
+RequestId = int
+
+
+class Outcome(Enum):
+    """How an attempt or a probe ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    FULL = "full"
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    NOT_SENT = "moot"
+    REJECTED = "rejected"  # the server calls the request itself wrong; any other would, too
+
+
+# These outcomes prove that the attempt never ran.
+NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
--- a/crowpost/settings.py
+++ b/crowpost/decision_api/settings_reader.py
@@ -7,11 +7,8 @@
 
 from collections.abc import Mapping
 
-from crowpost.interface import Effect, IdempotencyScope, RequestClass, Settings, Tenant
-
-
-class SettingsError(Exception):
-    """A setting that is missing or cannot be read; its text names the key."""
+from crowpost.decision_api.errors import SettingsError
+from crowpost.decision_api.settings import Effect, IdempotencyScope, RequestClass, Settings, Tenant
 
 
 class _Setup:
--- a/crowpost/decide/balancer.py
+++ b/crowpost/decisions/balancer.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import Any
 
-import crowpost.interface as api
-from crowpost.decide.admission import Admission
-from crowpost.decide.fleet import Fleet
-from crowpost.decide.health import RETURN, Health
-from crowpost.decide.outcomes import Judge
-from crowpost.decide.placing import Placing
-from crowpost.interface import ListKind, Outcome, RequestId
-from crowpost.parts import Timers
-from crowpost.records import Attempt, Request, Server
+import crowpost.decision_api as api
+from crowpost.decision_api import ListKind, Outcome, RequestId
+from crowpost.decisions.concurrency_limiter import Admission
+from crowpost.decisions.endpoint_selection import Placing
+from crowpost.decisions.endpoint_set import Fleet
+from crowpost.decisions.outcome_scoring import Judge
+from crowpost.decisions.outlier_detection import RETURN, Health
+from crowpost.decisions.request_state import Attempt, Request, Server
+from crowpost.decisions.timers import Timers
 
 HOLD = 0.1  # part of the aim that a request may wait here for a place: a refused client tries again in time
 AGAIN = 0.02  # part of the aim between looks at waiting requests
--- a/crowpost/decide/admission.py
+++ b/crowpost/decisions/concurrency_limiter.py
@@ -4,10 +4,10 @@
 
 import math
 
-from crowpost.decide.fleet import Fleet
-from crowpost.decide.health import Health
-from crowpost.interface import Log
-from crowpost.parts import Bucket, Rate
+from crowpost.decision_api import Log
+from crowpost.decisions.endpoint_set import Fleet
+from crowpost.decisions.estimators import Bucket, Rate
+from crowpost.decisions.outlier_detection import Health
 
 TARGET = 0.4  # latencies are kept below this part of the aim, less for inner tiers
 TARGET_TIMES = 1.6  # and this many times the calmest lateness, where the aim leaves little room
--- a/crowpost/decide/placing.py
+++ b/crowpost/decisions/endpoint_selection.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from crowpost.decide.admission import Admission
-from crowpost.decide.fleet import Fleet
-from crowpost.decide.health import Health
-from crowpost.interface import Effect, IdempotencyScope
-from crowpost.records import Request, Server
+from crowpost.decision_api import Effect, IdempotencyScope
+from crowpost.decisions.concurrency_limiter import Admission
+from crowpost.decisions.endpoint_set import Fleet
+from crowpost.decisions.outlier_detection import Health
+from crowpost.decisions.request_state import Request, Server
 
 # A node's calls on one server may exceed its share of all calls out by this much before it is skipped.
 BUDGET_TIMES = 1.25
--- a/crowpost/decide/fleet.py
+++ b/crowpost/decisions/endpoint_set.py
@@ -6,10 +6,11 @@
 import random
 from collections.abc import Sequence
 
-import crowpost.interface as api
-from crowpost.decide.automaton import Automaton
-from crowpost.parts import Rate, deal
-from crowpost.records import Reports, Server
+import crowpost.decision_api as api
+from crowpost.decisions.estimators import Rate
+from crowpost.decisions.learning_automaton import Automaton
+from crowpost.decisions.request_state import Reports, Server
+from crowpost.decisions.subsetting import deal
 
 HOME = 6  # servers that a node keeps to, up to twice as many: of so few half may fail and leave a choice
 HOME_COVER = 3  # nodes that must share each server at the least, for their walks to cancel out
--- a/crowpost/decide/automaton.py
+++ b/crowpost/decisions/learning_automaton.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Mapping, Sequence
 
-from crowpost.interface import EndpointId
-from crowpost.parts import Vector, floored
+from crowpost.decision_api import EndpointId
+from crowpost.decisions.share_vector import Vector, floored
 
 # A copy sees few calls over many servers, so both steps are far above the paper's.
 ALPHA = 0.15  # an average spans about seven of its server's calls
--- a/crowpost/decide/outcomes.py
+++ b/crowpost/decisions/outcome_scoring.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from crowpost.decide.admission import Admission
-from crowpost.decide.fleet import Fleet
-from crowpost.decide.health import Health, patience
-from crowpost.interface import AttemptEnded, Outcome
-from crowpost.records import Attempt, Request
+from crowpost.decision_api import AttemptEnded, Outcome
+from crowpost.decisions.concurrency_limiter import Admission
+from crowpost.decisions.endpoint_set import Fleet
+from crowpost.decisions.outlier_detection import Health, patience
+from crowpost.decisions.request_state import Attempt, Request
 
 FULL_PAUSE = 0.02  # a server that was full rests for this part of the aim
 LATE_REST = 2.0  # one that gave no other answer during a call that ends late rests this many times as long
--- a/crowpost/decide/health.py
+++ b/crowpost/decisions/outlier_detection.py
@@ -5,10 +5,11 @@
 import math
 from itertools import islice
 
-from crowpost.decide.fleet import Fleet
-from crowpost.interface import Action, CloseIdle, EndpointId, HealthCheck, HealthCheckEnded, Log, Outcome
-from crowpost.parts import Spread, Timers
-from crowpost.records import Server
+from crowpost.decision_api import Action, CloseIdle, EndpointId, HealthCheck, HealthCheckEnded, Log, Outcome
+from crowpost.decisions.endpoint_set import Fleet
+from crowpost.decisions.estimators import Spread
+from crowpost.decisions.request_state import Server
+from crowpost.decisions.timers import Timers
 
 FAIL_STEP = 0.3  # two failures in a row cross FAIL_EJECT, one never does
 FAIL_EJECT = 0.45
--- a/crowpost/records.py
+++ b/crowpost/decisions/request_state.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-import crowpost.interface as api
+import crowpost.decision_api as api
 
 
 @dataclass(slots=True, eq=False)
--- /dev/null
+++ b/crowpost/decisions/timers.py
@@ -0,0 +1,33 @@
+"""A heap of timers."""
+
+from __future__ import annotations
+
+import heapq
+import math
+
+
+class Timers:
+    """Times in ms with what is due then; equal times in the order in which they were set."""
+
+    def __init__(self) -> None:
+        self.set = 0  # over the life
+        self._heap: list[tuple[float, int, int, int | bytes | None]] = []
+
+    def __len__(self) -> int:
+        return len(self._heap)
+
+    def at(self, when: float, kind: int, subject: int | bytes | None = None) -> None:
+        """Set a timer."""
+        self.set += 1
+        heapq.heappush(self._heap, (when, self.set, kind, subject))
+
+    def earliest(self) -> float:
+        """When the next is due; infinity if none is set."""
+        return self._heap[0][0] if self._heap else math.inf
+
+    def pop_due(self, now: float) -> tuple[int, int | bytes | None] | None:
+        """Kind and subject of the earliest timer that is due, which is taken off; None if none is."""
+        if not self._heap or self._heap[0][0] > now:
+            return None
+        _, _, kind, subject = heapq.heappop(self._heap)
+        return kind, subject
--- a/crowpost/lab/baselines.py
+++ b/crowpost/lab/baselines.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.interface import (
+from crowpost.decision_api import (
     NEVER_RAN,
     Action,
     AttemptEnded,
--- a/crowpost/lab/bench.py
+++ b/crowpost/lab/bench.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from crowpost.interface import (
+from crowpost.decision_api import (
     AttemptEnded,
     Effect,
     EndpointEntry,
--- a/crowpost/lab/capacity/connections.py
+++ b/crowpost/lab/capacity/connections.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from crowpost.decide.automaton import FLOOR_SHARE
-from crowpost.decide.fleet import Fleet
-from crowpost.interface import EndpointEntry, EndpointList, ListKind, RequestClass, Settings
+from crowpost.decision_api import EndpointEntry, EndpointList, ListKind, RequestClass, Settings
+from crowpost.decisions.endpoint_set import Fleet
+from crowpost.decisions.learning_automaton import FLOOR_SHARE
 from crowpost.lab.capacity.records import RecordError
 from crowpost.node.config import _DEFAULT_CONN_IDLE_MS
 from crowpost.node.servers import IDLE_PART
--- a/crowpost/lab/capacity/tables.py
+++ b/crowpost/lab/capacity/tables.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from crowpost.decide.automaton import FLOOR_SHARE
+from crowpost.decisions.learning_automaton import FLOOR_SHARE
 from crowpost.lab.capacity import connections, machines, ranking, roles
 from crowpost.lab.capacity.demand import Cost, Demand, summed
 from crowpost.lab.capacity.figures import NOT_MEASURED, Figure, Origin
@@ -269,7 +269,7 @@
         n = int(t.servers * times)
         args = (n, t.services, topology.service_skew, topology.callees_per_service, demand.target.run.seed)
         plain, zoned = connections.wire(*args), connections.wire(*args, zones=t.zones)
-        rule = demand.coded(1.0, "crowpost.decide.fleet")
+        rule = demand.coded(1.0, "crowpost.decisions.endpoint_set")
         for name, wiring, homes in (
             ("every server", plain, False),
             ("homes", plain, True),
@@ -318,7 +318,7 @@
     of = connections.sizes(t.servers, t.services, topology.service_skew)
     behind = (
         calls.times(idle).times(affordable).origins
-        + demand.coded(1.0, "crowpost.decide.automaton.FLOOR_SHARE").origins
+        + demand.coded(1.0, "crowpost.decisions.learning_automaton.FLOOR_SHARE").origins
     )
     home = connections.home(of[0], of[0])
 
--- a/crowpost/lab/live/processes.py
+++ b/crowpost/lab/live/processes.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.interface import Settings
+from crowpost.decision_api import Settings
 from crowpost.lab.live.stand import HOST
 from crowpost.lab.scenario import Scenario
 
--- a/crowpost/lab/machines.py
+++ b/crowpost/lab/machines.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from crowpost.interface import EndpointEntry, Outcome, Readiness
+from crowpost.decision_api import EndpointEntry, Outcome, Readiness
 from crowpost.lab.cores import Cores, Crowd
 from crowpost.lab.engine import Engine
 from crowpost.lab.scenario import Kind, Limits, Tier
--- a/crowpost/lab/membership.py
+++ b/crowpost/lab/membership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from crowpost.interface import NodesPresent
+from crowpost.decision_api import NodesPresent
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
 from crowpost.lab.swim import Process, Swarm, Weather
--- a/crowpost/lab/memory.py
+++ b/crowpost/lab/memory.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import cast
 
-from crowpost.decide import Balancer
-from crowpost.interface import StateRestored
+from crowpost.decision_api import StateRestored
+from crowpost.decisions import Balancer
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
 from crowpost.node.kept import Kept, Learned, Limit
--- a/crowpost/lab/nodes.py
+++ b/crowpost/lab/nodes.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     Cancel,
--- a/crowpost/lab/overhead/profile.py
+++ b/crowpost/lab/overhead/profile.py
@@ -15,6 +15,9 @@
 from crowpost.lab.checkout import PACKAGES
 
 CAUSES = {  # by where a function stands in the package
+    "decision_api/": "decision",
+    "decisions/": "decision",
+    # Revisions before the decisions were split into packages.
     "decide/": "decision",
     "records.py": "decision",
     "parts.py": "decision",
--- a/crowpost/lab/platform.py
+++ b/crowpost/lab/platform.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from crowpost.interface import EndpointEntry, EndpointId, ListKind, Outcome, Settings
+from crowpost.decision_api import EndpointEntry, EndpointId, ListKind, Outcome, Settings
 from crowpost.lab.engine import Engine
 from crowpost.lab.machines import Call, SimServer
 from crowpost.lab.measure import Measure
--- a/crowpost/lab/policies.py
+++ b/crowpost/lab/policies.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from crowpost import Balancer
-from crowpost.interface import Settings
+from crowpost.decision_api import Settings
 from crowpost.lab import baselines
 from crowpost.lab.memory import VARIANTS
 from crowpost.lab.nodes import Policy
--- a/crowpost/lab/powerloss/speed.py
+++ b/crowpost/lab/powerloss/speed.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.interface import RememberedEndpoint
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.node.kept import Kept, Learned, ListPart, read
 from crowpost.store.carrier import do, open_locked
 from crowpost.store.core import Pace, Store
--- a/crowpost/lab/revisions.py
+++ b/crowpost/lab/revisions.py
@@ -22,12 +22,12 @@
 from types import ModuleType
 from typing import Any, cast
 
-import crowpost.interface as api
-from crowpost.interface import Action, Event, RememberedEndpoint, Settings
+import crowpost.decision_api as api
+from crowpost.decision_api import Action, Event, RememberedEndpoint, Settings
 from crowpost.lab.checkout import PACKAGES, ROOT, GitError, commit_of, git, package_archive, package_of
 from crowpost.lab.nodes import Policy
 
-INTERFACES = ("interface",)  # modules that have held events and actions, the present one first
+INTERFACES = ("decision_api", "interface")  # modules that have held events and actions, the present one first
 LEFT_OUT = ("lab", "cli")  # subpackages that no decision needs
 
 # Earlier names, by the present one: of a type, or of a field or member as "Type.name".
@@ -169,6 +169,11 @@
     return (name.rpartition(".")[2], *ALIASES.get(name, ()))
 
 
+def _is_present(kind: type[Any]) -> bool:
+    """Return whether a type belongs to the present interface, and not to a revision's."""
+    return f"{kind.__module__}.".startswith(f"{api.__name__}.")
+
+
 class Translator:
     """Translates events to a revision's types, and its actions to the present ones, by name."""
 
@@ -179,7 +184,7 @@
         self._present_types = {
             earlier: kind
             for kind in vars(api).values()
-            if isinstance(kind, type) and kind.__module__ == api.__name__
+            if isinstance(kind, type) and _is_present(kind)
             for earlier in _known_as(kind.__name__)
         }
 
@@ -216,7 +221,7 @@
         if dataclasses.is_dataclass(source):
             if target is None:
                 return lambda value: None
-            present = source if source.__module__ == api.__name__ else target
+            present = source if _is_present(source) else target
             pairs = _field_pairs(source, target, present)
             made = target
             return lambda value: made(**{to: inner(getattr(value, at)) for at, to in pairs})
@@ -231,9 +236,9 @@
         return target(value.value)
     except ValueError:
         pass
-    present = target.__name__ if target.__module__ == api.__name__ else type(value).__name__
+    present = target.__name__ if _is_present(target) else type(value).__name__
     for name in target.__members__:
-        pair = (name, value.name) if target.__module__ == api.__name__ else (value.name, name)
+        pair = (name, value.name) if _is_present(target) else (value.name, name)
         if pair[1] in _known_as(f"{present}.{pair[0]}"):
             return target[name]
     raise PolicyError(f"rev: {type(value).__name__}.{value.name} has no counterpart")
--- a/crowpost/lab/rules.py
+++ b/crowpost/lab/rules.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from crowpost.interface import (
+from crowpost.decision_api import (
     Effect,
     EndpointEntry,
     EndpointId,
--- a/crowpost/lab/told.py
+++ b/crowpost/lab/told.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from crowpost.interface import Effect, IdempotencyScope, RequestClass, Settings, Tenant
+from crowpost.decision_api import Effect, IdempotencyScope, RequestClass, Settings, Tenant
 from crowpost.lab.scenario import REPORT_COLUMNS, Scenario
 
 
--- a/crowpost/lab/traffic.py
+++ b/crowpost/lab/traffic.py
@@ -8,7 +8,7 @@
 import numpy as np
 from numpy.random import PCG64, Generator, SeedSequence
 
-from crowpost.interface import Effect, IdempotencyScope, RequestClass
+from crowpost.decision_api import Effect, IdempotencyScope, RequestClass
 from crowpost.lab.measure import Measure
 from crowpost.lab.scenario import Class, Scenario
 from crowpost.lab.scenario import Clients as Habits
--- a/crowpost/node/callers.py
+++ b/crowpost/node/callers.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from crowpost.interface import Effect, Settings
+from crowpost.decision_api import Effect, Settings
 from crowpost.node.config import ConfigError
 from crowpost.node.exchange import LONG_BYTES, CallerConnection, Exchange
 from crowpost.node.http import (
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -8,9 +8,8 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from crowpost.interface import InvalidSettingsError, Settings
+from crowpost.decision_api import InvalidSettingsError, Settings, SettingsError, read_settings
 from crowpost.node.discovery import ListError, Listing, Naming
-from crowpost.settings import SettingsError, read_settings
 
 if TYPE_CHECKING:
     from crowpost.feed.config import FeedConfig
--- a/crowpost/node/discovery.py
+++ b/crowpost/node/discovery.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from crowpost.interface import EndpointEntry, EndpointId, EndpointList, ListKind, Readiness
+from crowpost.decision_api import EndpointEntry, EndpointId, EndpointList, ListKind, Readiness
 
 log = logging.getLogger(__name__)
 
--- a/crowpost/node/keeping.py
+++ b/crowpost/node/keeping.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-from crowpost.interface import RememberedEndpoint
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.node.kept import (
     PIECE,
     Evacuated,
--- a/crowpost/node/kept.py
+++ b/crowpost/node/kept.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from crowpost.interface import EndpointId, RememberedEndpoint, StateRestored
+from crowpost.decision_api import EndpointId, RememberedEndpoint, StateRestored
 from crowpost.store.model import Found, StoreError
 
 PIECE = 250  # servers in one record or piece: packing them takes less than a millisecond
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from crowpost.interface import NodesPresent, Settings
+from crowpost.decision_api import NodesPresent, Settings
 from crowpost.members.carrier import Carrier
 from crowpost.members.config import MembersConfig
 from crowpost.members.model import Change, Phase
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -17,8 +17,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from crowpost.decide import Balancer
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     BodySent,
@@ -44,6 +43,7 @@
     Subscribe,
     TimerFired,
 )
+from crowpost.decisions import Balancer
 from crowpost.node import management
 from crowpost.node.callers import Callers, ClientRequest, adopt
 from crowpost.node.config import Config, ConfigError, read_discovery
--- a/crowpost/node/servers.py
+++ b/crowpost/node/servers.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from crowpost.interface import EndpointId, Outcome, Readiness
+from crowpost.decision_api import EndpointId, Outcome, Readiness
 from crowpost.node.discovery import Listing
 from crowpost.node.http import Message, Upload
 from crowpost.node.upstream import Begin, Call, Connection, Done, KeepAlive, MayWrite, Render
--- a/crowpost/node/upstream.py
+++ b/crowpost/node/upstream.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, cast
 
-from crowpost.interface import Outcome
+from crowpost.decision_api import Outcome
 from crowpost.node.http import NOT_RUN, Message, MessageError, Reader, Sink, Upload, chunk
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/crowpost/simulator/__main__.py
@@ -0,0 +1,8 @@
+"""python -m crowpost.simulator: answer the simulator on standard input and output."""
+
+import sys
+
+from crowpost.simulator.host import main
+
+if __name__ == "__main__":
+    sys.exit(main("crowpost.simulator"))
--- a/crowpost/wire.py
+++ b/crowpost/simulator/decoding.py
@@ -9,36 +9,26 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from crowpost.interface import (
-    Action,
+from crowpost.decision_api import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
     EndpointEntry,
     EndpointList,
     Event,
-    Fail,
-    HealthCheck,
     HealthCheckEnded,
     ListKind,
-    Log,
     Outcome,
     PeerMessage,
     Readiness,
-    Reject,
     RequestAbandoned,
     RequestArrived,
     ResponseStarted,
-    Send,
-    SetTimer,
     Settings,
-    Subscribe,
+    SettingsError,
     TimerFired,
+    read_settings,
 )
-from crowpost.settings import SettingsError, read_settings
 
 BATCH_HEADER = struct.Struct("<IdI")
-REPLY_HEADER = struct.Struct("<II")
 _RECORD = struct.Struct("<BI")
 _NODE = struct.Struct("<I")
 _ENTRY = struct.Struct("<fH6sBHBd")
@@ -55,7 +45,6 @@
 
 _HINT_VALID, _REPEAT, _WRITE = 1, 2, 4
 _TABLES = 16
-_MAX_TEXT = 1000
 
 _OUTCOMES = {
     200: Outcome.OK,
@@ -204,58 +193,3 @@
                 raise WireError("settings are cut short")
             return node, Start(seed, parse_settings(raw.decode()))
         raise WireError(f"record code {code} is unknown")
-
-
-# ---------------------------------------------------------------- actions
-
-_SEND = struct.Struct("<BIII6sd")
-_REFUSE = struct.Struct("<BIIId")
-_FAIL = struct.Struct("<BIII")
-_CANCEL = struct.Struct("<BIIIH")
-_TIMER = struct.Struct("<BIIQd")
-_SERVER = struct.Struct("<BII6s")
-_WATCH = struct.Struct("<BIIB")
-_TEXT = struct.Struct("<BIIH")
-
-
-def _sized(layout: struct.Struct) -> int:
-    return layout.size - _RECORD.size
-
-
-def _text(code: int, node: int, text: str) -> bytes:
-    body = text.encode("utf-8", "replace")[:_MAX_TEXT]
-    return _TEXT.pack(code, _sized(_TEXT) + len(body), node, len(body)) + body
-
-
-def encode(node: int, action: Action) -> bytes:
-    """One action of one instance as a record."""
-    match action:
-        case Send(request, server, timeout):
-            return _SEND.pack(65, _sized(_SEND), node, request, server, timeout)
-        case SetTimer(token, at):
-            return _TIMER.pack(69, _sized(_TIMER), node, token, at)
-        case Reject(request, retry_after):
-            return _REFUSE.pack(66, _sized(_REFUSE), node, request, retry_after)
-        case Fail(request):
-            return _FAIL.pack(67, _sized(_FAIL), node, request)
-        case Cancel(request, attempt, _):
-            return _CANCEL.pack(68, _sized(_CANCEL), node, request, attempt)
-        case HealthCheck(server):
-            return _SERVER.pack(70, _sized(_SERVER), node, server)
-        case CloseIdle(server):
-            return _SERVER.pack(71, _sized(_SERVER), node, server)
-        case Subscribe():
-            return _WATCH.pack(75, _sized(_WATCH), node, 1)
-        case Log(text):
-            return _text(73, node, text)
-
-
-def encode_fault(node: int, text: str) -> bytes:
-    """The record that declares an instance's decision code broken."""
-    return _text(74, node, text)
-
-
-def reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
-    body = b"".join(records)
-    return REPLY_HEADER.pack(len(records), len(body)) + body
--- /dev/null
+++ b/tests/decisions/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decisions."""
--- a/tests/checker.py
+++ b/tests/decisions/checker.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from crowpost import Balancer
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     Cancel,
--- a/tests/test_decisions.py
+++ b/tests/decisions/test_balancer.py
@@ -6,9 +6,7 @@
 from collections.abc import Iterable
 
 from crowpost import Balancer
-from crowpost.decide.admission import LIMIT_START
-from crowpost.decide.placing import BUDGET_PLUS, BUDGET_TIMES
-from crowpost.interface import (
+from crowpost.decision_api import (
     AttemptEnded,
     BodySent,
     Cancel,
@@ -33,7 +31,9 @@
     Subscribe,
     Tenant,
 )
-from tests.checker import Owed, Surrounding
+from crowpost.decisions.concurrency_limiter import LIMIT_START
+from crowpost.decisions.endpoint_selection import BUDGET_PLUS, BUDGET_TIMES
+from tests.decisions.checker import Owed, Surrounding
 
 SAFE = RequestClass("r", 1000, 3000)
 UNSAFE = RequestClass("w", 1000, 3000, priority_weight=3.0, effect=Effect.UNSAFE)
--- a/tests/test_automaton.py
+++ b/tests/decisions/test_learning_automaton.py
@@ -8,7 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from crowpost.decide.automaton import ALPHA, CHARGE_CAP, FLOOR_SHARE, NEWCOMER_SHARE, THETA_SHARE, Automaton
+from crowpost.decisions.learning_automaton import (
+    ALPHA,
+    CHARGE_CAP,
+    FLOOR_SHARE,
+    NEWCOMER_SHARE,
+    THETA_SHARE,
+    Automaton,
+)
 
 NAMES = [bytes([i]) for i in range(40)]
 
--- a/tests/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from crowpost import Balancer
-from crowpost.interface import (
+from crowpost.decision_api import (
     AttemptEnded,
     Effect,
     EndpointEntry,
@@ -26,7 +26,7 @@
     TimerFired,
     UnexpectedEventError,
 )
-from tests.checker import Surrounding
+from tests.decisions.checker import Surrounding
 
 EFFECTS = [
     RequestClass("safe", 1000, 3000, effect=Effect.SAFE),
--- a/tests/test_ramp.py
+++ b/tests/decisions/test_slow_start.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from crowpost.interface import EndpointEntry, RequestClass, Settings
+from crowpost.decision_api import EndpointEntry, RequestClass, Settings
 from tests.fleet import Fleet, SimServer, heaviest
 from tests.stubs import (
     HOST,
--- a/tests/test_home.py
+++ b/tests/decisions/test_subsetting.py
@@ -7,7 +7,7 @@
 import pytest
 
 from crowpost import Balancer
-from crowpost.interface import (
+from crowpost.decision_api import (
     EndpointEntry,
     EndpointList,
     ListKind,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from crowpost import Balancer
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     EndpointEntry,
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -24,12 +24,12 @@
 import crowpost.feed.messages as feed_messages
 import crowpost.feed.wire as feed_wire
 import crowpost.members.wire as member_wire
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.feed.ledger import Ledger, Writers
 from crowpost.feed.messages import Publish
 from crowpost.feed.model import Document, Standing, State, make_document
 from crowpost.feed.shelf import Shelf
 from crowpost.feed.table import Table
-from crowpost.interface import RememberedEndpoint
 from crowpost.members import exchange
 from crowpost.members.core import Members
 from crowpost.members.model import Claim, Phase, Profile, Verdict
--- /dev/null
+++ b/tests/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the adapter to the simulator."""
--- a/tests/test_wire.py
+++ b/tests/simulator/test_simulator.py
@@ -9,8 +9,7 @@
 
 import pytest
 
-from crowpost.drill import serve
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     Cancel,
@@ -35,7 +34,7 @@
     Subscribe,
     TimerFired,
 )
-from crowpost.wire import (
+from crowpost.simulator import (
     Decoder,
     Record,
     Start,
@@ -46,6 +45,7 @@
     parse_settings,
     reply,
 )
+from crowpost.simulator.host import serve
 
 MINIMAL = {
     "profiles.count": "1",
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
+from crowpost.decision_api import read_settings
 from crowpost.members.config import MembersConfig
 from crowpost.node.config import Config, Limits, flat
 from crowpost.node.discovery import Naming
 from crowpost.node.node import Node
-from crowpost.settings import read_settings
 from crowpost.store.config import StateConfig
 
 HOST = "127.0.0.1"
--- a/tests/test_capacity_parts.py
+++ b/tests/test_capacity_parts.py
@@ -14,8 +14,8 @@
 import numpy as np
 import pytest
 
-from crowpost.decide.fleet import Fleet
-from crowpost.interface import EndpointEntry, EndpointList, ListKind, Settings
+from crowpost.decision_api import EndpointEntry, EndpointList, ListKind, Settings
+from crowpost.decisions.endpoint_set import Fleet
 from crowpost.lab.capacity import backing, connections, lines, machines, page, ranking, records, roles, tables
 from crowpost.lab.capacity.demand import Demand
 from crowpost.lab.capacity.figures import Figure, Origin
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crowpost.interface import Effect, ListKind, Readiness
+from crowpost.decision_api import Effect, ListKind, Readiness
 from crowpost.node.config import ConfigError, load
 from crowpost.node.discovery import ListError, Naming
 from crowpost.node.node import Clock
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     EndpointList,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crowpost.interface import AttemptEnded, Outcome, RequestAbandoned
+from crowpost.decision_api import AttemptEnded, Outcome, RequestAbandoned
 from crowpost.node.servers import GROWING_MOST, Peer
 from tests.stubs import (
     PATIENCE_S,
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -19,7 +19,7 @@
 
 from crowpost import Balancer
 from crowpost.cli.main import main
-from crowpost.interface import (
+from crowpost.decision_api import (
     EndpointEntry,
     EndpointList,
     ListKind,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import shutil
 import subprocess
 import sys
 import tarfile
@@ -15,8 +14,8 @@
 import msgspec
 import pytest
 
-import crowpost.interface as api
-from crowpost.interface import (
+import crowpost.decision_api as api
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     EndpointList,
@@ -313,15 +312,18 @@
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "balancer.toml").write_text(f'policy = ["{package}/old.py"]\n')
     (tmp_path / package).mkdir()
-    shutil.copy(Path(api.__file__), tmp_path / package / "interface.py")
-    source = f"""from {package}.interface import Fail
+    (tmp_path / package / "decision_api").mkdir()
+    for file in Path(api.__file__).parent.glob("*.py"):
+        source = file.read_text().replace("crowpost", package)
+        (tmp_path / package / "decision_api" / file.name).write_text(source)
+    source = f"""from {package}.decision_api import Fail, RequestArrived
 
 class Balancer:
     def __init__(self, settings, seed):
         self.classes = [kind.name for kind in settings.classes]
 
     def handle(self, event, now):
-        assert type(event).__module__ == Fail.__module__
+        assert type(event) is RequestArrived
         return [Fail(event.request + len(self.classes))]
 """
     (tmp_path / package / "old.py").write_text(source)
@@ -363,7 +365,8 @@
         "typer",
         "crowpost.lab",
     )
-    code = f"import sys, crowpost.__main__, crowpost.drill; print([m for m in {tools} if m in sys.modules])"
+    modules = "sys, crowpost.__main__, crowpost.drill, crowpost.simulator.host"
+    code = f"import {modules}; print([m for m in {tools} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from crowpost.interface import EndpointEntry, EndpointList, ListKind, RequestClass, Settings
-from tests.checker import Surrounding
+from crowpost.decision_api import EndpointEntry, EndpointList, ListKind, RequestClass, Settings
+from tests.decisions.checker import Surrounding
 
 ASKING = Settings(
     classes=(RequestClass("r", 1000, 3000),), poll_for_list=True, list_poll_ms=4000.0, tick_ms=5.0
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crowpost.interface import Action, AttemptEnded, Cancel, Event, Outcome, RequestArrived, Send
+from crowpost.decision_api import Action, AttemptEnded, Cancel, Event, Outcome, RequestArrived, Send
 from crowpost.node.management import FIRST_S
 from crowpost.node.metrics import Metrics
 from tests.stubs import (
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crowpost.interface import Action, AttemptEnded, Event, RequestAbandoned
+from crowpost.decision_api import Action, AttemptEnded, Event, RequestAbandoned
 from crowpost.node.discovery import REWATCH_MOST_S, REWATCH_S
 from crowpost.node.exchange import FIRST_S, CallerConnection
 from crowpost.node.node import ADOPT_WAIT_S
--- a/tests/test_overhead.py
+++ b/tests/test_overhead.py
@@ -303,6 +303,8 @@
 
 
 def test_a_profile_is_told_by_cause(tmp_path: Path) -> None:
+    assert cause("/x/crowpost/decisions/endpoint_selection.py", "draw") == "decision"
+    assert cause("/x/crowpost/decision_api/settings.py", "read") == "decision"
     assert (
         cause("/x/crowpost/decide/placing.py", "draw") == cause("/x/crowpost/records.py", "add") == "decision"
     )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,10 +10,13 @@
 import pytest
 
 from crowpost import Automaton, Balancer
-from crowpost.decide.automaton import FLOOR_SHARE, NEWCOMER_SHARE
-from crowpost.interface import EndpointEntry, EndpointList, ListKind, Readiness, Settings
+from crowpost.decision_api import EndpointEntry, EndpointList, ListKind, Readiness, Settings
+from crowpost.decisions.estimators import Bucket, Spread
+from crowpost.decisions.fenwick_tree import WeightedGroup
+from crowpost.decisions.learning_automaton import FLOOR_SHARE, NEWCOMER_SHARE
+from crowpost.decisions.share_vector import floored
+from crowpost.decisions.timers import Timers
 from crowpost.lab.bench import Drive, _settings, rows
-from crowpost.parts import Bucket, Spread, Timers, WeightedGroup, floored
 
 
 class Reference:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crowpost.interface import Outcome
+from crowpost.decision_api import Outcome
 from crowpost.node.discovery import Naming
 from crowpost.node.http import Message
 from crowpost.node.servers import Servers
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     Event,
