--- a/crowpost/decision_api/events.py
+++ b/crowpost/decision_api/events.py
@@ -62,7 +62,7 @@
     elapsed_ms: float
     finished: bool
     load: tuple[float, ...] = ()
-    spent: bool = False  # a streamed body went with it and cannot be sent again
+    body_consumed: bool = False  # a streamed body went with it and cannot be sent again
 
 
 @dataclass(frozen=True, slots=True)
--- a/crowpost/decision_api/settings.py
+++ b/crowpost/decision_api/settings.py
@@ -72,8 +72,8 @@
     tenants: tuple[Tenant, ...] = ()
     node_count: int = 1
     node_index: int = 0
-    stage: int = 0
-    stages: int = 1
+    tier: int = 0
+    tiers: int = 1
     zone: int = 0
     zones: int = 1
     max_attempts: int = 3
@@ -97,12 +97,12 @@
     connect_timeout_ms: float = 250.0
     tick_ms: float = 1.0
     cross_zone_price: float = 0.0
-    load_columns: tuple[str, ...] = ()
+    load_report_columns: tuple[str, ...] = ()
 
     def __post_init__(self) -> None:
         if not self.classes:
             raise InvalidSettingsError("classes is empty")
-        _check(self, ("node_count", "stages", "max_attempts"), 1)
-        _check(self, ("stage", "warm_up_ms", "slow_start_fraction", "overload_window_ms", "tick_ms"), 0.0)
+        _check(self, ("node_count", "tiers", "max_attempts"), 1)
+        _check(self, ("tier", "warm_up_ms", "slow_start_fraction", "overload_window_ms", "tick_ms"), 0.0)
         _check(self, ("max_retry_after_ms", "over_quota_weight", "cross_zone_price", "answer_slack_ms"), 0.0)
         _check(self, ("list_poll_ms",), 1e-6)
--- a/crowpost/decision_api/settings_reader.py
+++ b/crowpost/decision_api/settings_reader.py
@@ -109,8 +109,8 @@
         tenants=tenants,
         node_count=setup.whole("balancers", 1, 1),
         node_index=setup.whole("ordinal", 0),
-        stage=setup.whole("stage", 0),
-        stages=max(1, len(setup.names("layers"))),
+        tier=setup.whole("stage", 0),
+        tiers=max(1, len(setup.names("layers"))),
         zone=setup.whole("locality", 0),
         zones=max(1, len(setup.names("azs"))),
         max_attempts=setup.whole("policyLimits.tryLimit", 1, 1),
@@ -134,5 +134,5 @@
         connect_timeout_ms=setup.number("policyLimits.connectTimeoutMs", 250.0),
         tick_ms=setup.number("tickMs", 1.0),
         cross_zone_price=setup.number("tariffs.crossZone", 0.0),
-        load_columns=setup.names("loadInfo.columns"),
+        load_report_columns=setup.names("loadInfo.columns"),
     )
--- a/crowpost/decisions/balancer.py
+++ b/crowpost/decisions/balancer.py
@@ -230,7 +230,7 @@
         self._requests[number] = request
         self._retry_tokens = min(RETRY_MOST, self._retry_tokens + RETRY_EARN)
         # At the front a request waits a part of its aim; further in, its work so far would be lost.
-        hold = HOLD * kind.latency_objective_ms if settings.stage == 0 else 0.5 * event.budget_ms
+        hold = HOLD * kind.latency_objective_ms if settings.tier == 0 else 0.5 * event.budget_ms
         self._wait(request, min(hold, 0.5 * event.budget_ms))
 
     def _wait(self, request: Request, hold: float) -> None:
@@ -375,7 +375,7 @@
         if request is None:
             return
         request.out -= 1
-        request.spent |= event.spent
+        request.body_consumed |= event.body_consumed
         if event.finished:
             del self._requests[request.id]
             self._leave_queue(request)
--- a/crowpost/decisions/concurrency_limiter.py
+++ b/crowpost/decisions/concurrency_limiter.py
@@ -60,7 +60,7 @@
     def follow_nodes(self) -> None:
         """What all nodes of the front admit is split over them; further in each node stands for itself."""
         settings, nodes, before = self.fleet.settings, self.fleet.nodes, self.sharers
-        self.sharers = 1 if settings.stage else nodes
+        self.sharers = 1 if settings.tier else nodes
         self.limit *= before / self.sharers
         self._peak *= before / self.sharers
         for tenant, quota in zip(settings.tenants, self._quota, strict=True):
@@ -68,7 +68,7 @@
 
     def within_share(self, tenant: int) -> bool:
         """A second's quota for each tenant, at the tier that clients reach."""
-        known = not self.fleet.settings.stage and 0 <= tenant < len(self._quota)
+        known = not self.fleet.settings.tier and 0 <= tenant < len(self._quota)
         return not known or self._quota[tenant].take(self.fleet.now)
 
     def has_room(self, out: int, chance: float) -> bool:
@@ -155,7 +155,7 @@
         lag = (self._step - STRAIN_STEP) / (STRAIN_MOST - STRAIN_STEP)
         calm = (TIMES_CALM + lag * (TIMES_CALM_LATE - TIMES_CALM)) * self.calm
         # Where even the calmest latencies are near the target, holding to it would shed without end.
-        target = TARGET * (settings.stages - settings.stage) / settings.stages
+        target = TARGET * (settings.tiers - settings.tier) / settings.tiers
         target = max(target, TARGET_TIMES * self._calm_lateness) if self.calm < math.inf else target
         self.strain = max(self._lateness / target, self._level / calm if calm > 0 else 0.0)
         # Not by the mean latency alone: in a jam that grows to the callers' deadline, and cuts that waited
@@ -165,7 +165,7 @@
         self._limit_at = now
         # A server holds its slot while it waits for the tiers behind it: with a call for each of those its
         # core is just kept busy.  At one call a front that had taken a lucky start for calm shed 40% all day.
-        least = (settings.stages - settings.stage) * len(self.fleet.arms) / self.sharers
+        least = (settings.tiers - settings.tier) * len(self.fleet.arms) / self.sharers
         if self.strain > 1.0:
             self._strained = True
             # Cut at most to what was in flight when as much was answered without a queue, times a margin:
--- a/crowpost/decisions/endpoint_selection.py
+++ b/crowpost/decisions/endpoint_selection.py
@@ -35,7 +35,7 @@
     def may_go_on(self, request: Request) -> bool:
         """Rule 2 but for its groups: whether a further attempt may be made at all."""
         settings, first = self.fleet.settings, request.risky()
-        if request.spent or (first is not None and request.out and not settings.may_hedge):
+        if request.body_consumed or (first is not None and request.out and not settings.may_hedge):
             return False
         unsafe = first is not None and request.kind.effect is Effect.UNSAFE
         return not unsafe and self.fleet.now < request.window_end_ms() - settings.tick_ms
--- a/crowpost/decisions/endpoint_set.py
+++ b/crowpost/decisions/endpoint_set.py
@@ -39,7 +39,7 @@
         self.capacity = 0.0  # of the listed servers, in warm ones
         self._look_at = -math.inf
         self._groups: dict[tuple[api.IdempotencyScope, int], list[int]] = {}
-        columns = settings.load_columns
+        columns = settings.load_report_columns
         column = columns.index(HELD_COLUMN) if HELD_COLUMN in columns else None
         self.reports = Reports(column, REPORT_AIMS * self.aim)
 
--- a/crowpost/decisions/request_state.py
+++ b/crowpost/decisions/request_state.py
@@ -116,7 +116,7 @@
     hold_until: float = 0.0
     waiting: bool = False
     started: bool = False
-    spent: bool = False  # its streamed body has gone
+    body_consumed: bool = False  # its streamed body has gone
 
     def repeatable(self) -> bool:
         return self.kind.effect is not api.Effect.UNSAFE and not self.streamed
--- a/crowpost/lab/baselines.py
+++ b/crowpost/lab/baselines.py
@@ -256,7 +256,7 @@
         return True  # a cold server's rate is seen as it is, and no more is sent than is soon done
 
     def admits(self, allowed: list[Arm], request: Open) -> bool:
-        if self.settings.stage:
+        if self.settings.tier:
             return True
         best = min(self._expected(a, request) for a in allowed)
         return best <= 0.5 * request.kind.latency_objective_ms
--- a/crowpost/lab/bench.py
+++ b/crowpost/lab/bench.py
@@ -53,7 +53,7 @@
         RequestClass("look", 2500.0, 6000.0),
         RequestClass("book", 2500.0, 6000.0, 5.0, 0.0, Effect.UNSAFE),
     )
-    return Settings(classes, max_attempts=5, may_check_health=True, load_columns=("outstanding",))
+    return Settings(classes, max_attempts=5, may_check_health=True, load_report_columns=("outstanding",))
 
 
 def rows(count: int, first: int = 0, started_ms: float = 0.0) -> tuple[EndpointEntry, ...]:
--- a/crowpost/lab/live/processes.py
+++ b/crowpost/lab/live/processes.py
@@ -33,9 +33,9 @@
         "locality": settings.zone,
         "balancers": settings.node_count,
         "ordinal": settings.node_index,
-        "stage": settings.stage,
+        "stage": settings.tier,
         "layers": [t.name for t in scenario.tiers],
-        "models": [k.name for k in scenario.tiers[settings.stage].kinds],
+        "models": [k.name for k in scenario.tiers[settings.tier].kinds],
         "registryMode": "pushed",
         "tickMs": settings.tick_ms,
         "weights": "off",
@@ -60,7 +60,7 @@
             "retryAfter": settings.retry_after,
             "tryLimit": settings.max_attempts,
         },
-        "loadInfo": {"columns": list(settings.load_columns)},
+        "loadInfo": {"columns": list(settings.load_report_columns)},
         "profiles": [
             {
                 "name": c.name,
--- a/crowpost/lab/membership.py
+++ b/crowpost/lab/membership.py
@@ -32,9 +32,9 @@
         settings = node.settings
         self._nodes[node.name] = node
         self._presence[node.name] = Presence(
-            "node", str(settings.stage), Share(settings.node_count, settings.node_index)
+            "node", str(settings.tier), Share(settings.node_count, settings.node_index)
         )
-        facts = {STAGE: str(settings.stage), ORDINAL: str(settings.node_index)}
+        facts = {STAGE: str(settings.tier), ORDINAL: str(settings.node_index)}
         self._swarm.start(node.name, contacts, facts=facts)
 
     def _look(self) -> None:
--- a/crowpost/lab/revisions.py
+++ b/crowpost/lab/revisions.py
@@ -32,6 +32,7 @@
 
 # Earlier names, by the present one: of a type, or of a field or member as "Type.name".
 ALIASES: dict[str, tuple[str, ...]] = {
+    "AttemptEnded.body_consumed": ("spent",),
     "EndpointEntry": ("ServerEntry",),
     "EndpointList": ("ServerList",),
     "HealthCheck": ("Probe",),
@@ -48,6 +49,7 @@
     "RequestClass.objective_stretch": ("aim_stretch",),
     "RequestClass.priority_weight": ("worth",),
     "ResponseStarted": ("AnswerStarted",),
+    "Settings.load_report_columns": ("load_columns",),
     "Settings.list_poll_ms": ("must_ask_ms",),
     "Settings.may_check_health": ("may_probe",),
     "Settings.may_hedge": ("may_duplicate",),
@@ -59,6 +61,8 @@
     "Settings.poll_for_list": ("ask_for_list",),
     "Settings.priority_by_work": ("worth_by_work",),
     "Settings.slow_start_fraction": ("cold_start_share",),
+    "Settings.tier": ("stage",),
+    "Settings.tiers": ("stages",),
     "Settings.warm_up_ms": ("cold_ms",),
     "StateRestored": ("Remembered",),
     "NodesPresent.node_index": ("ordinal",),
--- a/crowpost/lab/told.py
+++ b/crowpost/lab/told.py
@@ -32,8 +32,8 @@
         tenants=tuple(Tenant(t.name, t.share / wished, t.quota_per_s) for t in scenario.tenants),
         node_count=scenario.nodes if stage == 0 else scenario.tiers[stage - 1].servers,
         node_index=node_index,
-        stage=stage,
-        stages=len(scenario.tiers),
+        tier=stage,
+        tiers=len(scenario.tiers),
         zone=zone,
         zones=scenario.network.zones,
         max_attempts=limits.max_attempts,
@@ -51,5 +51,5 @@
         overload_factor=limits.overload_factor,
         overload_window_ms=limits.overload_window_ms,
         connect_timeout_ms=scenario.network.connect_timeout_ms,
-        load_columns=REPORT_COLUMNS,
+        load_report_columns=REPORT_COLUMNS,
     )
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -36,10 +36,10 @@
         self._noted = 0
         self._loop = asyncio.get_running_loop()
         self._carrier = Carrier(config, self._changed)
-        self._facts = {STAGE: str(settings.stage), ORDINAL: str(settings.node_index)}
+        self._facts = {STAGE: str(settings.tier), ORDINAL: str(settings.node_index)}
         self._presence = Presence(
             config.role,
-            str(settings.stage),
+            str(settings.tier),
             Share(settings.node_count, settings.node_index),
             settle_ms=config.settle_ms,
             least_part=config.least_part,
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -582,14 +582,14 @@
             kind = answer.headers.get(CONTENT_TYPE)
             self._finish(request, 200, answer.body, b"Content-Type: %s\r\n" % kind if kind else b"")
         finished = request not in self._requests
-        load = load_report(answer, self._config.settings.load_columns)
+        load = load_report(answer, self._config.settings.load_report_columns)
         self._post(AttemptEnded(request, number, server, outcome, elapsed, finished, load, spent))
 
     def _probe(self, server: EndpointId) -> None:
         sent = self._clock.now()
 
         def done(outcome: Outcome, answer: Message | None) -> None:
-            load = load_report(answer, self._config.settings.load_columns)
+            load = load_report(answer, self._config.settings.load_report_columns)
             self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent, load))
 
         self._servers.call(server, lambda _: self._probe_text, PROBE_MS / 1000.0, done)
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -445,7 +445,7 @@
 def test_the_limit_leaves_each_server_a_call_for_every_tier_to_come() -> None:
     """Guards against a lucky start taken for calm: at a call a server a front then shed 40% of a day."""
     slow = RequestClass("r", 1500, 4000)
-    play = make(slow, servers=4, stages=3, stage=0)
+    play = make(slow, servers=4, tiers=3, tier=0)
     serve(play, 60, latency=50.0)  # calm
     serve(play, 60, latency=200.0)  # strained against that, though far inside the aim
     assert any(t.startswith("admission limit on") for t in texts(play))
@@ -474,7 +474,7 @@
 
 
 def test_a_server_that_holds_much_for_other_nodes_is_left_alone() -> None:
-    play = make(load_columns=("outstanding",), node_count=8)
+    play = make(load_report_columns=("outstanding",), node_count=8)
     crowded = b"\x02"
     _held_elsewhere(play, {crowded: 15.0})
     mark = len(play.log)
@@ -485,7 +485,7 @@
 
 
 def test_an_old_load_report_keeps_no_server_out() -> None:
-    play = make(load_columns=("outstanding",), node_count=8)
+    play = make(load_report_columns=("outstanding",), node_count=8)
     crowded = b"\x02"
     _held_elsewhere(play, {crowded: 15.0})
     play.step(1.5 * SAFE.latency_objective_ms)
@@ -511,7 +511,7 @@
 def test_a_node_whose_peer_is_away_may_fill_what_reports_show_to_be_unused() -> None:
     """Until calm is known the limit is a guess for all nodes together: what the others hold is told."""
     for others, expected in ((0.0, LIMIT_START * 4), (0.5 * LIMIT_START, 0.5 * LIMIT_START * 4)):
-        play = make(servers=4, node_count=2, load_columns=("outstanding",))
+        play = make(servers=4, node_count=2, load_report_columns=("outstanding",))
         for _ in range(8):
             request = play.arrive()
             play.step(2.0)
@@ -562,7 +562,9 @@
         server = play.owed[request].attempts[number].entry.server
         mark = len(play.log)
         play.owed[request].attempts[number].ended = Outcome.CONNECT_FAILED
-        play.feed(AttemptEnded(request, number, server, Outcome.CONNECT_FAILED, 5.0, False, spent=spent))
+        play.feed(
+            AttemptEnded(request, number, server, Outcome.CONNECT_FAILED, 5.0, False, body_consumed=spent)
+        )
         assert bool(sent_to(play, mark)) is not spent
         assert any(isinstance(a, Reject) for a in play.log[mark:]) is spent
 
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -64,8 +64,8 @@
     for stage in (0, 1):
         settings = Settings(
             classes=tuple(EFFECTS),
-            stage=stage,
-            stages=2,
+            tier=stage,
+            tiers=2,
             answer_slack_ms=20.0,
             tick_ms=5.0,
             may_hedge=duplicate,
