--- a/crowpost/lab/crash_consistency/benchmark.py
+++ b/crowpost/lab/crash_consistency/benchmark.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.interface import RememberedEndpoint
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.node.state.records import Kept, Learned, ListPart, read
 from crowpost.storage.core import Pace, Store
 from crowpost.storage.disk import words
--- a/crowpost/lab/membership/front_nodes.py
+++ b/crowpost/lab/membership/front_nodes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from crowpost.interface import NodesPresent
+from crowpost.decision_api import NodesPresent
 from crowpost.lab.membership.simulation import NetworkConditions, SimulatedCluster, SimulatedProcess
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
@@ -32,7 +32,7 @@
 
     def _start(self, node: SimNode, contacts: tuple[str, ...]) -> None:
         settings = node.settings
-        stage = str(settings.stage)
+        stage = str(settings.tier)
         configured = WorkShare(settings.node_count, settings.node_index)
         self._nodes[node.name] = node
         self._trackers[node.name] = WorkShareTracker(ROLE, stage, configured)
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from crowpost.interface import NodesPresent, Settings
+from crowpost.decision_api import NodesPresent, Settings
 from crowpost.membership.configuration import MembershipConfig
 from crowpost.membership.model import Phase, StateChange
 from crowpost.membership.transport import MembershipTransport
@@ -45,7 +45,7 @@
         self._reported_incarnation = 0
         self._loop = asyncio.get_running_loop()
         self._transport = MembershipTransport(config, self._on_change)
-        stage = str(settings.stage)
+        stage = str(settings.tier)
         self._facts = {STAGE_FACT: stage, INDEX_FACT: str(settings.node_index)}
         self._share_tracker = WorkShareTracker(
             config.role,
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -17,8 +17,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from crowpost.decide import Balancer
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     BodySent,
@@ -44,6 +43,7 @@
     Subscribe,
     TimerFired,
 )
+from crowpost.decisions import Balancer
 from crowpost.node import management
 from crowpost.node.callers import Callers, ClientRequest, adopt
 from crowpost.node.config import Config, ConfigError, read_discovery
@@ -582,14 +582,14 @@
             kind = answer.headers.get(CONTENT_TYPE)
             self._finish(request, 200, answer.body, b"Content-Type: %s\r\n" % kind if kind else b"")
         finished = request not in self._requests
-        load = load_report(answer, self._config.settings.load_columns)
+        load = load_report(answer, self._config.settings.load_report_columns)
         self._post(AttemptEnded(request, number, server, outcome, elapsed, finished, load, spent))
 
     def _probe(self, server: EndpointId) -> None:
         sent = self._clock.now()
 
         def done(outcome: Outcome, answer: Message | None) -> None:
-            load = load_report(answer, self._config.settings.load_columns)
+            load = load_report(answer, self._config.settings.load_report_columns)
             self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent, load))
 
         self._servers.call(server, lambda _: self._probe_text, PROBE_MS / 1000.0, done)
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -29,7 +29,7 @@
 from crowpost.config_feed.documents import ApplyState, ApplyStatus, Document, make_document
 from crowpost.config_feed.messages import PublishRequest
 from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
-from crowpost.interface import RememberedEndpoint
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.membership import sync
 from crowpost.membership.core import MembershipCore
 from crowpost.membership.model import Liveness, Phase, Profile, StateUpdate
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
+from crowpost.decision_api import read_settings
 from crowpost.membership.configuration import MembershipConfig
 from crowpost.node.config import Config, Limits, flat
 from crowpost.node.discovery import Naming
 from crowpost.node.node import Node
-from crowpost.settings import read_settings
 from crowpost.storage.config import StateConfig
 
 HOST = "127.0.0.1"
