--- a/crowpost/lab/membership/simulation.py
+++ b/crowpost/lab/membership/simulation.py
@@ -71,10 +71,10 @@
         self.settings = settings or ProtocolSettings()
         self.processes: dict[str, SimulatedProcess] = {}
         self.by_address: dict[str, SimulatedProcess] = {}
-        self.may_pass: Callable[[str, str], bool] = lambda source, target: True
+        self.may_pass: Callable[[str, str], bool] = _always_passes
         self.history: list[tuple[str, StateChange]] = []  # with the name of the observer
         self.keep_history = True
-        self.on_change: Callable[[SimulatedProcess, StateChange], None] = lambda process, change: None
+        self.on_change: Callable[[SimulatedProcess, StateChange], None] = _ignore_change
 
     # ------------------------------------------------------------ processes
 
@@ -253,6 +253,14 @@
         return all(_present_names(process) == names for process in observers)
 
 
+def _always_passes(_source: str, _target: str) -> bool:
+    return True
+
+
+def _ignore_change(_process: SimulatedProcess, _change: StateChange) -> None:
+    return None
+
+
 def _present_names(process: SimulatedProcess) -> set[str]:
     members = process.core.view.members.values()
     return {member.name for member in members if member.state == Phase.PRESENT.label}
--- a/crowpost/membership/configuration.py
+++ b/crowpost/membership/configuration.py
@@ -30,6 +30,27 @@
     "tuning",
 )
 
+# The keys of the table [members.tuning], by the fields of ProtocolSettings.
+TUNING_KEYS = {
+    "probe_interval_ms": "probe_ms",
+    "indirect_probes": "helpers",
+    "suspicion_multiplier": "suspicion",
+    "max_suspicion_factor": "suspicion_most",
+    "expected_confirmations": "confirmations",
+    "gossip_interval_ms": "gossip_ms",
+    "gossip_fanout": "fanout",
+    "retransmit_multiplier": "repeats",
+    "sync_interval_ms": "sync_ms",
+    "mismatch_sync_ms": "mismatch_ms",
+    "dead_probe_interval_ms": "rejoin_ms",
+    "dead_retention_ms": "forget_ms",
+    "max_members": "most_members",
+    "max_dead_members": "most_gone",
+    "max_datagram_bytes": "datagram_bytes",
+    "send_rate_bytes_per_s": "bytes_per_s",
+    "burst_bytes": "bytes_saved",
+}
+
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
@@ -74,7 +95,7 @@
         settle_ms=table.number("settle_ms", DEFAULT_SETTLE_MS, 0.0, MAX_SETTLE_MS),
         min_node_fraction=table.number("least_part", DEFAULT_MIN_NODE_FRACTION, 0.0, 1.0),
         facts=dict(table.mapping("facts")),
-        protocol=ProtocolSettings(**numbers("members.tuning", table.get("tuning") or {}, ProtocolSettings)),
+        protocol=_read_tuning(table.get("tuning")),
     )
     _check_addresses(config)
     # The profile checks the bounds of what the process will carry.
@@ -82,6 +103,10 @@
     return config
 
 
+def _read_tuning(raw: object) -> ProtocolSettings:
+    return ProtocolSettings(**numbers("members.tuning", raw or {}, ProtocolSettings, TUNING_KEYS))
+
+
 def _check_addresses(config: MembershipConfig) -> None:
     _check_address("members.listen", config.listen)
     for address in config.join:
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -36,7 +36,7 @@
         settings: Settings,
         current_phase: Callable[[], Phase],
         post: Callable[[NodesPresent], None],
-        on_incarnation: Callable[[int], None] = lambda incarnation: None,
+        on_incarnation: Callable[[int], None] = lambda _: None,
     ) -> None:
         self._config = config
         self._current_phase = current_phase
--- a/crowpost/tables.py
+++ b/crowpost/tables.py
@@ -6,6 +6,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import fields
 from pathlib import Path
+from types import MappingProxyType
 from typing import Any
 
 
@@ -84,23 +85,25 @@
         return value
 
 
-def numbers(name: str, raw: object, kind: type) -> dict[str, Any]:
-    """Return the numbers that a table sets, by the fields of a dataclass whose fields are int or float.
+def numbers(
+    name: str, raw: object, kind: type, keys: Mapping[str, str] = MappingProxyType({})
+) -> dict[str, Any]:
+    """Return the numbers that a table sets of a dataclass, by field name.
 
-    A field's key is that of its metadata, `toml`, or its name.  Each number is above 0 and at most 1e9.
-
-    name: the table's; TableError for a key that is no field, and for a part of one where a field is whole.
+    The fields are all int or float, above 0 and to 1e9.  name: the table's; keys: the key of each field
+    that has another name in the file.  Raise TableError for a key that is no field, and for a fraction where
+    a field is an integer.
     """
-    known = {f.metadata.get("toml", f.name): f for f in fields(kind)}
+    known = {keys.get(f.name, f.name): f for f in fields(kind)}
     table = Table(name, raw, known)
     values: dict[str, Any] = {}
-    for key, field in known.items():
+    for key, found in known.items():
         if key not in table:
             continue
         number = table.number(key, 0.0, 1e-3, 1e9)
-        if field.type == "int":
+        if found.type == "int":
             if number != int(number):
                 raise TableError(f"{name}.{key}: a whole number, not {table.get(key)!r}")
             number = int(number)
-        values[field.name] = number
+        values[found.name] = number
     return values
--- a/tests/membership/test_command.py
+++ b/tests/membership/test_command.py
@@ -3,8 +3,12 @@
 from __future__ import annotations
 
 import json
+import subprocess
+import sys
 from typing import Any
 
+import pytest
+
 from crowpost.cli.members import disagreements
 from tests.stubs import HOST
 from tests.test_cli import crowpost
@@ -31,3 +35,10 @@
     assert [(one["about"], one["most"], one["holders"]) for one in found] == [("a", "present", 2)]
     assert [(o["observer"], o["state"], o["since_ms"]) for o in found[0]["others"]] == [("c", "dead", 5.0)]
     assert json.dumps(found)
+
+
+@pytest.mark.parametrize("package", ["crowpost.membership", "crowpost.members"])
+def test_a_member_is_started_by_the_packages_name_and_by_its_earlier_one(package: str) -> None:
+    done = subprocess.run([sys.executable, "-m", package], capture_output=True, text=True, check=False)
+    assert done.returncode == 2
+    assert done.stderr == "usage: python -m crowpost.members FILE\n"
--- a/tests/membership/test_configuration.py
+++ b/tests/membership/test_configuration.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
+from dataclasses import fields
 from pathlib import Path
 
 import pytest
 
-from crowpost.membership.configuration import load
+from crowpost.membership.configuration import TABLE_KEYS, TUNING_KEYS, load
+from crowpost.membership.settings import ProtocolSettings
 from tests.membership.files import MINIMAL_FILE
 from tests.test_cli import crowpost
 
@@ -52,3 +54,24 @@
     done = crowpost("members", "run", str(file))
     assert done.returncode == 2 and said in done.stderr and str(file) in done.stderr
     assert len(done.stderr.splitlines()) == 1
+
+
+def test_the_keys_of_the_file_and_their_fields() -> None:
+    """The keys are a format of operators' files: they stay when fields are renamed."""
+    assert (
+        *("cluster", "name", "listen", "advertise", "join", "zone", "role"),
+        *("feed", "settle_ms", "least_part", "facts", "tuning"),
+    ) == TABLE_KEYS
+    assert set(TUNING_KEYS) == {field.name for field in fields(ProtocolSettings)}
+    assert set(TUNING_KEYS.values()) == {
+        *("probe_ms", "helpers", "suspicion", "suspicion_most", "confirmations", "gossip_ms", "fanout"),
+        *("repeats", "sync_ms", "mismatch_ms", "rejoin_ms", "forget_ms", "most_members", "most_gone"),
+        *("datagram_bytes", "bytes_per_s", "bytes_saved"),
+    }
+
+
+@pytest.mark.parametrize(("field", "key"), TUNING_KEYS.items())
+def test_each_key_of_the_tuning_sets_its_field(tmp_path: Path, field: str, key: str) -> None:
+    file = tmp_path / "m.toml"
+    file.write_text(f"{MINIMAL_FILE}[members.tuning]\n{key} = 7\n")
+    assert load(str(file)).protocol == ProtocolSettings(**{field: 7})
