--- a/crowpost/lab/membership/front_nodes.py
+++ b/crowpost/lab/membership/front_nodes.py
@@ -53,7 +53,7 @@
             if self._platform.engine.now >= self._trackers[process.name].next_due_ms:
                 self._update_share(process)
 
-    def _on_change(self, process: SimulatedProcess, change: StateChange) -> None:  # noqa: ARG002 - any change
+    def _on_change(self, process: SimulatedProcess, _change: StateChange) -> None:
         self._update_share(process)
 
     def _update_share(self, process: SimulatedProcess) -> None:
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -79,7 +79,7 @@
         if phase is not announced:
             self._transport.announce_phase(phase)
 
-    def _on_change(self, changes: list[StateChange]) -> None:  # noqa: ARG002 - the share follows any change
+    def _on_change(self, _changes: list[StateChange]) -> None:
         self._update_share()
 
     def _update_share(self) -> None:
