--- a/tests/membership/test_command.py
+++ b/tests/membership/test_command.py
@@ -5,11 +5,12 @@
 import json
 import subprocess
 import sys
+from dataclasses import asdict
 from typing import Any
 
 import pytest
 
-from crowpost.cli.members import disagreements
+from crowpost.cli.members import find_disagreements
 from tests.stubs import HOST
 from tests.test_cli import crowpost
 
@@ -31,10 +32,12 @@
         "b": view(a="present", b="present"),
         "c": view(a="dead", b="present"),
     }
-    found = disagreements(views)
-    assert [(one["about"], one["most"], one["holders"]) for one in found] == [("a", "present", 2)]
-    assert [(o["observer"], o["state"], o["since_ms"]) for o in found[0]["others"]] == [("c", "dead", 5.0)]
-    assert json.dumps(found)
+    found = find_disagreements(views)
+    assert [(one.about, one.most, one.holders) for one in found] == [("a", "present", 2)]
+    assert [(o.observer, o.state, o.since_ms) for o in found[0].others] == [("c", "dead", 5.0)]
+    printed = json.loads(json.dumps([asdict(one) for one in found]))
+    other = {"observer": "c", "state": "dead", "since_ms": 5.0, "said_by": "x", "why": "w"}
+    assert printed == [{"about": "a", "most": "present", "holders": 2, "others": [other]}]
 
 
 @pytest.mark.parametrize("package", ["crowpost.membership", "crowpost.members"])
