--- a/crowpost/tables.py
+++ b/crowpost/tables.py
@@ -91,10 +91,10 @@
     """Return the numbers that a table sets of a dataclass, by field name.
 
     The fields are all int or float, above 0 and to 1e9.  name: the table's; keys: the key of each field
-    that has another name in the file, unless its metadata have it as `toml`.  Raise TableError for a key that
-    is no field, and for a fraction where a field is an integer.
+    that has another name in the file.  Raise TableError for a key that is no field, and for a fraction where
+    a field is an integer.
     """
-    known = {keys.get(f.name, f.metadata.get("toml", f.name)): f for f in fields(kind)}
+    known = {keys.get(f.name, f.name): f for f in fields(kind)}
     table = Table(name, raw, known)
     values: dict[str, Any] = {}
     for key, found in known.items():
