--- a/crowpost/cli/feed.py
+++ b/crowpost/cli/feed.py
@@ -88,7 +88,7 @@
 
     Example: crowpost feed publish moved.json --scope region/north --reason "lists moved" --at 10.0.0.9:7400
     """
-    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.errors import FeedError
     from crowpost.config_feed.messages import PublishRequest
 
     try:
@@ -118,22 +118,26 @@
     """
     from crowpost.config_feed.messages import PublishRequest
 
-    _publish(PublishRequest(1, scope, b"", author, reason, "", if_version, back=True), at, cluster, as_json)
+    _publish(
+        PublishRequest(1, scope, b"", author, reason, "", if_version, rollback=True), at, cluster, as_json
+    )
 
 
 def _publish(asked: PublishRequest, at: str, cluster: str, as_json: bool) -> None:
-    from crowpost.config_feed.documents import FeedError, make_document, split_scope
+    from crowpost.config_feed.documents import make_document
+    from crowpost.config_feed.errors import FeedError
     from crowpost.config_feed.messages import PublishAccepted, PublishRejected
-    from crowpost.config_feed.transport import ask
+    from crowpost.config_feed.request_reply import request_reply
+    from crowpost.config_feed.scopes import parse_scope
     from crowpost.config_feed.tuning import Tuning
 
-    split_scope(asked.scope)
+    parse_scope(asked.scope)
     # What cannot be meant is said here, before anybody is asked; so is what no frame could carry.
     make_document(asked.scope, 0, 1, b"", author=asked.author, reason=asked.reason, writer="")
     if len(asked.body) > Tuning().max_document_bytes:
         most = Tuning().max_document_bytes
         raise FeedError(f"{asked.scope}: {len(asked.body)} bytes, {most} at the most")
-    answer = asyncio.run(ask(_addresses(at)[0], asked, _cluster(cluster), PUBLISH_S))
+    answer = asyncio.run(request_reply(_addresses(at)[0], asked, _cluster(cluster), PUBLISH_S))
     if isinstance(answer, PublishRejected):
         if as_json:
             print(json.dumps({"published": False, "why": answer.why}))
@@ -162,7 +166,7 @@
 
     Example: crowpost feed status --at 10.0.0.9:7400,10.0.1.9:7400 --cluster c1
     """
-    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.errors import FeedError
 
     addresses = _addresses(at)
     told, silent = asyncio.run(ask_all(addresses, _cluster(cluster), ASK_S))
@@ -181,13 +185,13 @@
     addresses: list[str], cluster: str, within_s: float
 ) -> tuple[list[dict[str, Any]], dict[str, str]]:
     """The statuses of those that answer in time, all asked at once; and by address why not of the others."""
-    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.errors import FeedError
     from crowpost.config_feed.messages import StatusRequest, StatusResponse
-    from crowpost.config_feed.transport import ask
+    from crowpost.config_feed.request_reply import request_reply
 
     async def one(address: str) -> dict[str, Any] | str:
         try:
-            answer = await ask(address, StatusRequest(1), cluster, within_s)
+            answer = await request_reply(address, StatusRequest(1), cluster, within_s)
         except FeedError as error:
             return str(error)
         assert isinstance(answer, StatusResponse)
@@ -200,16 +204,16 @@
 
 def picture(told: list[dict[str, Any]], silent: dict[str, str]) -> dict[str, Any]:
     """The statuses as one: `heads` with how many have each, `followers`, `silent` hubs, `whole` if all is."""
-    from crowpost.config_feed.documents import wanted
-    from crowpost.config_feed.follower_status import merge
+    from crowpost.config_feed.scopes import applies_to_node
+    from crowpost.config_feed.status_merge import merge_statuses
 
-    found = merge(told)
+    found = merge_statuses(told)
     followers = {n: f for n, f in found["followers"].items() if f["role"] != "watch"}
     found["gone"] = sorted(n for n, f in followers.items() if not f["linked"] and f["age_ms"] > GONE_MS)
     found["followers"] = {n: f for n, f in followers.items() if n not in found["gone"]}
     nodes = {name: one for name, one in found["followers"].items() if one["role"] == "node"}
     for scope, header in found["heads"].items():
-        meant = {n: f for n, f in nodes.items() if wanted(scope, f["region"], f["service"], n)}
+        meant = {n: f for n, f in nodes.items() if applies_to_node(scope, f["region"], f["service"], n)}
         held = [r for f in meant.values() for r in f["standings"] if r["scope"] == scope]
         force = [r for r in held if r["state"] == "in force" and r["version"] == header["version"]]
         header["meant"], header["in_force"] = len(meant), len(force)
@@ -292,8 +296,8 @@
 
 async def _watch(addresses: list[str], cluster: str, count: int, as_json: bool) -> None:
     from crowpost.config_feed.configuration import FeedConfig
-    from crowpost.config_feed.documents import UpstreamServer
     from crowpost.config_feed.transport import FeedTransport
+    from crowpost.config_feed.upstream_server import UpstreamServer
 
     enough = asyncio.Event()
     seen = 0
@@ -321,7 +325,7 @@
             enough.set()
 
     servers = tuple(UpstreamServer(address) for address in addresses)
-    carrier = FeedTransport(FeedConfig(cluster, "watch", "watch", upstreams=servers), print_line)
-    carrier.start()
+    transport = FeedTransport(FeedConfig(cluster, "watch", "watch", upstreams=servers), print_line)
+    transport.start()
     await enough.wait()
-    await carrier.close()
+    await transport.close()
--- a/crowpost/cli/feed_simulation.py
+++ b/crowpost/cli/feed_simulation.py
@@ -33,7 +33,7 @@
     if table is not None:
         print(_table(table))
         return
-    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.errors import FeedError
     from crowpost.lab.feed.simulation import CASES, play, put_into
 
     cases = cases or ["calm"]
--- a/crowpost/cli/main.py
+++ b/crowpost/cli/main.py
@@ -27,7 +27,7 @@
 
 def main() -> None:
     """Exit code 0 if all went well, 1 if a rule was broken, 2 with one plain line for what cannot be used."""
-    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.errors import FeedError
     from crowpost.lab.revisions import PolicyError
     from crowpost.lab.runs import RunFolderError
     from crowpost.lab.scenario import ScenarioError
--- a/crowpost/config_feed/command.py
+++ b/crowpost/config_feed/command.py
@@ -1,4 +1,4 @@
-"""The command of a publisher or a relay: `python -m crowpost.feed FILE`, until SIGTERM."""
+"""The command of a publisher or a relay, until SIGTERM: `python -m crowpost.feed FILE`."""
 
 from __future__ import annotations
 
@@ -10,51 +10,68 @@
 import uvloop
 
 from crowpost.config_feed.configuration import FeedConfig, load
-from crowpost.config_feed.documents import FeedError
+from crowpost.config_feed.documents import Document
+from crowpost.config_feed.errors import FeedError
+from crowpost.config_feed.identity import PUBLISHER_ROLE, RELAY_ROLE
 from crowpost.config_feed.publication_log import Check
 from crowpost.config_feed.transport import FeedTransport
 
+PROGRAM = "crowpost.feed"  # as operators call it
+EXIT_OK = 0
+EXIT_USAGE = 2
+
 
 async def serve(config: FeedConfig, check: Check, restored: bool) -> None:
-    """Publish, or pass on, and say good-bye at the end."""
-    leaving = asyncio.Event()
+    """Run a publisher or a relay until a signal, and say goodbye at the end."""
+    stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, leaving.set)
-    if config.role == "publisher":
-        from crowpost.config_feed.publisher import Publisher
-
-        publisher = Publisher(config, check, restored=restored)
-        await publisher.start()
-        await leaving.wait()
-        await publisher.close()
-        return
-    relay = FeedTransport(config, lambda document: None)
+        loop.add_signal_handler(number, stop.set)
+    if config.role == PUBLISHER_ROLE:
+        await _run_publisher(config, check, restored, stop)
+    else:
+        await _run_relay(config, stop)
+
+
+async def _run_publisher(config: FeedConfig, check: Check, restored: bool, stop: asyncio.Event) -> None:
+    from crowpost.config_feed.publisher import Publisher  # a relay needs no store
+
+    publisher = Publisher(config, check, restored=restored)
+    await publisher.start()
+    await stop.wait()
+    await publisher.close()
+
+
+async def _run_relay(config: FeedConfig, stop: asyncio.Event) -> None:
+    relay = FeedTransport(config, _ignore)
     await relay.listen()
     relay.start()
-    await leaving.wait()
+    await stop.wait()
     await relay.close()
 
 
+def _ignore(document: Document) -> None:
+    """Do nothing: a relay's distribution server has announced the document."""
+    del document
+
+
 def main(arguments: list[str]) -> int:
-    """Exit code 0 after an orderly end, 2 with one line for what cannot be used."""
-    from crowpost.node.configuration_overlays import (
-        checker,  # the node's own check: only here do the two meet
-    )
+    """Run the command; return 0 after an orderly end, 2 after one line for what cannot be used."""
+    from crowpost.node.configuration_overlays import make_check  # the only place where the two meet
 
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     restored = "--restored" in arguments
     files = [argument for argument in arguments if argument != "--restored"]
     if len(files) != 1:
-        print("usage: python -m crowpost.feed FILE [--restored]", file=sys.stderr)
-        return 2
+        print(f"usage: python -m {PROGRAM} FILE [--restored]", file=sys.stderr)
+        return EXIT_USAGE
     try:
-        config = load(files[0], roles=("relay", "publisher"))
-        uvloop.run(serve(config, checker(config.sample), restored))
+        config = load(files[0], roles=(RELAY_ROLE, PUBLISHER_ROLE))
+        uvloop.run(serve(config, make_check(config.sample_file), restored))
     except FeedError as error:
-        print(f"crowpost.feed: {error}", file=sys.stderr)
-        return 2
+        print(f"{PROGRAM}: {error}", file=sys.stderr)
+        return EXIT_USAGE
     except OSError as error:
-        print(f"crowpost.feed: feed.listen cannot be used: {error}", file=sys.stderr)
-        return 2
-    return 0
+        print(f"{PROGRAM}: feed.listen cannot be used: {error}", file=sys.stderr)
+        return EXIT_USAGE
+    return EXIT_OK
--- a/crowpost/config_feed/configuration.py
+++ b/crowpost/config_feed/configuration.py
@@ -1,4 +1,4 @@
-"""The feed of a process as its TOML file says it; errors name file and key in one line."""
+"""The configuration of a process of the feed, from a TOML file; errors name file and key in one line."""
 
 from __future__ import annotations
 
@@ -7,11 +7,16 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.config_feed.documents import FeedError, Subscription, UpstreamServer, split_scope
+from crowpost.config_feed.errors import FeedError
+from crowpost.config_feed.identity import NODE_ROLE, PUBLISHER_ROLE, RELAY_ROLE
+from crowpost.config_feed.scopes import Subscription, parse_scope
 from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.tables import Table, TableError, numbers, read_file
 
-ROLES = ("node", "relay", "publisher")
+ROLES = (NODE_ROLE, RELAY_ROLE, PUBLISHER_ROLE)
+MAX_TIER = 9
+MAX_PORT = 65_535
 SNAPSHOT_BYTES = 4 << 20
 FEED_KEYS = (
     "cluster",
@@ -68,46 +73,49 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedConfig:
-    """What the table [feed] holds.  Addresses are host:port; listen may name port 0."""
+    """The table [feed].  Addresses are host:port; `listen` may name port 0."""
 
     cluster: str
     name: str
-    role: str = ROLES[0]
+    role: str = NODE_ROLE
     region: str = ""
     zone: str = ""
     service: str = ""
     listen: str = ""  # of a relay or publisher
-    upstreams: tuple[UpstreamServer, ...] = ()  # who may be watched
-    directory: Path | None = None  # a node's last good documents, a publisher's state
-    home: str = ""  # the region whose publisher writes `all` and the services
+    upstreams: tuple[UpstreamServer, ...] = ()  # servers that may be watched
+    directory: Path | None = None  # a node's document cache, a publisher's store
+    home_region: str = ""  # the region whose publisher writes `all` and the services
     publishers: Mapping[str, str] = field(default_factory=dict)  # the name of each region's publisher
-    sample: str = ""  # a node's configuration file, by which a publisher judges what nodes would refuse
-    snapshot_bytes: int = SNAPSHOT_BYTES  # a publisher's log of this size gives way to a snapshot
+    sample_file: str = ""  # a node's configuration file, with which a publisher validates documents
+    snapshot_bytes: int = SNAPSHOT_BYTES  # a publisher's log of this size is replaced by a snapshot
     tuning: Tuning = field(default_factory=Tuning)
 
     @property
-    def interest(self) -> Subscription:
-        """What this process watches."""
-        if self.role != "node":
+    def subscription(self) -> Subscription:
+        """The documents that this process watches."""
+        if self.role != NODE_ROLE:
             return Subscription(all_scopes=True)
         return Subscription(self.region, self.service, self.name)
 
 
 def load(path: str, name: str = "", *, roles: tuple[str, ...] = ROLES) -> FeedConfig:
-    """The file's [feed]; name: where the file has none.  FeedError for what cannot be used."""
+    """Return the table [feed] of a file.  Raise FeedError for what cannot be used.
+
+    name: of the process, where the file has none; roles: those that are allowed.
+    """
     try:
         config = _read(read_file(path), name)
-        if config.role not in roles:
-            raise TableError(f"feed.role: {' or '.join(roles)} here, not {config.role!r}")
-        return config
     except (TableError, FeedError) as error:
-        raise FeedError(f"{path}: {error}") from None
+        raise FeedError(f"{path}: {error}") from error
+    if config.role not in roles:
+        raise FeedError(f"{path}: feed.role: {' or '.join(roles)} here, not {config.role!r}")
+    return config
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Host and port of 'host:port'; FeedError where there is none."""
+    """Return host and port of 'host:port'.  Raise FeedError for anything else."""
     host, _, port = text.rpartition(":")
-    if not host or not (port.isascii() and port.isdigit()) or int(port) > 65_535:
+    if not host or not (port.isascii() and port.isdigit()) or int(port) > MAX_PORT:
         raise FeedError(f"not an address and a port: {text!r}")
     return host, int(port)
 
@@ -118,67 +126,72 @@
     config = FeedConfig(
         cluster=table.text("cluster", needed=True),
         name=table.text("name", name, needed=True),
-        role=table.choice("role", ROLES[0], ROLES),
+        role=table.choice("role", NODE_ROLE, ROLES),
         region=table.text("region", needed=True),
         zone=table.text("zone"),
         service=table.text("service"),
         listen=table.text("listen"),
-        upstreams=_upstreams(table.get("upstreams")),
+        upstreams=_read_upstreams(table.get("upstreams")),
         directory=Path(directory) if directory else None,
-        home=table.text("home"),
+        home_region=table.text("home"),
         publishers=table.mapping("publishers"),
-        sample=table.text("sample"),
+        sample_file=table.text("sample"),
         snapshot_bytes=int(table.number("snapshot_bytes", SNAPSHOT_BYTES, 10_000.0, 1e9)),
         tuning=Tuning(**numbers("feed.tuning", table.get("tuning") or {}, Tuning, TUNING_KEYS)),
     )
-    for key in ("name", "region", "service"):
-        value = getattr(config, key)
+    _check(config)
+    return config
+
+
+def _check(config: FeedConfig) -> None:
+    """Raise FeedError for values that do not go together with the role."""
+    for key, value in (("name", config.name), ("region", config.region), ("service", config.service)):
         if value:
-            _named(f"feed.{key}", value)
-    if config.role != "node":
+            _check_name(f"feed.{key}", value)
+    if config.role != NODE_ROLE:
         if not config.listen:
             raise FeedError("feed.listen: is missing")
-        _at("feed.listen", config.listen)
-    if config.role != "publisher" and not config.upstreams:
+        _check_address("feed.listen", config.listen)
+    if config.role != PUBLISHER_ROLE and not config.upstreams:
         raise FeedError("feed.upstreams: a node or relay needs at least one")
-    if config.role == "publisher":
+    if config.role == PUBLISHER_ROLE:
         _check_publisher(config)
-    return config
 
 
 def _check_publisher(config: FeedConfig) -> None:
     if config.directory is None:
         raise FeedError("feed.directory: is missing")
-    if config.home not in config.publishers:
-        raise FeedError(f"feed.home: one of the regions in feed.publishers, not {config.home!r}")
+    if config.home_region not in config.publishers:
+        raise FeedError(f"feed.home: one of the regions in feed.publishers, not {config.home_region!r}")
     if config.publishers.get(config.region) != config.name:
         raise FeedError(f"feed.publishers.{config.region}: {config.name!r}, the publisher of this region")
 
 
-def _upstreams(raw: object) -> tuple[UpstreamServer, ...]:
+def _read_upstreams(raw: object) -> tuple[UpstreamServer, ...]:
     if raw is None:
         return ()
     if not isinstance(raw, list):
         raise FeedError("feed.upstreams: a list of tables")
-    found = []
-    for number, item in enumerate(raw):
-        table = Table(f"feed.upstreams[{number}]", item, ("address", "region", "zone", "tier"))
-        address = table.text("address", needed=True)
-        _at(f"{table.name}.address", address)
-        tier = int(table.number("tier", 0, 0, 9))
-        found.append(UpstreamServer(address, table.text("region"), table.text("zone"), tier))
-    return tuple(found)
+    return tuple(_read_upstream(f"feed.upstreams[{number}]", item) for number, item in enumerate(raw))
+
 
+def _read_upstream(name: str, raw: object) -> UpstreamServer:
+    table = Table(name, raw, ("address", "region", "zone", "tier"))
+    address = table.text("address", needed=True)
+    _check_address(f"{name}.address", address)
+    tier = int(table.number("tier", 0, 0, MAX_TIER))
+    return UpstreamServer(address, table.text("region"), table.text("zone"), tier)
 
-def _at(key: str, address: str) -> None:
+
+def _check_address(key: str, address: str) -> None:
     try:
         split_address(address)
     except FeedError as error:
-        raise FeedError(f"{key}: {error}") from None
+        raise FeedError(f"{key}: {error}") from error
 
 
-def _named(key: str, name: str) -> None:
+def _check_name(key: str, name: str) -> None:
     try:
-        split_scope(f"node/{name}")
-    except FeedError:
-        raise FeedError(f"{key}: letters, digits and ._- only, not {name!r}") from None
+        parse_scope(f"node/{name}")
+    except FeedError as error:
+        raise FeedError(f"{key}: letters, digits and ._- only, not {name!r}") from error
--- a/crowpost/config_feed/fetch_scheduler.py
+++ b/crowpost/config_feed/fetch_scheduler.py
@@ -1,4 +1,7 @@
-"""Bodies on their way: each is asked once, of the nearest server that has it, and of another if it stalls."""
+"""Schedules the fetches of bodies.
+
+Each body is requested once, from the nearest server that offers it, and from another one if it stalls.
+"""
 
 from __future__ import annotations
 
@@ -8,302 +11,352 @@
 from dataclasses import dataclass, field
 
 from crowpost.config_feed.document_table import DocumentTable
-from crowpost.config_feed.documents import PACKET_OVERHEAD_BYTES, Document, DocumentHeader, VersionKey
+from crowpost.config_feed.documents import Document, DocumentHeader, VersionKey
+from crowpost.config_feed.frames import PACKET_OVERHEAD_BYTES
 from crowpost.config_feed.messages import BodyChunk, FetchRequest
+from crowpost.config_feed.outstanding_bytes import OutstandingBytes
 from crowpost.config_feed.token_bucket import TokenBucket
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_connections import UpstreamConnection, UpstreamConnections
 
-ASKING = 110 + PACKET_OVERHEAD_BYTES  # bytes of a Fetch in practice, and of a Body around its piece
-LEAST = 4_096  # bytes worth asking for while there are few tokens
-OWED_MS = 30_000.0  # that bytes which were asked for may yet come; after that they are taken for lost
-RETRIES = 6  # doublings of the wait when nobody gives a body
+REQUEST_OVERHEAD_BYTES = 110 + PACKET_OVERHEAD_BYTES  # of a FetchRequest, and around the data of a BodyChunk
+MIN_REQUEST_BYTES = 4_096  # worth requesting while there are few tokens
+MAX_BACKOFF_DOUBLINGS = 6  # of the wait while no server sends a body
+NO_SOURCE = 0  # connections are numbered from 1
 
-Tell = Callable[[str, float, dict[str, object]], None]
+EmitEvent = Callable[[str, float, dict[str, object]], None]
 
 
 @dataclass(slots=True, eq=False)
 class PendingFetch:
-    """A document that is known to be newer than the one held."""
+    """A document that is known to be newer than the stored one; times in ms."""
 
     header: DocumentHeader
-    first_at: float  # when it was first told of
+    first_offered_at: float
     body: bytearray = field(default_factory=bytearray)
-    source: int = 0  # link that was asked; 0: none
-    until: int = 0  # bytes asked for so far
-    progress_at: float = 0.0  # asked, or got something
-    waits: int = 0  # in a row without a byte
-    givers: set[int] = field(default_factory=set)
-    alone: bool = False  # pieces of two servers did not fit: all of it from one
+    source: int = NO_SOURCE  # connection that was asked
+    requested_until: int = 0  # offset up to which bytes were requested
+    progress_at: float = 0.0  # last request or received byte
+    stall_count: int = 0  # in a row without a byte
+    contributors: set[int] = field(default_factory=set)  # connections that sent chunks
+    single_source: bool = False  # chunks of two servers did not fit: fetch all of it from one
+
+    @property
+    def awaits_bytes(self) -> bool:
+        """Whether a server was asked and has not sent all that was requested."""
+        if self.source == NO_SOURCE:
+            return False
+        return len(self.body) < self.requested_until or not self.header.size
+
+    def release_source(self) -> None:
+        """Ask any server for the rest."""
+        self.source = NO_SOURCE
+        self.requested_until = len(self.body)
+
+    def count_stall(self) -> None:
+        """Double the wait before the next request."""
+        self.stall_count = min(self.stall_count + 1, MAX_BACKOFF_DOUBLINGS)
+
+    def accepts_chunks_from(self, connection_id: int) -> bool:
+        """Return whether a chunk of a connection may continue the body."""
+        return not (self.single_source and self.contributors) or connection_id in self.contributors
 
 
 class FetchScheduler:
-    """What is wanted, and of whom it is asked; every byte asked for is paid from the budget first."""
+    """Decides what to fetch, and from which server.
+
+    Every requested byte is taken from the token bucket first.  max_concurrent: bodies fetched at once.
+    """
 
     def __init__(
         self,
-        watches: UpstreamConnections,
+        connections: UpstreamConnections,
         table: DocumentTable,
         bucket: TokenBucket,
         counts: Counter[str],
         tuning: Tuning,
-        at_once: int,
-        ask: Callable[[UpstreamConnection, FetchRequest], None],
-        tell: Tell,
+        max_concurrent: int,
+        send_request: Callable[[UpstreamConnection, FetchRequest], None],
+        emit: EmitEvent,
     ) -> None:
-        self._upstreams, self._table, self._bucket = watches, table, bucket
-        self._counts, self._tuning, self._at_once = counts, tuning, at_once
-        self._ask, self._tell = ask, tell
-        self.pending: dict[str, PendingFetch] = {}
-        self.hopeless: list[
-            UpstreamConnection
-        ] = []  # to be given up: what they owe leaves no room to ask another
-        self._owed: dict[
-            tuple[int, VersionKey], tuple[int, float]
-        ] = {}  # by link: bytes yet to come, asked when
+        self._connections = connections
+        self._table = table
+        self._bucket = bucket
+        self._counts = counts
+        self._tuning = tuning
+        self._max_concurrent = max_concurrent
+        self._send_request = send_request
+        self._emit = emit
+        self.pending: dict[str, PendingFetch] = {}  # by scope
+        self.stalled_connections: list[UpstreamConnection] = []
+        """To be closed: what they have not sent leaves no tokens to ask another server."""
+        self._outstanding = OutstandingBytes(bucket)
         self._retry_at = math.inf
 
-    # ------------------------------------------------------------ what is told
-
-    def offered(self, connection: UpstreamConnection, header: DocumentHeader, now: float) -> bool:
-        """A server holds a document; whether that is news here."""
-        held = self._table.get(header.scope)
-        if held is not None and header.rank <= held.header.rank:
-            connection.offers.pop(header.scope, None)
-            if header.rank == held.header.rank:
-                self._counts["known"] += 1
-            else:
-                self._counts["dropped_older"] += 1
+    # ------------------------------------------------------------ offers
+
+    def offer(self, connection: UpstreamConnection, header: DocumentHeader, now: float) -> bool:
+        """Record that a server offers a document; return whether it is newer than the stored one."""
+        stored = self._table.get(header.scope)
+        if stored is not None and header.rank <= stored.header.rank:
+            connection.offered_headers.pop(header.scope, None)
+            is_stored = header.rank == stored.header.rank
+            self._counts["known" if is_stored else "dropped_older"] += 1
             return False
         if header.size > self._tuning.max_document_bytes:
             self._counts["dropped_too_large"] += 1
-            self._tell("dropped", now, {"what": "too_large", "scope": header.scope, "size": header.size})
+            self._emit("dropped", now, {"what": "too_large", "scope": header.scope, "size": header.size})
             return False
         if header.scope not in self.pending and len(self.pending) >= self._tuning.max_documents:
             self._counts["dropped_full"] += 1
             return False
-        connection.offers[header.scope] = header
-        self._choose(header.scope, now)
+        connection.offered_headers[header.scope] = header
+        self._choose_document(header.scope, now)
         return True
 
-    def _choose(self, scope: str, now: float) -> None:
-        """Want the best that anybody offers; what nobody offers for now is kept as far as it came."""
-        best: DocumentHeader | None = None
-        for connection in self._upstreams.connections.values():
-            header = connection.offers.get(scope)
-            if header is None or connection.bad.get(scope) == header:
-                continue
-            if best is None or header.rank > best.rank:
-                best = header
+    def _choose_document(self, scope: str, now: float) -> None:
+        """Fetch the best document on offer; one that nobody offers for now is kept as far as it came."""
+        best = self._best_offer(scope)
         fetch = self.pending.get(scope)
-        if best is None or fetch is not None and fetch.header == best:
+        if best is None or (fetch is not None and fetch.header == best):
             return
         if fetch is not None and fetch.header.rank < best.rank:
             self._counts["coalesced"] += 1
         self.pending[scope] = PendingFetch(best, now)
 
-    def gone(self, connection: UpstreamConnection, now: float) -> None:
-        """A link is no more: what was asked there is asked elsewhere, from where it came to."""
-        for key in [key for key in self._owed if key[0] == connection.number]:
-            self._settle(key)
+    def _best_offer(self, scope: str) -> DocumentHeader | None:
+        best: DocumentHeader | None = None
+        for connection in self._connections.connections.values():
+            header = connection.offered_headers.get(scope)
+            if header is None or connection.rejected_headers.get(scope) == header:
+                continue
+            if best is None or header.rank > best.rank:
+                best = header
+        return best
+
+    def connection_lost(self, connection: UpstreamConnection, now: float) -> None:
+        """Continue elsewhere with what was requested on a closed connection."""
+        self._outstanding.cancel_connection(connection.number)
         for scope, fetch in self.pending.items():
             if fetch.source == connection.number:
-                fetch.source, fetch.until = 0, len(fetch.body)
-            if scope in connection.offers:
-                self._choose(scope, now)
-
-    def absent(self, connection: UpstreamConnection, key: VersionKey, busy: bool, now: float) -> None:
-        """A server does not give what was asked."""
-        self._settle((connection.number, key))
-        scope = key.scope
-        fetch = self.pending.get(scope)
+                fetch.release_source()
+            if scope in connection.offered_headers:
+                self._choose_document(scope, now)
+
+    def body_unavailable(
+        self, connection: UpstreamConnection, key: VersionKey, busy: bool, now: float
+    ) -> None:
+        """Continue elsewhere with what a server does not send, being busy or without the document."""
+        self._outstanding.cancel(connection.number, key)
+        fetch = self.pending.get(key.scope)
         if fetch is None or fetch.source != connection.number or fetch.header.key != key:
             return
-        fetch.source, fetch.until = 0, len(fetch.body)
+        fetch.release_source()
         if busy:
             connection.slow_until = now + self._tuning.slow_server_ms
-            fetch.progress_at, fetch.waits = now, min(fetch.waits + 1, RETRIES)
+            fetch.progress_at = now
+            fetch.count_stall()
         else:
-            connection.offers.pop(scope, None)
-            self._choose(scope, now)
+            connection.offered_headers.pop(key.scope, None)
+            self._choose_document(key.scope, now)
 
-    # ------------------------------------------------------------ what comes
+    # ------------------------------------------------------------ received bodies
 
-    def piece(self, connection: UpstreamConnection, body: BodyChunk, now: float) -> Document | None:
-        """A piece of a body; the document, once it is whole and the body is the head's."""
-        self._settle((connection.number, body.key), len(body.data))
-        fetch = self.pending.get(body.key.scope)
-        if fetch is None or fetch.header.key != body.key:
+    def receive_chunk(self, connection: UpstreamConnection, chunk: BodyChunk, now: float) -> Document | None:
+        """Add a chunk to its body; return the document once it is complete and intact."""
+        self._outstanding.receive(connection.number, chunk.key, len(chunk.data))
+        fetch = self.pending.get(chunk.key.scope)
+        if fetch is None or fetch.header.key != chunk.key:
             self._counts["dropped_unasked"] += 1
             return None
-        have = len(fetch.body)
-        if body.offset > have:
+        received = len(fetch.body)
+        if chunk.offset > received:
             self._counts["dropped_gap"] += 1
-            if fetch.source == connection.number:
-                fetch.source, fetch.until = 0, have  # a frame was dropped on the way: from there again
+            if fetch.source == connection.number:  # a frame was lost: request from there again
+                fetch.release_source()
+            return None
+        data = chunk.data[received - chunk.offset : fetch.header.size - chunk.offset]
+        if not data and fetch.header.size:
+            self._counts["dropped_replayed"] += 1
             return None
-        fresh = body.data[have - body.offset : have - body.offset + fetch.header.size - have]
-        if not fresh:
-            if fetch.header.size:
-                self._counts["dropped_replayed"] += 1
-                return None
-        elif fetch.alone and fetch.givers and connection.number not in fetch.givers:
+        if data and not fetch.accepts_chunks_from(connection.number):
             return None
-        fetch.body += fresh
-        fetch.givers.add(connection.number)
-        fetch.progress_at, fetch.waits = now, 0
+        fetch.body += data
+        fetch.contributors.add(connection.number)
+        fetch.progress_at = now
+        fetch.stall_count = 0
         if len(fetch.body) < fetch.header.size:
             return None
-        return self._whole(connection, fetch, now)
+        return self._complete(connection, fetch, now)
 
-    def _whole(self, connection: UpstreamConnection, fetch: PendingFetch, now: float) -> Document | None:
+    def _complete(self, connection: UpstreamConnection, fetch: PendingFetch, now: float) -> Document | None:
         header = fetch.header
         document = Document(header, bytes(fetch.body))
-        if document.whole:
-            del self.pending[header.scope]
-            for other in self._upstreams.connections.values():
-                offer = other.offers.get(header.scope)
-                if offer is not None and offer.rank <= header.rank:
-                    del other.offers[header.scope]
-                other.bad.pop(header.scope, None)
-            self._counts["bodies"] += 1
-            return document
+        if not document.is_intact:
+            self._restart(connection, fetch, now)
+            return None
+        del self.pending[header.scope]
+        for other in self._connections.connections.values():
+            offered = other.offered_headers.get(header.scope)
+            if offered is not None and offered.rank <= header.rank:
+                del other.offered_headers[header.scope]
+            other.rejected_headers.pop(header.scope, None)
+        self._counts["bodies"] += 1
+        return document
+
+    def _restart(self, connection: UpstreamConnection, fetch: PendingFetch, now: float) -> None:
+        """Fetch a body anew that does not match its header, from a single server."""
+        header = fetch.header
         self._counts["dropped_digest"] += 1
-        self._tell("dropped", now, {"what": "digest", "scope": header.scope, "version": header.version})
-        again = self.pending[header.scope] = PendingFetch(header, fetch.first_at, progress_at=now, alone=True)
-        again.waits = min(fetch.waits + 1, RETRIES)
-        if len(fetch.givers) == 1:
-            connection.bad[header.scope] = header
-            self._choose(header.scope, now)
-        return None
-
-    def _settle(self, key: tuple[int, VersionKey], size: int | None = None) -> None:
-        """Bytes that were owed came; None: no more of them will."""
-        left, at = self._owed.pop(key, (0, 0.0))
-        came = left if size is None else min(size, left)
-        self._bucket.owed -= came
-        if left > came:
-            self._owed[key] = left - came, at
-
-    def forget(self, scope: str, header: DocumentHeader) -> None:
-        """What came whole cannot be held: no server is asked for it again until its link is new."""
-        for connection in self._upstreams.connections.values():
-            if connection.offers.get(scope) == header:
-                connection.bad[scope] = header
-
-    # ------------------------------------------------------------ whom to ask
-
-    def _sources(
-        self, fetch: PendingFetch, connections: list[UpstreamConnection], now: float
-    ) -> list[UpstreamConnection]:
-        """Servers that offer it, the one to ask first in front."""
-        scope, header = fetch.header.scope, fetch.header
-        found = [n for n in connections if n.offers.get(scope) == header and n.bad.get(scope) != header]
-        found.sort(key=lambda connection: connection.slow_until > now)  # stable: then by nearness
-        return found
+        self._emit("dropped", now, {"what": "digest", "scope": header.scope, "version": header.version})
+        again = PendingFetch(header, fetch.first_offered_at, progress_at=now, single_source=True)
+        again.stall_count = fetch.stall_count
+        again.count_stall()
+        self.pending[header.scope] = again
+        if len(fetch.contributors) == 1:
+            connection.rejected_headers[header.scope] = header
+            self._choose_document(header.scope, now)
+
+    def reject(self, header: DocumentHeader) -> None:
+        """Ignore the present offers of a document that cannot be stored, until their connections are new."""
+        for connection in self._connections.connections.values():
+            if connection.offered_headers.get(header.scope) == header:
+                connection.rejected_headers[header.scope] = header
+
+    # ------------------------------------------------------------ requests
 
     def tick(self, now: float) -> None:
-        """Ask for what is due."""
+        """Send the requests that are due."""
         self._retry_at = math.inf
         if not self.pending:
             return
-        for key in [key for key, (_, at) in self._owed.items() if now - at > OWED_MS]:
-            self._settle(key)
-        connections = self._upstreams.open_links()
-        under_way = sum(fetch.source != 0 for fetch in self.pending.values())
-        for fetch in sorted(self.pending.values(), key=lambda fetch: fetch.first_at):
-            under_way -= fetch.source != 0
-            if under_way >= self._at_once:
+        self._outstanding.expire(now)
+        connections = self._connections.open_connections()
+        in_progress = sum(fetch.source != NO_SOURCE for fetch in self.pending.values())
+        for fetch in sorted(self.pending.values(), key=lambda fetch: fetch.first_offered_at):
+            in_progress -= fetch.source != NO_SOURCE
+            if in_progress >= self._max_concurrent:
                 break
-            self._look(fetch, connections, now)
-            under_way += fetch.source != 0
+            self._schedule(fetch, connections, now)
+            in_progress += fetch.source != NO_SOURCE
 
-    def _look(self, fetch: PendingFetch, connections: list[UpstreamConnection], now: float) -> None:
-        tuning = self._tuning
-        sources = self._sources(fetch, connections, now)
+    def _schedule(self, fetch: PendingFetch, connections: list[UpstreamConnection], now: float) -> None:
+        sources = _sources(fetch, connections, now)
         if not sources:
-            return  # a link that comes up, or a digest that differs, brings it back
-        stalled = False
-        if fetch.source:
-            if len(fetch.body) < fetch.until or not fetch.header.size:
-                due = fetch.progress_at + tuning.stall_timeout_ms * 2.0**fetch.waits
-                if now < due:
-                    self._retry_at = min(self._retry_at, due)
-                    return
-                stalled = True
-                self._counts["stalled"] += 1
-            # else: what the tokens allowed came, and there is more
-        elif fetch.waits:
-            due = fetch.progress_at + tuning.stall_timeout_ms * 2.0 ** (fetch.waits - 1)
-            if now < due:
-                self._retry_at = min(self._retry_at, due)
-                return
-        elif (
-            min(connections, key=lambda connection: connection.slow_until > now) not in sources
-        ):  # the first that is not slow
-            due = fetch.first_at + tuning.prefer_nearest_ms
-            if now < due:
-                self._retry_at = min(self._retry_at, due)
-                return
-        source = sources[0]
+            return  # a new connection, or a digest that differs, brings an offer
+        due = self._due_at(fetch, connections, sources, now)
+        if now < due:
+            self._retry_at = min(self._retry_at, due)
+            return
+        stalled = fetch.awaits_bytes
         if stalled:
-            for connection in sources:
-                if connection.number == fetch.source:
-                    connection.slow_until = now + tuning.slow_server_ms
-            others = [connection for connection in sources if connection.number != fetch.source]
-            if others:
-                source = others[0]
-            else:
-                fetch.waits = min(fetch.waits + 1, RETRIES)
-            if fetch.alone and fetch.givers and source.number not in fetch.givers:
-                fetch.body.clear()
-                fetch.givers.clear()
-        elif fetch.source:
-            source = next((connection for connection in sources if connection.number == fetch.source), source)
+            self._counts["stalled"] += 1
+            source = self._replace_source(fetch, sources, now)
+        else:
+            current = [source for source in sources if source.number == fetch.source]
+            source = (current or sources)[0]
         self._request(fetch, source, stalled, now)
 
+    def _due_at(
+        self,
+        fetch: PendingFetch,
+        connections: list[UpstreamConnection],
+        sources: list[UpstreamConnection],
+        now: float,
+    ) -> float:
+        """Return when the next request for a body is due."""
+        tuning = self._tuning
+        if fetch.awaits_bytes:
+            return fetch.progress_at + tuning.stall_timeout_ms * 2.0**fetch.stall_count
+        if fetch.source != NO_SOURCE:  # what the tokens allowed has come, and there is more
+            return -math.inf
+        if fetch.stall_count:
+            return fetch.progress_at + tuning.stall_timeout_ms * 2.0 ** (fetch.stall_count - 1)
+        nearest = min(connections, key=lambda connection: connection.slow_until > now)
+        if nearest not in sources:
+            return fetch.first_offered_at + tuning.prefer_nearest_ms
+        return -math.inf
+
+    def _replace_source(
+        self, fetch: PendingFetch, sources: list[UpstreamConnection], now: float
+    ) -> UpstreamConnection:
+        """Return another server for a stalled fetch, or the same one where there is no other."""
+        for connection in sources:
+            if connection.number == fetch.source:
+                connection.slow_until = now + self._tuning.slow_server_ms
+        others = [connection for connection in sources if connection.number != fetch.source]
+        source = (others or sources)[0]
+        if not others:
+            fetch.count_stall()
+        if not fetch.accepts_chunks_from(source.number):
+            fetch.body.clear()
+            fetch.contributors.clear()
+        return source
+
     def _request(self, fetch: PendingFetch, source: UpstreamConnection, stalled: bool, now: float) -> None:
-        have = len(fetch.body)
-        left = fetch.header.size - have
-        pieces = 1 + left // self._tuning.chunk_bytes
-        least = min(left, LEAST)
-        cost = min(left + ASKING * (1 + pieces), self._bucket.saved)
+        """Request the rest of a body, as much as there are tokens for."""
+        received = len(fetch.body)
+        missing = fetch.header.size - received
+        minimum = min(missing, MIN_REQUEST_BYTES)
+        cost = min(missing + self._overhead(missing), self._bucket.burst)
         if self._bucket.refill(now) < cost:
-            when = self._bucket.when(least + 2 * ASKING, now)
-            if when > now:
-                self._retry_at = min(self._retry_at, when)
+            affordable_at = self._bucket.available_at(minimum + 2 * REQUEST_OVERHEAD_BYTES, now)
+            if affordable_at > now:
+                self._retry_at = min(self._retry_at, affordable_at)
                 if stalled:
-                    self._give_up(fetch, source, least)
-                    fetch.source, fetch.until = 0, have  # it is decided already whom to ask then
+                    self._close_if_blocking(fetch, source, minimum)
+                    fetch.release_source()  # then it is open which server to ask
                 return
-        length = int(min(left, max(least, self._bucket.tokens - 2 * ASKING)))
-        pieces = 1 + length // self._tuning.chunk_bytes
-        self._bucket.spend(length + ASKING * (1 + pieces), now)
-        if stalled and fetch.source and fetch.source != source.number:
+        length = int(min(missing, max(minimum, self._bucket.tokens - 2 * REQUEST_OVERHEAD_BYTES)))
+        self._bucket.spend(length + self._overhead(length), now)
+        if stalled and fetch.source not in (NO_SOURCE, source.number):
             self._counts["taken_over"] += 1
-            self._tell("taken_over", now, {"scope": fetch.header.scope, "at": have, "server": source.name})
-        fetch.source, fetch.until, fetch.progress_at = source.number, have + length, now
-        key = source.number, fetch.header.key
-        self._owed[key] = self._owed.get(key, (0, now))[0] + length, now
-        self._bucket.owed += length
+            event = {"scope": fetch.header.scope, "at": received, "server": source.name}
+            self._emit("taken_over", now, event)
+        fetch.source = source.number
+        fetch.requested_until = received + length
+        fetch.progress_at = now
+        self._outstanding.add(source.number, fetch.header.key, length, now)
         self._counts["fetches"] += 1
-        self._ask(source, FetchRequest(fetch.header.key, have, length))
-        self._retry_at = min(self._retry_at, now + self._tuning.stall_timeout_ms * 2.0**fetch.waits)
+        self._send_request(source, FetchRequest(fetch.header.key, received, length))
+        stall_at = now + self._tuning.stall_timeout_ms * 2.0**fetch.stall_count
+        self._retry_at = min(self._retry_at, stall_at)
+
+    def _overhead(self, length: int) -> int:
+        """Return the bytes of a request and around the chunks of its answer."""
+        chunks = 1 + length // self._tuning.chunk_bytes
+        return REQUEST_OVERHEAD_BYTES * (1 + chunks)
 
-    def _give_up(self, fetch: PendingFetch, source: UpstreamConnection, least: int) -> None:
-        """What a server owes and holds back counts as saved up; if that leaves no room, the server goes."""
-        stalled = self._upstreams.connections.get(fetch.source)
-        room = self._bucket.saved - self._bucket.owed
-        if stalled not in (None, source, *self.hopeless) and room < least + 2 * ASKING:
-            assert stalled is not None
-            self.hopeless.append(stalled)
+    def _close_if_blocking(self, fetch: PendingFetch, source: UpstreamConnection, minimum: int) -> None:
+        """Close a stalled connection whose outstanding bytes leave no tokens to ask another server."""
+        stalled = self._connections.connections.get(fetch.source)
+        if stalled is None or stalled is source or stalled in self.stalled_connections:
+            return
+        available = self._bucket.burst - self._bucket.outstanding
+        if available < minimum + 2 * REQUEST_OVERHEAD_BYTES:
+            self.stalled_connections.append(stalled)
 
     def next_at(self) -> float:
-        """When `tick` is due; what comes or goes meanwhile calls it at once."""
+        """Return when `tick` is due, in ms; offers and chunks are acted on at once."""
         return self._retry_at
 
-    def shift(self, by: float) -> None:
-        """This process stood still."""
+    def shift(self, by_ms: float) -> None:
+        """Move all deadlines, after this process was suspended."""
         for fetch in self.pending.values():
-            fetch.progress_at += by
-            fetch.first_at += by
+            fetch.progress_at += by_ms
+            fetch.first_offered_at += by_ms
+
+
+def _sources(
+    fetch: PendingFetch, connections: list[UpstreamConnection], now: float
+) -> list[UpstreamConnection]:
+    """Return the servers that offer a document: slow ones last, and otherwise by nearness."""
+    header = fetch.header
+    found = [
+        connection
+        for connection in connections
+        if connection.offered_headers.get(header.scope) == header
+        and connection.rejected_headers.get(header.scope) != header
+    ]
+    found.sort(key=lambda connection: connection.slow_until > now)  # stable: keeps the order by nearness
+    return found
--- a/crowpost/config_feed/follower.py
+++ b/crowpost/config_feed/follower.py
@@ -1,10 +1,12 @@
-"""The watching side: a node, a relay upstream, a publisher that follows the other's scopes.  Without I/O.
+"""The watching side of the feed: a node, a relay, or a publisher that follows other publishers.  Without I/O.
 
-Feed it bytes and times that never go back; `take` what follows.  Links are numbers that it gives out itself
-with each Dial; the carrier connects, says `connected` or `lost`, and passes on what comes as it comes.
+Call it with received bytes and times that never go back; `take` returns what the transport is to do.
+Connections are numbers that the follower gives out with each ConnectRequest; the transport connects, calls
+`connected` or `lost`, and passes received bytes on.
 
-Heads come from all servers that are watched, bodies from one (`fetching`).  Each beat carries a digest of the
-versions held, and where digests go on differing the vector is sent again: so no loss lasts.
+Headers come from all servers that are watched, bodies from one of them (`fetch_scheduler`).  Each heartbeat
+carries a digest of the stored versions; while digests differ the version vector is sent again, so no loss is
+permanent.
 """
 
 from __future__ import annotations
@@ -15,24 +17,15 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from crowpost.config_feed.apply_status import ApplyState, ApplyStatus, shorten_reason
+from crowpost.config_feed.apply_tracker import ApplyTracker
+from crowpost.config_feed.conflicts import Conflict
 from crowpost.config_feed.document_table import DocumentTable
-from crowpost.config_feed.documents import (
-    PACKET_OVERHEAD_BYTES,
-    ApplyState,
-    ApplyStatus,
-    Conflict,
-    ConnectRequest,
-    Document,
-    DocumentHeader,
-    FeedError,
-    FeedEvent,
-    Subscription,
-    UpstreamServer,
-    order,
-    shorten,
-)
+from crowpost.config_feed.documents import Document, DocumentHeader
+from crowpost.config_feed.errors import FeedError, FrameError
 from crowpost.config_feed.fetch_scheduler import FetchScheduler
-from crowpost.config_feed.frames import FrameError, cluster_tag, encode
+from crowpost.config_feed.frames import PACKET_OVERHEAD_BYTES, cluster_tag, encode
+from crowpost.config_feed.identity import NODE_ROLE, ProcessIdentity
 from crowpost.config_feed.messages import (
     ApplyReport,
     BodyChunk,
@@ -45,376 +38,395 @@
     Message,
 )
 from crowpost.config_feed.monotonic_clock import MonotonicClock
+from crowpost.config_feed.outputs import ConnectRequest, FeedEvent
+from crowpost.config_feed.scopes import Subscription
 from crowpost.config_feed.token_bucket import TokenBucket
 from crowpost.config_feed.tuning import Tuning
-from crowpost.config_feed.upstream_connections import UpstreamConnection, UpstreamConnections
+from crowpost.config_feed.upstream_connections import (
+    MAX_FAILURES_COUNTED,
+    UpstreamConnection,
+    UpstreamConnections,
+)
+from crowpost.config_feed.upstream_server import UpstreamServer
 
 
 @dataclass
-class Output:
-    """What a call left to be done, in the order of the fields."""
+class FollowerOutput:
+    """What a call left for the transport to do, in the order of the fields."""
 
-    dials: list[ConnectRequest] = field(default_factory=list)
-    sends: list[tuple[int, bytes]] = field(default_factory=list)  # link and frame
-    hangups: list[int] = field(default_factory=list)  # links to close once what was sent is out
-    apply: list[Document] = field(default_factory=list)  # whole; to be answered by `applied`
+    connects: list[ConnectRequest] = field(default_factory=list)
+    sends: list[tuple[int, bytes]] = field(default_factory=list)  # connection and frame
+    disconnects: list[int] = field(default_factory=list)  # connections to close once their data is sent
+    apply: list[Document] = field(default_factory=list)  # complete documents; see `apply_finished`
     events: list[FeedEvent] = field(default_factory=list)
 
 
 class Follower:
-    """Watches a few servers at once and brings each wanted document in whole, once, from the nearest.
+    """Watches a few servers and fetches each document of a subscription once, from the nearest of them.
 
-    interest: which documents.  judged: whether each document handed out in `Output.apply` is answered with
-    `applied` (a node); a relay or publisher says False: what is whole is held, and its hub announces it.
-    kept: last good documents from disk, in force from the start.  birth: random, new for each process.
+    A node answers each document in `FollowerOutput.apply` by calling `apply_finished`; a relay or publisher
+    stores it, and its distribution server announces it.  table: shared with that server; cached_documents:
+    last good documents from disk, applied from the start.
     """
 
     def __init__(
         self,
-        cluster: str,
-        name: str,
+        identity: ProcessIdentity,
         servers: Iterable[UpstreamServer],
-        interest: Subscription,
+        subscription: Subscription,
         *,
-        role: str = "node",
-        region: str = "",
-        zone: str = "",
-        judged: bool = True,
         rng: Random,
-        instance_id: int,
         now: float,
         tuning: Tuning | None = None,
         table: DocumentTable | None = None,
-        kept: Iterable[Document] = (),
+        cached_documents: Iterable[Document] = (),
     ) -> None:
-        self.cluster, self.name, self.interest = cluster, name, interest
-        self.tuning = tuning = tuning or Tuning()
+        tuning = tuning or Tuning()
+        self.identity = identity
+        self.subscription = subscription
+        self.tuning = tuning
         self.table = DocumentTable(tuning) if table is None else table
-        # bytes_in, bytes_out, bodies, fetches, taken_over, coalesced, known, dropped_KIND, dials, lost ...
         self.counts: Counter[str] = Counter()
-        self._role, self._region, self._zone, self._birth = role, region, zone, instance_id
-        self._judged, self._rng, self._tag = judged, rng, cluster_tag(cluster)
-        rate, saved = tuning.bytes_per_s, tuning.burst_bytes
-        if interest.all_scopes:
-            rate, saved = tuning.relay_bytes_per_s, tuning.relay_burst_bytes
-        self.bucket = TokenBucket(rate, saved, now)
-        self._upstreams = UpstreamConnections(servers, region, zone, rng, self._tag, tuning, now)
-        at_once = tuning.relay_concurrent_fetches if interest.all_scopes else tuning.concurrent_fetches
-        self._fetches = FetchScheduler(
-            self._upstreams, self.table, self.bucket, self.counts, tuning, at_once, self._ask, self._tell
+        """bytes_in, bytes_out, bodies, fetches, taken_over, coalesced, dropped_KIND, dials, lost ..."""
+        self._requires_apply = identity.role == NODE_ROLE
+        self._rng = rng
+        self._cluster = cluster_tag(identity.cluster)
+        self.bucket = _make_bucket(subscription, tuning, now)
+        self._connections = UpstreamConnections(
+            servers, identity.region, identity.zone, rng, self._cluster, tuning, now
         )
-        self._standings: dict[str, ApplyStatus] = {}
-        self._in_force: dict[str, Document] = {}
-        self._judging: dict[str, Document] = {}  # handed out and not answered yet
-        self._counter = 0
+        self._scheduler = FetchScheduler(
+            self._connections,
+            self.table,
+            self.bucket,
+            self.counts,
+            tuning,
+            tuning.relay_concurrent_fetches if subscription.all_scopes else tuning.concurrent_fetches,
+            self._send_request,
+            self._emit,
+        )
+        self._tracker = ApplyTracker()
         self._closed = False
-        self._clock, self._due = MonotonicClock(now, tuning.suspend_threshold_ms), now
-        self._out = Output()
-        for document in kept:
-            if interest.includes(document.header.scope) and self.table.put(document):
-                self._in_force[document.header.scope] = document
-                self._stand(document.header, ApplyState.IN_FORCE if judged else ApplyState.HELD, "")
+        self._clock = MonotonicClock(now, tuning.suspend_threshold_ms)
+        self._output = FollowerOutput()
+        self._restore(cached_documents)
         self._due = self._next()
 
-    # ------------------------------------------------------------ how it stands
+    def _restore(self, documents: Iterable[Document]) -> None:
+        state = ApplyState.APPLIED if self._requires_apply else ApplyState.STORED
+        for document in documents:
+            if self.subscription.includes(document.header.scope) and self.table.put(document):
+                self._tracker.restore(document, state)
+
+    # ------------------------------------------------------------ state
 
-    def in_force(self, scope: str) -> Document | None:
-        """The last good document of a scope."""
-        return self._in_force.get(scope)
+    def applied_document(self, scope: str) -> Document | None:
+        """Return the last good document of a scope."""
+        return self._tracker.applied_document(scope)
 
     def apply_statuses(self) -> list[ApplyStatus]:
-        """How this process stands to each document, from the widest scope."""
-        return [self._standings[scope] for scope in order(self._standings)]
+        """Return the apply status of each document, from the widest scope."""
+        return self._tracker.statuses()
 
     def conflicts(self) -> list[Conflict]:
-        """Two answers to one version that it has seen, and the rule that chose."""
+        """Return the conflicts that this process has seen, oldest first."""
         return list(self.table.conflicts)
 
     @property
-    def watched(self) -> list[str]:
-        """Addresses of the servers whose watch is up, the nearest first."""
+    def connected_servers(self) -> list[str]:
+        """Addresses of the servers that are watched, the nearest first."""
+        return [connection.upstream.server.address for connection in self._ready_connections()]
+
+    def _ready_connections(self) -> list[UpstreamConnection]:
         return [
-            connection.place.server.address
-            for connection in self._upstreams.open_links()
-            if connection.greeted
+            connection for connection in self._connections.open_connections() if connection.handshake_done
         ]
 
-    # ------------------------------------------------------------ in and out
-
-    def connected(self, connection: int, now: float) -> None:
-        """A dialled link is up."""
-        now = self._enter(now)
-        found = self._upstreams.connections.get(connection)
-        if found is not None and not found.open:
-            self._upstreams.opened(found, now)
-            found.beat_at = now + self.tuning.heartbeat_ms * (0.5 + 0.5 * self._rng.random())
-            found.vector_at, found.vector_wait = now + self.tuning.resync_ms, self.tuning.resync_ms
-            self._hello(found, now)
-        self._after(now)
-
-    def lost(self, connection: int, now: float) -> None:
-        """A link failed to come up, or is gone; also after a hang-up of one's own (then it says nothing)."""
-        now = self._enter(now)
-        found = self._upstreams.connections.get(connection)
-        if found is not None:
-            self._drop(found, now, "failed" if not found.open else "closed", hang_up=False)
-        self._after(now)
-
-    def received(self, connection: int, data: bytes, now: float) -> None:
-        """Bytes came in on a link, in any portions."""
-        now = self._enter(now)
-        found = self._upstreams.connections.get(connection)
-        if found is not None and found.open:
+    # ------------------------------------------------------------ input
+
+    def connected(self, connection_id: int, now: float) -> None:
+        """A requested connection is open."""
+        now = self._advance_clock(now)
+        connection = self._connections.connections.get(connection_id)
+        if connection is not None and not connection.open:
+            self._connections.opened(connection, now)
+            heartbeat_ms = self.tuning.heartbeat_ms
+            connection.heartbeat_at = now + heartbeat_ms * (0.5 + 0.5 * self._rng.random())
+            connection.resync_at = now + self.tuning.resync_ms
+            connection.resync_wait_ms = self.tuning.resync_ms
+            self._send_hello(connection, now)
+        self._advance(now)
+
+    def lost(self, connection_id: int, now: float) -> None:
+        """A connection failed to open or is closed; without effect after a disconnect of one's own."""
+        now = self._advance_clock(now)
+        connection = self._connections.connections.get(connection_id)
+        if connection is not None:
+            why = "closed" if connection.open else "failed"
+            self._remove(connection, now, why)
+        self._advance(now)
+
+    def received(self, connection_id: int, data: bytes, now: float) -> None:
+        """Bytes were received on a connection, in any portions."""
+        now = self._advance_clock(now)
+        connection = self._connections.connections.get(connection_id)
+        if connection is not None and connection.open:
             self.counts["bytes_in"] += len(data)
-            for message, size in found.reader.feed(data):
-                if connection not in self._upstreams.connections:
+            for message, size in connection.reader.feed(data):
+                if connection_id not in self._connections.connections:
                     break
-                self._handle(found, message, now, size)
-        self._after(now)
-
-    def handle(self, connection: int, message: Message | FrameError, now: float, size: int = 0) -> None:
-        """One message, or why there is none; `received` does the same.  size: bytes of its frame."""
-        now = self._enter(now)
-        found = self._upstreams.connections.get(connection)
-        if found is not None and found.open:
-            self._handle(found, message, now, size)
-        self._after(now)
+                self._handle(connection, message, now, size)
+        self._advance(now)
+
+    def apply_finished(self, header: DocumentHeader, rejection: str, now: float) -> None:
+        """A document is applied if `rejection` is empty, else rejected for that reason, in one line."""
+        now = self._advance_clock(now)
+        scope = header.scope
+        if not self._tracker.finish(header, rejection):
+            return
+        if rejection:
+            self.counts["refused"] += 1
+        values = {"scope": scope, "version": header.version, "refused": shorten_reason(rejection)}
+        self._emit("standing", now, values)
+        newest = self.table.get(scope)
+        if newest is not None and newest.header.rank > header.rank:  # received meanwhile
+            self._begin_apply(newest)
+        self._broadcast_status(scope, now)
+        self._advance(now)
 
     def tick(self, now: float) -> None:
         """Do what is due."""
-        now = self._enter(now)
-        for connection in list(self._upstreams.connections.values()):
-            if now >= self._upstreams.deadline(connection):
-                self._drop(connection, now, "silent" if connection.greeted else "no answer")
-            elif now >= connection.beat_at:
-                connection.beat_at = now + self.tuning.heartbeat_ms * (0.9 + 0.1 * self._rng.random())
-                self._send(connection, Heartbeat(self.table.digest(self.interest)), now)
-        self._after(now)
+        now = self._advance_clock(now)
+        for connection in list(self._connections.connections.values()):
+            if now >= self._connections.deadline(connection):
+                self._disconnect(connection, now, "silent" if connection.handshake_done else "no answer")
+            elif now >= connection.heartbeat_at:
+                heartbeat_ms = self.tuning.heartbeat_ms
+                connection.heartbeat_at = now + heartbeat_ms * (0.9 + 0.1 * self._rng.random())
+                self._send(connection, Heartbeat(self.table.digest(self.subscription)), now)
+        self._advance(now)
 
     def next_at(self) -> float:
-        """When `tick` is due next, in ms."""
-        return self._clock.given(self._next())
+        """Return when `tick` is due next, in ms."""
+        return self._clock.to_external(self._next())
 
     def _next(self) -> float:
-        return math.inf if self._closed else min(self._upstreams.next_at(), self._fetches.next_at())
+        if self._closed:
+            return math.inf
+        return min(self._connections.next_at(), self._scheduler.next_at())
 
-    def take(self) -> Output:
-        """All that is to be done since the last call."""
-        out, self._out = self._out, Output()
-        return out
+    def take(self) -> FollowerOutput:
+        """Return all that is to be done since the last call."""
+        output = self._output
+        self._output = FollowerOutput()
+        return output
 
     def close(self, now: float, why: str = "in order") -> None:
-        """Say good-bye on all links and dial no more."""
-        now = self._enter(now)
-        for connection in list(self._upstreams.connections.values()):
+        """Say goodbye on all connections and open no more."""
+        now = self._advance_clock(now)
+        for connection in list(self._connections.connections.values()):
             if connection.open:
                 self._send(connection, Goodbye(why), now)
-            self._drop(connection, now, why)
+            self._disconnect(connection, now, why)
         self._closed = True
 
-    def _enter(self, now: float) -> float:
-        """The time to go by.  After standing still nobody else is to blame."""
-        still = self._clock.enter(now, self._due)
+    def _advance_clock(self, now: float) -> float:
+        """Return the time to use.  After a suspension of this process no server is to blame."""
+        suspended_ms = self._clock.advance(now, self._due)
         now = self._clock.now
-        if still:
-            self._upstreams.shift(still)
-            self._fetches.shift(still)
+        if suspended_ms:
+            self._connections.shift(suspended_ms)
+            self._scheduler.shift(suspended_ms)
             self.counts["slept"] += 1
-            self._tell("slept", now, {"ms": round(still, 1)})
+            self._emit("slept", now, {"ms": round(suspended_ms, 1)})
         return now
 
-    def _after(self, now: float) -> None:
+    def _advance(self, now: float) -> None:
+        """Open and close connections and request bodies, as far as they are due."""
         if not self._closed:
-            surplus = self._upstreams.surplus()
+            surplus = self._connections.surplus()
             if surplus is not None:
-                self._send(surplus, Goodbye("a nearer one is watched"), now)
-                self._drop(surplus, now, "a nearer one is watched", failed=False)
-            for connection in self._upstreams.dial(now):
+                why = "a nearer one is watched"
+                self._send(surplus, Goodbye(why), now)
+                self._disconnect(surplus, now, why, failed=False)
+            for connection in self._connections.connect(now):
                 self.counts["dials"] += 1
-                self._out.dials.append(ConnectRequest(connection.number, connection.place.server.address))
-            self._fetches.tick(now)
-            while self._fetches.hopeless:
-                self._drop(self._fetches.hopeless.pop(), now, "it holds back what was asked")
-                self._fetches.tick(now)
+                request = ConnectRequest(connection.number, connection.upstream.server.address)
+                self._output.connects.append(request)
+            self._scheduler.tick(now)
+            while self._scheduler.stalled_connections:
+                stalled = self._scheduler.stalled_connections.pop()
+                self._disconnect(stalled, now, "it holds back what was asked")
+                self._scheduler.tick(now)
         self._due = self._next()
 
-    # ------------------------------------------------------------ links
+    # ------------------------------------------------------------ connections
 
     def _send(self, connection: UpstreamConnection, message: Message, now: float) -> None:
-        frame = encode(message, self._tag)
+        frame = encode(message, self._cluster)
         self.counts["bytes_out"] += len(frame)
-        if not isinstance(message, FetchRequest):  # paid when it was decided upon
+        if not isinstance(message, FetchRequest):  # the scheduler has spent its tokens
             self.bucket.spend(len(frame) + PACKET_OVERHEAD_BYTES, now)
-        self._out.sends.append((connection.number, frame))
-
-    def _ask(self, connection: UpstreamConnection, fetch: FetchRequest) -> None:
-        self._send(connection, fetch, self._clock.now)
-
-    def _tell(self, kind: str, at: float, values: dict[str, object]) -> None:
-        self._out.events.append(FeedEvent(kind, at, values))
-
-    def _hello(self, connection: UpstreamConnection, now: float) -> None:
-        interest = self.interest
-        version_vector = tuple(header.key for header in self.table.headers(interest))
-        who = self.name, self._role, self._region, self._zone, interest.service, interest.all_scopes
-        hello = Hello(*who, instance_id=self._birth, version_vector=version_vector)
+        self._output.sends.append((connection.number, frame))
+
+    def _send_request(self, connection: UpstreamConnection, request: FetchRequest) -> None:
+        self._send(connection, request, self._clock.now)
+
+    def _emit(self, kind: str, at: float, values: dict[str, object]) -> None:
+        self._output.events.append(FeedEvent(kind, at, values))
+
+    def _send_hello(self, connection: UpstreamConnection, now: float) -> None:
+        identity = self.identity
+        hello = Hello(
+            identity.name,
+            identity.role,
+            identity.region,
+            identity.zone,
+            self.subscription.service,
+            self.subscription.all_scopes,
+            identity.instance_id,
+            tuple(header.key for header in self.table.headers(self.subscription)),
+        )
         self._send(connection, hello, now)
 
-    def _drop(
-        self, connection: UpstreamConnection, now: float, why: str, hang_up: bool = True, failed: bool = True
-    ) -> None:
-        self._upstreams.drop(connection, now, failed)
-        self._fetches.gone(connection, now)
-        self.counts["lost" if connection.greeted else "unreached"] += 1
-        if hang_up:
-            self._out.hangups.append(connection.number)
-        self._tell("lost", now, {"server": connection.place.server.address, "why": why})
+    def _disconnect(self, connection: UpstreamConnection, now: float, why: str, failed: bool = True) -> None:
+        self._remove(connection, now, why, failed)
+        self._output.disconnects.append(connection.number)
+
+    def _remove(self, connection: UpstreamConnection, now: float, why: str, failed: bool = True) -> None:
+        self._connections.remove(connection, now, failed)
+        self._scheduler.connection_lost(connection, now)
+        self.counts["lost" if connection.handshake_done else "unreached"] += 1
+        self._emit("lost", now, {"server": connection.upstream.server.address, "why": why})
 
     def _handle(
         self, connection: UpstreamConnection, message: Message | FrameError, now: float, size: int
     ) -> None:
+        """Handle a received message, or the reason why there is none.  size: of its frame in bytes."""
         if isinstance(message, FrameError):
-            self._foreign(connection, message, now)
+            self._handle_frame_error(connection, message, now)
             return
-        connection.heard = now
-        if not isinstance(message, BodyChunk):  # paid when it was asked for
+        connection.last_received_at = now
+        if not isinstance(message, BodyChunk):  # its tokens were spent with the request
             self.bucket.spend(size + PACKET_OVERHEAD_BYTES, now)
         match message:
             case Hello():
-                self._greeted(connection, message, now)
+                self._complete_handshake(connection, message, now)
             case DocumentHeaders(headers):
                 for header in headers:
-                    self._offered(connection, header, now)
+                    self._offer(connection, header, now)
             case BodyChunk():
-                document = self._fetches.piece(connection, message, now)
-                if document is not None:
-                    self._whole(connection, document, now)
-            case BodyUnavailable(key, why):
-                self.counts["absent_" + ("busy" if why == "busy" else "gone")] += 1
-                self._fetches.absent(connection, key, why == "busy", now)
+                self._receive_chunk(connection, message, now)
+            case BodyUnavailable():
+                self._body_unavailable(connection, message, now)
             case Heartbeat(digest):
-                self._compare(connection, digest, now)
+                self._compare_digest(connection, digest, now)
             case Goodbye(why):
-                self._drop(connection, now, f"bye: {why}")
+                self._disconnect(connection, now, f"bye: {why}")
             case _:
                 self.counts["dropped_unexpected"] += 1
 
-    def _foreign(self, connection: UpstreamConnection, error: FrameError, now: float) -> None:
-        """A damaged frame is left out, as what it told comes again; after too many the link is given up."""
+    def _handle_frame_error(self, connection: UpstreamConnection, error: FrameError, now: float) -> None:
+        """Skip a damaged frame, as its content comes again; after too many close the connection."""
         self.counts[f"dropped_{error.kind}"] += 1
-        self._tell("dropped", now, {"what": error.kind, "server": connection.name, "why": str(error)})
-        connection.damaged += 1
-        if error.fatal or connection.damaged >= self.tuning.max_damaged_frames:
-            self._drop(connection, now, str(error))
-
-    def _greeted(self, connection: UpstreamConnection, hello: Hello, now: float) -> None:
-        if hello.instance_id == self._birth and hello.name == self.name:
-            connection.place.failures = 16  # its own hub
-            self._drop(connection, now, "this process itself")
+        self._emit("dropped", now, {"what": error.kind, "server": connection.name, "why": str(error)})
+        connection.damaged_frames += 1
+        if error.fatal or connection.damaged_frames >= self.tuning.max_damaged_frames:
+            self._disconnect(connection, now, str(error))
+
+    def _complete_handshake(self, connection: UpstreamConnection, hello: Hello, now: float) -> None:
+        identity = self.identity
+        if hello.instance_id == identity.instance_id and hello.name == identity.name:
+            connection.upstream.failures = MAX_FAILURES_COUNTED  # its own server: back off for longest
+            self._disconnect(connection, now, "this process itself")
+            return
+        if connection.handshake_done:
             return
-        if not connection.greeted:
-            connection.greeted, connection.name = True, hello.name
-            self._tell("linked", now, {"server": hello.name, "address": connection.place.server.address})
-            if self._standings:
-                self._send(connection, self._report(self.apply_statuses()), now)
+        connection.handshake_done = True
+        connection.name = hello.name
+        self._emit("linked", now, {"server": hello.name, "address": connection.upstream.server.address})
+        statuses = self._tracker.statuses()
+        if statuses:
+            self._send(connection, self._report(statuses), now)
 
-    def _compare(self, connection: UpstreamConnection, digest: int, now: float) -> None:
-        """Digests that go on differing: one of the two lacks something.  Ask less and less often.
+    def _compare_digest(self, connection: UpstreamConnection, digest: int, now: float) -> None:
+        """Send the version vector, less and less often, while the digests of both sides differ.
 
-        That they differ once is news that is on its way.
+        A single difference is news on its way.
         """
-        differed, connection.differs = connection.differs, digest != self.table.digest(self.interest)
-        if not connection.differs:
-            connection.vector_wait = self.tuning.resync_ms
-        elif (
-            differed
-            and now >= connection.vector_at
-            and not any(s in self._fetches.pending for s in connection.offers)
-        ):
-            connection.vector_at = now + connection.vector_wait
-            connection.vector_wait = min(2.0 * connection.vector_wait, self.tuning.max_resync_ms)
-            self.counts["vectors"] += 1
-            self._hello(connection, now)
+        differed_before = connection.digest_differed
+        connection.digest_differed = digest != self.table.digest(self.subscription)
+        if not connection.digest_differed:
+            connection.resync_wait_ms = self.tuning.resync_ms
+            return
+        if not differed_before or now < connection.resync_at:
+            return
+        if any(scope in self._scheduler.pending for scope in connection.offered_headers):
+            return
+        connection.resync_at = now + connection.resync_wait_ms
+        connection.resync_wait_ms = min(2.0 * connection.resync_wait_ms, self.tuning.max_resync_ms)
+        self.counts["vectors"] += 1
+        self._send_hello(connection, now)
 
     # ------------------------------------------------------------ documents
 
-    def _offered(self, connection: UpstreamConnection, header: DocumentHeader, now: float) -> None:
-        if not self.interest.includes(header.scope):
+    def _offer(self, connection: UpstreamConnection, header: DocumentHeader, now: float) -> None:
+        if not self.subscription.includes(header.scope):
             self.counts["dropped_unwanted"] += 1
             return
-        conflict = self.table.compare(header)
+        conflict = self.table.record_conflict(header)
         if conflict is not None:
-            self._conflict(conflict, now)
-        if self._fetches.offered(connection, header, now):
-            connection.vector_wait = self.tuning.resync_ms
-
-    def _conflict(self, conflict: Conflict, now: float) -> None:
-        self.counts["conflicts"] += 1
-        kept, dropped = conflict.kept, conflict.dropped
-        self._tell(
-            "conflict",
-            now,
-            {
-                "scope": kept.scope,
-                "era": kept.epoch,
-                "kept": [kept.version, kept.writer],
-                "dropped": [dropped.version, dropped.writer],
-                "rule": conflict.rule,
-            },
-        )
-
-    def _whole(self, connection: UpstreamConnection, document: Document, now: float) -> None:
+            self.counts["conflicts"] += 1
+            self._emit("conflict", now, conflict.log_fields())
+        if self._scheduler.offer(connection, header, now):
+            connection.resync_wait_ms = self.tuning.resync_ms
+
+    def _receive_chunk(self, connection: UpstreamConnection, chunk: BodyChunk, now: float) -> None:
+        document = self._scheduler.receive_chunk(connection, chunk, now)
+        if document is not None:
+            self._document_received(connection, document, now)
+
+    def _body_unavailable(self, connection: UpstreamConnection, message: BodyUnavailable, now: float) -> None:
+        busy = message.why == "busy"
+        self.counts["absent_busy" if busy else "absent_gone"] += 1
+        self._scheduler.body_unavailable(connection, message.key, busy, now)
+
+    def _document_received(self, connection: UpstreamConnection, document: Document, now: float) -> None:
         header = document.header
         try:
-            taken = self.table.put(document)
+            is_newer = self.table.put(document)
         except FeedError as error:
             self.counts["dropped_full"] += 1
-            self._tell("dropped", now, {"what": "full", "scope": header.scope, "why": str(error)})
-            self._fetches.forget(header.scope, header)
+            self._emit("dropped", now, {"what": "full", "scope": header.scope, "why": str(error)})
+            self._scheduler.reject(header)
             return
-        if not taken:
+        if not is_newer:
             self.counts["dropped_older"] += 1
             return
-        self._tell(
-            "whole", now, {"scope": header.scope, "version": header.version, "server": connection.name}
-        )
-        if not self._judged:
-            self._out.apply.append(document)
-            self._stand(header, ApplyState.HELD, "")
-            self._report_all(header.scope, now)
-        elif header.scope not in self._judging:
-            self._judging[header.scope] = document
-            self._out.apply.append(document)
-
-    def applied(self, scope: str, header: DocumentHeader, refused: str, now: float) -> None:
-        """The answer to a document handed out: in force where `refused` is "", else why not, in one line."""
-        now = self._enter(now)
-        document = self._judging.get(scope)
-        if document is None or document.header != header:
-            return
-        del self._judging[scope]
-        if refused:
-            self.counts["refused"] += 1
-        else:
-            self._in_force[scope] = document
-        self._stand(header, ApplyState.REFUSED if refused else ApplyState.IN_FORCE, shorten(refused))
-        self._tell("standing", now, {"scope": scope, "version": header.version, "refused": shorten(refused)})
-        newest = self.table.get(scope)
-        if newest is not None and newest.header.rank > header.rank:  # came meanwhile
-            self._judging[scope] = newest
-            self._out.apply.append(newest)
-        self._report_all(scope, now)
-        self._after(now)
-
-    def _stand(self, header: DocumentHeader, state: ApplyState, why: str) -> None:
-        self._standings[header.scope] = ApplyStatus(header.key, state, why)
-        self._counter += 1
-
-    def _report_all(self, scope: str, now: float) -> None:
-        report = self._report([self._standings[scope]])
-        for connection in self._upstreams.open_links():
-            if connection.greeted:
-                self._send(connection, report, now)
-
-    def _report(self, apply_statuses: list[ApplyStatus]) -> ApplyReport:
-        return ApplyReport(self.name, self._birth, self._counter, tuple(apply_statuses))
+        values = {"scope": header.scope, "version": header.version, "server": connection.name}
+        self._emit("whole", now, values)
+        if not self._requires_apply:
+            self._output.apply.append(document)
+            self._tracker.set_stored(header)
+            self._broadcast_status(header.scope, now)
+        elif not self._tracker.is_applying(header.scope):
+            self._begin_apply(document)
+
+    def _begin_apply(self, document: Document) -> None:
+        self._tracker.begin(document)
+        self._output.apply.append(document)
+
+    def _broadcast_status(self, scope: str, now: float) -> None:
+        report = self._report([self._tracker.status(scope)])
+        for connection in self._ready_connections():
+            self._send(connection, report, now)
+
+    def _report(self, statuses: list[ApplyStatus]) -> ApplyReport:
+        identity = self.identity
+        return ApplyReport(identity.name, identity.instance_id, self._tracker.changes, tuple(statuses))
+
+
+def _make_bucket(subscription: Subscription, tuning: Tuning, now: float) -> TokenBucket:
+    if subscription.all_scopes:
+        return TokenBucket(tuning.relay_bytes_per_s, tuning.relay_burst_bytes, now)
+    return TokenBucket(tuning.bytes_per_s, tuning.burst_bytes, now)
--- a/crowpost/config_feed/messages.py
+++ b/crowpost/config_feed/messages.py
@@ -1,37 +1,43 @@
-"""What followers and hubs, and commands, say to each other; `wire` turns it into bytes and back."""
+"""Messages between followers, distribution servers and commands; `message_codec` encodes them.
+
+The order of the fields is that of the wire format.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-from crowpost.config_feed.documents import ApplyStatus, DocumentHeader, VersionKey
+from crowpost.config_feed.apply_status import ApplyStatus
+from crowpost.config_feed.documents import DocumentHeader, VersionKey
+
+ANY_VERSION = -1  # a publish request without a precondition
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message of either side, and again a follower's whenever digests differ: what it holds."""
+    """The first message of either side; a follower sends it again whenever digests differ."""
 
     name: str
     role: str  # node, relay or publisher
     region: str = ""
     zone: str = ""
     service: str = ""
-    all_scopes: bool = False  # it follows all scopes
-    instance_id: int = 0  # random, tells two processes of one name apart
-    version_vector: tuple[VersionKey, ...] = ()
+    all_scopes: bool = False  # the follower watches all scopes
+    instance_id: int = 0  # random; tells two processes of one name apart
+    version_vector: tuple[VersionKey, ...] = ()  # what the follower has
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentHeaders:
-    """Documents that the server holds and the follower does not, as far as the server knows."""
+    """Documents that the server has and, as far as it knows, the follower has not."""
 
     headers: tuple[DocumentHeader, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRequest:
-    """Send these bytes of a body."""
+    """A request for these bytes of a body."""
 
     key: VersionKey
     offset: int
@@ -40,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyChunk:
-    """A piece of a body."""
+    """A chunk of a body."""
 
     key: VersionKey
     offset: int
@@ -49,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyUnavailable:
-    """A fetch that is not answered: the server holds another document by now, or has too much to do."""
+    """A fetch that is not served: the server has another document by now, or is overloaded."""
 
     key: VersionKey
     why: str  # "gone" or "busy"
@@ -57,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Alive; and the digest of the versions held among those that the follower watches."""
+    """A sign of life, with a digest of the sender's versions of what the follower watches."""
 
     digest: int
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyReport:
-    """How a follower stands to its documents; of two reports of one birth the higher counter is the later."""
+    """The apply statuses of a follower; of two reports of one instance the higher counter is the later."""
 
     name: str
     instance_id: int
@@ -74,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """Tell what is held here, who watches, and how they stand."""
+    """A request for the documents, followers and apply statuses that a server knows of."""
 
     number: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class StatusResponse:
-    """The answer: a map as `status.py` writes and reads it."""
+    """The answer to a status request: a map as `follower_status.server_status` makes it."""
 
     number: int
     value: dict[str, Any]
@@ -89,21 +95,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishRequest:
-    """Publish a body, or with `back` the body before the one in force, as a new version."""
+    """A request to publish a body, or with `rollback` the previous body of the scope, as a new version."""
 
     number: int
     scope: str
     body: bytes
     author: str
     reason: str
-    region: str = ""  # for the first publish of a node's scope: the region that it is configured for
-    if_version: int = -1  # publish only if this is the version now, 0: if there is none; -1: in any case
-    back: bool = False
+    region: str = ""  # for the first document of a node's scope: the region that the node is configured for
+    if_version: int = ANY_VERSION  # publish only if this is the current version; 0: if there is none
+    rollback: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class PublishAccepted:
-    """Durable: kept through a crash from now on."""
+    """The document is durable: it survives a crash from now on."""
 
     number: int
     header: DocumentHeader
@@ -111,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishRejected:
-    """A request that is not met, and why, in one line."""
+    """A request that is not met, and the reason in one line."""
 
     number: int
     why: str
@@ -119,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goodbye:
-    """An orderly end of the link: no failure of either side."""
+    """An orderly end of the connection: no failure of either side."""
 
     why: str = ""
 
--- a/crowpost/config_feed/monotonic_clock.py
+++ b/crowpost/config_feed/monotonic_clock.py
@@ -1,4 +1,4 @@
-"""The time that a core goes by."""
+"""A clock for the cores that never goes back and notices when the process was suspended."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 
 
 class MonotonicClock:
-    """Takes the times in ms that a core is given, and makes of them one that never goes back.
+    """Turns the times that a core is given, in ms, into times that never go back.
 
-    Should the clock of the carrier go back, time goes on from where it stood.
+    Should the transport's clock go back, time continues from where it stood.
     """
 
-    __slots__ = ("_late_ms", "_skew", "now")
+    __slots__ = ("_skew_ms", "_threshold_ms", "now")
 
-    def __init__(self, now: float, late_ms: float) -> None:
-        self.now, self._skew, self._late_ms = now, 0.0, late_ms
+    def __init__(self, now: float, suspend_threshold_ms: float) -> None:
+        self.now = now
+        self._skew_ms = 0.0
+        self._threshold_ms = suspend_threshold_ms
 
-    def enter(self, given: float, due: float) -> float:
-        """Go on to a given time, and say for how long this process stood still: 0 in the ordinary case.
+    def advance(self, external: float, due: float) -> float:
+        """Advance to an external time and return for how long the process was suspended, ordinarily 0.
 
-        due: when it should have ticked, in the core's own time.  That it was not called where nothing was due
-        is no standing still.
+        due: when the core should have been called, in its own time.  That it was not called while nothing
+        was due is no suspension.
         """
-        now = given + self._skew
+        now = external + self._skew_ms
         if now < self.now:
-            self._skew += self.now - now
+            self._skew_ms += self.now - now
             now = self.now
-        still = now - self.now
+        elapsed = now - self.now
         self.now = now
-        return still if min(still, now - due) > self._late_ms else 0.0
+        return elapsed if min(elapsed, now - due) > self._threshold_ms else 0.0
 
-    def given(self, own: float) -> float:
-        """A time of the core's own as the carrier's clock shows it; never before it, by rounding."""
-        return own - self._skew + ROUNDING_MS if self._skew else own
+    def to_external(self, internal: float) -> float:
+        """Convert a time of the core to the transport's clock; never earlier than exact, by rounding."""
+        return internal - self._skew_ms + ROUNDING_MS if self._skew_ms else internal
--- a/crowpost/config_feed/publication_log.py
+++ b/crowpost/config_feed/publication_log.py
@@ -1,101 +1,73 @@
-"""What a publisher has published, and may publish: records for a store in, versions out.  Without I/O.
+"""The publications of a publisher as records for a store, without I/O.
 
-A document counts as published once its record is kept; until then nobody is told of it.  So a version that
-anybody has seen is on the disk, and is never given to another body.
+A document counts as published once its record is durable; until then no follower is told of it.  So a version
+that any process has seen is on the disk, and is never given to another body.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Iterator, Mapping
-from dataclasses import astuple, dataclass
+from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
 import msgpack
 
 from crowpost.config_feed.document_table import DocumentTable
-from crowpost.config_feed.documents import (
-    Document,
-    DocumentHeader,
-    FeedError,
-    make_document,
-    order,
-    split_scope,
-)
-from crowpost.config_feed.messages import PublishRequest
+from crowpost.config_feed.documents import Document, DocumentHeader, make_document
+from crowpost.config_feed.errors import FeedError
+from crowpost.config_feed.message_codec import header_row
+from crowpost.config_feed.messages import ANY_VERSION, PublishRequest
+from crowpost.config_feed.scopes import order_scopes
 from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.write_authority import WriteAuthority
 
-DOCUMENT, ERA = 1, 2  # kinds of records
-FIRST_ERA = 1
+DOCUMENT_RECORD = 1
+EPOCH_RECORD = 2
+FIRST_EPOCH = 1
 
-Check = Callable[[str, bytes], None]  # scope and body; FeedError, in a line, for what no node could take
-
-
-@dataclass(frozen=True, slots=True)
-class WriteAuthority:
-    """Who writes what: each region's publisher its region and its nodes, the home region's all else."""
-
-    name: str  # of this publisher
-    home: str
-    publishers: Mapping[str, str]  # name by region
-
-    def check(self, scope: str, held: DocumentHeader | None, region: str) -> None:
-        """FeedError that names the right one where this publisher may not write a scope.
-
-        held: its document now, whose writer stays that of a node; region: said with a node's first document.
-        """
-        kind, name = split_scope(scope)
-        if kind == "node" and held is not None:
-            right, why = held.writer, "which wrote it first"
-        elif kind == "node" and not region:
-            raise FeedError(f"{scope}: its first document needs the region that the node is configured for")
-        else:
-            where = {"node": region, "region": name}.get(kind, self.home)
-            if where not in self.publishers:
-                raise FeedError(f"no publisher for region {where!r}; there are {', '.join(self.publishers)}")
-            right, why = self.publishers[where], f"the publisher of {where}"
-        if right != self.name:
-            raise FeedError(f"{scope} is written by {right}, {why}, and not by {self.name}")
+Check = Callable[[str, bytes], None]
+"""Validates scope and body; raises FeedError, in one line, for what no node could apply."""
 
 
 class PublicationLog:
-    """Its documents by scope, each with the one before.
+    """The current and the previous document of each scope, as of the last record.
 
-    records: of a store, first those of its snapshot; FeedError for any that cannot be read.
+    records: those of a store, first those of its snapshot.  Raise FeedError for any that cannot be read.
     """
 
     def __init__(
         self,
-        writers: WriteAuthority,
+        authority: WriteAuthority,
         check: Check,
         records: Iterable[bytes] = (),
         tuning: Tuning | None = None,
     ) -> None:
-        self._writers, self._check, self._tuning = writers, check, tuning or Tuning()
-        self.epoch = FIRST_ERA
-        self._now: dict[str, Document] = {}  # as of the last record
-        self._before: dict[str, Document] = {}
+        self._authority = authority
+        self._check = check
+        self._tuning = tuning or Tuning()
+        self.epoch = FIRST_EPOCH
+        self._current: dict[str, Document] = {}
+        self._previous: dict[str, Document] = {}
         for record in records:
-            self._apply(record)
+            self._replay(record)
 
     def documents(self) -> list[Document]:
-        """The last of each scope."""
-        return [self._now[scope] for scope in order(self._now)]
+        """Return the current document of each scope."""
+        return [self._current[scope] for scope in order_scopes(self._current)]
 
     # ------------------------------------------------------------ publishing
 
-    def publish(self, asked: PublishRequest, table: DocumentTable) -> tuple[bytes, Document]:
-        """The record and the document of a publish; to be told only once the record is kept.
+    def publish(self, request: PublishRequest, table: DocumentTable) -> tuple[bytes, Document]:
+        """Return the record and the document of a request; announce it only once the record is durable.
 
-        table: all that is in force as far as this process knows.  FeedError, in a line, for what is refused.
+        table: all documents that this process knows.  Raise FeedError, in one line, to reject the request.
         """
-        scope = asked.scope
-        known = [d.header for d in (self._now.get(scope), table.get(scope)) if d is not None]
-        newest = max(known, key=lambda header: header.rank, default=None)
-        self._writers.check(scope, newest, asked.region)
+        scope = request.scope
+        newest = self._newest(scope, table)
+        self._authority.check(scope, newest, request.region)
         version = newest.version if newest is not None else 0
-        if asked.if_version not in (-1, version):
-            raise FeedError(f"{scope} is at version {version} and not at {asked.if_version}")
-        body = self._former(scope) if asked.back else asked.body
+        if request.if_version not in (ANY_VERSION, version):
+            raise FeedError(f"{scope} is at version {version} and not at {request.if_version}")
+        body = self._previous_body(scope) if request.rollback else request.body
         self._check_size(scope, body, table)
         self._check(scope, body)
         document = make_document(
@@ -103,94 +75,112 @@
             max(self.epoch, newest.epoch if newest is not None else 0),
             version + 1,
             body,
-            author=asked.author,
-            reason=asked.reason,
-            writer=self._writers.name,
+            author=request.author,
+            reason=request.reason,
+            writer=self._authority.name,
         )
-        return self._record(document), document
+        return self._append(document), document
 
-    def _former(self, scope: str) -> bytes:
-        if scope not in self._before:
+    def _newest(self, scope: str, table: DocumentTable) -> DocumentHeader | None:
+        documents = (self._current.get(scope), table.get(scope))
+        known = [document.header for document in documents if document is not None]
+        return max(known, key=_rank) if known else None
+
+    def _previous_body(self, scope: str) -> bytes:
+        if scope not in self._previous:
             raise FeedError(f"{scope} has no document before the one in force")
-        return self._before[scope].body
+        return self._previous[scope].body
 
     def _check_size(self, scope: str, body: bytes, table: DocumentTable) -> None:
-        """Room must be there before the record is: what is acknowledged is also told."""
-        tuning, held = self._tuning, {**table.documents, **self._now}
+        """Raise FeedError where a table could not hold the document: what is accepted must be announced."""
+        tuning = self._tuning
+        documents = {**table.documents, **self._current}
         if len(body) > tuning.max_document_bytes:
             raise FeedError(f"{scope}: {len(body)} bytes, {tuning.max_document_bytes} at the most")
-        total = sum(d.header.size for s, d in held.items() if s != scope) + len(body)
-        if total > tuning.max_table_bytes or len(held.keys() | {scope}) > tuning.max_documents:
-            raise FeedError(f"{scope}: all documents together would be {total} bytes in {len(held)} scopes")
+        others = [document.header.size for other, document in documents.items() if other != scope]
+        total = sum(others) + len(body)
+        if total > tuning.max_table_bytes or len(documents.keys() | {scope}) > tuning.max_documents:
+            raise FeedError(
+                f"{scope}: all documents together would be {total} bytes in {len(documents)} scopes"
+            )
 
     # ------------------------------------------------------------ after a restore
 
-    def restored(self) -> bytes:
-        """The state is from a backup: the record of the next era, in which all that is published is newer."""
+    def begin_epoch(self) -> bytes:
+        """Begin the next epoch, in which all that is published is newer, and return its record.
+
+        Called where the state is from a backup.
+        """
         self.epoch += 1
-        return bytes(msgpack.packb([ERA, self.epoch]))
+        return bytes(msgpack.packb([EPOCH_RECORD, self.epoch]))
 
-    def seen(self, document: Document) -> list[bytes]:
-        """Records for a document of this publisher's own that came from others and is newer than its last.
+    def adopt(self, document: Document) -> list[bytes]:
+        """Return records that adopt a document from other processes; none where there is nothing to adopt.
 
-        The state was set back: the document is taken over, and the next era begun, as there may have been
-        more that nobody told of.
+        A document by this very publisher that is newer than its last means that the state was set back.  It
+        is adopted, and the next epoch begun, as there may have been more that nobody told of.
         """
         header = document.header
-        held = self._now.get(header.scope)
-        if header.writer != self._writers.name or (held is not None and held.header.rank >= header.rank):
+        current = self._current.get(header.scope)
+        if header.writer != self._authority.name:
             return []
-        records = [self._record(document)]
+        if current is not None and current.header.rank >= header.rank:
+            return []
+        records = [self._append(document)]
         if header.epoch >= self.epoch:
             self.epoch = header.epoch
-            records.append(self.restored())
+            records.append(self.begin_epoch())
         return records
 
     # ------------------------------------------------------------ records
 
     def snapshot(self) -> Iterator[bytes]:
-        """All there is now, as records; what is published meanwhile does not show."""
-        epoch, before, now = self.epoch, dict(self._before), self.documents()
-
-        def pieces() -> Iterator[bytes]:
-            yield bytes(msgpack.packb([ERA, epoch]))
-            for document in now:
-                if document.header.scope in before:
-                    yield _pack(before[document.header.scope])
-                yield _pack(document)
-
-        return pieces()
+        """Return the present state as records; what is published meanwhile is not part of it."""
+        return _snapshot(self.epoch, dict(self._previous), self.documents())
 
-    def _record(self, document: Document) -> bytes:
+    def _append(self, document: Document) -> bytes:
         self._put(document)
-        return _pack(document)
+        return _document_record(document)
 
     def _put(self, document: Document) -> None:
         scope = document.header.scope
-        if scope in self._now:
-            self._before[scope] = self._now[scope]
-        self._now[scope] = document
+        if scope in self._current:
+            self._previous[scope] = self._current[scope]
+        self._current[scope] = document
 
-    def _apply(self, record: bytes) -> None:
+    def _replay(self, record: bytes) -> None:
         try:
-            kind, *row = msgpack.unpackb(record)
-            if kind == ERA:
-                self.epoch = int(row[0])
-                return
-            if kind != DOCUMENT:
-                raise FeedError(f"a record of kind {kind!r}: a newer version has been here")
-            document = Document(DocumentHeader(*row[0]), row[1])
+            self._replay_row(*msgpack.unpackb(record))
         except FeedError:
             raise
         except (ValueError, TypeError, msgpack.exceptions.UnpackException) as error:
-            raise FeedError(f"a record that cannot be read: {error}") from None
-        if not document.whole:
-            raise FeedError(
-                f"{document.header.scope}: a record whose body is not the one that its head names"
-            )
+            raise FeedError(f"a record that cannot be read: {error}") from error
+
+    def _replay_row(self, kind: int, *row: Any) -> None:
+        if kind == EPOCH_RECORD:
+            self.epoch = int(row[0])
+            return
+        if kind != DOCUMENT_RECORD:
+            raise FeedError(f"a record of kind {kind!r}: a newer version has been here")
+        document = Document(DocumentHeader(*row[0]), row[1])
+        if not document.is_intact:
+            scope = document.header.scope
+            raise FeedError(f"{scope}: a record whose body is not the one that its head names")
         self._put(document)
 
 
-def _pack(document: Document) -> bytes:
-    row: list[Any] = [DOCUMENT, list(astuple(document.header)), document.body]
-    return bytes(msgpack.packb(row))
+def _rank(header: DocumentHeader) -> tuple[int, int, str, bytes]:
+    return header.rank
+
+
+def _snapshot(epoch: int, previous: dict[str, Document], current: list[Document]) -> Iterator[bytes]:
+    yield bytes(msgpack.packb([EPOCH_RECORD, epoch]))
+    for document in current:
+        scope = document.header.scope
+        if scope in previous:
+            yield _document_record(previous[scope])
+        yield _document_record(document)
+
+
+def _document_record(document: Document) -> bytes:
+    return bytes(msgpack.packb([DOCUMENT_RECORD, header_row(document.header), document.body]))
--- a/crowpost/config_feed/publisher.py
+++ b/crowpost/config_feed/publisher.py
@@ -1,4 +1,4 @@
-"""A publisher: its ledger, the store that keeps it, and the hub that tells of it."""
+"""A publisher: its publication log, the store that keeps it, and the transport that announces it."""
 
 from __future__ import annotations
 
@@ -6,37 +6,42 @@
 from contextlib import suppress
 
 from crowpost.config_feed.configuration import FeedConfig
-from crowpost.config_feed.documents import Document, FeedError
+from crowpost.config_feed.documents import Document
+from crowpost.config_feed.errors import FeedError
 from crowpost.config_feed.messages import PublishAccepted, PublishRejected, PublishRequest
-from crowpost.config_feed.publication_log import Check, PublicationLog, WriteAuthority
+from crowpost.config_feed.publication_log import Check, PublicationLog
 from crowpost.config_feed.transport import FeedTransport
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.store.carrier import Keeper, Opened, open_locked
 from crowpost.store.core import Pace
 from crowpost.store.model import Durability, StoreError
 
-BYTES_PER_S = 4_000_000.0  # that snapshots take in the mean; what is acknowledged never waits
+SNAPSHOT_BYTES_PER_S = 4_000_000.0  # mean rate of snapshots; records of publications never wait
+MAX_REJECTION_CHARACTERS = 900  # of the reason in an answer
+CLOSE_TIMEOUT_S = 2.0  # for publications in progress
 
 
 class Publisher:
-    """Takes documents, each acknowledged and told only once it is on the disk.
+    """Accepts documents; each is acknowledged and announced only once it is durable.
 
-    check: refuses what no node could take.  restored: the directory is from a backup.
+    check: rejects what no node could apply.  restored: the directory is from a backup.
     """
 
     def __init__(self, config: FeedConfig, check: Check, *, restored: bool = False) -> None:
-        self._config, self._restored = config, restored
+        self._config = config
+        self._restored = restored
         opened = self._open()
         try:
-            writers = WriteAuthority(config.name, config.home, config.publishers)
-            records = [*opened.found.snapshot, *(r.payload for r in opened.found.records)]
-            self.ledger = PublicationLog(writers, check, records, config.tuning)
+            authority = WriteAuthority(config.name, config.home_region, config.publishers)
+            records = [*opened.found.snapshot, *(record.payload for record in opened.found.records)]
+            self.log = PublicationLog(authority, check, records, config.tuning)
         except FeedError as error:
             opened.disk.close()
-            raise FeedError(f"feed.directory: {config.directory}: {error}") from None
-        self._keeper = Keeper(opened, Pace(bytes_per_s=BYTES_PER_S))
-        self._logged = 0  # bytes of the log as of the last snapshot
-        self._work: set[asyncio.Task[None]] = set()
-        self.carrier = FeedTransport(config, self._document, on_publish=self._publish)
+            raise FeedError(f"feed.directory: {config.directory}: {error}") from error
+        self._keeper = Keeper(opened, Pace(bytes_per_s=SNAPSHOT_BYTES_PER_S))
+        self._logged_at_snapshot = 0  # bytes of the store's log as of the last snapshot
+        self._tasks: set[asyncio.Task[None]] = set()
+        self.transport = FeedTransport(config, self._document_received, on_publish=self._publish)
 
     def _open(self) -> Opened:
         config = self._config
@@ -44,101 +49,107 @@
         try:
             return open_locked(config.directory, f"feed {config.cluster} {config.name}")
         except StoreError as error:
-            raise FeedError(f"feed.directory: {error}") from None
+            raise FeedError(f"feed.directory: {error}") from error
 
     async def start(self) -> str:
-        """Tell what is published, watch the others, and take documents; returns the address bound."""
+        """Announce the published documents, watch the other publishers and accept documents.
+
+        Return the bound address.
+        """
         if self._restored:
-            self._append(self.ledger.restored())
-        for document in self.ledger.documents():
-            self.carrier.announce(document)
-        bound = await self.carrier.listen()
-        self.carrier.start()
+            self._append(self.log.begin_epoch())
+        for document in self.log.documents():
+            self.transport.announce(document)
+        bound = await self.transport.listen()
+        self.transport.start()
         return bound
 
-    # ------------------------------------------------------------ what is asked
+    # ------------------------------------------------------------ requests
 
-    def _publish(self, connection_id: int, asked: PublishRequest) -> None:
+    def _publish(self, connection_id: int, request: PublishRequest) -> None:
         try:
-            self._writable()
-            record, document = self.ledger.publish(asked, self.carrier.follower.table)
+            self._check_writable()
+            record, document = self.log.publish(request, self.transport.follower.table)
             sequence = self._append(record)
         except (FeedError, StoreError) as error:
-            self._refuse(connection_id, asked, str(error))
+            self._reject(connection_id, request, str(error))
             return
-        work = asyncio.get_running_loop().create_task(self._keep(connection_id, asked, document, sequence))
-        self._work.add(work)
-        work.add_done_callback(self._work.discard)
+        acknowledging = self._acknowledge(connection_id, request, document, sequence)
+        task = asyncio.get_running_loop().create_task(acknowledging)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _keep(
-        self, connection_id: int, asked: PublishRequest, document: Document, sequence: int
+    async def _acknowledge(
+        self, connection_id: int, request: PublishRequest, document: Document, sequence: int
     ) -> None:
+        """Announce and acknowledge a document once its record is durable."""
         header = document.header
         try:
             await self._keeper.kept(sequence)
         except StoreError as error:
-            self._stopped()
-            self._refuse(
-                connection_id, asked, f"{error}; after a restart it may be published or not: ask for status"
-            )
+            self._mark_stopped()
+            why = f"{error}; after a restart it may be published or not: ask for status"
+            self._reject(connection_id, request, why)
             return
-        self.carrier.tell(
+        self.transport.log_event(
             "published",
-            scope=header.scope,
-            era=header.epoch,
-            version=header.version,
-            digest=header.digest.hex()[:16],
+            **header.log_fields(),
             size=header.size,
             author=header.author,
             reason=header.reason,
         )
         try:
-            self.carrier.announce(document)
+            self.transport.announce(document)
         except FeedError as error:
-            self.carrier.tell("unheld", scope=header.scope, version=header.version, why=str(error))
-        self.carrier.answer(connection_id, PublishAccepted(asked.number, header))
+            self.transport.log_event("unheld", scope=header.scope, version=header.version, why=str(error))
+        self.transport.answer(connection_id, PublishAccepted(request.number, header))
         self._compact()
 
-    def _refuse(self, connection_id: int, asked: PublishRequest, why: str) -> None:
-        self.carrier.tell("refused", scope=asked.scope, author=asked.author, why=why)
-        self.carrier.answer(connection_id, PublishRejected(asked.number, why[:900]))
+    def _reject(self, connection_id: int, request: PublishRequest, why: str) -> None:
+        self.transport.log_event("refused", scope=request.scope, author=request.author, why=why)
+        rejection = PublishRejected(request.number, why[:MAX_REJECTION_CHARACTERS])
+        self.transport.answer(connection_id, rejection)
 
-    def _document(self, document: Document) -> None:
-        """The other publisher's, or one of this one's own that its state no longer knows of."""
-        records = self.ledger.seen(document)
-        if records:
-            header = document.header
-            self.carrier.tell("set_back", scope=header.scope, version=header.version, era=self.ledger.epoch)
-            with suppress(StoreError):  # it is told with the next publish
-                for record in records:
-                    self._append(record)
+    def _document_received(self, document: Document) -> None:
+        """Adopt a document of this publisher that its own state does not have."""
+        records = self.log.adopt(document)
+        if not records:
+            return
+        header = document.header
+        self.transport.log_event("set_back", scope=header.scope, version=header.version, era=self.log.epoch)
+        with suppress(StoreError):  # a failed store is reported with the next publish request
+            for record in records:
+                self._append(record)
 
-    # ------------------------------------------------------------ the store
+    # ------------------------------------------------------------ store
 
-    def _writable(self) -> None:
-        """Before the ledger moves on: a version must not be given out where it cannot be kept."""
+    def _check_writable(self) -> None:
+        """Raise StoreError before the log assigns a version that could not be made durable."""
         failed = self._keeper.core.failed
         if failed:
-            self._stopped()
+            self._mark_stopped()
             raise StoreError(f"writing has stopped: {failed}; what is in force goes on being told")
 
-    def _stopped(self) -> None:
-        """For the status: documents are told, and none are taken."""
-        assert self.carrier.distribution_server is not None
-        self.carrier.distribution_server.counts["stopped"] = 1
+    def _mark_stopped(self) -> None:
+        """Show in the status that documents are served and none are accepted."""
+        assert self.transport.distribution_server is not None
+        self.transport.distribution_server.counts["stopped"] = 1
 
     def _append(self, record: bytes) -> int:
         return self._keeper.append(record, Durability.ACKNOWLEDGED)
 
     def _compact(self) -> None:
+        """Replace the store's log by a snapshot once it has grown to the configured size."""
         core = self._keeper.core
-        if not core.failed and core.written.logged - self._logged >= self._config.snapshot_bytes:
-            self._logged = core.written.logged
-            self._keeper.snapshot(self.ledger.snapshot())
+        if core.failed:
+            return
+        if core.written.logged - self._logged_at_snapshot >= self._config.snapshot_bytes:
+            self._logged_at_snapshot = core.written.logged
+            self._keeper.snapshot(self.log.snapshot())
 
     async def close(self) -> None:
-        """Say good-bye, and let what is being written be kept."""
-        if self._work:
-            await asyncio.wait(self._work, timeout=2.0)
-        await self.carrier.close()
+        """Say goodbye, and let what is being written become durable."""
+        if self._tasks:
+            await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT_S)
+        await self.transport.close()
         await self._keeper.close()
--- a/crowpost/config_feed/token_bucket.py
+++ b/crowpost/config_feed/token_bucket.py
@@ -1,34 +1,38 @@
-"""A token bucket of bytes."""
+"""A token bucket that limits bytes per second."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """So many bytes a second, and so many saved up at the most; it begins full.  Times in ms.
+    """A number of bytes per second, and a burst of bytes that may be saved up; it starts full.
 
-    owed: bytes that are paid and yet to come.  They count as saved up: so no stretch of time ever sees more
-    than what is saved up at the most, and the rate.
+    Times are in ms.  `outstanding` counts bytes that are paid for and not yet received.  They count towards
+    the burst, so that no interval ever sees more bytes than the burst and the rate allow.
     """
 
-    __slots__ = ("_at", "owed", "rate", "saved", "tokens")
+    __slots__ = ("_refilled_at", "burst", "bytes_per_s", "outstanding", "tokens")
 
-    def __init__(self, rate: float, saved: float, now: float) -> None:
-        self.rate, self.saved, self.tokens, self._at = rate, saved, saved, now
-        self.owed = 0
+    def __init__(self, bytes_per_s: float, burst: float, now: float) -> None:
+        self.bytes_per_s = bytes_per_s
+        self.burst = burst
+        self.tokens = burst
+        self.outstanding = 0
+        self._refilled_at = now
 
     def refill(self, now: float) -> float:
-        """The tokens there are now; below 0 after spending in advance."""
-        if now > self._at:
-            self.tokens = min(self.saved - self.owed, self.tokens + (now - self._at) * self.rate / 1000.0)
-            self._at = now
+        """Return the tokens available at a time; negative after spending in advance."""
+        if now > self._refilled_at:
+            gained = (now - self._refilled_at) * self.bytes_per_s / 1000.0
+            self.tokens = min(self.burst - self.outstanding, self.tokens + gained)
+            self._refilled_at = now
         return self.tokens
 
     def spend(self, size: float, now: float) -> None:
-        """Count bytes, whether there were tokens or not."""
+        """Take tokens, whether there are enough or not."""
         self.refill(now)
         self.tokens -= size
 
-    def when(self, size: float, now: float) -> float:
-        """The time at which there will be that many tokens, or a full bucket; now, if there are."""
-        lacking = min(size, self.saved) - self.refill(now)
-        return now if lacking <= 0.0 else now + 1000.0 * lacking / self.rate
+    def available_at(self, size: float, now: float) -> float:
+        """Return when there will be that many tokens, or a full bucket; `now` if there are already."""
+        lacking = min(size, self.burst) - self.refill(now)
+        return now if lacking <= 0.0 else now + 1000.0 * lacking / self.bytes_per_s
--- a/crowpost/config_feed/transport.py
+++ b/crowpost/config_feed/transport.py
@@ -1,4 +1,7 @@
-"""A follower, a hub, or both of them on TCP.  It decides nothing."""
+"""The cores of one process on TCP: a follower, and a distribution server where the process has one.
+
+The transport moves bytes, runs timers and logs events; all decisions are the cores'.
+"""
 
 from __future__ import annotations
 
@@ -8,211 +11,210 @@
 import secrets
 from collections.abc import Callable, Iterable
 from random import Random
-from typing import Any, cast
+from typing import cast
 
-from crowpost.config_feed import distribution_server as serving
-from crowpost.config_feed import follower as watching
-from crowpost.config_feed import frames, messages
 from crowpost.config_feed.configuration import FeedConfig, split_address
+from crowpost.config_feed.distribution_server import DistributionServer
 from crowpost.config_feed.document_table import DocumentTable
-from crowpost.config_feed.documents import Document, DocumentHeader, FeedError
+from crowpost.config_feed.documents import Document, DocumentHeader
+from crowpost.config_feed.follower import Follower
+from crowpost.config_feed.identity import ProcessIdentity
+from crowpost.config_feed.messages import Message, PublishRequest
 
 log = logging.getLogger(__name__)
 
-BUFFER = 1 << 16  # bytes that a connection may hold back before the hub is told that it is blocked
-FLUSH_S = 5.0  # for what was sent to be out, once a link is to be closed
-FAREWELL_S = 0.5  # for all links together, at an orderly end
+WRITE_BUFFER_BYTES = 1 << 16  # unsent bytes of a connection above which it counts as blocked
+CLOSE_TIMEOUT_S = 5.0  # to send what is buffered, once a connection is to be closed
+GOODBYE_TIMEOUT_S = 0.5  # for all connections together, at an orderly end
+NEVER = float("inf")
 
-Requested = Callable[[int, messages.PublishRequest], None]
+DocumentHandler = Callable[[Document], None]
+PublishHandler = Callable[[int, PublishRequest], None]
 
 
 class FeedTransport:
-    """One process of the feed on the running loop.
+    """One process of the feed on the running event loop.
 
-    A node has no hub; a relay or publisher, which listens, has both with one table.
-    on_document: called with each document that came whole; a node answers it with `applied`, at any later
-    time.  kept: last good documents from disk.  on_publish: is called with what a publisher is asked for.
+    A node has a follower only; a relay or publisher, which listens, has a distribution server with the same
+    table as well.  on_document: called with each complete document, which a node answers with
+    `apply_finished` at any later time.  cached_documents: last good documents from disk.  on_publish: called
+    with each publish request, to be answered with `answer`.
     """
 
     def __init__(
         self,
         config: FeedConfig,
-        on_document: Callable[[Document], None],
+        on_document: DocumentHandler,
         *,
-        kept: Iterable[Document] = (),
-        on_publish: Requested | None = None,
+        cached_documents: Iterable[Document] = (),
+        on_publish: PublishHandler | None = None,
     ) -> None:
-        self._config, self._on_document, self._on_publish = config, on_document, on_publish
+        self._config = config
+        self._on_document = on_document
+        self._on_publish = on_publish
         self._loop = asyncio.get_running_loop()
-        self._up: dict[int, _Connection] = {}  # links of the follower, and of the hub
-        self._down: dict[int, _Connection] = {}
-        self._dials: dict[int, asyncio.Task[None]] = {}
+        self._upstream: dict[int, _Connection] = {}  # connections of the follower
+        self._downstream: dict[int, _Connection] = {}  # connections of the distribution server
+        self._connecting: dict[int, asyncio.Task[None]] = {}
         self._accepted = 0
-        self._server: asyncio.Server | None = None
+        self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = float("inf")
-        self._working = False
+        self._timer_at = NEVER
+        self._processing = False
         self._closed = False
         table = DocumentTable(config.tuning)
-        self.follower = self._watch(table, kept)
-        self.distribution_server = self._serve(table) if config.listen else None
+        self.follower = self._make_follower(table, cached_documents)
+        self.distribution_server = self._make_server(table) if config.listen else None
 
-    def _watch(self, table: DocumentTable, kept: Iterable[Document]) -> watching.Follower:
+    def _make_follower(self, table: DocumentTable, cached_documents: Iterable[Document]) -> Follower:
         config = self._config
-        return watching.Follower(
-            config.cluster,
-            config.name,
+        return Follower(
+            _new_identity(config),
             config.upstreams,
-            config.interest,
-            role=config.role,
-            region=config.region,
-            zone=config.zone,
-            judged=config.role == "node",
+            config.subscription,
             rng=Random(secrets.randbits(64)),
-            instance_id=secrets.randbits(32),
             now=self.now(),
             tuning=config.tuning,
             table=table,
-            kept=kept,
+            cached_documents=cached_documents,
         )
 
-    def _serve(self, table: DocumentTable) -> serving.DistributionServer:
+    def _make_server(self, table: DocumentTable) -> DistributionServer:
         config = self._config
-        return serving.DistributionServer(
-            config.cluster,
-            config.name,
-            role=config.role,
-            region=config.region,
-            zone=config.zone,
-            table=table,
-            publishes=self._on_publish is not None,
-            instance_id=secrets.randbits(32),
+        return DistributionServer(
+            _new_identity(config),
+            table,
+            accepts_publishes=self._on_publish is not None,
             now=self.now(),
             tuning=config.tuning,
         )
 
     def now(self) -> float:
-        """Monotonic time in ms."""
+        """Return monotonic time in ms."""
         return 1000.0 * self._loop.time()
 
     async def listen(self) -> str:
-        """Serve watches; returns the address that was bound.  OSError where it cannot be."""
+        """Accept connections of followers; return the bound address.  Raise OSError where it cannot be."""
         host, port = split_address(self._config.listen)
-        self._server = await self._loop.create_server(self._accept, host, port, reuse_address=True)
-        bound = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
-        self.tell("start", role=self._config.role, listens=bound, cluster=self._config.cluster)
+        self._listener = await self._loop.create_server(self._accept, host, port, reuse_address=True)
+        bound = "{}:{}".format(*self._listener.sockets[0].getsockname()[:2])
+        self.log_event("start", role=self._config.role, listens=bound, cluster=self._config.cluster)
         return bound
 
     def start(self) -> None:
-        """Begin to watch."""
-        self._after()
+        """Begin to watch the upstream servers."""
+        self._process()
 
-    # ------------------------------------------------------------ what the cores are told
+    # ------------------------------------------------------------ input of the cores
 
-    def applied(self, header: DocumentHeader, refused: str) -> None:
-        """A node's answer to a document: in force where `refused` is empty, else why not, in one line."""
-        self.follower.applied(header.scope, header, refused, self.now())
-        self._after()
+    def apply_finished(self, header: DocumentHeader, rejection: str) -> None:
+        """Tell that a document is applied if `rejection` is empty, else why not, in one line."""
+        self.follower.apply_finished(header, rejection, self.now())
+        self._process()
 
     def announce(self, document: Document) -> None:
-        """A publisher's own document is durable: hold it and tell all that watch."""
+        """Store a durable document of this publisher and announce it to all that watch it."""
         assert self.distribution_server is not None
         self.distribution_server.announce(document, self.now())
-        self._after()
+        self._process()
 
-    def answer(self, connection: int, message: messages.Message) -> None:
-        """Answer what a publisher was asked for."""
+    def answer(self, connection_id: int, message: Message) -> None:
+        """Answer a publish request."""
         assert self.distribution_server is not None
-        self.distribution_server.answer(connection, message, self.now())
-        self._after()
+        self.distribution_server.answer(connection_id, message, self.now())
+        self._process()
 
     def _accept(self) -> _Connection:
         self._accepted += 1
-        return _Connection(self, self._accepted, self._down, up=False)
+        return _Connection(self, self._accepted, self._downstream, upstream=False)
 
     def opened(self, connection: _Connection) -> None:
-        """A connection is up."""
-        if connection.up:
+        """Tell that a connection is open."""
+        if connection.upstream:
             self.follower.connected(connection.number, self.now())
         elif self.distribution_server is not None:
             self.distribution_server.accepted(connection.number, self.now())
-        self._after()
+        self._process()
 
     def received(self, connection: _Connection, data: bytes) -> None:
-        """Bytes came."""
-        if connection.up:
+        """Tell that bytes were received."""
+        if connection.upstream:
             self.follower.received(connection.number, data, self.now())
         elif self.distribution_server is not None:
             self.distribution_server.received(connection.number, data, self.now())
-        self._after()
+        self._process()
 
     def blocked(self, connection: _Connection, blocked: bool) -> None:
-        """The connection takes no more for now, or does again."""
-        if not connection.up and self.distribution_server is not None:
+        """Tell that a socket accepts no more for now, or does again."""
+        if not connection.upstream and self.distribution_server is not None:
             self.distribution_server.blocked(connection.number, blocked, self.now())
-            self._after()
+            self._process()
 
     def lost(self, connection: _Connection) -> None:
-        """A connection is gone."""
-        if connection.up:
+        """Tell that a connection is closed."""
+        if connection.upstream:
             self.follower.lost(connection.number, self.now())
         elif self.distribution_server is not None:
             self.distribution_server.lost(connection.number, self.now())
-        self._after()
+        self._process()
 
     def _tick(self) -> None:
-        self._timer, self._timer_at = None, float("inf")
+        self._timer = None
+        self._timer_at = NEVER
         now = self.now()
         self.follower.tick(now)
         if self.distribution_server is not None:
             self.distribution_server.tick(now)
-        self._after()
+        self._process()
 
-    # ------------------------------------------------------------ what they want done
+    # ------------------------------------------------------------ output of the cores
 
-    def _after(self) -> None:
-        """Do all that the cores left; what that brings in turn is done before this returns."""
-        if self._working:
+    def _process(self) -> None:
+        """Do all that the cores ask for, and what follows from that, before returning."""
+        if self._processing:
             return
-        self._working = True
+        self._processing = True
         try:
-            while self._follow() | self._attend():
+            while self._process_follower() | self._process_server():
                 pass
         finally:
-            self._working = False
+            self._processing = False
         self._set_timer()
 
-    def _follow(self) -> bool:
-        out = self.follower.take()
-        for dial in out.dials:
+    def _process_follower(self) -> bool:
+        """Do what the follower asks for; return whether there was anything."""
+        output = self.follower.take()
+        for request in output.connects:
             if not self._closed:
-                self._dials[dial.connection_id] = self._loop.create_task(
-                    self._dial(dial.connection_id, dial.address)
-                )
-        self._send(self._up, out.sends)
-        for number in out.hangups:
-            self._hang_up(self._up, number)
-        for event in out.events:
-            self.tell(event.kind, event.at, **event.values)
-        for document in out.apply:
+                connecting = self._connect(request.connection_id, request.address)
+                self._connecting[request.connection_id] = self._loop.create_task(connecting)
+        self._send(self._upstream, output.sends)
+        for number in output.disconnects:
+            if number in self._connecting:
+                self._connecting.pop(number).cancel()
+            self._close(self._upstream, number)
+        for event in output.events:
+            self.log_event(event.kind, event.at, **event.values)
+        for document in output.apply:
             if self.distribution_server is not None:
                 self.distribution_server.announce(document, self.now())
             self._on_document(document)
-        return bool(out.dials or out.sends or out.hangups or out.apply)
+        return bool(output.connects or output.sends or output.disconnects or output.apply)
 
-    def _attend(self) -> bool:
+    def _process_server(self) -> bool:
+        """Do what the distribution server asks for; return whether there was anything."""
         if self.distribution_server is None:
             return False
-        out = self.distribution_server.take()
-        self._send(self._down, out.sends)
-        for number in out.hangups:
-            self._hang_up(self._down, number)
-        for connection, request in out.requests:
+        output = self.distribution_server.take()
+        self._send(self._downstream, output.sends)
+        for number in output.disconnects:
+            self._close(self._downstream, number)
+        for number, request in output.requests:
             if self._on_publish is not None:
-                self._on_publish(connection, request)
-        for event in out.events:
-            self.tell(event.kind, event.at, **event.values)
-        return bool(out.sends or out.hangups or out.requests)
+                self._on_publish(number, request)
+        for event in output.events:
+            self.log_event(event.kind, event.at, **event.values)
+        return bool(output.sends or output.disconnects or output.requests)
 
     def _send(self, connections: dict[int, _Connection], sends: list[tuple[int, bytes]]) -> None:
         for number, frame in sends:
@@ -220,22 +222,20 @@
             if connection is not None:
                 connection.write(frame)
 
-    def _hang_up(self, connections: dict[int, _Connection], number: int) -> None:
-        if connections is self._up and number in self._dials:
-            self._dials.pop(number).cancel()
+    def _close(self, connections: dict[int, _Connection], number: int) -> None:
         if number in connections:
             connections[number].close()
 
-    async def _dial(self, number: int, address: str) -> None:
+    async def _connect(self, number: int, address: str) -> None:
         try:
             await self._loop.create_connection(
-                lambda: _Connection(self, number, self._up, up=True), *split_address(address)
+                lambda: _Connection(self, number, self._upstream, upstream=True), *split_address(address)
             )
         except OSError:
             self.follower.lost(number, self.now())
-            self._after()
+            self._process()
         finally:
-            self._dials.pop(number, None)
+            self._connecting.pop(number, None)
 
     def _set_timer(self) -> None:
         due = self.follower.next_at()
@@ -245,126 +245,111 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer, self._timer_at = None, due
-        if due < float("inf"):
+        self._timer = None
+        self._timer_at = due
+        if due < NEVER:
             self._timer = self._loop.call_at(due / 1000.0, self._tick)
 
-    # ------------------------------------------------------------ the end, and what is told
+    # ------------------------------------------------------------ end and log
 
     async def close(self) -> None:
-        """Say good-bye, let that be sent, and close."""
+        """Say goodbye on all connections, let that be sent, and close them."""
         if self._closed:
             return
         now = self.now()
         self.follower.close(now)
         if self.distribution_server is not None:
             self.distribution_server.close(now)
-        self._after()
+        self._process()
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._server is not None:
-            self._server.close()
-        for dial in list(self._dials.values()):
-            dial.cancel()
-        connections = [*self._up.values(), *self._down.values()]
+        if self._listener is not None:
+            self._listener.close()
+        for connecting in list(self._connecting.values()):
+            connecting.cancel()
+        connections = [*self._upstream.values(), *self._downstream.values()]
         for connection in connections:
             connection.close()
         if connections:
-            await asyncio.wait(
-                [asyncio.ensure_future(connection.gone.wait()) for connection in connections],
-                timeout=FAREWELL_S,
-            )
+            closing = [asyncio.ensure_future(connection.closed.wait()) for connection in connections]
+            await asyncio.wait(closing, timeout=GOODBYE_TIMEOUT_S)
         for connection in connections:
             connection.abort()
 
-    def tell(self, event: str, at: float | None = None, **values: object) -> None:
-        """One structured line; `at_ms` is the machine's monotonic clock, common to all of its processes."""
-        told = {"event": event, "at_ms": round(self.now() if at is None else at, 1), "by": self._config.name}
-        log.info("feed %s", json.dumps({**told, **values}))
+    def log_event(self, event: str, at: float | None = None, /, **values: object) -> None:
+        """Write one structured line; `at_ms` is the machine's monotonic clock, common to its processes.
+
+        Event and time are positional-only, as a value may have either name.
+        """
+        at_ms = round(self.now() if at is None else at, 1)
+        line = {"event": event, "at_ms": at_ms, "by": self._config.name, **values}
+        log.info("feed %s", json.dumps(line))
 
 
 class _Connection(asyncio.Protocol):
-    """One connection, by its number among those of its side."""
+    """One TCP connection, by its number among those of the follower or of the distribution server."""
 
     def __init__(
-        self, carrier: FeedTransport, number: int, connections: dict[int, _Connection], *, up: bool
+        self, feed: FeedTransport, number: int, connections: dict[int, _Connection], *, upstream: bool
     ) -> None:
-        self._carrier, self.number, self._links, self.up = carrier, number, connections, up
+        self.number = number
+        self.upstream = upstream
+        self.closed = asyncio.Event()
+        self._feed = feed
+        self._connections = connections
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._closing = False
-        self.gone = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
-        self._transport.set_write_buffer_limits(high=BUFFER)
-        self._links[self.number] = self
-        self._carrier.opened(self)
+        self._transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
+        self._connections[self.number] = self
+        self._feed.opened(self)
 
     def data_received(self, data: bytes) -> None:
+        """Pass received bytes on, unless the connection is being closed."""
         if not self._closing:
-            self._carrier.received(self, data)
+            self._feed.received(self, data)
 
     def pause_writing(self) -> None:
-        self._carrier.blocked(self, True)
+        """Pass on that the write buffer is full."""
+        self._feed.blocked(self, True)
 
     def resume_writing(self) -> None:
-        self._carrier.blocked(self, False)
+        """Pass on that the write buffer has space."""
+        self._feed.blocked(self, False)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio calls it so
+        """Unregister the connection."""
         self._transport = None
-        self.gone.set()
+        self.closed.set()
         if self._timer is not None:
             self._timer.cancel()
-        if self._links.pop(self.number, None) is not None:
-            self._carrier.lost(self)
+        if self._connections.pop(self.number, None) is not None:
+            self._feed.lost(self)
 
     def write(self, data: bytes) -> None:
+        """Send bytes, unless the connection is being closed."""
         if self._transport is not None and not self._closing:
             self._transport.write(data)
 
     def close(self) -> None:
-        """Close once what was sent is out, or in a while."""
+        """Close the connection once its buffer is sent, or after CLOSE_TIMEOUT_S."""
         if self._transport is not None and not self._closing:
             self._closing = True
             self._transport.close()
-            self._timer = asyncio.get_running_loop().call_later(FLUSH_S, self.abort)
+            self._timer = asyncio.get_running_loop().call_later(CLOSE_TIMEOUT_S, self.abort)
 
     def abort(self) -> None:
+        """Close the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
 
-async def ask(address: str, message: messages.Message, cluster: str, within_s: float) -> messages.Message:
-    """What a relay or publisher answers to AskStatus or Publish; FeedError, in one line, where none comes."""
-    try:
-        async with asyncio.timeout(within_s):
-            reader, writer = await asyncio.open_connection(*split_address(address))
-            try:
-                writer.write(frames.encode(message, frames.cluster_tag(cluster)))
-                return await _answer(address, reader, type(message))
-            finally:
-                writer.close()
-    except TimeoutError:
-        raise FeedError(f"{address}: no answer within {within_s:g} s") from None
-    except OSError as error:
-        raise FeedError(f"{address}: {error.strerror or error}") from None
-
-
-async def _answer(address: str, reader: asyncio.StreamReader, asked: type[Any]) -> messages.Message:
-    stream = frames.FrameReader(None)
-    wanted = (
-        (messages.StatusResponse,)
-        if asked is messages.StatusRequest
-        else (messages.PublishAccepted, messages.PublishRejected)
+def _new_identity(config: FeedConfig) -> ProcessIdentity:
+    return ProcessIdentity(
+        config.cluster, config.name, config.role, config.region, config.zone, secrets.randbits(32)
     )
-    while data := await reader.read(1 << 16):
-        for item, _ in stream.feed(data):
-            if isinstance(item, frames.FrameError):
-                raise FeedError(f"{address}: {item}")
-            if isinstance(item, wanted):
-                return item
-            if isinstance(item, messages.Goodbye):
-                raise FeedError(f"{address}: {item.why}")
-    raise FeedError(f"{address}: closed without an answer")
--- a/crowpost/config_feed/upstream_connections.py
+++ b/crowpost/config_feed/upstream_connections.py
@@ -1,4 +1,4 @@
-"""Which servers a follower watches: the nearest few that answer, each failure answered by a jittered wait."""
+"""The connections of a follower: to the nearest few servers that answer, with jittered backoff on failure."""
 
 from __future__ import annotations
 
@@ -7,50 +7,60 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.config_feed.documents import DocumentHeader, UpstreamServer
+from crowpost.config_feed.documents import DocumentHeader
 from crowpost.config_feed.frames import FrameReader
 from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.upstream_server import UpstreamServer
 
-STEADY_MS = 10_000.0  # a link that held for so long is forgiven earlier failures
-MAX_FRAME_BYTES = 131_072  # that a server may send in one frame: heads or a piece of a body
+STABLE_AFTER_MS = 10_000.0  # a connection that lasted for so long clears earlier failures
+MAX_SERVER_FRAME_BYTES = 131_072  # of headers or of a chunk of a body
+MAX_FAILURES_COUNTED = 16  # doublings of the backoff; far beyond its maximum
+RECONNECT_SPREAD_FACTOR = 4.0  # of the backoff, while another connection is open
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamState:
-    """A server and how it fared; `nearness` sorts the better ones first."""
+    """A server and its failures; `nearness` sorts the better servers first."""
 
     server: UpstreamServer
-    nearness: tuple[int, int, float]  # tier, distance, and a throw that spreads followers over equals
+    nearness: tuple[int, int, float]  # tier, distance, and a random number that spreads followers
     failures: int = 0
-    not_before: float = -math.inf
+    not_before: float = -math.inf  # ms; no connection is attempted earlier
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamConnection:
-    """A watch; times in ms."""
+    """A connection to a server; times in ms."""
 
     number: int
-    place: UpstreamState
-    since: float  # dialled or opened
+    upstream: UpstreamState
+    since: float  # when it was requested, or opened
     reader: FrameReader
     open: bool = False
-    greeted: bool = False  # the server has said who it is
-    name: str = ""
-    heard: float = 0.0
-    beat_at: float = math.inf
-    damaged: int = 0
-    slow_until: float = -math.inf  # it let a body wait: asked last until then
-    vector_at: float = -math.inf  # not before then is the vector sent again
-    vector_wait: float = 0.0
-    differs: bool = False  # its digest did, at its last beat
-    offers: dict[str, DocumentHeader] = field(
-        default_factory=dict
-    )  # what it told of that is not held here yet
-    bad: dict[str, DocumentHeader] = field(default_factory=dict)  # heads whose body it could not give
+    handshake_done: bool = False  # the server's Hello was received
+    name: str = ""  # of the server
+    last_received_at: float = 0.0
+    heartbeat_at: float = math.inf
+    damaged_frames: int = 0
+    slow_until: float = -math.inf  # a body stalled: the server is asked last until then
+    resync_at: float = -math.inf  # the version vector is not sent again before
+    resync_wait_ms: float = 0.0
+    digest_differed: bool = False  # at the last heartbeat
+    offered_headers: dict[str, DocumentHeader] = field(default_factory=dict)  # newer than the stored ones
+    rejected_headers: dict[str, DocumentHeader] = field(default_factory=dict)  # without a usable body
+
+
+@dataclass(frozen=True, slots=True)
+class _ConnectPlan:
+    """Servers that may be connected to, and how many of them."""
+
+    candidates: list[UpstreamState]
+    count: int
+    due: float
 
 
 class UpstreamConnections:
-    """The links of a follower.  It decides whom to dial and whom to leave; it sends nothing itself."""
+    """Decides which servers to connect to and which connections to close; it sends nothing itself."""
 
     def __init__(
         self,
@@ -62,110 +72,126 @@
         tuning: Tuning,
         now: float,
     ) -> None:
-        self._rng, self._cluster, self._tuning = rng, cluster, tuning
+        self._rng = rng
+        self._cluster = cluster
+        self._tuning = tuning
         self.connections: dict[int, UpstreamConnection] = {}
-        self._number = 0
-        self.places = [UpstreamState(s, (s.tier, _distance(s, region, zone), rng.random())) for s in servers]
-        self.places.sort(key=lambda place: place.nearness)
-        self._planned: tuple[list[UpstreamState], int] | None = None
-        self._dial_due = math.inf
-        self._dial_at = now + rng.random() * tuning.backoff_ms  # a fleet that starts at once
-
-    def open_links(self) -> list[UpstreamConnection]:
-        """The links that are up, the nearest first."""
+        self._last_number = 0
+        self._upstreams = [
+            UpstreamState(server, (server.tier, _distance(server, region, zone), rng.random()))
+            for server in servers
+        ]
+        self._upstreams.sort(key=lambda upstream: upstream.nearness)
+        self._plan: _ConnectPlan | None = None
+        # Jitter, as a fleet may start at once.
+        self._connect_not_before = now + rng.random() * tuning.backoff_ms
+
+    def open_connections(self) -> list[UpstreamConnection]:
+        """Return the open connections, the nearest server first."""
         found = [connection for connection in self.connections.values() if connection.open]
         if len(found) > 1:
-            found.sort(key=lambda connection: connection.place.nearness)
+            found.sort(key=lambda connection: connection.upstream.nearness)
         return found
 
-    def _plan(self) -> tuple[list[UpstreamState], int]:
-        """Servers that may be dialled, and how many of them: those lacking, or one that is nearer.
-
-        It is worked out anew only after a link came or went, as it is asked after every message.
-        """
-        if self._planned is None:
-            taken = {id(connection.place) for connection in self.connections.values()}
-            free = [place for place in self.places if id(place) not in taken]
-            lacking = self._tuning.upstream_connections - len(self.connections)
-            if lacking <= 0:
-                lacking = 1
-                if all(connection.open for connection in self.connections.values()):  # one at a time
-                    worst = max(connection.place.nearness[:2] for connection in self.connections.values())
-                    free = [place for place in free if place.nearness[:2] < worst]
-                else:
-                    free = []
-            self._dial_due = max(self._dial_at, min((p.not_before for p in free), default=math.inf))
-            self._planned = free, lacking
-        return self._planned
-
     def opened(self, connection: UpstreamConnection, now: float) -> None:
-        """A dialled link is up."""
-        connection.open, connection.since, connection.heard = True, now, now
-        self._planned = None
-
-    def dial(self, now: float) -> list[UpstreamConnection]:
-        """Links to dial now."""
-        places, lacking = self._plan()
-        if now < self._dial_due:
+        """Record that a requested connection is open."""
+        connection.open = True
+        connection.since = now
+        connection.last_received_at = now
+        self._plan = None
+
+    def connect(self, now: float) -> list[UpstreamConnection]:
+        """Return new connections that are to be opened now."""
+        plan = self._current_plan()
+        if now < plan.due:
+            return []
+        ready = [upstream for upstream in plan.candidates if upstream.not_before <= now]
+        return [self._add(upstream, now) for upstream in ready[: plan.count]]
+
+    def _add(self, upstream: UpstreamState, now: float) -> UpstreamConnection:
+        self._last_number += 1
+        reader = FrameReader(self._cluster, MAX_SERVER_FRAME_BYTES)
+        connection = UpstreamConnection(self._last_number, upstream, now, reader, last_received_at=now)
+        self.connections[self._last_number] = connection
+        self._plan = None
+        return connection
+
+    def _current_plan(self) -> _ConnectPlan:
+        """Return the plan, which is made anew only after a change, as it is needed after every message."""
+        if self._plan is None:
+            self._plan = self._make_plan()
+        return self._plan
+
+    def _make_plan(self) -> _ConnectPlan:
+        """Plan the connections that are missing, or else one to a nearer server."""
+        connected = {id(connection.upstream) for connection in self.connections.values()}
+        candidates = [upstream for upstream in self._upstreams if id(upstream) not in connected]
+        missing = self._tuning.upstream_connections - len(self.connections)
+        if missing <= 0:
+            missing = 1
+            candidates = self._nearer(candidates)
+        earliest = min((upstream.not_before for upstream in candidates), default=math.inf)
+        return _ConnectPlan(candidates, missing, max(self._connect_not_before, earliest))
+
+    def _nearer(self, candidates: list[UpstreamState]) -> list[UpstreamState]:
+        """Return the candidates that are nearer than the farthest connection; none while one is opening."""
+        if not all(connection.open for connection in self.connections.values()):
             return []
-        made = []
-        for place in [p for p in places if p.not_before <= now][:lacking]:
-            self._number += 1
-            reader = FrameReader(self._cluster, MAX_FRAME_BYTES)
-            connection = self.connections[self._number] = UpstreamConnection(
-                self._number, place, now, reader, heard=now
-            )
-            made.append(connection)
-            self._planned = None
-        return made
+        farthest = max(connection.upstream.nearness[:2] for connection in self.connections.values())
+        return [upstream for upstream in candidates if upstream.nearness[:2] < farthest]
 
     def surplus(self) -> UpstreamConnection | None:
-        """The farthest link, once a nearer one has greeted and there is one too many."""
-        if len(self.connections) <= self._tuning.upstream_connections:
+        """Return the farthest connection, once a nearer one is ready and there is one too many."""
+        limit = self._tuning.upstream_connections
+        if len(self.connections) <= limit:
             return None
-        greeted = [connection for connection in self.open_links() if connection.greeted]
-        return greeted[-1] if len(greeted) > self._tuning.upstream_connections else None
+        ready = [connection for connection in self.open_connections() if connection.handshake_done]
+        return ready[-1] if len(ready) > limit else None
 
-    def drop(self, connection: UpstreamConnection, now: float, failed: bool = True) -> None:
-        """Forget a link; after a failure its server is let alone for a while.
+    def remove(self, connection: UpstreamConnection, now: float, failed: bool = True) -> None:
+        """Forget a connection; after a failure its server is not connected to for a while.
 
-        The others are dialled after a short throw, as a server that dies takes many links with it.
+        The other servers are connected to after a short random wait, as a server that fails takes many
+        connections with it.
         """
         self.connections.pop(connection.number, None)
-        self._planned = None
-        place, tuning, rng = connection.place, self._tuning, self._rng
-        if failed:
-            steady = connection.greeted and now - connection.since >= STEADY_MS
-            place.failures = 1 if steady else place.failures + 1
-            wait = min(tuning.max_backoff_ms, tuning.backoff_ms * 2.0 ** min(place.failures, 16))
-            place.not_before = now + wait * (0.5 + rng.random())
-            spread = tuning.backoff_ms * (4.0 if self.connections else 1.0)
-            self._dial_at = max(self._dial_at, now + rng.random() * spread)
-        else:
-            place.failures, place.not_before = 0, now + tuning.nearer_server_check_ms * (0.5 + rng.random())
+        self._plan = None
+        upstream = connection.upstream
+        tuning = self._tuning
+        if not failed:
+            upstream.failures = 0
+            upstream.not_before = now + tuning.nearer_server_check_ms * (0.5 + self._rng.random())
+            return
+        was_stable = connection.handshake_done and now - connection.since >= STABLE_AFTER_MS
+        upstream.failures = 1 if was_stable else upstream.failures + 1
+        doublings = min(upstream.failures, MAX_FAILURES_COUNTED)
+        backoff = min(tuning.max_backoff_ms, tuning.backoff_ms * 2.0**doublings)
+        upstream.not_before = now + backoff * (0.5 + self._rng.random())
+        spread = tuning.backoff_ms * (RECONNECT_SPREAD_FACTOR if self.connections else 1.0)
+        self._connect_not_before = max(self._connect_not_before, now + self._rng.random() * spread)
 
     def next_at(self) -> float:
-        """When a dial, or the end of a link that says nothing, is due."""
-        self._plan()
-        due = self._dial_due
+        """Return when a connection is to be opened or closed, or a heartbeat to be sent, in ms."""
+        due = self._current_plan().due
         for connection in self.connections.values():
-            due = min(due, self.deadline(connection), connection.beat_at)
+            due = min(due, self.deadline(connection), connection.heartbeat_at)
         return due
 
     def deadline(self, connection: UpstreamConnection) -> float:
-        """When a link is given up unless something comes."""
-        if not connection.greeted:
+        """Return when a connection is closed unless something is received on it."""
+        if not connection.handshake_done:
             return connection.since + self._tuning.connect_timeout_ms
-        return connection.heard + self._tuning.server_timeout_ms
+        return connection.last_received_at + self._tuning.server_timeout_ms
 
-    def shift(self, by: float) -> None:
-        """This process stood still: nobody else is to blame."""
+    def shift(self, by_ms: float) -> None:
+        """Move all deadlines, after this process was suspended."""
         for connection in self.connections.values():
-            connection.heard += by
-            connection.since += by
+            connection.last_received_at += by_ms
+            connection.since += by_ms
 
 
 def _distance(server: UpstreamServer, region: str, zone: str) -> int:
+    """Return 0 within a zone, 1 within a region, 2 between regions."""
     if server.region != region:
         return 2
     return 0 if server.zone == zone else 1
--- /dev/null
+++ b/crowpost/config_feed/upstream_server.py
@@ -0,0 +1,15 @@
+"""The address and the location of a distribution server that a follower may watch."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class UpstreamServer:
+    """A distribution server.  Servers of a lower tier are always tried first."""
+
+    address: str  # host:port
+    region: str = ""
+    zone: str = ""
+    tier: int = 0
--- a/crowpost/lab/capacity/demand.py
+++ b/crowpost/lab/capacity/demand.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from importlib.util import find_spec
 
-from crowpost.config_feed.documents import scopes_of
+from crowpost.config_feed.scopes import scopes_for_node
 from crowpost.lab.capacity.figures import Figure, Origin, total
 from crowpost.lab.capacity.lines import at, rise
 from crowpost.lab.capacity.records import FeedRun, RecordError, Records
@@ -76,7 +76,7 @@
 
     def _scopes(self) -> Figure:
         """How many scopes have documents for one node."""
-        return self.coded(len(scopes_of("r", "s", "n")), "crowpost.config_feed.documents.scopes_of")
+        return self.coded(len(scopes_for_node("r", "s", "n")), "crowpost.config_feed.scopes.scopes_for_node")
 
     # -------------------------------------------------------- sizes
 
--- a/crowpost/lab/feed/gossip_cost.py
+++ b/crowpost/lab/feed/gossip_cost.py
@@ -8,7 +8,8 @@
 
 from typing import Any
 
-from crowpost.config_feed.documents import ApplyState, ApplyStatus, make_document
+from crowpost.config_feed.apply_status import ApplyState, ApplyStatus
+from crowpost.config_feed.documents import make_document
 from crowpost.config_feed.frames import encode
 from crowpost.config_feed.messages import ApplyReport, DocumentHeaders
 from crowpost.members.gossip import Gossip
@@ -45,7 +46,7 @@
     header, repeats = drained(1, members, tuning)
     apply_statuses, _ = drained(members, members, tuning)
     document = make_document("all", 1, 12, b"x" * BODY, author="ops", reason="a change", writer="p-east")
-    apply_status = ApplyStatus(document.header.key, ApplyState.IN_FORCE)
+    apply_status = ApplyStatus(document.header.key, ApplyState.APPLIED)
     return {
         "members": members,
         "repeats": repeats,
--- a/crowpost/lab/feed/process.py
+++ b/crowpost/lab/feed/process.py
@@ -6,8 +6,9 @@
 from dataclasses import dataclass, field
 
 from crowpost.config_feed.distribution_server import DistributionServer
-from crowpost.config_feed.documents import Document, DocumentHeader, UpstreamServer
+from crowpost.config_feed.documents import Document, DocumentHeader
 from crowpost.config_feed.follower import Follower
+from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.lab.engine import Planned
 from crowpost.lab.feed.network import ConnectionEnd
 
--- a/crowpost/lab/feed/publishing.py
+++ b/crowpost/lab/feed/publishing.py
@@ -4,9 +4,11 @@
 
 from functools import partial
 
-from crowpost.config_feed.documents import Document, FeedError
+from crowpost.config_feed.documents import Document
+from crowpost.config_feed.errors import FeedError
 from crowpost.config_feed.messages import PublishRequest
-from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
+from crowpost.config_feed.publication_log import PublicationLog
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.lab.feed.process import Process
 from crowpost.lab.feed.world import World
 
--- a/crowpost/lab/feed/real_processes.py
+++ b/crowpost/lab/feed/real_processes.py
@@ -23,7 +23,7 @@
 import uvloop
 
 from crowpost.config_feed.messages import PublishAccepted, PublishRequest, StatusRequest, StatusResponse
-from crowpost.config_feed.transport import ask
+from crowpost.config_feed.request_reply import request_reply
 from crowpost.lab.feed.simulation import put_into
 
 HOST, CLUSTER = "127.0.0.1", "real"
@@ -169,7 +169,7 @@
         assert self.publisher is not None
         limits = {"connectTimeoutMs": 50.0 + round(100.0 * self.rng.random(), 6)}
         body = json.dumps({"settings": {**SETTINGS, "policyLimits": limits}}).encode()
-        answer = await ask(
+        answer = await request_reply(
             self.publisher.listens, PublishRequest(1, "all", body, "lab", "a trial"), CLUSTER, WAIT_S
         )
         if not isinstance(answer, PublishAccepted):
@@ -178,7 +178,7 @@
 
     async def bytes_of(self, distribution_server: Process) -> float:
         """Bytes that a relay or publisher has sent and got from those that watch it."""
-        answer = await ask(distribution_server.listens, StatusRequest(1), CLUSTER, 2.0)
+        answer = await request_reply(distribution_server.listens, StatusRequest(1), CLUSTER, 2.0)
         assert isinstance(answer, StatusResponse)
         return float(sum(answer.value["counts"].get(f"bytes_{way}", 0) for way in ("in", "out")))
 
--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -16,9 +16,10 @@
 
 import numpy as np
 
-from crowpost.config_feed.documents import FeedError, UpstreamServer
-from crowpost.config_feed.publication_log import WriteAuthority
+from crowpost.config_feed.errors import FeedError
 from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.upstream_server import UpstreamServer
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.lab.feed.gossip_cost import cost
 from crowpost.lab.feed.network import NetworkConditions
 from crowpost.lab.feed.publishing import Publishing
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -12,9 +12,12 @@
 
 from crowpost.config_feed.distribution_server import DistributionServer
 from crowpost.config_feed.document_table import DocumentTable
-from crowpost.config_feed.documents import Document, DocumentHeader, Subscription, UpstreamServer
+from crowpost.config_feed.documents import Document, DocumentHeader
 from crowpost.config_feed.follower import Follower
+from crowpost.config_feed.identity import PUBLISHER_ROLE, ProcessIdentity
+from crowpost.config_feed.scopes import Subscription
 from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.lab.engine import Engine
 from crowpost.lab.feed.network import Connection, ConnectionEnd, Network, NetworkConditions
 from crowpost.lab.feed.process import Change, Process, ProcessSpec
@@ -74,33 +77,23 @@
         now, instance_id = self.engine.now + offset, rng.getrandbits(32)
         all_scopes = spec.role != "node"
         table, distribution_server = DocumentTable(self.tuning), None
-        interest = Subscription(spec.region, spec.service, "" if all_scopes else spec.name, all_scopes)
+        subscription = Subscription(spec.region, spec.service, "" if all_scopes else spec.name, all_scopes)
+        identity = ProcessIdentity(CLUSTER, spec.name, spec.role, spec.region, spec.zone, instance_id)
         follower = Follower(
-            CLUSTER,
-            spec.name,
+            identity,
             spec.servers,
-            interest,
-            role=spec.role,
-            region=spec.region,
-            zone=spec.zone,
-            judged=not all_scopes,
+            subscription,
             rng=rng,
-            instance_id=instance_id,
             now=now,
             tuning=self.tuning,
             table=table,
-            kept=list(spec.disk.values()),
+            cached_documents=list(spec.disk.values()),
         )
         if all_scopes:
             distribution_server = DistributionServer(
-                CLUSTER,
-                spec.name,
-                role=spec.role,
-                region=spec.region,
-                zone=spec.zone,
-                table=table,
-                publishes=spec.role == "publisher",
-                instance_id=instance_id,
+                identity,
+                table,
+                accepts_publishes=spec.role == PUBLISHER_ROLE,
                 now=now,
                 tuning=self.tuning,
             )
@@ -226,11 +219,11 @@
 
     def _carry_follower(self, process: Process, follower: Follower) -> None:
         out = follower.take()
-        for dial in out.dials:
+        for dial in out.connects:
             self._dial(process, dial.connection_id, dial.address)
         for connection_id, data in out.sends:
             self._write(process, "f", connection_id, data)
-        for connection_id in out.hangups:
+        for connection_id in out.disconnects:
             self._hang_up(process, "f", connection_id)
         for document in out.apply:
             if process.distribution_server is not None:
@@ -244,7 +237,7 @@
         out = distribution_server.take()
         for connection_id, data in out.sends:
             self._write(process, "h", connection_id, data)
-        for connection_id in out.hangups:
+        for connection_id in out.disconnects:
             self._hang_up(process, "h", connection_id)
 
     # ------------------------------------------------------------ connections
@@ -337,7 +330,7 @@
         assert follower is not None
         taken = self.history.setdefault(process.name, [])
         before = process.spec.disk.get(header.scope)
-        if not document.whole:
+        if not document.is_intact:
             self.faults.append(f"{process.name} was given a body that is not the head's: {header}")
         if before is not None and before.header.rank >= header.rank:
             self.faults.append(f"{process.name} went back from {before.header} to {header}")
@@ -351,7 +344,7 @@
                     change.took[process.name] = self.engine.now - change.owed.pop(process.name)
                     if not change.owed:
                         del self._open[header.scope][change]
-        follower.applied(header.scope, header, why, self.engine.now + process.offset)
+        follower.apply_finished(header, why, self.engine.now + process.offset)
 
     @staticmethod
     def meant(spec: ProcessSpec, scope: str) -> bool:
@@ -396,7 +389,7 @@
             if not process.up or process.follower is None:
                 continue
             for scope, header in best.items():
-                if process.follower.interest.includes(scope):
+                if process.follower.subscription.includes(scope):
                     held = process.follower.table.get(scope)
                     if held is None or held.header != header:
                         return False
--- a/crowpost/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -8,8 +8,9 @@
 from typing import Any
 
 from crowpost.config_feed.configuration import FeedConfig
-from crowpost.config_feed.documents import Document, UpstreamServer
+from crowpost.config_feed.documents import Document
 from crowpost.config_feed.transport import FeedTransport
+from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.lab.scale.hollow import Cut
 from crowpost.lab.scale.places import Place
 
@@ -21,13 +22,13 @@
 
     def __init__(self, place: Place, cut: Cut) -> None:
         self._place = place
-        self._carrier: FeedTransport | None = None
+        self._transport: FeedTransport | None = None
         self.address = ""
 
     @property
-    def carrier(self) -> FeedTransport:
-        assert self._carrier is not None
-        return self._carrier
+    def transport(self) -> FeedTransport:
+        assert self._transport is not None
+        return self._transport
 
     async def start(self, settings: Mapping[str, Any]) -> str:
         """settings: `cluster`, `region`, and `upstreams`, each an address and a zone."""
@@ -42,12 +43,12 @@
             zone=near,
             upstreams=tuple(upstreams),
         )
-        self._carrier = FeedTransport(config, self._apply)
-        self._carrier.start()
+        self._transport = FeedTransport(config, self._apply)
+        self._transport.start()
         return self.address
 
     def _apply(self, document: Document) -> None:
-        self.carrier.applied(document.header, "")
+        self.transport.apply_finished(document.header, "")
 
     def row(self) -> bytes:
         """Followers need not know each other."""
@@ -60,18 +61,18 @@
         """They run from their start."""
 
     def counts(self) -> dict[str, float]:
-        counts = self.carrier.follower.counts
+        counts = self.transport.follower.counts
         return {"bytes": counts["bytes_out"], "bytes_in": counts["bytes_in"], "documents": counts["bodies"]}
 
     def look(self) -> str:
         """Servers watched, and the version in force."""
-        follower = self.carrier.follower
-        held = follower.in_force(SCOPE)
-        return f"{len(follower.watched)} {0 if held is None else held.header.version}"
+        follower = self.transport.follower
+        held = follower.applied_document(SCOPE)
+        return f"{len(follower.connected_servers)} {0 if held is None else held.header.version}"
 
     def awareness(self) -> int:
         """A follower does not judge itself."""
         return 0
 
     async def end(self, in_order: bool) -> None:
-        await self.carrier.close()
+        await self.transport.close()
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -68,7 +68,9 @@
     overlays = None
     if feed is not None:
         overlays = _overlays(environment, raw, path, feed)
-        environment, raw = overlays.start
+        inputs = overlays.start_inputs
+        environment = inputs.environment
+        raw = inputs.raw
     config = read_config(environment, raw, path)
     members, state = _members(environment, name), _state(environment, name)
     return replace(config, members=members, state=state, feed=feed, overlays=overlays)
@@ -199,7 +201,7 @@
     if not path:
         return None
     from crowpost.config_feed.configuration import load as load_feed
-    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.errors import FeedError
 
     try:
         return load_feed(path, name, roles=("node",))
@@ -212,17 +214,17 @@
 ) -> ConfigurationOverlays:
     """The file and the documents that were last in force on it."""
     from crowpost.config_feed.document_cache import DocumentCache
-    from crowpost.config_feed.documents import FeedError
+    from crowpost.config_feed.errors import FeedError
     from crowpost.node.configuration_overlays import ConfigurationOverlays
 
     if feed.directory is None:
         return ConfigurationOverlays(environment, raw, path)
     try:
-        kept, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).read()
+        kept, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).load()
     except FeedError as error:
         raise ConfigError(f"NODE_FEED: {error}") from None
     overlays = ConfigurationOverlays(
-        environment, raw, path, [d for d in kept if feed.interest.includes(d.header.scope)]
+        environment, raw, path, [d for d in kept if feed.subscription.includes(d.header.scope)]
     )
     overlays.notes += notes
     return overlays
--- a/crowpost/node/config_feed.py
+++ b/crowpost/node/config_feed.py
@@ -1,6 +1,7 @@
-"""The node as a follower of the feed: what comes is checked, taken whole or refused, and kept on disk.
+"""The node as a follower of the configuration feed.
 
-Only imported where it is on.
+A received document is validated, applied as a whole or rejected, and cached on disk.  This module is imported
+only where the feed is on.
 """
 
 from __future__ import annotations
@@ -11,113 +12,135 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
+from crowpost.config_feed.apply_status import shorten_reason
 from crowpost.config_feed.configuration import FeedConfig
 from crowpost.config_feed.document_cache import DocumentCache
-from crowpost.config_feed.documents import MAX_REJECTION_BYTES, Document
+from crowpost.config_feed.documents import Document, DocumentHeader
 from crowpost.config_feed.transport import FeedTransport
 from crowpost.node.config import ConfigError
 from crowpost.node.configuration_overlays import ConfigurationOverlays, ReloadableSettings
 
 
 class NodeConfigFeed:
-    """Joins this node to the feed.  take_over: is given what may change while the node runs, once it has."""
+    """Connects this node to the feed.
+
+    reload: called with the reloadable settings before a document counts as applied; it raises ConfigError to
+    reject them.
+    """
 
     def __init__(
         self,
         config: FeedConfig,
         overlays: ConfigurationOverlays,
-        take_over: Callable[[ReloadableSettings], None],
+        reload: Callable[[ReloadableSettings], None],
     ) -> None:
-        self._overlays, self._take_over = overlays, take_over
+        self._overlays = overlays
+        self._reload = reload
         self._loop = asyncio.get_running_loop()
-        self._carrier = FeedTransport(config, self._document, kept=overlays.kept)
-        self._shelf: DocumentCache | None = None
-        self._thread: ThreadPoolExecutor | None = None  # one: what is newer is written later
+        self._transport = FeedTransport(
+            config, self._document_received, cached_documents=overlays.cached_documents
+        )
+        self._cache: DocumentCache | None = None
+        self._writer: ThreadPoolExecutor | None = (
+            None  # one thread, so that a newer document is written later
+        )
         if config.directory is not None:
-            self._shelf = DocumentCache(config.directory, (config.cluster, config.name))
-            self._thread = ThreadPoolExecutor(1, thread_name_prefix="feed")
-        self._refused: dict[str, int] = {}  # the version refused last, by scope, until one is taken
-        self._taken = 0
-        self._unkept = 0  # documents in force that the disk did not take
-        self._longest_us = self._most_cpu_us = 0  # that a document has held the loop up, and its work alone
+            self._cache = DocumentCache(config.directory, (config.cluster, config.name))
+            self._writer = ThreadPoolExecutor(1, thread_name_prefix="feed")
+        self._rejected_versions: dict[str, int] = {}  # by scope, until a document is applied
+        self._applied_count = 0
+        self._uncached_count = 0  # applied documents that could not be written to disk
+        self._longest_us = 0  # for which a document has held up the event loop
+        self._longest_cpu_us = 0  # the same in processor time of the loop's thread
 
     def start(self) -> None:
-        """Begin to watch; the documents kept are in force already."""
-        tell = self._carrier.tell
+        """Begin to watch; the cached documents are applied already."""
         for note in self._overlays.notes:
-            tell("note", text=note)
+            self._transport.log_event("note", text=note)
         for header in self._overlays.headers():
-            tell(
-                "kept",
-                scope=header.scope,
-                era=header.epoch,
-                version=header.version,
-                digest=header.digest.hex()[:16],
-            )
-        self._carrier.start()
+            self._transport.log_event("kept", **header.log_fields())
+        self._transport.start()
 
     def rebase(self, discovery: tuple[str, int]) -> tuple[str, int]:
-        """The file, replaced by hand, names this discovery: which one holds, as documents go before it."""
-        holds = self._overlays.rebase(discovery).discovery
-        if holds != discovery:
-            self._carrier.tell("note", text="a document of the feed names discovery and goes before the file")
-        return holds
-
-    def _document(self, document: Document) -> None:
-        """A document came whole: in force from here on, or refused with a line."""
-        header, began, cpu, why = document.header, time.perf_counter(), time.thread_time(), ""
+        """Return the valid discovery address after the file changed to name this one.
+
+        An applied document that names discovery takes precedence over the file.
+        """
+        valid = self._overlays.rebase(discovery).discovery
+        if valid != discovery:
+            text = "a document of the feed names discovery and goes before the file"
+            self._transport.log_event("note", text=text)
+        return valid
+
+    def _document_received(self, document: Document) -> None:
+        """Apply a document from here on, or reject it with a reason in one line."""
+        header = document.header
+        started = time.perf_counter()
+        cpu_started = time.thread_time()
+        rejection = self._apply(document)
+        took_us = round(1e6 * (time.perf_counter() - started))
+        self._longest_us = max(self._longest_us, took_us)
+        self._longest_cpu_us = max(self._longest_cpu_us, round(1e6 * (time.thread_time() - cpu_started)))
+        values: dict[str, Any] = {
+            **header.log_fields(),
+            "author": header.author,
+            "reason": header.reason,
+            "took_us": took_us,
+        }
+        if rejection:
+            self._rejected_versions[header.scope] = header.version
+            self._transport.log_event("refused", **values, why=rejection)
+            self._transport.apply_finished(header, rejection)
+            return
+        self._rejected_versions.pop(header.scope, None)
+        self._applied_count += 1
+        self._transport.log_event("in force", **values)
+        self._write_to_cache(document)
+
+    def _apply(self, document: Document) -> str:
+        """Return "" once a document is applied, else the reason why it is not."""
         try:
             proposal = self._overlays.propose(document)
-            self._take_over(proposal.live)
-            self._overlays.take(proposal)
+            self._reload(proposal.reloadable)
         except ConfigError as error:
-            why = " ".join(str(error).split()).encode()[:MAX_REJECTION_BYTES].decode(errors="ignore")
-        spent_us = round(1e6 * (time.perf_counter() - began))
-        self._longest_us = max(self._longest_us, spent_us)
-        self._most_cpu_us = max(self._most_cpu_us, round(1e6 * (time.thread_time() - cpu)))
-        told: dict[str, Any] = {
-            "scope": header.scope,
-            "era": header.epoch,
-            "version": header.version,
-            "digest": header.digest.hex()[:16],
-        }
-        told |= {"author": header.author, "reason": header.reason, "took_us": spent_us}
-        if why:
-            self._refused[header.scope] = header.version
-            self._carrier.tell("refused", **told, why=why)
-            self._carrier.applied(header, why)
-            return
-        self._refused.pop(header.scope, None)
-        self._taken += 1
-        self._carrier.tell("in force", **told)
-        if self._shelf is None or self._thread is None:
-            self._carrier.applied(header, "")
+            return shorten_reason(" ".join(str(error).split()))
+        self._overlays.apply(proposal)
+        return ""
+
+    def _write_to_cache(self, document: Document) -> None:
+        """Report a document as applied once it also survives a restart."""
+        if self._cache is None or self._writer is None:
+            self._transport.apply_finished(document.header, "")
             return
-        # Told to be in force once it also survives a restart.
-        self._loop.run_in_executor(self._thread, self._shelf.write, document).add_done_callback(
-            lambda work: self._written(document, work)
-        )
+        writing = self._loop.run_in_executor(self._writer, self._cache.store, document)
+        writing.add_done_callback(lambda done: self._written(document.header, done))
 
-    def _written(self, document: Document, work: asyncio.Future[None]) -> None:
-        header = document.header
-        error = work.exception()
+    def _written(self, header: DocumentHeader, writing: asyncio.Future[None]) -> None:
+        error = writing.exception()
         if error is not None:
-            self._unkept += 1
+            self._uncached_count += 1
             why = getattr(error, "strerror", None) or str(error)
-            self._carrier.tell("unkept", scope=header.scope, version=header.version, why=why)
-        self._carrier.applied(header, "")
+            self._transport.log_event("unkept", scope=header.scope, version=header.version, why=why)
+        self._transport.apply_finished(header, "")
 
     def figures(self) -> dict[str, float]:
-        """Figures by name and label, for the second address."""
-        counts = self._carrier.follower.counts
+        """Return the metrics of the feed, by name and label."""
+        counts = self._transport.follower.counts
+        versions = {
+            f'feed_version{{scope="{header.scope}"}}': header.version for header in self._overlays.headers()
+        }
+        rejected = {
+            f'feed_refused_version{{scope="{scope}"}}': version
+            for scope, version in self._rejected_versions.items()
+        }
         return {
-            **{f'feed_version{{scope="{h.scope}"}}': h.version for h in self._overlays.headers()},
-            **{f'feed_refused_version{{scope="{scope}"}}': v for scope, v in self._refused.items()},
-            "feed_taken": self._taken,
-            "feed_refused": len(self._refused),
-            "feed_unkept": self._unkept,
+            **versions,
+            **rejected,
+            "feed_taken": self._applied_count,
+            "feed_refused": len(self._rejected_versions),
+            "feed_unkept": self._uncached_count,
             "feed_longest_us": self._longest_us,
-            "feed_most_cpu_us": self._most_cpu_us,
+            "feed_most_cpu_us": self._longest_cpu_us,
             'feed_bytes{way="in"}': counts["bytes_in"],
             'feed_bytes{way="out"}': counts["bytes_out"],
             "feed_dials": counts["dials"],
@@ -125,7 +148,7 @@
         }
 
     async def close(self) -> None:
-        """End the watches, and let what is being written be whole."""
-        if self._thread is not None:
-            self._thread.shutdown(wait=True)
-        await self._carrier.close()
+        """Finish writing to the cache, and stop watching."""
+        if self._writer is not None:
+            self._writer.shutdown(wait=True)
+        await self._transport.close()
