--- a/crowpost/node/configuration_overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -1,7 +1,8 @@
-"""What documents of the feed mean to a node: overlays on its configuration file, taken whole or not at all.
+"""Documents of the feed as overlays on a node's configuration file, applied as a whole or not at all.
 
-A document's body is a JSON object, merged onto the file as a JSON merge patch (RFC 7396: objects are merged,
-null removes, any other value replaces), in the order all, region, service, node.  Nothing here does I/O.
+The body of a document is a JSON object, merged onto the file as a JSON merge patch (RFC 7396: objects are
+merged, null removes, any other value replaces), in the order all, region, service, node.  Nothing here does
+I/O, except that `make_check` reads a file.
 """
 
 from __future__ import annotations
@@ -11,166 +12,206 @@
 from dataclasses import dataclass
 from typing import Any
 
-from crowpost.config_feed.documents import Document, DocumentHeader, FeedError, make_document, order
+from crowpost.config_feed.documents import Document, DocumentHeader, make_document
+from crowpost.config_feed.errors import FeedError
+from crowpost.config_feed.scopes import order_scopes
 from crowpost.node.config import Config, ConfigError, read_config, read_file
 
-BYTES = 32_768  # of a document: what reads and compares it holds the loop up, and may not for 5 ms
-KEY = 120  # characters of a key that are told
-CONNECT_TIMEOUT = "settings.policyLimits.connectTimeoutMs"
-# What a running node can take over without a request noticing.  All other settings are the module's from its
-# first event on, or sizes of what is open.
-LIVE = frozenset({"discovery", CONNECT_TIMEOUT})
-# The least that a node can be configured with, where a publisher has no node's file to judge by.
-_PROFILE = {"name": "any", "effect": "safe", "aimMs": 1.0, "deadlineMs": 1.0}
-_LEAST: dict[str, Any] = {
+MAX_DOCUMENT_BYTES = 32_768  # validating it holds up the event loop, and may not for 5 ms
+MAX_KEY_CHARACTERS = 120  # of a key in an error
+CONNECT_TIMEOUT_KEY = "settings.policyLimits.connectTimeoutMs"
+DISCOVERY_KEY = "discovery"
+DISCOVERY_VARIABLE = "NODE_DISCOVERY"
+KNOWN_ENDPOINTS_KEY = "known"
+# What a running node can change without effect on a request.  All other settings belong to the decision
+# module from its first event on, or are sizes of what is open.
+RELOADABLE_KEYS = frozenset({DISCOVERY_KEY, CONNECT_TIMEOUT_KEY})
+# The smallest configuration of a node, for a publisher that has no node's file to validate with.
+_MINIMAL_PROFILE = {"name": "any", "effect": "safe", "aimMs": 1.0, "deadlineMs": 1.0}
+_MINIMAL_CONFIGURATION: dict[str, Any] = {
     "seed": "0",
     "limits": {"memory_mb": 64, "sockets": 64},
-    "settings": {"profiles": [_PROFILE]},
+    "settings": {"profiles": [_MINIMAL_PROFILE]},
 }
-_ADDRESSES = {"name": "sample", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:0"}
+_SAMPLE_ADDRESSES = {"name": "sample", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:0"}
+
+JsonObject = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadableSettings:
-    """The values of what may change while the node runs."""
+    """The values that may change while the node runs."""
 
-    discovery: tuple[str, int]
+    discovery: tuple[str, int]  # host and port
     connect_timeout_ms: float
 
 
+@dataclass(frozen=True, slots=True)
+class Overlay:
+    """The header of an applied document, and the object that its body holds."""
+
+    header: DocumentHeader
+    patch: JsonObject
+
+
 @dataclass(frozen=True, slots=True)
 class ProposedConfiguration:
-    """A document that may be taken, and what the node is configured by from then on."""
+    """A valid document, and the configuration of the node once it is applied."""
 
-    document: Document
-    overlay: dict[str, Any]
-    merged: dict[str, Any]
-    live: ReloadableSettings
+    overlay: Overlay
+    merged: JsonObject
+    reloadable: ReloadableSettings
+
+
+@dataclass(frozen=True, slots=True)
+class StartInputs:
+    """The environment and the merged file that the node starts with."""
+
+    environment: Mapping[str, str]
+    raw: JsonObject
 
 
 class ConfigurationOverlays:
-    """The configuration that a node started with, and the documents in force on it.
+    """The configuration that a node started with, and the documents applied to it.
 
-    raw: of the file; kept: the documents that were in force when the node's last process ended.
+    raw: the content of the file; cached_documents: those applied when the node's last process ended.
     """
 
     def __init__(
-        self, environment: Mapping[str, str], raw: dict[str, Any], path: str, kept: Iterable[Document] = ()
+        self,
+        environment: Mapping[str, str],
+        raw: JsonObject,
+        path: str,
+        cached_documents: Iterable[Document] = (),
     ) -> None:
-        self._environment, self._file, self._path = environment, raw, path
-        self._in_force: dict[str, tuple[DocumentHeader, dict[str, Any]]] = {}
+        self._environment = environment
+        self._file = raw
+        self._path = path
+        self._applied: dict[str, Overlay] = {}  # by scope
         self._running = raw
-        self.kept: list[Document] = []  # of which use is made
-        self.notes: list[str] = []  # to be told once the node's log is there
-        self._start(list(kept))
+        self.cached_documents: list[Document] = []  # those that are used
+        self.notes: list[str] = []  # to be logged once the node's log is open
+        self._apply_cached(list(cached_documents))
         config = self._read(self._running)
-        self._file_discovery = config.discovery  # where the overlays name none
-        if self._named():
-            self._file_discovery = self._fallback(raw, config)
-        self.live = ReloadableSettings(config.discovery, config.settings.connect_timeout_ms)
+        self._file_discovery = config.discovery  # valid while no overlay names discovery
+        if self._overlays_name_discovery():
+            self._file_discovery = self._read_file_discovery(config)
+        self.reloadable = ReloadableSettings(config.discovery, config.settings.connect_timeout_ms)
 
-    def _start(self, kept: list[Document]) -> None:
-        """Begin with what was in force, or without all of it where that no longer fits the file."""
+    def _apply_cached(self, documents: list[Document]) -> None:
+        """Apply the cached documents, or none of them where they no longer fit the file."""
         try:
-            found = {d.header.scope: (d.header, parse(d.body)) for d in kept}
-            merged = _merged(self._file, found)
-            self._in_force = found
+            overlays = {
+                document.header.scope: Overlay(document.header, parse(document.body))
+                for document in documents
+            }
+            merged = _merge(self._file, overlays)
+            self._applied = overlays
             self._read(merged)
         except ConfigError as error:
-            self._in_force = {}
-            scopes = ", ".join(d.header.scope for d in kept)
+            self._applied = {}
+            scopes = ", ".join(document.header.scope for document in documents)
             self.notes.append(f"began without what was last in force ({scopes}): {error}")
             return
-        self._running, self.kept = merged, kept
+        self._running = merged
+        self.cached_documents = documents
 
-    def _fallback(self, raw: dict[str, Any], config: Config) -> tuple[str, int]:
-        """Where discovery would be without the overlays; where that is said nowhere, it stays."""
+    def _read_file_discovery(self, config: Config) -> tuple[str, int]:
+        """Return the discovery address without the overlays; the present one where there is none."""
         try:
-            return read_config(self._environment, raw, self._path).discovery
+            return read_config(self._environment, self._file, self._path).discovery
         except ConfigError:
             return config.discovery
 
     # ------------------------------------------------------------ documents
 
     def propose(self, document: Document) -> ProposedConfiguration:
-        """Check a document; ConfigError, in a line that names the key, where the node cannot take it."""
-        overlay = parse(document.body)
-        proposed = {**self._in_force, document.header.scope: (document.header, overlay)}
+        """Validate a document.  Raise ConfigError, in one line that names the key, to reject it."""
+        overlay = Overlay(document.header, parse(document.body))
+        proposed = {**self._applied, document.header.scope: overlay}
         try:
-            merged = _merged(self._file, proposed)
-            for key in differences(self._running, merged):
-                if key not in LIVE:
-                    raise ConfigError(f"{key[:KEY]} cannot change while the node runs")
-        except RecursionError:
-            raise ConfigError("the document is nested too deeply") from None
-        before, self._in_force = self._in_force, proposed
+            merged = _merge(self._file, proposed)
+            self._check_reloadable(merged)
+        except RecursionError as error:
+            raise ConfigError("the document is nested too deeply") from error
+        applied = self._applied
+        self._applied = proposed
         try:
             config = self._read(merged)
-            discovery = config.discovery if self._named() else self._file_discovery
+            discovery = config.discovery if self._overlays_name_discovery() else self._file_discovery
         finally:
-            self._in_force = before
-        return ProposedConfiguration(
-            document, overlay, merged, ReloadableSettings(discovery, config.settings.connect_timeout_ms)
-        )
+            self._applied = applied
+        reloadable = ReloadableSettings(discovery, config.settings.connect_timeout_ms)
+        return ProposedConfiguration(overlay, merged, reloadable)
 
-    def take(self, proposal: ProposedConfiguration) -> None:
-        """A proposal is in force."""
-        self._in_force[proposal.document.header.scope] = proposal.document.header, proposal.overlay
-        self._running, self.live = proposal.merged, proposal.live
+    def _check_reloadable(self, merged: JsonObject) -> None:
+        for key in differences(self._running, merged):
+            if key not in RELOADABLE_KEYS:
+                raise ConfigError(f"{key[:MAX_KEY_CHARACTERS]} cannot change while the node runs")
+
+    def apply(self, proposal: ProposedConfiguration) -> None:
+        """Record that a proposal is applied."""
+        self._applied[proposal.overlay.header.scope] = proposal.overlay
+        self._running = proposal.merged
+        self.reloadable = proposal.reloadable
 
     def headers(self) -> list[DocumentHeader]:
-        """Of the documents in force."""
-        return [self._in_force[scope][0] for scope in order(self._in_force)]
+        """Return the headers of the applied documents, from the widest scope."""
+        return [self._applied[scope].header for scope in order_scopes(self._applied)]
 
-    # ------------------------------------------------------------ the file, replaced by hand
+    # ------------------------------------------------------------ the file
 
     def rebase(self, discovery: tuple[str, int]) -> ReloadableSettings:
-        """SIGHUP: the file names another discovery.  A document in force that names one goes before it."""
+        """Change the discovery address of the file (SIGHUP); an applied document takes precedence."""
         self._file_discovery = discovery
-        if not self._named():
-            self.live = ReloadableSettings(discovery, self.live.connect_timeout_ms)
-        return self.live
+        if not self._overlays_name_discovery():
+            self.reloadable = ReloadableSettings(discovery, self.reloadable.connect_timeout_ms)
+        return self.reloadable
 
-    def _named(self) -> bool:
-        """Whether a document in force names discovery."""
-        return "discovery" in _merged({}, self._in_force)
+    def _overlays_name_discovery(self) -> bool:
+        return DISCOVERY_KEY in _merge({}, self._applied)
 
     @property
-    def start(self) -> tuple[Mapping[str, str], dict[str, Any]]:
-        """The environment and the file that the node starts with."""
-        return self._seen(), self._running
+    def start_inputs(self) -> StartInputs:
+        """What the node starts with."""
+        return StartInputs(self._effective_environment(), self._running)
 
-    def _seen(self) -> Mapping[str, str]:
-        """The environment goes before the file, and a document before both."""
-        if not self._named():
+    def _effective_environment(self) -> Mapping[str, str]:
+        """The environment takes precedence over the file, and a document over both."""
+        if not self._overlays_name_discovery():
             return self._environment
-        return {key: value for key, value in self._environment.items() if key != "NODE_DISCOVERY"}
+        return {key: value for key, value in self._environment.items() if key != DISCOVERY_VARIABLE}
 
-    def _read(self, merged: dict[str, Any]) -> Config:
-        """By the node's own check; the list that the file holds has passed it, and no document changes it."""
-        raw = {key: value for key, value in merged.items() if key != "known"}
-        return read_config(self._seen(), raw, self._path)
+    def _read(self, merged: JsonObject) -> Config:
+        """Validate as the node does, without the file's endpoint list, which no document changes."""
+        raw = {key: value for key, value in merged.items() if key != KNOWN_ENDPOINTS_KEY}
+        return read_config(self._effective_environment(), raw, self._path)
 
 
-def parse(body: bytes) -> dict[str, Any]:
-    """The object that a document's body holds; ConfigError for anything else."""
-    if len(body) > BYTES:
-        raise ConfigError(f"the document has {len(body)} bytes, and a node takes {BYTES} at the most")
+def parse(body: bytes) -> JsonObject:
+    """Return the object that the body of a document holds.  Raise ConfigError for anything else."""
+    if len(body) > MAX_DOCUMENT_BYTES:
+        raise ConfigError(
+            f"the document has {len(body)} bytes, and a node takes {MAX_DOCUMENT_BYTES} at the most"
+        )
     try:
-        overlay = json.loads(body, parse_constant=_no_constant)
+        overlay = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"the document is no JSON: {error}") from None
+        raise ConfigError(f"the document is no JSON: {error}") from error
     if not isinstance(overlay, dict):
         raise ConfigError("the document holds no object")
     return overlay
 
 
-def _no_constant(text: str) -> float:
+def _reject_constant(text: str) -> float:
     raise ValueError(f"{text} is no JSON")
 
 
 def patched(target: Any, patch: Any) -> Any:
-    """RFC 7396; what the patch does not name is shared with the target, and nothing is changed in place."""
+    """Return a target with a JSON merge patch (RFC 7396) applied.
+
+    What the patch does not name is shared with the target; nothing is changed in place.
+    """
     if not isinstance(patch, dict):
         return patch
     result = dict(target) if isinstance(target, dict) else {}
@@ -182,53 +223,54 @@
     return result
 
 
-def _merged(
-    raw: dict[str, Any], overlays: Mapping[str, tuple[DocumentHeader, dict[str, Any]]]
-) -> dict[str, Any]:
-    merged: Any = raw
-    for scope in order(overlays):
-        merged = patched(merged, overlays[scope][1])
-    result: dict[str, Any] = merged
-    return result
+def _merge(raw: JsonObject, overlays: Mapping[str, Overlay]) -> JsonObject:
+    merged = raw
+    for scope in order_scopes(overlays):
+        merged = patched(merged, overlays[scope].patch)
+    return merged
 
 
 def differences(before: Any, after: Any, path: str = "") -> Iterator[str]:
-    """The dotted names of what differs, in their order; equal numbers may be written unlike."""
+    """Yield the dotted names of what differs, in their order; 1 and 1.0 do not differ."""
     if before is after:
         return
     if isinstance(before, dict) and isinstance(after, dict):
-        for key in sorted(before.keys() | after.keys()):
-            name = f"{path}.{key}" if path else str(key)
-            if key not in before or key not in after:
-                yield name
-            else:
-                yield from differences(before[key], after[key], name)
+        yield from _object_differences(before, after, path)
     elif isinstance(before, list) and isinstance(after, list) and len(before) == len(after):
-        for number, (one, other) in enumerate(zip(before, after, strict=True)):
-            yield from differences(one, other, f"{path}.{number}")
+        for number, (old, new) in enumerate(zip(before, after, strict=True)):
+            yield from differences(old, new, f"{path}.{number}")
     elif isinstance(before, bool) != isinstance(after, bool) or before != after:
         yield path
 
 
-def checker(sample: str = "") -> Callable[[str, bytes], None]:
-    """A publisher's check of scope and body: FeedError, in the line that a node would refuse it with.
+def _object_differences(before: JsonObject, after: JsonObject, path: str) -> Iterator[str]:
+    for key in sorted(before.keys() | after.keys()):
+        name = f"{path}.{key}" if path else str(key)
+        if key not in before or key not in after:
+            yield name
+        else:
+            yield from differences(before[key], after[key], name)
+
+
+def make_check(sample_file: str = "") -> Callable[[str, bytes], None]:
+    """Return a publisher's check of scope and body; it raises FeedError with the line of a node's rejection.
 
-    sample: a node's configuration file, which a document must fit as at a running node; without one only
-    what no node at all could read is refused.  FeedError where the file is none.
+    sample_file: a node's configuration file, which a document must fit as it must at a running node; without
+    one only what no node could read is rejected.  Raise FeedError where the file is invalid.
     """
     try:
-        raw = {**_ADDRESSES, **(read_file(sample) if sample else _LEAST)}
-        node = ConfigurationOverlays({}, raw, sample)
+        raw = {**_SAMPLE_ADDRESSES, **(read_file(sample_file) if sample_file else _MINIMAL_CONFIGURATION)}
+        node = ConfigurationOverlays({}, raw, sample_file)
     except ConfigError as error:
-        raise FeedError(f"feed.sample: {error}") from None
+        raise FeedError(f"feed.sample: {error}") from error
 
     def check(scope: str, body: bytes) -> None:
         try:
-            if sample:
+            if sample_file:
                 node.propose(make_document(scope, 0, 1, body, author="", reason="", writer=""))
             else:
                 read_config({}, patched(raw, parse(body)), "")
         except (ConfigError, RecursionError) as error:
-            raise FeedError(f"{scope}: {error}") from None
+            raise FeedError(f"{scope}: {error}") from error
 
     return check
--- a/tests/config_feed/fleet.py
+++ b/tests/config_feed/fleet.py
@@ -15,7 +15,7 @@
 
 from crowpost.cli.feed import ask_all, picture
 from crowpost.config_feed.messages import Message, PublishAccepted, PublishRequest
-from crowpost.config_feed.transport import ask
+from crowpost.config_feed.request_reply import request_reply
 from tests.stubs import (
     HOST,
     PATIENCE_S,
@@ -71,8 +71,8 @@
 
     async def event(self, kind: str, after: int = 0, **values: object) -> dict[str, Any]:
         """An event of the feed with these values."""
-        wanted = "".join(rf"(?=.*{re.escape(json.dumps({k: v})[1:-1])})" for k, v in values.items())
-        found = await self.told(rf'feed (\{{"event": "{kind}",{wanted}.*\}})', after)
+        applies_to_node = "".join(rf"(?=.*{re.escape(json.dumps({k: v})[1:-1])})" for k, v in values.items())
+        found = await self.told(rf'feed (\{{"event": "{kind}",{applies_to_node}.*\}})', after)
         event: dict[str, Any] = json.loads(found[1])
         return event
 
@@ -140,7 +140,7 @@
 
     async def publish(self, body: object, scope: str = "all", **more: Any) -> Message:
         asked = PublishRequest(1, scope, json.dumps(body).encode(), "ann", "why not", **more)
-        return await ask(self.at["p"], asked, CLUSTER, PATIENCE_S)
+        return await request_reply(self.at["p"], asked, CLUSTER, PATIENCE_S)
 
     async def status(self, met: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
         """The first status that meets a condition: standings are on their way for a moment."""
--- a/tests/config_feed/test_cores.py
+++ b/tests/config_feed/test_cores.py
@@ -7,32 +7,15 @@
 
 import pytest
 
+from crowpost.config_feed.apply_status import ApplyState, ApplyStatus
 from crowpost.config_feed.distribution_server import DistributionServer
 from crowpost.config_feed.document_table import DocumentTable
-from crowpost.config_feed.documents import (
-    ApplyState,
-    ApplyStatus,
-    Document,
-    DocumentHeader,
-    FeedError,
-    Subscription,
-    UpstreamServer,
-    make_document,
-    order,
-    split_scope,
-    wanted,
-)
+from crowpost.config_feed.documents import Document, DocumentHeader, make_document
+from crowpost.config_feed.errors import FeedError, FrameError
 from crowpost.config_feed.follower import Follower
-from crowpost.config_feed.follower_status import merge
-from crowpost.config_feed.frames import (
-    FRAME_LENGTH,
-    FrameError,
-    FrameReader,
-    MessageKind,
-    cluster_tag,
-    decode,
-    encode,
-)
+from crowpost.config_feed.frames import FRAME_LENGTH, FrameReader, cluster_tag, decode, encode
+from crowpost.config_feed.identity import ProcessIdentity
+from crowpost.config_feed.message_codec import MessageKind
 from crowpost.config_feed.messages import (
     ApplyReport,
     BodyChunk,
@@ -49,7 +32,10 @@
     StatusRequest,
     StatusResponse,
 )
+from crowpost.config_feed.scopes import Subscription, applies_to_node, order_scopes, parse_scope
+from crowpost.config_feed.status_merge import merge_statuses
 from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.upstream_server import UpstreamServer
 
 T = cluster_tag("c")
 
@@ -71,7 +57,7 @@
     BodyChunk(KEY, 16, b"\x00" * 24),
     BodyUnavailable(KEY, "busy"),
     Heartbeat(2**55),
-    ApplyReport("n1", 7, 3, (ApplyStatus(KEY, ApplyState.REFUSED, "no such key"),)),
+    ApplyReport("n1", 7, 3, (ApplyStatus(KEY, ApplyState.REJECTED, "no such key"),)),
     StatusRequest(9),
     StatusResponse(9, {"name": "r1", "heads": []}),
     PublishRequest(1, "node/n1", b"{}", "me", "why", "east", 4, True),
@@ -120,18 +106,20 @@
 
 
 def test_scopes() -> None:
-    assert order(["node/n1", "all", "service/b", "region/r", "service/a"]) == [
+    assert order_scopes(["node/n1", "all", "service/b", "region/r", "service/a"]) == [
         "all",
         "region/r",
         "service/a",
         "service/b",
         "node/n1",
     ]
-    assert wanted("all", "", "", "") and wanted("region/east", "east", "s", "n")
-    assert not wanted("region/west", "east", "s", "n") and not wanted("node/n2", "east", "s", "n")
+    assert applies_to_node("all", "", "", "") and applies_to_node("region/east", "east", "s", "n")
+    assert not applies_to_node("region/west", "east", "s", "n") and not applies_to_node(
+        "node/n2", "east", "s", "n"
+    )
     for bad in ("", "al", "all/", "region", "region/", "zone/z", "node/a b", "node/" + "x" * 65, "node/a/b"):
         with pytest.raises(FeedError):
-            split_scope(bad)
+            parse_scope(bad)
     with pytest.raises(FeedError, match="reason is longer"):
         make_document("all", 1, 1, b"", author="", reason="x" * 201, writer="")
 
@@ -143,26 +131,22 @@
     """A follower of two servers, each word of which the test says itself."""
 
     def __init__(
-        self, tuning: Tuning | None = None, interest: Subscription | None = None, **more: object
+        self, tuning: Tuning | None = None, subscription: Subscription | None = None, **more: object
     ) -> None:
         self.now, self.seen = 0.0, list[tuple[int, Message]]()
         self.applied: list[Document] = []
         self.why = ""
-        self.hangups: list[int] = []
+        self.disconnects: list[int] = []
         servers = [
             UpstreamServer("a:1", "east", "e1"),
             UpstreamServer("b:1", "east", "e2"),
             UpstreamServer("c:1", "west", "w1"),
         ]
         self.follower = Follower(
-            "c",
-            "n1",
+            ProcessIdentity("c", "n1", region="east", zone="e1", instance_id=7),
             servers,
             Subscription("east", "s1", "n1"),
-            region="east",
-            zone="e1",
             rng=random.Random(1),
-            instance_id=7,
             now=0.0,
             tuning=tuning,
             **more,  # type: ignore[arg-type]
@@ -188,7 +172,7 @@
         for _ in range(int(ms // 1_000.0)):
             self.to(self.now + 1_000.0)
             for server in self.connection_ids:
-                self.say(server, Heartbeat(self.follower.table.digest(self.follower.interest)))
+                self.say(server, Heartbeat(self.follower.table.digest(self.follower.subscription)))
 
     def say(self, server: str, message: Message | bytes) -> None:
         data = message if isinstance(message, bytes) else encode(message, T)
@@ -197,14 +181,14 @@
 
     def _take(self) -> None:
         out = self.follower.take()
-        for dial in out.dials:
+        for dial in out.connects:
             self.connection_ids[dial.address[0]] = dial.connection_id
         for connection_id, frame in out.sends:
             self.seen.append((connection_id, decode(frame[FRAME_LENGTH.size :], T)))
-        self.hangups += out.hangups
+        self.disconnects += out.disconnects
         for document in out.apply:
             self.applied.append(document)
-            self.follower.applied(document.header.scope, document.header, self.why, self.now)
+            self.follower.apply_finished(document.header, self.why, self.now)
             self._take()
 
     def fetches(self, server: str) -> list[FetchRequest]:
@@ -233,7 +217,7 @@
     p.say("a", DocumentHeaders((d.header,)))
     assert [f.length for f in p.fetches("a")] == [4] and not p.fetches("b")
     p.say("a", BodyChunk(d.header.key, 0, b"body"))
-    assert p.applied == [d] and p.follower.in_force("all") == d
+    assert p.applied == [d] and p.follower.applied_document("all") == d
     p.wait(10_000.0)
     assert not p.fetches("b") and len(p.fetches("a")) == 1
 
@@ -315,17 +299,17 @@
     bad = good[:-3] + bytes([good[-3] ^ 16]) + good[-2:]
     for _ in range(2):
         p.say("a", bad)
-    assert p.follower.counts["dropped_checksum"] == 2 and not p.hangups
+    assert p.follower.counts["dropped_checksum"] == 2 and not p.disconnects
     p.say("a", good)
     assert p.fetches("a")
     p.say("a", bad)
-    assert p.hangups == [p.connection_ids["a"]]
+    assert p.disconnects == [p.connection_ids["a"]]
 
 
 def test_another_clusters_server_is_left_at_once() -> None:
     p = Played()
     p.say("a", encode(DocumentHeaders((doc().header,)), cluster_tag("elsewhere")))
-    assert p.hangups == [p.connection_ids["a"]] and p.follower.counts["dropped_cluster"] == 1
+    assert p.disconnects == [p.connection_ids["a"]] and p.follower.counts["dropped_cluster"] == 1
     assert not p.fetches("a")
 
 
@@ -355,7 +339,7 @@
     counts = p.follower.counts
     assert counts["dropped_older"] == 1 and counts["known"] == 1 and counts["dropped_unasked"] == 2
     p.give("a", doc(1, b"restored", epoch=2))  # a publisher restored from a backup: a new era goes over it
-    assert p.follower.in_force("all") == doc(1, b"restored", epoch=2)
+    assert p.follower.applied_document("all") == doc(1, b"restored", epoch=2)
 
 
 def test_a_newer_version_takes_the_place_of_one_under_way() -> None:
@@ -375,9 +359,9 @@
     answers = [doc(3, b"of the east", by="p-east"), doc(3, b"of the west", by="p-west")]
     p.give("a", answers[first])
     p.give("b", answers[1 - first])
-    assert p.follower.in_force("all") == answers[1]
+    assert p.follower.applied_document("all") == answers[1]
     (conflict,) = p.follower.conflicts()
-    assert (conflict.kept, conflict.dropped) == (answers[1].header, answers[0].header)
+    assert (conflict.winner, conflict.loser) == (answers[1].header, answers[0].header)
     assert conflict.rule == "writer" and p.follower.counts["conflicts"] == 1
 
 
@@ -386,18 +370,18 @@
     p.give("a", doc(1, b"good"))
     p.why = "no such key: speeed"
     p.give("a", doc(2, b"bad"))
-    assert p.follower.in_force("all") == doc(1, b"good")
+    assert p.follower.applied_document("all") == doc(1, b"good")
     (apply_status,) = p.follower.apply_statuses()
     assert (apply_status.key.version, apply_status.state, apply_status.why) == (
         2,
-        ApplyState.REFUSED,
+        ApplyState.REJECTED,
         "no such key: speeed",
     )
     told = [m for _, m in p.seen if isinstance(m, ApplyReport)]
     assert told[-1].apply_statuses == (apply_status,) and told[-1].counter > told[0].counter
     p.why = ""
     p.give("a", doc(3, b"good"))
-    assert p.follower.in_force("all") == doc(3, b"good")
+    assert p.follower.applied_document("all") == doc(3, b"good")
 
 
 def test_standings_are_told_to_both_servers_on_change_and_whole_to_a_new_one() -> None:
@@ -423,8 +407,11 @@
 
 
 def test_what_was_kept_is_in_force_without_any_server() -> None:
-    p = Played(kept=[doc(3, b"kept"), doc(1, b"of another", scope="node/other")])
-    assert p.follower.in_force("all") == doc(3, b"kept") and p.follower.in_force("node/other") is None
+    p = Played(cached_documents=[doc(3, b"kept"), doc(1, b"of another", scope="node/other")])
+    assert (
+        p.follower.applied_document("all") == doc(3, b"kept")
+        and p.follower.applied_document("node/other") is None
+    )
     hello = next(m for _, m in p.seen if isinstance(m, Hello))
     assert hello.version_vector == (doc(3, b"kept").header.key,)
 
@@ -449,7 +436,7 @@
     for _ in range(4):
         p.to(p.now + 1_400.0)
         p.say("a", Heartbeat(0))
-    assert p.hangups == [p.connection_ids["b"]]
+    assert p.disconnects == [p.connection_ids["b"]]
 
 
 def test_a_process_that_slept_blames_nobody() -> None:
@@ -457,7 +444,7 @@
     p.now += 15_000.0
     p.follower.tick(p.now)
     p._take()
-    assert not p.hangups and p.follower.counts["slept"] == 1
+    assert not p.disconnects and p.follower.counts["slept"] == 1
     p.give("a", doc(1, b"news"))
     assert p.versions() == [1]
 
@@ -468,11 +455,11 @@
     p.now -= 3_600_000.0
     beats = len([m for _, m in p.seen if isinstance(m, Heartbeat)])
     p.wait(10_000.0)
-    assert len([m for _, m in p.seen if isinstance(m, Heartbeat)]) >= beats + 8 and not p.hangups
+    assert len([m for _, m in p.seen if isinstance(m, Heartbeat)]) >= beats + 8 and not p.disconnects
     p.give("a", doc(1, b"news"))
     assert p.versions() == [1]
     p.to(p.now + 6_000.0)  # and who says nothing is still found out
-    assert len(p.hangups) == 2
+    assert len(p.disconnects) == 2
     s = Served()
     s.watch(1, "n1")
     s.to(5_000.0)
@@ -482,7 +469,7 @@
     s.to(s.now + 10_000.0)
     assert len([m for m in s.said[1] if isinstance(m, Heartbeat)]) >= beats + 4
     s.to(s.now + 15_000.0)
-    assert s.hangups == [1]
+    assert s.disconnects == [1]
 
 
 def test_no_more_is_asked_for_than_the_tokens_allow() -> None:
@@ -524,7 +511,7 @@
     for server in ("a", "b"):
         p.say(server, DocumentHeaders((d.header,)))
     p.wait(12_000.0)
-    assert p.hangups[0] == first
+    assert p.disconnects[0] == first
     while not p.applied and p.now < 60_000.0:
         for f in p.fetches("b"):
             p.say("b", BodyChunk(f.key, f.offset, d.body[f.offset : f.offset + f.length]))
@@ -538,13 +525,17 @@
 class Served:
     """A hub whose links the test plays."""
 
-    def __init__(self, tuning: Tuning | None = None, publishes: bool = False) -> None:
+    def __init__(self, tuning: Tuning | None = None, accepts_publishes: bool = False) -> None:
         self.now = 0.0
         self.distribution_server = DistributionServer(
-            "c", "r1", table=DocumentTable(tuning), publishes=publishes, now=0.0, tuning=tuning
+            ProcessIdentity("c", "r1", "relay"),
+            DocumentTable(tuning),
+            accepts_publishes=accepts_publishes,
+            now=0.0,
+            tuning=tuning,
         )
         self.said: dict[int, list[Message]] = {}
-        self.hangups: list[int] = []
+        self.disconnects: list[int] = []
 
     def watch(
         self, connection_id: int, name: str, *version_vector: Document, all_scopes: bool = False
@@ -562,7 +553,7 @@
         out = self.distribution_server.take()
         for connection_id, frame in out.sends:
             self.said.setdefault(connection_id, []).append(decode(frame[FRAME_LENGTH.size :], T))
-        self.hangups += out.hangups
+        self.disconnects += out.disconnects
 
     def to(self, now: float) -> None:
         while self.distribution_server.next_at() <= now:
@@ -621,7 +612,7 @@
     for _ in range(20):
         s.to(s.now + 1_500.0)
         s.say(1, Heartbeat(0))
-    assert s.hangups == [2, 1] or s.hangups == [1, 2]
+    assert s.disconnects == [2, 1] or s.disconnects == [1, 2]
     assert s.distribution_server.followers == 0
 
 
@@ -677,7 +668,7 @@
     s = Served(Tuning(max_connections=3))
     for connection_id in range(1, 5):
         s.watch(connection_id, f"n{connection_id}")
-    assert s.hangups == [4] and s.said[4] == [Goodbye("full")] and s.distribution_server.followers == 3
+    assert s.disconnects == [4] and s.said[4] == [Goodbye("full")] and s.distribution_server.followers == 3
 
 
 def test_only_a_publisher_takes_publishes() -> None:
@@ -685,7 +676,7 @@
     s.distribution_server.accepted(1, 0.0)
     s.say(1, PublishRequest(8, "all", b"", "me", ""))
     assert s.said[1] == [PublishRejected(8, "a relay takes no documents; publish to a publisher")]
-    s = Served(publishes=True)
+    s = Served(accepts_publishes=True)
     s.distribution_server.accepted(1, 0.0)
     s.distribution_server.received(1, encode(PublishRequest(8, "all", b"", "me", ""), T), 0.0)
     ((connection_id, request),) = s.distribution_server.take().requests
@@ -701,7 +692,7 @@
     s.distribution_server.accepted(2, 0.0)
     s.distribution_server.received(2, encode(Heartbeat(0), cluster_tag("other")), 0.0)
     s.take()
-    assert s.hangups == [1, 2] and s.distribution_server.counts["dropped_cluster"] == 1
+    assert s.disconnects == [1, 2] and s.distribution_server.counts["dropped_cluster"] == 1
 
 
 def test_status_of_two_hubs_is_put_together_by_counter_and_age() -> None:
@@ -714,11 +705,9 @@
         s.watch(2, "n2")
         s.watch(3, "gone")
     for s, d, counter in ((one, new, 5), (two, old, 4)):
-        s.say(1, ApplyReport("n1", 1, counter, (ApplyStatus(d.header.key, ApplyState.IN_FORCE),)))
-    two.say(2, ApplyReport("n2", 2, 1, (ApplyStatus(new.header.key, ApplyState.REFUSED, "no"),)))
-    two.say(
-        2, ApplyReport("n2", 2, 0, (ApplyStatus(old.header.key, ApplyState.IN_FORCE),))
-    )  # an older report
+        s.say(1, ApplyReport("n1", 1, counter, (ApplyStatus(d.header.key, ApplyState.APPLIED),)))
+    two.say(2, ApplyReport("n2", 2, 1, (ApplyStatus(new.header.key, ApplyState.REJECTED, "no"),)))
+    two.say(2, ApplyReport("n2", 2, 0, (ApplyStatus(old.header.key, ApplyState.APPLIED),)))  # an older report
     two.say(2, ApplyReport("n1", 1, 9, ()))  # it speaks for another
     for s in (one, two):
         s.distribution_server.lost(3, 10.0)
@@ -726,7 +715,7 @@
         [one.distribution_server.status(20.0), two.distribution_server.status(20.0)],
         [two.distribution_server.status(20.0), one.distribution_server.status(20.0)],
     ):
-        found = merge(statuses)
+        found = merge_statuses(statuses)
         assert found["heads"]["all"]["version"] == 2
         n1, n2, gone = (found["followers"][name] for name in ("n1", "n2", "gone"))
         assert n1["lags"] == [] and n1["standings"][0]["version"] == 2
@@ -736,7 +725,10 @@
     one.distribution_server.accepted(9, 20.0)
     one.say(9, StatusRequest(4))
     answer = one.said[9][0]
-    assert isinstance(answer, StatusResponse) and merge([answer.value])["followers"]["n1"]["counter"] == 5
+    assert (
+        isinstance(answer, StatusResponse)
+        and merge_statuses([answer.value])["followers"]["n1"]["counter"] == 5
+    )
 
 
 def test_a_table_is_bounded_and_only_moves_on() -> None:
@@ -766,6 +758,6 @@
     s.now += 60_000.0
     s.distribution_server.tick(s.now)
     s.to(s.now + 5_000.0)
-    assert s.hangups == [] and s.distribution_server.counts["slept"] == 1
+    assert s.disconnects == [] and s.distribution_server.counts["slept"] == 1
     s.to(s.now + 20_000.0)
-    assert s.hangups == [1]
+    assert s.disconnects == [1]
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -11,7 +11,8 @@
 import pytest
 
 from crowpost.config_feed.document_cache import DocumentCache
-from crowpost.config_feed.documents import Document, FeedError, make_document
+from crowpost.config_feed.documents import Document, make_document
+from crowpost.config_feed.errors import FeedError
 from crowpost.node.config import ConfigError, load
 from crowpost.node.configuration_overlays import ConfigurationOverlays, patched
 from tests.stubs import HOST, listing, row, settings
@@ -49,7 +50,7 @@
 
 def take(overlays: ConfigurationOverlays, *documents: Document) -> None:
     for one in documents:
-        overlays.take(overlays.propose(one))
+        overlays.apply(overlays.propose(one))
 
 
 # ---------------------------------------------------------------- overlays
@@ -81,9 +82,12 @@
     for some in (documents, documents[::-1], documents[1:3] + documents[:1] + documents[3:]):
         overlays = ConfigurationOverlays({}, file(), "")
         take(overlays, *some)
-        assert overlays.live.discovery == (HOST, 4)
+        assert overlays.reloadable.discovery == (HOST, 4)
         take(overlays, document({}, "node/n0", 2))
-        assert overlays.live.discovery == (HOST, 3), "the scope that names nothing lets the wider one through"
+        assert overlays.reloadable.discovery == (
+            HOST,
+            3,
+        ), "the scope that names nothing lets the wider one through"
 
 
 @pytest.mark.parametrize(
@@ -114,45 +118,51 @@
     body: Any, said: str
 ) -> None:
     overlays = ConfigurationOverlays({}, file(), "")
-    before = overlays.live
+    before = overlays.reloadable
     with pytest.raises(ConfigError) as error:
         overlays.propose(document(body))
     assert str(error.value).startswith(said)
-    assert overlays.live == before and not overlays.headers()
+    assert overlays.reloadable == before and not overlays.headers()
     take(overlays, document(connect(70.0)))
-    assert overlays.live.connect_timeout_ms == 70.0, "and the next one is not held against it"
+    assert overlays.reloadable.connect_timeout_ms == 70.0, "and the next one is not held against it"
 
 
 def test_a_document_that_says_again_what_the_file_says_is_taken() -> None:
     overlays = ConfigurationOverlays({}, file(), "")
     take(overlays, document({"settings": {"tickMs": 5, "azs": ["hall"]}, "seed": "1", **discovery(8501)}))
-    assert overlays.live.discovery == FED
+    assert overlays.reloadable.discovery == FED
     with pytest.raises(ConfigError, match="settings.policyLimits.cancel"):
         overlays.propose(document({"settings": {"policyLimits": {"cancel": 1}}}, version=2))
 
 
 def test_a_document_goes_before_the_file_and_the_file_before_the_environment() -> None:
     overlays = ConfigurationOverlays({"NODE_DISCOVERY": f"{HOST}:1"}, file(), "")
-    assert overlays.live.discovery == (HOST, 1)
+    assert overlays.reloadable.discovery == (HOST, 1)
     assert overlays.rebase((HOST, 2)).discovery == (HOST, 2), "SIGHUP, without a document"
     take(overlays, document(discovery(8501)))
     assert overlays.rebase((HOST, 3)).discovery == FED, "SIGHUP, with one"
     take(overlays, document({}, version=2))
-    assert overlays.live.discovery == (HOST, 3), "as the file says since"
+    assert overlays.reloadable.discovery == (HOST, 3), "as the file says since"
     take(overlays, document(connect(70.0), version=3))
-    assert overlays.rebase((HOST, 4)).discovery == (HOST, 4) and overlays.live.connect_timeout_ms == 70.0
+    assert (
+        overlays.rebase((HOST, 4)).discovery == (HOST, 4) and overlays.reloadable.connect_timeout_ms == 70.0
+    )
 
 
 def test_a_node_begins_with_what_was_in_force_and_without_it_where_it_no_longer_fits() -> None:
     kept = [document(discovery(8501)), document(connect(70.0), "node/n0")]
     overlays = ConfigurationOverlays({"NODE_DISCOVERY": f"{HOST}:1"}, file(), "", kept)
-    assert overlays.live.discovery == FED and overlays.live.connect_timeout_ms == 70.0
-    assert overlays.kept == kept and not overlays.notes
+    assert overlays.reloadable.discovery == FED and overlays.reloadable.connect_timeout_ms == 70.0
+    assert overlays.cached_documents == kept and not overlays.notes
     take(overlays, document({}, version=2))
-    assert overlays.live.discovery == (HOST, 1)
+    assert overlays.reloadable.discovery == (HOST, 1)
     for bad in (document(b"?"), document({"discovery": "nowhere"}), document({"settings": {"profiles": []}})):
         overlays = ConfigurationOverlays({}, file(), "", [*kept[1:], bad])
-        assert overlays.live.discovery == FILE and overlays.kept == [] and not overlays.headers()
+        assert (
+            overlays.reloadable.discovery == FILE
+            and overlays.cached_documents == []
+            and not overlays.headers()
+        )
         assert overlays.notes[0].startswith("began without what was last in force (node/n0, all): ")
 
 
@@ -161,33 +171,33 @@
 
 def test_the_shelf_gives_back_the_last_of_each_scope_and_tells_of_damage(tmp_path: Path) -> None:
     shelf = DocumentCache(tmp_path / "feed", OWNER)
-    assert shelf.read() == ([], [])
+    assert shelf.load() == ([], [])
     older, newer, other = document({}), document(connect(70.0), version=2), document({}, "service/cart")
     for one in (older, other, newer):
-        shelf.write(one)
-    assert shelf.read() == ([newer, other], [])
+        shelf.store(one)
+    assert shelf.load() == ([newer, other], [])
     assert sorted(p.name for p in (tmp_path / "feed").iterdir()) == ["all.document", "service=cart.document"]
     whole = (tmp_path / "feed" / "all.document").read_bytes()
     for bad in (b"", whole[:-1], whole[:-3] + b"xxx", b"\xc1", whole + b"x"):
         (tmp_path / "feed" / "all.document").write_bytes(bad)
-        documents, notes = shelf.read()
+        documents, notes = shelf.load()
         assert documents == [other] and notes[0].startswith("all.document is damaged"), bad
     with pytest.raises(FeedError, match="belongs to 'n0' of 'c'"):
-        DocumentCache(tmp_path / "feed", ("c", "n1")).read()
+        DocumentCache(tmp_path / "feed", ("c", "n1")).load()
     with pytest.raises(FeedError, match="No such file"):
-        DocumentCache(tmp_path / "no" / "feed", OWNER).read()
+        DocumentCache(tmp_path / "no" / "feed", OWNER).load()
 
 
 def test_a_write_that_fails_leaves_the_last_document_whole(tmp_path: Path) -> None:
     shelf = DocumentCache(tmp_path, OWNER)
-    shelf.write(document({}))
+    shelf.store(document({}))
     (tmp_path / "all.document").rename(tmp_path / "kept")
     (tmp_path / "all.document").mkdir()  # nothing can be renamed onto it
     with pytest.raises(OSError):
-        shelf.write(document({}, version=2))
+        shelf.store(document({}, version=2))
     (tmp_path / "all.document").rmdir()
     (tmp_path / "kept").rename(tmp_path / "all.document")
-    assert shelf.read() == ([document({})], [])
+    assert shelf.load() == ([document({})], [])
     assert [p.name for p in tmp_path.iterdir()] == ["all.document"]
 
 
@@ -210,11 +220,11 @@
     told = environment(tmp_path, feed_file(tmp_path, directory=f'"{tmp_path / "feed"}"'))
     shelf = DocumentCache(tmp_path / "feed", OWNER)
     assert load(told).discovery == FILE
-    shelf.write(document(discovery(8501), "service/cart"))
-    shelf.write(document(discovery(8502), "service/other"))  # from when the node served that
+    shelf.store(document(discovery(8501), "service/cart"))
+    shelf.store(document(discovery(8502), "service/other"))  # from when the node served that
     config = load(told)
     assert config.feed is not None and config.overlays is not None
-    assert config.discovery == FED and config.overlays.live.discovery == FED
+    assert config.discovery == FED and config.overlays.reloadable.discovery == FED
     assert [h.scope for h in config.overlays.headers()] == ["service/cart"]
     assert load({**told, "NODE_DISCOVERY": f"{HOST}:1"}).discovery == FED
     assert load({**told, "NODE_FEED": ""}).discovery == FILE
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -13,10 +13,13 @@
 
 from crowpost.cli.feed import ask_all, picture
 from crowpost.config_feed.configuration import FeedConfig
-from crowpost.config_feed.documents import Document, FeedError, UpstreamServer
+from crowpost.config_feed.documents import Document
+from crowpost.config_feed.errors import FeedError
 from crowpost.config_feed.messages import Message, PublishAccepted, PublishRejected, PublishRequest
 from crowpost.config_feed.publisher import Publisher
-from crowpost.config_feed.transport import FeedTransport, ask
+from crowpost.config_feed.request_reply import request_reply
+from crowpost.config_feed.transport import FeedTransport
+from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.store.disk import Disk
 from crowpost.store.model import Append, Operation
 from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
@@ -111,7 +114,7 @@
             await nearest.event("whole", version=3)
             assert version(await world.publish(connect(104.0))) == 4
             await nearest.kill()
-            assert version(await world.publish({}, back=True)) == 5
+            assert version(await world.publish({}, rollback=True)) == 5
             await in_force(processes, 5)
             found = await world.status(lambda f: f["heads"]["all"]["in_force"] == 2)
             assert list(found["silent"]) == [world.at["r0"]] and not found["whole"]
@@ -172,7 +175,7 @@
             await in_force([started[0][0]], 4)
             await publisher.kill()
             publisher = await world.distribution_server("p", ["r0", "r1"])
-            assert version(await world.publish({}, back=True)) == 5, "both are in the new directory"
+            assert version(await world.publish({}, rollback=True)) == 5, "both are in the new directory"
 
     run(play())
 
@@ -181,7 +184,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def config(name: str, role: str, **more: Any) -> FeedConfig:
-        return FeedConfig(CLUSTER, name, role, "north", home="north", publishers={"north": "p"}, **more)
+        return FeedConfig(
+            CLUSTER, name, role, "north", home_region="north", publishers={"north": "p"}, **more
+        )
 
     async def play() -> None:
         publisher = Publisher(
@@ -191,7 +196,9 @@
         at = await publisher.start()
 
         async def publish(body: bytes) -> Message:
-            return await ask(at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S)
+            return await request_reply(
+                at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S
+            )
 
         assert version(await publish(b"1")) == 1
         perform = Disk.perform
--- a/tests/config_feed/test_publication_log.py
+++ b/tests/config_feed/test_publication_log.py
@@ -11,13 +11,15 @@
 import pytest
 
 from crowpost.config_feed.document_table import DocumentTable
-from crowpost.config_feed.documents import Document, FeedError, make_document
+from crowpost.config_feed.documents import Document, make_document
+from crowpost.config_feed.errors import FeedError
 from crowpost.config_feed.messages import PublishRequest
-from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
+from crowpost.config_feed.publication_log import PublicationLog
 from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.lab.powerloss.disk import TraceDisk
 from crowpost.lab.powerloss.play import do_jobs
-from crowpost.node.configuration_overlays import checker
+from crowpost.node.configuration_overlays import make_check
 from crowpost.store.core import Pace, Store
 from crowpost.store.model import Durability, Found
 from crowpost.store.recover import recover
@@ -129,13 +131,13 @@
 def test_back_publishes_the_body_before_as_a_new_version_and_that_can_be_taken_back_too() -> None:
     book, table = ledger(), DocumentTable()
     said = "all has no document before the one in force"
-    assert refusal(book, table, back=True) == said
+    assert refusal(book, table, rollback=True) == said
     publish(book, table, "all", b"1")
-    assert refusal(book, table, back=True) == said
+    assert refusal(book, table, rollback=True) == said
     publish(book, table, "all", b"2")
-    assert [publish(book, table, back=True).body for _ in range(3)] == [b"1", b"2", b"1"]
+    assert [publish(book, table, rollback=True).body for _ in range(3)] == [b"1", b"2", b"1"]
     assert table.documents["all"].header.version == 5
-    assert refusal(book, table, back=True, if_version=4) == "all is at version 5 and not at 4"
+    assert refusal(book, table, rollback=True, if_version=4) == "all is at version 5 and not at 4"
 
 
 # ---------------------------------------------------------------- what is refused
@@ -165,7 +167,7 @@
     ],
 )
 def test_the_nodes_own_check_refuses_with_its_line(body: bytes, said: str) -> None:
-    book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), checker())
+    book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), make_check())
     assert refusal(book, DocumentTable(), "all", body).startswith(said)
     assert book.documents() == [] and book.publish(asked(body=b'{"discovery": "h:1"}'), DocumentTable())
 
@@ -176,12 +178,12 @@
         '{"seed": "1", "limits": {"memory_mb": 64, "sockets": 64},'
         ' "settings": {"tickMs": 5, "profiles": [{"effect": "safe", "aimMs": 1, "deadlineMs": 1}]}}'
     )
-    book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), checker(str(sample)))
+    book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), make_check(str(sample)))
     said = refusal(book, DocumentTable(), "all", b'{"settings": {"tickMs": 6}}')
     assert said == "all: settings.tickMs cannot change while the node runs"
     assert book.publish(asked(body=b'{"settings": {"tickMs": 5.0}, "discovery": "h:1"}'), DocumentTable())
     with pytest.raises(FeedError, match="feed.sample: .* cannot be read"):
-        checker(str(tmp_path / "none"))
+        make_check(str(tmp_path / "none"))
 
 
 # ---------------------------------------------------------------- records
@@ -194,10 +196,10 @@
         for scope in ("all", "region/north")
         for body in (b"1", b"2")
     ]
-    records.append(book.restored())
+    records.append(book.begin_epoch())
     for again in (ledger(records=records), ledger(records=book.snapshot())):
         assert again.documents() == book.documents() and again.epoch == 2
-        assert again.publish(asked(back=True), table)[1] == book.publish(asked(back=True), table)[1]
+        assert again.publish(asked(rollback=True), table)[1] == book.publish(asked(rollback=True), table)[1]
         book = ledger(records=records)
     for bad in (b"", b"\xc1", b"\x92\x07\x00", records[0][:-1] + b"?", b"\x93\x01\x90\xc4\x00"):
         with pytest.raises(FeedError):
@@ -209,7 +211,7 @@
     backup = [book.publish(asked(body=b"old"), table)[0]]
     lost = publish(book, table, "all", b"lost")
     book = ledger(records=backup)
-    book.restored()
+    book.begin_epoch()
     assert book.publish(asked(body=b"new"), DocumentTable())[1].header.rank > lost.header.rank
 
 
@@ -218,15 +220,15 @@
     backup = [book.publish(asked(body=b"old"), table)[0]]
     lost, other = publish(book, table, "all", b"lost"), publish(book, table, "region/north", b"lost too")
     book = ledger(records=backup)
-    records = book.seen(lost)
+    records = book.adopt(lost)
     assert len(records) == 2 and book.epoch == 2
-    assert len(book.seen(other)) == 1 and book.epoch == 2, "one restore is one era"
-    assert not book.seen(lost) and not book.seen(
+    assert len(book.adopt(other)) == 1 and book.epoch == 2, "one restore is one era"
+    assert not book.adopt(lost) and not book.adopt(
         make_document("all", 9, 9, b"", author="", reason="", writer="p-s")
     )
     assert ledger(records=[*backup, *records]).documents() == [lost]
     assert publish(book, table, "all", b"new").header.rank > lost.header.rank
-    assert publish(book, table, "all", back=True).body == b"lost"
+    assert publish(book, table, "all", rollback=True).body == b"lost"
 
 
 # ---------------------------------------------------------------- a power loss at every step
@@ -293,7 +295,8 @@
         for document in held.values():
             header = document.header
             assert (
-                document.whole and self.assigned[header.scope, header.epoch, header.version] == header.digest
+                document.is_intact
+                and self.assigned[header.scope, header.epoch, header.version] == header.digest
             )
         for operation in found.repairs:
             disk.perform(operation)
@@ -305,7 +308,7 @@
                 assert document.header.version > seen[scope].header.version, "a version was used twice"
             if scope in held:
                 assert document.header.version == held[scope].header.version + 1
-                assert book.publish(asked(scope, back=True), table)[1].body == held[scope].body
+                assert book.publish(asked(scope, rollback=True), table)[1].body == held[scope].body
 
 
 def opened(found: Found) -> PublicationLog:
--- a/tests/config_feed/test_simulation.py
+++ b/tests/config_feed/test_simulation.py
@@ -11,12 +11,10 @@
 
 import pytest
 
-from crowpost.config_feed.documents import (
-    FeedError,
-)
+from crowpost.config_feed.errors import FeedError
 from crowpost.config_feed.follower import Follower
-from crowpost.config_feed.follower_status import merge
 from crowpost.config_feed.frames import FRAME_OVERHEAD_BYTES
+from crowpost.config_feed.status_merge import merge_statuses
 from crowpost.config_feed.tuning import Tuning
 from crowpost.lab.feed.network import NetworkConditions
 from crowpost.lab.feed.publishing import STEPS
@@ -94,9 +92,11 @@
     assert settled_but == set() and worst(made, 1) < 1.5
     relay = world.specs["r-e2"].address
     watched = [world.processes[name].follower for name in near]
-    assert near and all(f is not None and relay not in f.watched for f in watched)
+    assert near and all(f is not None and relay not in f.connected_servers for f in watched)
     world.run(25_000.0)
-    assert all(f is not None and f.watched[0] == relay and len(f.watched) == 2 for f in watched)
+    assert all(
+        f is not None and f.connected_servers[0] == relay and len(f.connected_servers) == 2 for f in watched
+    )
     settled(made)
 
 
@@ -124,7 +124,7 @@
         world.restart("n3")
         node = world.processes["n3"].follower
         assert node is not None
-        kept = node.in_force("all")
+        kept = node.applied_document("all")
         assert kept is not None and kept.header.version >= world.changes[-1].header.version - 1
         world.run(3_000.0)
         settled(made)
@@ -215,7 +215,9 @@
     world.net.cut("east", "west")
     world.run(6_000.0)
     made.publish("all", "p-east")
-    made.ledger.writers["p-west"] = replace(made.ledger.writers["p-west"], home="west")  # configured wrongly
+    made.ledger.writers["p-west"] = replace(
+        made.ledger.writers["p-west"], home_region="west"
+    )  # configured wrongly
     made.publish("all", "p-west")
     world.run(5_000.0)
     assert len({world.specs[name].disk["all"].header.digest for name in made.nodes}) == 2
@@ -230,7 +232,7 @@
         if p.distribution_server is not None
     ]
     # All whose answer had to give way know of both, and so does a status that asks all.
-    for status in [merge(told), *(status for status in told if status["region"] == "east")]:
+    for status in [merge_statuses(told), *(status for status in told if status["region"] == "east")]:
         found = status["conflicts"]
         assert isinstance(found, list)
         pairs = {(c["kept"]["writer"], c["dropped"]["writer"]) for c in found}
@@ -369,7 +371,7 @@
         ranks: dict[str, tuple[int, int, str, bytes]] = {}
         for document in world.history.get(name, []):
             header = document.header
-            assert document.whole and header.rank > ranks.get(header.scope, (0, 0, "", b""))
+            assert document.is_intact and header.rank > ranks.get(header.scope, (0, 0, "", b""))
             ranks[header.scope] = header.rank
 
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -24,11 +24,13 @@
 import crowpost.config_feed.frames as feed_wire
 import crowpost.config_feed.messages as feed_messages
 import crowpost.members.wire as member_wire
+from crowpost.config_feed.apply_status import ApplyState, ApplyStatus
 from crowpost.config_feed.document_cache import DocumentCache
 from crowpost.config_feed.document_table import DocumentTable
-from crowpost.config_feed.documents import ApplyState, ApplyStatus, Document, make_document
+from crowpost.config_feed.documents import Document, make_document
 from crowpost.config_feed.messages import PublishRequest
-from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
+from crowpost.config_feed.publication_log import PublicationLog
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.interface import RememberedEndpoint
 from crowpost.members import exchange
 from crowpost.members.core import Members
@@ -231,7 +233,7 @@
     for number, (scope, body) in enumerate([("all", b"{}"), ("all", b'{"a": 1}'), ("region/north", b"[]")]):
         record, _ = ledger.publish(PublishRequest(number, scope, body, "staff", "a reason"), table)
         records.append(record)
-    records.append(ledger.restored())
+    records.append(ledger.begin_epoch())
     return records, list(ledger.snapshot())
 
 
@@ -249,9 +251,9 @@
         write_records(into / name, owner, records, iter(snapshot))
         (into / name / "lock").unlink(missing_ok=True)
     shelf = DocumentCache(into / "follower", (CLUSTER, OWNER))
-    shelf.read()
+    shelf.load()
     for document in shelf_documents():
-        shelf.write(document)
+        shelf.store(document)
 
 
 # ---------------------------------------------------------------- texts and numbers
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -13,8 +13,9 @@
 import crowpost.members.wire as member_wire
 from crowpost.config_feed.configuration import load as load_feed
 from crowpost.config_feed.document_cache import DocumentCache
-from crowpost.config_feed.documents import FeedError
-from crowpost.config_feed.publication_log import PublicationLog, WriteAuthority
+from crowpost.config_feed.errors import FeedError
+from crowpost.config_feed.publication_log import PublicationLog
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.lab.scenario import load as load_scenario
 from crowpost.members.config import load as load_members
 from crowpost.node.kept import read
@@ -95,15 +96,15 @@
 
 def test_a_followers_cache_is_read_and_written_again_as_before(tmp_path: Path) -> None:
     shutil.copytree(HERE / "follower", tmp_path / "read")
-    documents, notes = DocumentCache(tmp_path / "read", (build.CLUSTER, build.OWNER)).read()
+    documents, notes = DocumentCache(tmp_path / "read", (build.CLUSTER, build.OWNER)).load()
     assert documents == build.shelf_documents() and notes == []
     again = DocumentCache(tmp_path / "again", (build.CLUSTER, build.OWNER))
-    again.read()
+    again.load()
     for document in documents:
-        again.write(document)
+        again.store(document)
     assert tree(tmp_path / "again") == tree(HERE / "follower")
     with pytest.raises(FeedError, match="belongs to"):
-        DocumentCache(tmp_path / "again", (build.CLUSTER, "n4")).read()
+        DocumentCache(tmp_path / "again", (build.CLUSTER, "n4")).load()
 
 
 def test_the_telemetry_text_is_as_before() -> None:
