--- a/crowpost/cli/main.py
+++ b/crowpost/cli/main.py
@@ -32,7 +32,7 @@
     from crowpost.lab.runs import RunFolderError
     from crowpost.lab.scenario import ScenarioError
     from crowpost.members.model import MemberError
-    from crowpost.storage.model import StoreError
+    from crowpost.storage.errors import StoreError
 
     try:
         app()
--- a/crowpost/cli/state.py
+++ b/crowpost/cli/state.py
@@ -1,4 +1,4 @@
-"""`crowpost state`: what a state directory holds, whether it is whole, and a copy that can be opened."""
+"""`crowpost state`: show, verify and repair a state directory."""
 
 from __future__ import annotations
 
@@ -6,99 +6,124 @@
 import sys
 import time
 from pathlib import Path
-from typing import Annotated, Any
+from typing import TYPE_CHECKING, Annotated, Any
 
 import typer
 from rich.table import Table
 
 from crowpost.cli.terminal import console
 
+if TYPE_CHECKING:
+    from crowpost.node.state.node_state import NodeState
+    from crowpost.storage.model import RecoveredState
+    from crowpost.storage.verification import FileReport, VerificationReport
+
 app = typer.Typer(help="State directories: what a process keeps for the next one.", no_args_is_help=True)
 out = console()
 Directory = Annotated[Path, typer.Argument(help="a state directory", show_default=False)]
 AsJson = Annotated[bool, typer.Option("--json", help="print JSON")]
+MINUTES_FROM_S = 600.0  # ages from here on are shown in minutes
 
 
-def _ago(at_ms: float) -> str:
+def _format_age(at_ms: float) -> str:
     seconds = time.time() - at_ms / 1000.0
     if seconds < 0.0:
         return f"{-seconds:.0f} s in the future"
-    return f"{seconds:.0f} s" if seconds < 600.0 else f"{seconds / 60.0:.0f} min"
+    return f"{seconds:.0f} s" if seconds < MINUTES_FROM_S else f"{seconds / 60.0:.0f} min"
 
 
 def _require_store(directory: Path) -> None:
-    """End in one line, with exit code 1, where nothing of a store is; changes nothing, not even by a lock."""
+    """Exit with one line and code 1 if the directory holds no store; nothing is changed or locked."""
     from crowpost.storage.disk import Disk
-    from crowpost.storage.recovery import store_files
+    from crowpost.storage.recovery import find_store_files
 
     disk = Disk(directory, lock=False)
     try:
-        held = store_files(disk.names(), disk.read)
+        files = find_store_files(disk.names(), disk.read)
     finally:
         disk.close()
-    if not held:
+    if not files:
         print(f"crowpost: {directory}: there is no store", file=sys.stderr)
         raise typer.Exit(1)
 
 
+# ---------------------------------------------------------------- show
+
+
 @app.command()
 def show(directory: Directory, as_json: AsJson = False) -> None:
     """What a node would find there.  Changes nothing, and may be asked while the node runs.
 
     Example: crowpost state show /var/lib/crowpost/n3
     """
-    from crowpost.node.state.records import read
-    from crowpost.storage.runner import look
+    from crowpost.node.state.node_state import read_node_state
+    from crowpost.storage.runner import inspect_store
 
     _require_store(directory)
-    found = look(directory)
-    kept = read(found)
-    servers: list[dict[str, Any]] = [
+    recovered = inspect_store(directory)
+    state = read_node_state(recovered)
+    if as_json:
+        print(json.dumps(_state_values(recovered, state), sort_keys=True))
+    else:
+        _print_state(recovered, state)
+
+
+def _endpoint_rows(state: NodeState) -> list[dict[str, Any]]:
+    return [
         {
             "server": name.decode(errors="replace"),
-            "share": round(memory.ratio, 3),
-            "average_ms": memory.average_ms,
-            "ejected": memory.ejected,
-            "started_ms": memory.started_ms,
-            "at_ms": at,
+            "share": round(dated.endpoint.ratio, 3),
+            "average_ms": dated.endpoint.average_ms,
+            "ejected": dated.endpoint.ejected,
+            "started_ms": dated.endpoint.started_ms,
+            "at_ms": dated.at_ms,
         }
-        for name, (at, memory) in sorted(kept.servers.items())
+        for name, dated in sorted(state.learned.items(), key=lambda item: item[0])
     ]
-    told: dict[str, Any] = {
-        "owner": found.owner,
-        "format": found.format,
-        "last_record": found.next_sequence - 1,
-        "snapshot": found.snapshot_sequence,
-        "evacuated": kept.evacuated,
-        "incarnation": kept.incarnation,
-        "list_version": kept.generation,
-        "listed": len(kept.instances),
-        "limit_each": kept.limit.each,
-        "limit_at_ms": kept.limit.at,
-        "servers": servers,
-        "notes": found.notes,
+
+
+def _state_values(recovered: RecoveredState, state: NodeState) -> dict[str, Any]:
+    """Return what --json prints; the keys are an external form."""
+    return {
+        "owner": recovered.owner,
+        "format": recovered.format_version,
+        "last_record": recovered.last_sequence,
+        "snapshot": recovered.snapshot_sequence,
+        "evacuated": state.evacuated,
+        "incarnation": state.incarnation,
+        "list_version": state.generation,
+        "listed": len(state.instances),
+        "limit_each": state.limit.per_unit,
+        "limit_at_ms": state.limit.at_ms,
+        "servers": _endpoint_rows(state),
+        "notes": recovered.notes,
     }
-    if as_json:
-        print(json.dumps(told, sort_keys=True))
-        return
-    out.print(
-        f"state of {found.owner}, format {found.format}, up to record {found.next_sequence - 1}", end=""
-    )
-    out.print(f" (snapshot of {found.snapshot_sequence})" if found.snapshots else " (no snapshot)")
-    out.print(f"drain        {'emptied by staff until rejoin' if kept.evacuated else 'serving'}")
-    out.print(f"list         version {kept.generation}, {len(kept.instances)} servers")
-    age = f", {_ago(kept.limit.at)} ago" if kept.limit.at else ""
-    out.print(f"limit        {kept.limit.each:.2f} calls for each unit of capacity{age}")
-    out.print(f"incarnation  {kept.incarnation}")
-    for note in found.notes:
+
+
+def _print_state(recovered: RecoveredState, state: NodeState) -> None:
+    last = recovered.last_sequence
+    out.print(f"state of {recovered.owner}, format {recovered.format_version}, up to record {last}", end="")
+    has_snapshot = bool(recovered.snapshots)
+    out.print(f" (snapshot of {recovered.snapshot_sequence})" if has_snapshot else " (no snapshot)")
+    out.print(f"drain        {'emptied by staff until rejoin' if state.evacuated else 'serving'}")
+    out.print(f"list         version {state.generation}, {len(state.instances)} servers")
+    age = f", {_format_age(state.limit.at_ms)} ago" if state.limit.at_ms else ""
+    out.print(f"limit        {state.limit.per_unit:.2f} calls for each unit of capacity{age}")
+    out.print(f"incarnation  {state.incarnation}")
+    for note in recovered.notes:
         out.print(f"note         {note}")
-    if servers:
-        table = Table("server", "share of the mean", "average ms", "ejected", "known for", box=None)
-        for row in servers:
-            average = "-" if row["average_ms"] is None else f"{row['average_ms']:.1f}"
-            ejected = "yes" if row["ejected"] else ""
-            table.add_row(row["server"], f"{row['share']:.2f}", average, ejected, _ago(row["at_ms"]))
-        out.print(table)
+    rows = _endpoint_rows(state)
+    if not rows:
+        return
+    table = Table("server", "share of the mean", "average ms", "ejected", "known for", box=None)
+    for row in rows:
+        average = "-" if row["average_ms"] is None else f"{row['average_ms']:.1f}"
+        ejected = "yes" if row["ejected"] else ""
+        table.add_row(row["server"], f"{row['share']:.2f}", average, ejected, _format_age(row["at_ms"]))
+    out.print(table)
+
+
+# ---------------------------------------------------------------- verify
 
 
 @app.command()
@@ -107,44 +132,63 @@
     or find anything amiss in.
 
     Example: crowpost state verify /var/lib/crowpost/n3
-    """
+    """  # noqa: D205 - the first sentence is also the command's help, and does not fit on one line
     from crowpost.storage.disk import Disk
-    from crowpost.storage.repair import verify as read_all
+    from crowpost.storage.verification import verify as verify_files
 
     _require_store(directory)
     disk = Disk(directory, lock=False)
     try:
-        told = read_all(disk.names(), disk.read)
+        report = verify_files(disk.names(), disk.read)
     finally:
         disk.close()
-    notes = told.found.notes if told.found is not None else []
     if as_json:
-        rows = [
-            {"name": f.name, "bytes": f.bytes, "first": f.first, "last": f.last, "sealed": f.sealed}
-            | {"damage": f.damage, "at": f.at if f.damage else None}
-            for f in told.files
-        ]
-        print(json.dumps({"files": rows, "refused": told.refused, "notes": notes}, sort_keys=True))
+        values = {
+            "files": [_file_values(file) for file in report.files],
+            "refused": report.refusal,
+            "notes": report.notes,
+        }
+        print(json.dumps(values, sort_keys=True))
     else:
-        table = Table("file", "bytes", "records", "end", "", box=None)
-        for f in told.files:
-            records = f"{f.first} to {f.last}" if f.last > f.first else str(f.first)
-            end = "sealed" if f.sealed else "open"
-            table.add_row(
-                f.name, str(f.bytes), records, end, f"{f.damage} at byte {f.at}" if f.damage else "whole"
-            )
-        out.print(table)
-        for note in notes:
-            out.print(f"note: {note}")
-        if told.refused:
-            out.print(f"refused: {told.refused}")
-            out.print(f"`crowpost state repair {directory}` lists what can be saved, and copies first")
-        elif not notes:
-            out.print("whole")
-    if told.refused or notes:
+        _print_report(directory, report)
+    if report.refusal or report.notes:
         raise typer.Exit(1)
 
 
+def _file_values(file: FileReport) -> dict[str, Any]:
+    """Return what --json prints for a file; the keys are an external form."""
+    return {
+        "name": file.name,
+        "bytes": file.bytes,
+        "first": file.first_sequence,
+        "last": file.last_sequence,
+        "sealed": file.sealed,
+        "damage": file.damage,
+        "at": file.damage_offset if file.damage else None,
+    }
+
+
+def _print_report(directory: Path, report: VerificationReport) -> None:
+    table = Table("file", "bytes", "records", "end", "", box=None)
+    for file in report.files:
+        several = file.last_sequence > file.first_sequence
+        records = f"{file.first_sequence} to {file.last_sequence}" if several else str(file.first_sequence)
+        end = "sealed" if file.sealed else "open"
+        damage = f"{file.damage} at byte {file.damage_offset}" if file.damage else "whole"
+        table.add_row(file.name, str(file.bytes), records, end, damage)
+    out.print(table)
+    for note in report.notes:
+        out.print(f"note: {note}")
+    if report.refusal:
+        out.print(f"refused: {report.refusal}")
+        out.print(f"`crowpost state repair {directory}` lists what can be saved, and copies first")
+    elif not report.notes:
+        out.print("whole")
+
+
+# ---------------------------------------------------------------- repair
+
+
 @app.command()
 def repair(
     directory: Directory,
@@ -160,22 +204,26 @@
 
     Example: crowpost state repair /var/lib/crowpost/n3
     """
-    from crowpost.storage.repair import copy_and_repair
+    from crowpost.storage.repair import copy_and_repair, repaired_path
 
     _require_store(directory)
     stamp = time.strftime("%Y%m%d-%H%M%S")
     copy = to or directory.with_name(f"{directory.name}-copy-{stamp}")
     saved = copy_and_repair(directory, copy, owner)
-    repaired = copy.with_name(f"{copy.name}-repaired")
+    repaired = repaired_path(copy)
     if as_json:
-        told = {"copy": str(copy), "repaired": str(repaired), "snapshot": saved.base, "last": saved.last}
-        print(json.dumps({**told, "dropped": saved.dropped}, sort_keys=True))
+        values = {
+            "copy": str(copy),
+            "repaired": str(repaired),
+            "snapshot": saved.snapshot_sequence,
+            "last": saved.last_sequence,
+            "dropped": saved.dropped,
+        }
+        print(json.dumps(values, sort_keys=True))
         return
     out.print(f"copied as it was to {copy}")
-    for line in saved.dropped:
+    for line in saved.dropped or ["nothing"]:
         out.print(f"dropped: {line}")
-    if not saved.dropped:
-        out.print("dropped: nothing")
-    start = f"the snapshot of {saved.base} and " if saved.base else ""
-    out.print(f"{repaired} holds {start}records up to {saved.last}; to use it:")
+    start = f"the snapshot of {saved.snapshot_sequence} and " if saved.snapshot_sequence else ""
+    out.print(f"{repaired} holds {start}records up to {saved.last_sequence}; to use it:")
     out.print(f"    mv {directory} {directory}.bad && mv {repaired} {directory}")
--- a/crowpost/feed/publishing.py
+++ b/crowpost/feed/publishing.py
@@ -10,9 +10,10 @@
 from crowpost.feed.ledger import Check, Ledger, Writers
 from crowpost.feed.messages import Publish, Published, Refused
 from crowpost.feed.model import Document, FeedError
-from crowpost.storage.core import Pace
-from crowpost.storage.model import Durability, StoreError
-from crowpost.storage.runner import Keeper, Opened, open_locked
+from crowpost.storage.errors import StoreError
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import OpenedStore, StoreRunner, open_store
+from crowpost.storage.write_policy import WritePolicy
 
 BYTES_PER_S = 4_000_000.0  # that snapshots take in the mean; what is acknowledged never waits
 
@@ -28,21 +29,21 @@
         opened = self._open()
         try:
             writers = Writers(config.name, config.home, config.publishers)
-            records = [*opened.found.snapshot, *(r.payload for r in opened.found.records)]
+            records = opened.recovered.payloads()
             self.ledger = Ledger(writers, check, records, config.tuning)
         except FeedError as error:
             opened.disk.close()
             raise FeedError(f"feed.directory: {config.directory}: {error}") from None
-        self._keeper = Keeper(opened, Pace(bytes_per_s=BYTES_PER_S))
+        self._store_runner = StoreRunner(opened, WritePolicy(bytes_per_s=BYTES_PER_S))
         self._logged = 0  # bytes of the log as of the last snapshot
         self._work: set[asyncio.Task[None]] = set()
         self.carrier = Carrier(config, self._document, on_publish=self._publish)
 
-    def _open(self) -> Opened:
+    def _open(self) -> OpenedStore:
         config = self._config
         assert config.directory is not None
         try:
-            return open_locked(config.directory, f"feed {config.cluster} {config.name}")
+            return open_store(config.directory, f"feed {config.cluster} {config.name}")
         except StoreError as error:
             raise FeedError(f"feed.directory: {error}") from None
 
@@ -73,7 +74,7 @@
     async def _keep(self, link: int, asked: Publish, document: Document, sequence: int) -> None:
         head = document.head
         try:
-            await self._keeper.kept(sequence)
+            await self._store_runner.wait_durable(sequence)
         except StoreError as error:
             self._stopped()
             self._refuse(link, asked, f"{error}; after a restart it may be published or not: ask for status")
@@ -113,7 +114,7 @@
 
     def _writable(self) -> None:
         """Before the ledger moves on: a version must not be given out where it cannot be kept."""
-        failed = self._keeper.core.failed
+        failed = self._store_runner.store.failure
         if failed:
             self._stopped()
             raise StoreError(f"writing has stopped: {failed}; what is in force goes on being told")
@@ -124,17 +125,17 @@
         self.carrier.hub.counts["stopped"] = 1
 
     def _append(self, record: bytes) -> int:
-        return self._keeper.append(record, Durability.ACKNOWLEDGED)
+        return self._store_runner.append(record, Durability.ACKNOWLEDGED)
 
     def _compact(self) -> None:
-        core = self._keeper.core
-        if not core.failed and core.written.logged - self._logged >= self._config.snapshot_bytes:
-            self._logged = core.written.logged
-            self._keeper.snapshot(self.ledger.snapshot())
+        store = self._store_runner.store
+        if not store.failure and store.counters.log_bytes - self._logged >= self._config.snapshot_bytes:
+            self._logged = store.counters.log_bytes
+            self._store_runner.write_snapshot(self.ledger.snapshot())
 
     async def close(self) -> None:
         """Say good-bye, and let what is being written be kept."""
         if self._work:
             await asyncio.wait(self._work, timeout=2.0)
         await self.carrier.close()
-        await self._keeper.close()
+        await self._store_runner.close()
--- a/crowpost/lab/crash_consistency/__init__.py
+++ b/crowpost/lab/crash_consistency/__init__.py
@@ -1,1 +1,1 @@
-"""Power losses on a simulated disk: what a machine may wake up with, recovered from and checked."""
+"""Crash consistency of the store: every state that a power loss may leave, recovered from and checked."""
--- a/crowpost/lab/crash_consistency/benchmark.py
+++ b/crowpost/lab/crash_consistency/benchmark.py
@@ -9,17 +9,20 @@
 from typing import Any
 
 from crowpost.interface import RememberedEndpoint
-from crowpost.node.state.records import Kept, Learned, ListPart, read
-from crowpost.storage.core import Pace, Store
-from crowpost.storage.disk import words
-from crowpost.storage.model import Durability, StoreError
-from crowpost.storage.runner import do, open_locked
+from crowpost.node.state.node_state import NodeState, read_node_state
+from crowpost.node.state.records import EndpointListPart, LearnedEndpoints
+from crowpost.storage.core import Store
+from crowpost.storage.disk import Disk, describe_os_error
+from crowpost.storage.errors import StoreError
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import execute_job, open_store
+from crowpost.storage.write_policy import WritePolicy
 
 RECORD = 256  # bytes
 LONG_LOG = 100_000_000  # bytes
 SERVERS = 10_000
 SPAN_S = 1.5  # that each rate is measured over
-PACE = Pace(bytes_per_s=1e12, burst_bytes=1e12)
+POLICY = WritePolicy(bytes_per_s=1e12, burst_bytes=1e12)
 
 
 def measure(directory: Path) -> list[dict[str, Any]]:
@@ -27,7 +30,7 @@
     try:
         directory.mkdir()
     except OSError as error:
-        raise StoreError(f"{directory}: {words(error)}") from None
+        raise StoreError(f"{directory}: {describe_os_error(error)}") from None
     rows: list[dict[str, Any]] = []
 
     def row(what: str, figure: float, unit: str) -> None:
@@ -51,22 +54,21 @@
     return rows
 
 
-def _work(disk: Any, store: Store) -> None:
-    while (job := store.take(time.monotonic() * 1000.0)) is not None:
-        error, filled = do(disk, job)
-        store.done(job.number, error, filled)
-        if error is not None:
-            raise StoreError(error)
+def _execute_jobs(disk: Disk, store: Store) -> None:
+    while (job := store.next_job(time.monotonic() * 1000.0)) is not None:
+        result = execute_job(disk, job)
+        store.complete_job(job.number, result)
+        store.require_no_failure()
 
 
 def _appends(path: Path, batch: int) -> float:
-    opened = open_locked(path, "speed")
-    store, data, count = Store(opened.found, opened.identity, 0.0, PACE), bytes(RECORD), 0
+    opened = open_store(path, "speed")
+    store, data, count = Store(opened.recovered, 0.0, POLICY), bytes(RECORD), 0
     began = time.perf_counter()
     while time.perf_counter() - began < SPAN_S:
         for _ in range(batch):
             store.append(data, Durability.ACKNOWLEDGED, 0.0)
-        _work(opened.disk, store)
+        _execute_jobs(opened.disk, store)
         count += batch
     rate = count / (time.perf_counter() - began)
     opened.disk.close()
@@ -85,22 +87,22 @@
 
 
 def _long_log(path: Path) -> tuple[int, float]:
-    opened = open_locked(path, "speed")
-    store, data = Store(opened.found, opened.identity, 0.0, PACE), bytes(10 * RECORD)
-    while store.written.bytes < LONG_LOG:
+    opened = open_store(path, "speed")
+    store, data = Store(opened.recovered, 0.0, POLICY), bytes(10 * RECORD)
+    while store.counters.bytes < LONG_LOG:
         for _ in range(500):
-            store.append(data, Durability.SOON, 0.0)
-        _work(opened.disk, store)
+            store.append(data, Durability.DELAYED, 0.0)
+        _execute_jobs(opened.disk, store)
     opened.disk.close()
     began = time.perf_counter()
-    opened = open_locked(path, "speed")
+    opened = open_store(path, "speed")
     took = time.perf_counter() - began
     opened.disk.close()
-    return store.written.bytes, took
+    return store.counters.bytes, took
 
 
 def _snapshot(path: Path) -> list[tuple[str, float, str]]:
-    kept = Kept()
+    state = NodeState()
     instances = [
         {
             "instanceId": f"s-{i:08x}",
@@ -114,22 +116,24 @@
         }
         for i in range(SERVERS)
     ]
-    kept.apply(ListPart(True, 1, instances))
-    kept.apply(Learned(1.0, [RememberedEndpoint(str(i).encode(), 1.0, 1.0, 20.0) for i in range(SERVERS)]))
-    opened = open_locked(path, "speed")
-    store = Store(opened.found, opened.identity, 0.0, PACE)
-    store.append(b"\x00", Durability.SOON, 0.0)
+    state.apply(EndpointListPart(True, 1, instances))
+    state.apply(
+        LearnedEndpoints(1.0, [RememberedEndpoint(str(i).encode(), 1.0, 1.0, 20.0) for i in range(SERVERS)])
+    )
+    opened = open_store(path, "speed")
+    store = Store(opened.recovered, 0.0, POLICY)
+    store.append(b"\x00", Durability.DELAYED, 0.0)
     began = time.perf_counter()
-    pieces = kept.pieces()
+    pieces = state.snapshot_pieces()
     copied = time.perf_counter() - began
-    store.snapshot(pieces)
-    _work(opened.disk, store)
+    store.write_snapshot(pieces)
+    _execute_jobs(opened.disk, store)
     took = time.perf_counter() - began
-    size = store.written.bytes - store.written.logged
+    size = store.counters.bytes - store.counters.log_bytes
     opened.disk.close()
     began = time.perf_counter()
-    opened = open_locked(path, "speed")
-    read(opened.found)
+    opened = open_store(path, "speed")
+    read_node_state(opened.recovered)
     back = time.perf_counter() - began
     opened.disk.close()
     return [
--- a/crowpost/lab/crash_consistency/checker.py
+++ b/crowpost/lab/crash_consistency/checker.py
@@ -14,15 +14,18 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.lab.crash_consistency.seeded_faults import BROKEN
-from crowpost.lab.crash_consistency.simulated_disk import TraceDisk
-from crowpost.storage.core import Pace, Store
-from crowpost.storage.model import Durability, Found, StoreError
+from crowpost.lab.crash_consistency.seeded_faults import FAULTS
+from crowpost.lab.crash_consistency.simulated_disk import SimulatedDisk
+from crowpost.storage.core import Store
+from crowpost.storage.errors import StoreError
+from crowpost.storage.model import Durability, RecoveredState
+from crowpost.storage.operations import JobResult
 from crowpost.storage.recovery import recover
+from crowpost.storage.write_policy import WritePolicy
 
 OWNER = "n0"
 RECORDS = 36  # of each of two processes, one after the other
-PACE = Pace(segment_bytes=1_500, bytes_per_s=1e9, burst_bytes=1e9)
+POLICY = WritePolicy(segment_bytes=1_500, bytes_per_s=1e9, burst_bytes=1e9)
 AGAIN = 8  # one of so many recoveries is itself broken off, and one of so many of those once more
 DEPTH = 2
 SAMPLES = 3
@@ -66,9 +69,9 @@
     """The first breach, where one is enough."""
 
 
-def do_jobs(disk: TraceDisk, store: Store, done: Callable[[], None]) -> Iterator[None]:
+def do_jobs(disk: SimulatedDisk, store: Store, done: Callable[[], None]) -> Iterator[None]:
     """Do all that a store hands out, a step at a time; done is called once it knows how a job has ended."""
-    while (job := store.take(1e6)) is not None:
+    while (job := store.next_job(1e6)) is not None:
         filled, error = 0, None
         for operation in job.operations:
             try:
@@ -78,7 +81,7 @@
             except OSError as failed:
                 error = str(failed)
                 break
-        store.done(job.number, error, filled)
+        store.complete_job(job.number, JobResult(error, filled))
         done()
         yield
 
@@ -96,37 +99,37 @@
 
     # ------------------------------------------------------------ the workload
 
-    def work(self, disk: TraceDisk, *, orderly: bool = False) -> Iterator[None]:
+    def work(self, disk: SimulatedDisk, *, orderly: bool = False) -> Iterator[None]:
         """Open, write, take snapshots, close if it is to end in order; pauses after every step of the disk.
 
         Ends early once the store has stopped writing.
         """
         rng, last = self.rng, self.appended + self.records
-        found, identity = recover(disk.names(), disk.read, OWNER, self.identity)
+        found = recover(disk.names(), disk.read, OWNER, self.identity)
         for operation in found.repairs:
             disk.perform(operation)
             yield
-        store = Store(found, identity, 0.0, PACE)
-        while self.appended < last and not store.failed:
+        store = Store(found, 0.0, POLICY)
+        while self.appended < last and not store.failure:
             for _ in range(rng.choice((1, 1, 2, 5))):
-                sure = Durability.ACKNOWLEDGED if rng.random() < 0.7 else Durability.SOON
+                sure = Durability.ACKNOWLEDGED if rng.random() < 0.7 else Durability.DELAYED
                 self.appended = store.append(payload(self.appended + 1, self.seed), sure, 0.0)
             if rng.random() < 0.15:
-                store.snapshot(state(self.appended, self.seed))
+                store.write_snapshot(state(self.appended, self.seed))
             yield from self._jobs(disk, store)
-        if orderly and not store.failed:
+        if orderly and not store.failure:
             store.close()
             yield from self._jobs(disk, store)
 
-    def _jobs(self, disk: TraceDisk, store: Store) -> Iterator[None]:
+    def _jobs(self, disk: SimulatedDisk, store: Store) -> Iterator[None]:
         def done() -> None:
-            self.kept = store.kept
+            self.kept = store.durable_sequence
 
         return do_jobs(disk, store, done)
 
     # ------------------------------------------------------------ what must hold
 
-    def check(self, kind: str, disk: TraceDisk, kept: int, depth: int = 0) -> None:
+    def check(self, kind: str, disk: SimulatedDisk, kept: int, depth: int = 0) -> None:
         """Recover from what a disk shows, check what came of it, write on, and check that too."""
         shown = disk.seen()
         key = hash((kept, len(disk.changes), frozenset(shown.items())))
@@ -136,35 +139,36 @@
         self.tally.states[kind] += 1
         story = f"seed {self.seed}, {kind}, {kept} kept"
         try:
-            found, identity = recover(disk.names(), disk.read, OWNER, self.identity)
+            found = recover(disk.names(), disk.read, OWNER, self.identity)
             wrong = self.wrong(found, kept)
             if wrong:
-                self.tally.breach(wrong, f"{story}, {found.next_sequence - 1} found")
+                self.tally.breach(wrong, f"{story}, {found.last_sequence} found")
                 return
             again = depth < DEPTH and self.rng.random() < 1.0 / AGAIN
-            held = found.next_sequence - 1
+            held = found.last_sequence
             for operation in found.repairs:
                 disk.perform(operation)
                 if again:
                     self._crash(disk, "in recovery: ", kept, depth + 1)
-            self._write_on(disk, found, identity, held, story)
+            self._write_on(disk, found, held, story)
         except (StoreError, OSError, LookupError) as error:
             self.tally.breach("refused", f"{story}: {error!r}")
 
-    def _write_on(self, disk: TraceDisk, found: Found, identity: bytes, held: int, story: str) -> None:
+    def _write_on(self, disk: SimulatedDisk, found: RecoveredState, held: int, story: str) -> None:
         """Three more records after recovery, and a power loss that leaves only what was synced."""
-        store = Store(found, identity, 0.0, PACE)
+        store = Store(found, 0.0, POLICY)
         for number in range(held + 1, held + 4):
             store.append(payload(number, self.seed), Durability.ACKNOWLEDGED, 0.0)
-        while (job := store.take(1e6)) is not None:
-            store.done(job.number, None, sum(disk.perform(operation) for operation in job.operations))
+        while (job := store.next_job(1e6)) is not None:
+            written = sum(disk.perform(operation) for operation in job.operations)
+            store.complete_job(job.number, JobResult(None, written))
         woken = next(iter(disk.crash_states(self.rng, 0)))[1]
-        found, _ = recover(list(woken), woken.__getitem__, OWNER, self.identity)
+        found = recover(list(woken), woken.__getitem__, OWNER, self.identity)
         wrong = self.wrong(found, held + 3, most=held + 3)
         if wrong:
             self.tally.breach(f"{wrong} after writing on", f"{story}, {held} held")
 
-    def wrong(self, found: Found, kept: int, most: int | None = None) -> str:
+    def wrong(self, found: RecoveredState, kept: int, most: int | None = None) -> str:
         """What is wrong with what was found, in a word; empty for nothing."""
         base = found.snapshot_sequence
         if found.snapshot != (state(base, self.seed) if found.snapshots else []):
@@ -174,22 +178,22 @@
                 return "a gap"
             if record.payload != payload(number, self.seed):
                 return "a record invented"
-        last = found.next_sequence - 1
+        last = found.last_sequence
         if last != base + len(found.records):
             return "a sequence out of step"
         if last > (self.appended if most is None else most):
             return "records invented"
         return "acknowledged records lost" if last < kept else ""
 
-    def _crash(self, disk: TraceDisk, before: str, kept: int, depth: int) -> None:
+    def _crash(self, disk: SimulatedDisk, before: str, kept: int, depth: int) -> None:
         for kind, files in disk.crash_states(self.rng, SAMPLES):
-            self.check(before + kind, TraceDisk(files), kept, depth)
+            self.check(before + kind, SimulatedDisk(files), kept, depth)
 
     # ------------------------------------------------------------ what is played
 
-    def power(self) -> TraceDisk:
+    def power(self) -> SimulatedDisk:
         """The power goes at every step; returns the disk as it is at the end."""
-        disk = TraceDisk()
+        disk = SimulatedDisk()
         for orderly in (False, True):
             for _ in self.work(disk, orderly=orderly):
                 self._crash(disk, "", self.kept, 0)
@@ -202,7 +206,7 @@
         for number in range(count):
             for code in (errno.ENOSPC, errno.EIO):
                 run = Run(self.seed, self.tally, self.records)
-                disk = TraceDisk(fail=(number, code))
+                disk = SimulatedDisk(fail=(number, code))
                 try:
                     for _ in run.work(disk):
                         pass
@@ -211,15 +215,15 @@
                 kind = "disk full" if code == errno.ENOSPC else "disk error"
                 run.check(f"{kind}, then killed", disk.survivor(), run.kept)
                 for name, files in disk.crash_states(run.rng, 1):
-                    run.check(f"{kind}, then power lost: {name}", TraceDisk(files), run.kept, DEPTH)
+                    run.check(f"{kind}, then power lost: {name}", SimulatedDisk(files), run.kept, DEPTH)
 
     def _operations(self) -> int:
-        disk = TraceDisk()
+        disk = SimulatedDisk()
         for _ in Run(self.seed, Tally(), self.records).work(disk):
             pass
         return disk.operations
 
-    def flips(self, disk: TraceDisk, step: int) -> None:
+    def flips(self, disk: SimulatedDisk, step: int) -> None:
         """One bit flipped in a store that was closed, every `step`-th: an error, or harmless and told."""
         files = disk.seen()
         number = 0
@@ -233,7 +237,7 @@
                 self.tally.states["a bit flipped"] += 1
                 flipped = {**files, name: bytes(changed)}
                 try:
-                    found, _ = recover(list(flipped), flipped.__getitem__, OWNER, self.identity)
+                    found = recover(list(flipped), flipped.__getitem__, OWNER, self.identity)
                 except StoreError:
                     continue
                 wrong = self.wrong(found, self.kept)
@@ -260,7 +264,7 @@
     """
     whole = Tally()
     for seed in range(1, seeds + 1):
-        with BROKEN[name]():
+        with FAULTS[name]():
             whole.add(play(seed, first_breach=True, records=records))
         if whole.breaches:
             break
--- a/crowpost/lab/crash_consistency/kills.py
+++ b/crowpost/lab/crash_consistency/kills.py
@@ -22,34 +22,35 @@
 from typing import Any
 
 from crowpost.lab.crash_consistency.checker import payload, state
-from crowpost.storage.core import Pace
-from crowpost.storage.model import Durability, StoreError
-from crowpost.storage.runner import Keeper, look, open_locked
+from crowpost.storage.errors import StoreError
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import StoreRunner, inspect_store, open_store
+from crowpost.storage.write_policy import WritePolicy
 
 OWNER = "n0"
-PACE = Pace(segment_bytes=20_000, bytes_per_s=1e9, burst_bytes=1e9)
+POLICY = WritePolicy(segment_bytes=20_000, bytes_per_s=1e9, burst_bytes=1e9)
 LIVES_S = 0.25  # a worker is killed within so long after its first word
 
 
 async def work(path: Path, seed: int) -> None:
     """Write without end; a line for each acknowledged record."""
-    keeper = Keeper(open_locked(path, OWNER), PACE)
+    runner = StoreRunner(open_store(path, OWNER), POLICY)
     rng, waiting = Random(os.getpid()), set[asyncio.Task[None]]()
 
     async def tell(sequence: int) -> None:
-        await keeper.kept(sequence)
+        await runner.wait_durable(sequence)
         os.write(1, b"%d\n" % sequence)
 
-    os.write(1, b"%d\n" % keeper.core.kept)
+    os.write(1, b"%d\n" % runner.store.durable_sequence)
     while True:
         for _ in range(rng.choice((1, 1, 3, 20))):
-            number = keeper.core.next_sequence
-            sequence = keeper.append(payload(number, seed), Durability.ACKNOWLEDGED)
+            number = runner.store.next_sequence
+            sequence = runner.append(payload(number, seed), Durability.ACKNOWLEDGED)
             task = asyncio.ensure_future(tell(sequence))
             waiting.add(task)
             task.add_done_callback(waiting.discard)
         if rng.random() < 0.05:
-            keeper.snapshot(state(keeper.core.next_sequence - 1, seed))
+            runner.write_snapshot(state(runner.store.next_sequence - 1, seed))
         await asyncio.sleep(0.002 * rng.random())
 
 
@@ -76,11 +77,11 @@
         worker.wait()
         told = max([told, *(int(line) for line in lines)])
         try:
-            found = look(path, OWNER)
+            found = inspect_store(path, OWNER)
         except StoreError as error:
             wrong.append(f"seed {seed}, kill {number}: {error}")
             break
-        last = found.next_sequence - 1
+        last = found.last_sequence
         base = found.snapshot_sequence
         if last < told:
             wrong.append(f"seed {seed}, kill {number}: {told} was acknowledged, {last} is there")
--- a/crowpost/lab/crash_consistency/report.py
+++ b/crowpost/lab/crash_consistency/report.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from crowpost.lab.crash_consistency.checker import Tally, play, play_broken
-from crowpost.lab.crash_consistency.seeded_faults import BROKEN
+from crowpost.lab.crash_consistency.seeded_faults import FAULTS
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 def broken(seeds: int, jobs: int) -> list[Discovery]:
     """Each fault of the list on at most so many seeds."""
     with ProcessPoolExecutor(jobs) as pool:
-        return list(pool.map(partial(_broken, seeds), BROKEN))
+        return list(pool.map(partial(_broken, seeds), FAULTS))
 
 
 def _broken(seeds: int, name: str) -> Discovery:
--- a/crowpost/lab/crash_consistency/seeded_faults.py
+++ b/crowpost/lab/crash_consistency/seeded_faults.py
@@ -1,19 +1,21 @@
-"""Faults put into the store on purpose, each by name, to show that the checks find them."""
+"""Faults that are seeded into the store, each by name, to show that the checks find them."""
 
 from __future__ import annotations
 
+import errno
 from collections.abc import Callable
 from contextlib import AbstractContextManager
 from typing import Any
 from unittest import mock
 
-from crowpost.storage import file_format, recovery
+from crowpost.storage import file_format, log_segment, recovery
 from crowpost.storage.core import Store
-from crowpost.storage.file_format import STORE
-from crowpost.storage.model import (
+from crowpost.storage.file_format import STORE_FILE, TEMPORARY_SUFFIX, FileKind, Header, parse_file_name
+from crowpost.storage.model import RecoveredState, StoredFile
+from crowpost.storage.operations import (
     Append,
     Create,
-    Found,
+    JobResult,
     Operation,
     Remove,
     Rename,
@@ -22,121 +24,155 @@
 )
 
 Patch = Callable[[], AbstractContextManager[Any]]
-_write_snapshot = Store._write_snapshot
-_begin_log = Store._begin_log
-_write_waiting = Store._write_waiting
-_done = Store.done
-_rewrite = recovery._rewrite
-_begin = recovery._begin
-_read_all = recovery._read_all
+_SEGMENTS = "_segments"  # an attribute of the store that a fault changes
 
 
-def _method(name: str, changed: Callable[..., Any]) -> Patch:
-    return lambda: mock.patch.object(Store, name, changed)
+def _original(name: str) -> Callable[..., Any]:
+    """Return a method of the store as it is without a fault."""
+    method: Callable[..., Any] = vars(Store)[name]
+    return method
 
 
-def _recovery(name: str, changed: Callable[..., Any]) -> Patch:
-    return lambda: mock.patch.object(recovery, name, changed)
+_write_snapshot_file = _original("_write_snapshot_file")
+_create_segment = _original("_create_segment")
+_write_records = _original("_write_records")
+_complete_job = Store.complete_job
+_rewrite_last_segment = recovery.rewrite_last_segment
+_create_store = recovery.create_store
+_read_files = recovery.read_files
+_verify_header = Header.verify
+
+
+def _in_store(name: str, faulty: Callable[..., Any]) -> Patch:
+    return lambda: mock.patch.object(Store, name, faulty)
+
+
+def _in_recovery(name: str, faulty: Callable[..., Any]) -> Patch:
+    return lambda: mock.patch.object(recovery, name, faulty)
 
 
 def _without(operations: list[Operation], *kinds: type) -> list[Operation]:
-    return [o for o in operations if not isinstance(o, kinds)]
+    return [operation for operation in operations if not isinstance(operation, kinds)]
+
+
+# ---------------------------------------------------------------- faults of the writing side
 
 
-def _snapshot_without_directory(self: Store, *args: Any) -> list[Operation]:
-    return _without(_write_snapshot(self, *args), SyncDirectory)
+def _snapshot_without_directory_sync(self: Store, *args: Any) -> list[Operation]:
+    return _without(_write_snapshot_file(self, *args), SyncDirectory)
 
 
-def _snapshot_renamed_early(self: Store, *args: Any) -> list[Operation]:
-    operations = _write_snapshot(self, *args)
+def _snapshot_renamed_before_sync(self: Store, *args: Any) -> list[Operation]:
+    operations: list[Operation] = _write_snapshot_file(self, *args)
     if len(operations) > 3 and isinstance(operations[3], Rename):
-        name = operations[3].to
-        operations[2:4] = [operations[3], Sync(name)]
+        rename = operations[3]
+        operations[2:4] = [rename, Sync(rename.new_name)]
     return operations
 
 
-def _removed_first(self: Store, *args: Any) -> list[Operation]:
-    """Logs that the new snapshot makes needless go before it is there, and none is spared."""
-    before = list(self._segments)
-    operations = _write_snapshot(self, *args)
-    self._segments = [s for s in self._segments if s not in before]
-    gone = [Remove(name) for _, name in before] if len(self._segments) else []
-    seal = [o for o in operations if isinstance(o, Append | Sync) and o.file in {n for _, n in before}]
-    return [*gone, *(o for o in operations if not isinstance(o, Remove) and o not in seal)]
+def _segments_removed_first(self: Store, *args: Any) -> list[Operation]:
+    """The segments that the snapshot replaces are removed before it is written, and none is retained."""
+    before: list[StoredFile] = list(getattr(self, _SEGMENTS))
+    operations = _write_snapshot_file(self, *args)
+    remaining = [segment for segment in getattr(self, _SEGMENTS) if segment not in before]
+    setattr(self, _SEGMENTS, remaining)
+    removals = [Remove(segment.name) for segment in before] if remaining else []
+    names = {segment.name for segment in before}
+    seal = [o for o in operations if isinstance(o, Append | Sync) and o.file in names]
+    return [*removals, *(o for o in operations if not isinstance(o, Remove) and o not in seal)]
 
 
-def _no_sync(self: Store) -> list[Operation]:
-    return _without(_write_waiting(self), Sync)
+def _records_not_synced(self: Store) -> list[Operation]:
+    return _without(_write_records(self), Sync)
 
 
-def _log_without_directory(self: Store) -> list[Operation]:
-    return _without(_begin_log(self), SyncDirectory)
+def _segment_without_directory_sync(self: Store) -> list[Operation]:
+    return _without(_create_segment(self), SyncDirectory)
 
 
-def _kept_too_early(self: Store) -> list[Operation]:
-    self.kept = self.next_sequence - 1
-    return _write_waiting(self)
+def _synced_too_early(self: Store) -> list[Operation]:
+    self.durable_sequence = self.next_sequence - 1
+    operations: list[Operation] = _write_records(self)
+    return operations
+
+
+def _error_ignored(code: int) -> Callable[..., None]:
+    def complete_job(self: Store, number: int, result: JobResult) -> None:
+        if result.error is not None and f"Errno {code}]" in result.error:
+            result = JobResult(None, result.generated_bytes)
+        _complete_job(self, number, result)
 
+    return complete_job
 
-def _error_ignored(code: str) -> Callable[..., None]:
-    def done(self: Store, number: int, error: str | None = None, filled: int = 0) -> None:
-        _done(self, number, None if error is not None and f"Errno {code}]" in error else error, filled)
 
-    return done
+# ---------------------------------------------------------------- faults of recovery
 
 
-def _no_rewrite(found: Found, read: recovery.Read) -> list[Operation]:
-    name = found.segments[-1][1]
-    found.tail_bytes = len(read(name))
+def _segment_not_rewritten(state: RecoveredState, read: recovery.FileReader) -> list[Operation]:
+    name = state.segments[-1].name
+    state.tail_bytes = len(read(name))
     return [Sync(name), SyncDirectory()]
 
 
-def _rewrite_unsynced(found: Found, read: recovery.Read) -> list[Operation]:
-    return _without(_rewrite(found, read), Sync)
+def _rewritten_without_sync(state: RecoveredState, read: recovery.FileReader) -> list[Operation]:
+    return _without(_rewrite_last_segment(state, read), Sync)
+
+
+def _store_file_first(owner: str, identity: bytes) -> list[Operation]:
+    operations = _create_store(owner, identity)
+    temporary = STORE_FILE + TEMPORARY_SUFFIX
+    segment = [o for o in operations if isinstance(o, Create | Sync) and o.file != temporary]
+    return [*(o for o in operations if o not in segment), *segment, SyncDirectory()]
 
 
-def _store_first(owner: str, identity: bytes) -> list[Operation]:
-    made = _begin(owner, identity)
-    log = [o for o in made if isinstance(o, Create | Sync) and o.file != STORE + file_format.NEW]
-    return [*(o for o in made if o not in log), *log, SyncDirectory()]
+def _corruption_as_torn_tail(state: RecoveredState, *_args: Any, **_options: Any) -> None:
+    state.notes.append("something was cut")
 
 
-def _damage_passed_over(found: Found, *args: Any) -> None:
-    found.notes.append("something was cut")
+def _next_sequence_off_by_one(state: RecoveredState, *args: Any) -> None:
+    _read_files(state, *args)
+    state.next_sequence += 1
 
 
-def _off_by_one(*args: Any) -> None:
-    _read_all(*args)
-    args[3].next_sequence += 1
+def _newest_snapshot_ignored(state: RecoveredState, names: list[str], read: recovery.FileReader) -> None:
+    """Of several snapshots the oldest is used, and the log after it is not required."""
+    snapshots = sorted(name for name in names if _is_snapshot(name))
+    _read_files(state, [name for name in names if name not in snapshots[1:]], read)
 
 
-def _newest_ignored(own: Any, read: Any, identity: bytes, found: Found) -> None:
-    """Where two snapshots are there the older one is taken, and the log behind it not asked for."""
-    snapshots = sorted(name for name, told in own if not told.log)
-    _read_all([(n, t) for n, t in own if n not in snapshots[1:]], read, identity, found)
+def _is_snapshot(name: str) -> bool:
+    parsed = parse_file_name(name)
+    return parsed is not None and parsed.kind is FileKind.SNAPSHOT
 
 
-def _head_unchecked(
-    file: str, data: bytes, kind: bytes, identity: bytes, sequence: int, version: int
-) -> bytes:
-    return file_format.head(kind, identity, sequence, version)
+def _log_header_not_verified(self: Header, file: str, data: bytes) -> None:
+    if self.kind is FileKind.SNAPSHOT:
+        _verify_header(self, file, data)
 
 
-BROKEN: dict[str, Patch] = {
-    "no fsync of the directory after a snapshot": _method("_write_snapshot", _snapshot_without_directory),
-    "no fsync of the directory after a new log": _method("_begin_log", _log_without_directory),
-    "no fsync before the acknowledgement": _method("_write_waiting", _no_sync),
-    "snapshot renamed before its data is synced": _method("_write_snapshot", _snapshot_renamed_early),
-    "logs removed before the snapshot is kept": _method("_write_snapshot", _removed_first),
-    "records called synced before they are": _method("_write_waiting", _kept_too_early),
-    "a failed fsync taken for done": _method("done", _error_ignored("5")),
-    "a full disk taken for done": _method("done", _error_ignored("28")),
-    "torn end not cut": _recovery("_rewrite", _no_rewrite),
-    "rewritten log not synced": _recovery("_rewrite", _rewrite_unsynced),
-    "the store's own file made first": _recovery("_begin", _store_first),
-    "damage passed over as a torn end": _recovery("_tear", _damage_passed_over),
-    "the next sequence off by one": _recovery("_read_all", _off_by_one),
-    "an older snapshot chosen in secret": _recovery("_read_all", _newest_ignored),
-    "heads not checked": _recovery("check_head", _head_unchecked),
-    "CRC not checked": lambda: mock.patch.object(file_format, "_crc", lambda *args: 0),
+FAULTS: dict[str, Patch] = {
+    "no fsync of the directory after a snapshot": _in_store(
+        "_write_snapshot_file", _snapshot_without_directory_sync
+    ),
+    "no fsync of the directory after a new log": _in_store(
+        "_create_segment", _segment_without_directory_sync
+    ),
+    "no fsync before the acknowledgement": _in_store("_write_records", _records_not_synced),
+    "snapshot renamed before its data is synced": _in_store(
+        "_write_snapshot_file", _snapshot_renamed_before_sync
+    ),
+    "logs removed before the snapshot is kept": _in_store("_write_snapshot_file", _segments_removed_first),
+    "records called synced before they are": _in_store("_write_records", _synced_too_early),
+    "a failed fsync taken for done": _in_store("complete_job", _error_ignored(errno.EIO)),
+    "a full disk taken for done": _in_store("complete_job", _error_ignored(errno.ENOSPC)),
+    "torn end not cut": _in_recovery("rewrite_last_segment", _segment_not_rewritten),
+    "rewritten log not synced": _in_recovery("rewrite_last_segment", _rewritten_without_sync),
+    "the store's own file made first": _in_recovery("create_store", _store_file_first),
+    "damage passed over as a torn end": lambda: mock.patch.object(
+        log_segment, "truncate_torn_tail", _corruption_as_torn_tail
+    ),
+    "the next sequence off by one": _in_recovery("read_files", _next_sequence_off_by_one),
+    "an older snapshot chosen in secret": _in_recovery("read_files", _newest_snapshot_ignored),
+    "heads not checked": lambda: mock.patch.object(Header, "verify", _log_header_not_verified),
+    "CRC not checked": lambda: mock.patch.object(file_format, "_checksum", return_value=0),
 }
--- a/crowpost/lab/crash_consistency/simulated_disk.py
+++ b/crowpost/lab/crash_consistency/simulated_disk.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from crowpost.storage.model import (
+from crowpost.storage.operations import (
     Append,
+    AppendPieces,
     Create,
-    Fill,
     Operation,
     Remove,
     Rename,
@@ -74,7 +74,7 @@
     was: str = ""
 
 
-class TraceDisk:
+class SimulatedDisk:
     """Does a store's operations in memory.  fail: the number of the operation that fails, and how."""
 
     def __init__(self, files: Files | None = None, fail: tuple[int, int] | None = None) -> None:
@@ -97,7 +97,7 @@
         """All files as a process sees them: what is left after its end, while the machine runs on."""
         return {name: self.inodes[i].seen() for name, i in self.names_now.items()}
 
-    def survivor(self) -> TraceDisk:
+    def survivor(self) -> SimulatedDisk:
         """The same disk for another process: this one has ended, and the machine runs on."""
         other = copy.deepcopy(self)
         other.fail = None
@@ -105,13 +105,13 @@
 
     def steps(self, operation: Operation) -> list[Operation]:
         """The operation in steps between which the power may go."""
-        if isinstance(operation, Fill):
+        if isinstance(operation, AppendPieces):
             return [Append(operation.file, piece) for piece in operation.pieces]
         return [operation]
 
     def perform(self, operation: Operation) -> int:
         """Do one operation; OSError where this is the one that fails."""
-        if isinstance(operation, Fill):
+        if isinstance(operation, AppendPieces):
             return sum(self.perform(step) for step in self.steps(operation)) or 0
         failing = self.fail is not None and self.operations == self.fail[0]
         self.operations += 1
@@ -132,8 +132,8 @@
                 inode.durable, inode.pending = inode.with_pieces(inode.pending), []
             case SyncDirectory():
                 self.durable, self.changes = dict(self.names_now), []
-            case Rename(file, to):
-                self._name(NameChange(to, self.names_now[file], file))
+            case Rename(file, new_name):
+                self._name(NameChange(new_name, self.names_now[file], file))
             case Remove(file):
                 self._name(NameChange(file, None))
         return 0
--- a/crowpost/lab/restored_state.py
+++ b/crowpost/lab/restored_state.py
@@ -1,8 +1,8 @@
-"""What front nodes keep for their next process, on a simulated platform: the node's own records, on no disk.
+"""The state that front nodes leave for their next process on a simulated platform, in records on no disk.
 
-Variants of a policy by what is behind its name: `+state`, as it was kept; `+state-old`, an hour older;
-`+state-wrong`, fresh, and given to other servers than it was learned of, with a limit that is far off and
-ejections of servers that nothing is wrong with.
+Variants of a policy, by a suffix of its name: `+state` restores the state as it was written, `+state-old` one
+hour older, and `+state-wrong` fresh but of other endpoints than it was learned of, with a limit that is far
+off and ejections of endpoints that have no fault.
 """
 
 from __future__ import annotations
@@ -15,49 +15,69 @@
 from crowpost.interface import StateRestored
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
-from crowpost.node.state.records import Kept, Learned, Limit
+from crowpost.node.state.node_state import NodeState
+from crowpost.node.state.records import LearnedEndpoints, LearnedLimit
 
-EVERY_MS = 1_000.0  # as a real node does by default
+WRITE_INTERVAL_MS = 1_000.0  # the default of a real node
 HOUR_MS = 3_600_000.0
-WRONG_LIMITS = (0.2, 5.0)  # times what was learned
-VARIANTS = ("+state", "+state-old", "+state-wrong")
+WRONG_LIMIT_FACTORS = (0.2, 5.0)
+WRONG_EJECTION_PROBABILITY = 0.3
+KEPT = "+state"
+OLD = "+state-old"
+WRONG = "+state-wrong"
+VARIANTS = (KEPT, OLD, WRONG)
 
 
-class FrontMemory:
-    """Each front node keeps what it learns; the process that comes after it is told."""
+class FrontNodeStates:
+    """Records what each front node learns, and restores it to the process that follows."""
 
     def __init__(self, platform: Platform, variant: str, seed: int) -> None:
-        self._platform, self._variant = platform, variant
+        self._platform = platform
+        self._variant = variant
         self._rng = Random(f"memory {seed}")
-        self._kept: dict[str, Kept] = {}
-        platform.engine.after(EVERY_MS, self._write)
-        platform.on_new_node = self._born
+        self._states: dict[str, NodeState] = {}
+        platform.engine.after(WRITE_INTERVAL_MS, self._write)
+        platform.on_new_node = self._restore
 
     def _write(self) -> None:
         engine = self._platform.engine
-        engine.after(EVERY_MS, self._write)
+        engine.after(WRITE_INTERVAL_MS, self._write)
         for node in self._platform.nodes[0]:
             if node.up:
-                kept = self._kept.setdefault(node.name, Kept())
+                state = self._states.setdefault(node.name, NodeState())
                 balancer = cast(Balancer, node.policy)
-                kept.apply(Learned(engine.now, balancer.remember(0, balancer.pool_size)))
-                kept.apply(Limit(engine.now, balancer.limit_each))
-
-    def _born(self, node: SimNode) -> None:
-        kept = self._kept.get(node.name)
-        if node.stage == 0 and kept is not None:
-            node.hear(self._changed(kept.remembered(self._platform.engine.now)))
-
-    def _changed(self, told: StateRestored) -> StateRestored:
-        if self._variant == "+state-old":
-            rows = tuple(replace(m, age_ms=m.age_ms + HOUR_MS) for m in told.servers)
-            return StateRestored(rows, told.limit_each, told.limit_age_ms + HOUR_MS)
-        if self._variant == "+state":
-            return told
-        others = list(told.servers)
+                state.apply(LearnedEndpoints(engine.now, balancer.remember(0, balancer.pool_size)))
+                state.apply(LearnedLimit(engine.now, balancer.limit_each))
+
+    def _restore(self, node: SimNode) -> None:
+        state = self._states.get(node.name)
+        if node.stage == 0 and state is not None:
+            node.hear(self._vary(state.restored_event(self._platform.engine.now)))
+
+    def _vary(self, event: StateRestored) -> StateRestored:
+        """Return the event as the variant changes it."""
+        if self._variant == OLD:
+            return _aged(event)
+        if self._variant == WRONG:
+            return self._mixed_up(event)
+        return event
+
+    def _mixed_up(self, event: StateRestored) -> StateRestored:
+        others = list(event.servers)
         self._rng.shuffle(others)
-        rows = tuple(
-            replace(m, ratio=o.ratio, average_ms=o.average_ms, ejected=self._rng.random() < 0.3)
-            for m, o in zip(told.servers, others, strict=True)
+        endpoints = tuple(
+            replace(
+                endpoint,
+                ratio=other.ratio,
+                average_ms=other.average_ms,
+                ejected=self._rng.random() < WRONG_EJECTION_PROBABILITY,
+            )
+            for endpoint, other in zip(event.servers, others, strict=True)
         )
-        return StateRestored(rows, told.limit_each * self._rng.choice(WRONG_LIMITS), told.limit_age_ms)
+        limit = event.limit_each * self._rng.choice(WRONG_LIMIT_FACTORS)
+        return StateRestored(endpoints, limit, event.limit_age_ms)
+
+
+def _aged(event: StateRestored) -> StateRestored:
+    endpoints = tuple(replace(endpoint, age_ms=endpoint.age_ms + HOUR_MS) for endpoint in event.servers)
+    return StateRestored(endpoints, event.limit_each, event.limit_age_ms + HOUR_MS)
--- a/crowpost/lab/rig/storm.py
+++ b/crowpost/lab/rig/storm.py
@@ -20,9 +20,9 @@
 from crowpost.lab.rig.processes import RigProcess
 from crowpost.lab.rig.relays import Relays
 from crowpost.members.carrier import ask_all
-from crowpost.node.state.records import read
-from crowpost.storage.model import StoreError
-from crowpost.storage.runner import look
+from crowpost.node.state.node_state import read_node_state
+from crowpost.storage.errors import StoreError
+from crowpost.storage.runner import inspect_store
 
 CONTACTS = 3
 AT_ONCE = 8  # processes that start at the same time: a start takes a core
@@ -174,12 +174,16 @@
 
     def _tell_state(self, process: RigProcess, when: str) -> None:
         try:
-            found = look(process.state, process.name)
-            kept = read(found)
+            recovered = inspect_store(process.state, process.name)
+            state = read_node_state(recovered)
         except StoreError as error:
             self.history.add("rig", "state", self._now(), about=process.name, when=when, refused=str(error))
             return
-        told = {"last": found.next_sequence - 1, "emptied": kept.evacuated, "incarnation": kept.incarnation}
+        told = {
+            "last": recovered.last_sequence,
+            "emptied": state.evacuated,
+            "incarnation": state.incarnation,
+        }
         self.history.add("rig", "state", self._now(), about=process.name, when=when, **told)
 
     async def _evacuate(self, name: str, act: Act) -> None:
--- a/crowpost/lab/rig/torn.py
+++ b/crowpost/lab/rig/torn.py
@@ -5,7 +5,13 @@
 from pathlib import Path
 from random import Random
 
-from crowpost.storage.file_format import NEW, log_name, read_name, snapshot_name
+from crowpost.storage.file_format import (
+    TEMPORARY_SUFFIX,
+    FileKind,
+    log_file_name,
+    parse_file_name,
+    snapshot_file_name,
+)
 
 MOST = 3_000  # bytes of an unfinished write
 
@@ -13,9 +19,9 @@
 def leave(directory: Path, rng: Random) -> str:
     """Change a directory whose process has ended; says how."""
     logs = sorted(
-        (kind.sequence, path)
+        (parsed.sequence, path)
         for path in directory.iterdir()
-        if (kind := read_name(path.name)) is not None and kind.log
+        if (parsed := parse_file_name(path.name)) is not None and parsed.kind is FileKind.LOG
     )
     if not logs:
         return "there was no log"
@@ -30,10 +36,12 @@
             at = rng.randrange(len(whole))
             data, how = whole[at : at + rng.randrange(1, MOST)], "a piece of the log once more"
         case 3:
-            (directory / (snapshot_name(first) + NEW)).write_bytes(rng.randbytes(rng.randrange(MOST)))
+            (directory / (snapshot_file_name(first) + TEMPORARY_SUFFIX)).write_bytes(
+                rng.randbytes(rng.randrange(MOST))
+            )
             return "a snapshot that had not got its name"
         case _:
-            (directory / log_name(10**12)).write_bytes(bytes(rng.randrange(40)))
+            (directory / log_file_name(10**12)).write_bytes(bytes(rng.randrange(40)))
             return "a log that had not got its head"
     with last.open("ab") as file:
         file.write(data)
--- a/crowpost/lab/runs.py
+++ b/crowpost/lab/runs.py
@@ -17,7 +17,7 @@
 from crowpost.lab.nodes import SimNode
 from crowpost.lab.platform import Platform
 from crowpost.lab.policies import MEMBERS, factory
-from crowpost.lab.restored_state import VARIANTS, FrontMemory
+from crowpost.lab.restored_state import VARIANTS, FrontNodeStates
 from crowpost.lab.scenario import Scenario
 from crowpost.lab.traffic import Wish
 
@@ -48,7 +48,7 @@
         FrontMembership(platform, seed)
     variant = next((v for v in VARIANTS if policy.endswith(v)), None)
     if variant is not None:
-        FrontMemory(platform, variant, seed)
+        FrontNodeStates(platform, variant, seed)
     platform.run()
     return result(platform, policy)
 
--- a/crowpost/node/config.py
+++ b/crowpost/node/config.py
@@ -185,7 +185,7 @@
     if not path:
         return None
     from crowpost.storage.config import load as load_state
-    from crowpost.storage.model import StoreError
+    from crowpost.storage.errors import StoreError
 
     try:
         return load_state(path, name)
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -60,7 +60,7 @@
     from crowpost.node.feeding import Feeding
     from crowpost.node.membership import Membership
     from crowpost.node.overlays import Live
-    from crowpost.node.state.writer import Keeping
+    from crowpost.node.state.writer import NodeStateWriter
 
 log = logging.getLogger(__name__)
 
@@ -137,7 +137,7 @@
         self._address = config.listen
         self._told = False  # discovery has spoken, or has had its time
         self._membership: Membership | None = None
-        self._keeping: Keeping | None = None
+        self._state_writer: NodeStateWriter | None = None
         self._feeding: Feeding | None = None
         self._listener = adopt(config.accept_fd) if config.accept_fd is not None else None
         part = 1.0 if self._listener is None else SHARED_PART
@@ -194,8 +194,8 @@
         if known is not None:
             self._servers.update(known)
             self._post(known.event(cached=True))
-        if self._keeping is not None:
-            self._post(self._keeping.kept.remembered(self._clock.now()))
+        if self._state_writer is not None:
+            self._post(self._state_writer.state.restored_event(self._clock.now()))
         self._discovery.start(known.version if known is not None else 0)
         self._follow()
         self._catch_up()
@@ -217,20 +217,20 @@
         """The state directory, where it is configured; the newer of its list and the configuration's."""
         if self._config.state is None:
             return known
-        from crowpost.node.state.writer import Keeping
-        from crowpost.storage.model import StoreError
+        from crowpost.node.state.writer import NodeStateWriter
+        from crowpost.storage.errors import StoreError
 
         def drain(evacuated: bool) -> bool:
             return self._drain.evacuate() if evacuated else self._drain.rejoin()
 
-        self._keeping = Keeping(self._config.state, self._balancer, self._clock.now, drain)
+        self._state_writer = NodeStateWriter(self._config.state, self._balancer, self._clock.now, drain)
         try:
-            self._keeping.open()
-            raw = self._keeping.kept.listing()
+            self._state_writer.open()
+            raw = self._state_writer.state.endpoint_list()
             kept = self._config.naming.read(raw) if raw is not None else None
         except (StoreError, ListError) as error:
             raise ConfigError(f"NODE_STATE: {self._config.state.directory}: {error}") from None
-        if self._keeping.kept.evacuated:
+        if self._state_writer.state.evacuated:
             log.info("the node was emptied by staff and stays so until rejoin")
             self._drain.evacuate()
         if kept is None or (known is not None and known.version > kept.version):
@@ -249,11 +249,13 @@
                 return MemberPhase.LEAVING
             return MemberPhase.PRESENT if self.ready() else MemberPhase.JOINING
 
-        keeping = self._keeping
-        note = keeping.note_incarnation if keeping is not None else lambda incarnation: None
+        state_writer = self._state_writer
+        note = state_writer.record_incarnation if state_writer is not None else lambda incarnation: None
         self._membership = Membership(self._config.members, self._config.settings, phase, self._post, note)
         try:
-            await self._membership.start(keeping.kept.incarnation + 1 if keeping is not None else 1)
+            await self._membership.start(
+                state_writer.state.incarnation + 1 if state_writer is not None else 1
+            )
         except OSError as error:
             raise ConfigError(f"NODE_MEMBERS: members.listen cannot be used: {error}") from None
 
@@ -298,8 +300,8 @@
             await self._feeding.close()
         if self._membership is not None:
             await self._membership.close()
-        if self._keeping is not None:
-            await self._keeping.close()
+        if self._state_writer is not None:
+            await self._state_writer.close()
 
     # ------------------------------------------------------------ events in, actions out
 
@@ -628,8 +630,8 @@
     def _on_list(self, listing: Listing) -> None:
         self._servers.update(listing)
         self._post(listing.event())
-        if self._keeping is not None:
-            self._keeping.note_list(listing.whole, listing.version, listing.raw)
+        if self._state_writer is not None:
+            self._state_writer.record_list(listing.whole, listing.version, listing.raw)
         self._hear()
 
     # ------------------------------------------------------------ staff, and the end
@@ -638,11 +640,13 @@
         """The answer to a drain that is done, once it is kept; 409 where it could not be."""
         if not done:
             return Reply(409)
-        return Reply(200) if self._keeping is None else self._kept_by_staff(self._keeping, evacuated)
+        return (
+            Reply(200) if self._state_writer is None else self._kept_by_staff(self._state_writer, evacuated)
+        )
 
     @staticmethod
-    async def _kept_by_staff(keeping: Keeping, evacuated: bool) -> Reply:
-        why = await keeping.keep_drain(evacuated)
+    async def _kept_by_staff(state_writer: NodeStateWriter, evacuated: bool) -> Reply:
+        why = await state_writer.record_evacuation(evacuated)
         return Reply(200, f"done, but a restart may forget it: {why}\n".encode() if why else b"")
 
     def _telemetry(self) -> Reply:
@@ -653,7 +657,7 @@
             pool_ejected=balancer.pool_ejected,
             more={
                 name: value
-                for part in (self._membership, self._keeping, self._feeding)
+                for part in (self._membership, self._state_writer, self._feeding)
                 if part is not None
                 for name, value in part.figures().items()
             },
@@ -663,8 +667,8 @@
     def terminate(self) -> None:
         """SIGTERM: no longer ready; answer what is here and what still comes, then end."""
         self._drain.leave()
-        if self._keeping is not None:
-            self._keeping.close()  # at once: a process beside this one may be waiting for the directory
+        if self._state_writer is not None:
+            self._state_writer.close()  # at once: a process beside this one may be waiting for the directory
 
     def _fail_rest(self) -> None:
         """Few moments are left before SIGKILL: an answer that promises nothing beats none."""
--- a/crowpost/node/state/records.py
+++ b/crowpost/node/state/records.py
@@ -1,83 +1,127 @@
-"""What a node keeps for its next process, as records of a store: facts with their times, and no request.
+"""The records that a node writes to its state directory, and their encoding.
 
-Times are Unix time in ms, since they must be compared over a restart.  A fact from the future, as after a
-clock that went back, is of unknown age and not used; the list and the drain hold whatever their age.
+Times are Unix time in ms, since they are compared across a restart.  The tags and the order of the values of
+each record are the format on disk, a msgpack array; they must not change.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Sequence
-from dataclasses import dataclass, field, replace
+from collections.abc import Callable, Iterator, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 import msgpack
 
-from crowpost.interface import EndpointId, RememberedEndpoint, StateRestored
-from crowpost.storage.model import Found, StoreError
+from crowpost.interface import RememberedEndpoint
+from crowpost.storage.errors import StoreError
 
-PIECE = 250  # servers in one record or piece: packing them takes less than a millisecond
-CLOCK_SLACK_MS = 1_000.0  # by which a fact may seem to come from the future
+ENDPOINTS_PER_RECORD = 250  # encoding them takes less than a millisecond
+DELETED = "DELETED"  # the lifecycle of an endpoint that a change of the list removes
 
-Instance = dict[str, Any]  # as discovery told it
+_LIST_TAG = "list"
+_ENDPOINTS_TAG = "servers"
+_LIMIT_TAG = "limit"
+_EVACUATION_TAG = "drain"
+_INCARNATION_TAG = "incarnation"
+
+Instance = dict[str, Any]  # an endpoint in the form of discovery
+
+
+class NodeRecordError(StoreError):
+    """A record was not written by a node.
+
+    reason: what is wrong with it.  position: which record it is; empty if it was read by itself.
+    """
+
+    def __init__(self, reason: str, position: str = "") -> None:
+        place = f"{position}: " if position else ""
+        super().__init__(f"{place}a record that no node has written: {reason}")
+        self.reason = reason
+        self.position = position
+
+    def at(self, position: str) -> NodeRecordError:
+        """Return the same error with the position of the record."""
+        return NodeRecordError(self.reason, position)
+
+
+# ---------------------------------------------------------------- records
 
 
 @dataclass(frozen=True, slots=True)
-class ListPart:
-    """A list or a change of it, or a part of one: it holds once the last part has come."""
+class EndpointListPart:
+    """Part of an endpoint list or of a change of it; the list is in force once its last part was applied."""
 
-    reset: bool  # what was listed before is gone
+    reset: bool  # it replaces the list before
     generation: int
     instances: list[Instance]
-    more: bool = False
+    has_more: bool = False
 
-    def pack(self) -> bytes:
-        return _pack("list", self.reset, self.generation, self.instances, self.more)
+    def encode(self) -> bytes:
+        """Return the record."""
+        return _pack(_LIST_TAG, self.reset, self.generation, self.instances, self.has_more)
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
-    """What was known of some servers at a time."""
+class LearnedEndpoints:
+    """What was learned of some endpoints up to a time."""
 
-    at: float
-    memories: Sequence[RememberedEndpoint]
+    at_ms: float
+    endpoints: Sequence[RememberedEndpoint]
 
-    def pack(self) -> bytes:
-        rows = [(m.server, m.started_ms, m.ratio, m.average_ms, m.ejected) for m in self.memories]
-        return _pack("servers", self.at, rows)
+    def encode(self) -> bytes:
+        """Return the record; the age of what was learned is not written, since it follows from the time."""
+        rows = [(e.server, e.started_ms, e.ratio, e.average_ms, e.ejected) for e in self.endpoints]
+        return _pack(_ENDPOINTS_TAG, self.at_ms, rows)
 
 
 @dataclass(frozen=True, slots=True)
-class Limit:
-    """The limit for each unit of capacity at a time."""
+class LearnedLimit:
+    """The concurrency limit for each unit of capacity at a time."""
 
-    at: float
-    each: float
+    at_ms: float
+    per_unit: float
 
-    def pack(self) -> bytes:
-        return _pack("limit", self.at, self.each)
+    def encode(self) -> bytes:
+        """Return the record."""
+        return _pack(_LIMIT_TAG, self.at_ms, self.per_unit)
 
 
 @dataclass(frozen=True, slots=True)
-class Evacuated:
-    """Whether staff have emptied the node."""
+class Evacuation:
+    """Whether an operator has evacuated the node."""
 
-    yes: bool
+    active: bool
 
-    def pack(self) -> bytes:
-        return _pack("drain", self.yes)
+    def encode(self) -> bytes:
+        """Return the record."""
+        return _pack(_EVACUATION_TAG, self.active)
 
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """The last number that this node had among the members."""
+    """The last incarnation number of this node in the membership."""
 
     number: int
 
-    def pack(self) -> bytes:
-        return _pack("incarnation", self.number)
+    def encode(self) -> bytes:
+        """Return the record."""
+        return _pack(_INCARNATION_TAG, self.number)
 
 
-Fact = ListPart | Learned | Limit | Evacuated | Incarnation
+NodeRecord = EndpointListPart | LearnedEndpoints | LearnedLimit | Evacuation | Incarnation
+
+
+def split_list(reset: bool, generation: int, instances: Sequence[Instance]) -> Iterator[EndpointListPart]:
+    """Yield a list, or a change of it, in parts of bounded size."""
+    for start in range(0, max(len(instances), 1), ENDPOINTS_PER_RECORD):
+        end = start + ENDPOINTS_PER_RECORD
+        is_first = start == 0
+        yield EndpointListPart(
+            reset and is_first, generation, list(instances[start:end]), end < len(instances)
+        )
+
+
+# ---------------------------------------------------------------- encoding
 
 
 def _pack(*values: Any) -> bytes:
@@ -85,120 +129,70 @@
     return packed
 
 
-def unpack(payload: bytes) -> Fact:
-    """The fact of a record; StoreError if it is none."""
+def decode_record(payload: bytes) -> NodeRecord:
+    """Return the record of a payload.  Raise NodeRecordError if no node has written it."""
     try:
-        kind, *values = msgpack.unpackb(payload, raw=False)
-        if kind == "servers":
-            at, rows = values
-            return Learned(float(at), [RememberedEndpoint(*row) for row in rows])
-        made: Fact = {"list": ListPart, "limit": Limit, "drain": Evacuated, "incarnation": Incarnation}[kind](
-            *values
-        )
-    except (ValueError, TypeError, KeyError, msgpack.UnpackException) as error:
-        raise StoreError(f"a record that no node has written: {' '.join(str(error).split())}") from None
-    return made
-
-
-def parts(reset: bool, generation: int, instances: Sequence[Instance]) -> Iterator[ListPart]:
-    """A list or a change of it in parts of bounded size."""
-    for i in range(0, max(len(instances), 1), PIECE):
-        some = list(instances[i : i + PIECE])
-        yield ListPart(reset and not i, generation, some, i + PIECE < len(instances))
-
-
-@dataclass(slots=True)
-class Kept:
-    """The state after some facts."""
-
-    generation: int = 0
-    # Packed, each by itself: ten thousand tables would cost every full garbage collection milliseconds.
-    instances: dict[str, bytes] = field(default_factory=dict)
-    servers: dict[EndpointId, tuple[float, RememberedEndpoint]] = field(default_factory=dict)  # with its time
-    limit: Limit = Limit(0.0, 0.0)
-    evacuated: bool = False
-    incarnation: int = 0
-    staged: dict[str, bytes] | None = None  # the list that will hold once its last part has come
-
-    def apply(self, fact: Fact) -> None:
-        """Take in one more."""
-        match fact:
-            case ListPart():
-                self._list(fact)
-            case Learned(at, memories):
-                self.servers.update((m.server, (at, m)) for m in memories)
-            case Limit():
-                self.limit = fact
-            case Evacuated(yes):
-                self.evacuated = yes
-            case Incarnation(number):
-                self.incarnation = number
-
-    def _list(self, part: ListPart) -> None:
-        if part.reset:
-            self.staged = {}
-        elif self.staged is None:
-            self.staged = self.instances if not part.more else dict(self.instances)
-        for instance in part.instances:
-            name = instance["instanceId"]
-            if instance["lifecycle"] == "DELETED":
-                self.staged.pop(name, None)
-            else:
-                self.staged[name] = msgpack.packb(instance)
-        if part.more:
-            return
-        self.instances, self.staged, self.generation = self.staged, None, part.generation
-        if len(self.servers) > 2 * len(self.instances) + 100:
-            listed = {name.encode() for name in self.instances}
-            self.servers = {name: row for name, row in self.servers.items() if name in listed}
-
-    # ------------------------------------------------------------ for the next process
-
-    def listing(self) -> dict[str, Any] | None:
-        """The whole list in discovery's own form; None if none was kept."""
-        if not self.generation:
-            return None
-        return {"generation": self.generation, "reset": True, "instances": self.listed()}
-
-    def listed(self) -> list[Instance]:
-        """The servers of the list, as discovery told them."""
-        return [msgpack.unpackb(packed) for packed in self.instances.values()]
-
-    def remembered(self, now: float) -> StateRestored:
-        """What the module is told: each fact with its age, and none that seems to come from the future."""
-        latest = now + CLOCK_SLACK_MS
-        rows = [replace(m, age_ms=max(0.0, now - at)) for at, m in self.servers.values() if at <= latest]
-        each = self.limit.each if self.limit.at <= latest else 0.0
-        return StateRestored(tuple(rows), each, max(0.0, now - self.limit.at))
-
-    def pieces(self) -> Iterator[bytes]:
-        """The state as a snapshot.  It is copied at the call; the pieces may be asked for on any thread."""
-        facts: list[Fact] = [Evacuated(self.evacuated), self.limit, Incarnation(self.incarnation)]
-        return _pieces(facts, self.generation, list(self.instances.values()), list(self.servers.values()))
-
-
-def _pieces(
-    facts: list[Fact],
-    generation: int,
-    instances: list[bytes],
-    servers: list[tuple[float, RememberedEndpoint]],
-) -> Iterator[bytes]:
-    yield from (fact.pack() for fact in facts)
-    for i in range(0, max(len(instances), 1) if generation else 0, PIECE):
-        some = [msgpack.unpackb(packed) for packed in instances[i : i + PIECE]]
-        yield ListPart(not i, generation, some, i + PIECE < len(instances)).pack()
-    by_time: dict[float, list[RememberedEndpoint]] = {}
-    for at, memory in servers:
-        by_time.setdefault(at, []).append(memory)
-    for at, rows in by_time.items():
-        for i in range(0, len(rows), PIECE):
-            yield Learned(at, rows[i : i + PIECE]).pack()
-
-
-def read(found: Found) -> Kept:
-    """The state that a store holds; StoreError if it was not written by a node."""
-    kept = Kept()
-    for payload in (*found.snapshot, *(r.payload for r in found.records)):
-        kept.apply(unpack(payload))
-    kept.staged = None  # of a list whose end never came
-    return kept
+        tag, *values = msgpack.unpackb(payload, raw=False)
+        decode = _DECODERS.get(tag)
+        if decode is None:
+            raise NodeRecordError(f"the tag {tag!r} is not known")
+        return decode(*values)
+    except (ValueError, TypeError, msgpack.UnpackException) as error:
+        raise NodeRecordError(" ".join(str(error).split())) from error
+
+
+def _decode_list(reset: Any, generation: Any, instances: Any, has_more: Any = False) -> EndpointListPart:
+    _require(generation, int, "the generation of a list")
+    _require(instances, list, "the endpoints of a list")
+    for instance in instances:
+        _require(instance, dict, "an endpoint of a list")
+        for key in ("instanceId", "lifecycle"):
+            if key not in instance:
+                raise NodeRecordError(f"an endpoint of a list lacks {key!r}")
+            _require(instance[key], str, f"{key!r} of an endpoint")
+    return EndpointListPart(bool(reset), generation, instances, bool(has_more))
+
+
+def _decode_endpoints(at_ms: Any, rows: Any) -> LearnedEndpoints:
+    _require(rows, list, "what was learned of endpoints")
+    return LearnedEndpoints(float(at_ms), [_decode_endpoint(*row) for row in rows])
+
+
+def _decode_endpoint(
+    server: Any, started_ms: Any, ratio: Any, average_ms: Any = None, ejected: Any = False
+) -> RememberedEndpoint:
+    _require(server, bytes, "the name of an endpoint")
+    _require(started_ms, (int, float), "the start time of an endpoint")
+    _require(ratio, (int, float), "the share of an endpoint")
+    if average_ms is not None:
+        _require(average_ms, (int, float), "the average latency of an endpoint")
+    return RememberedEndpoint(server, started_ms, ratio, average_ms, bool(ejected))
+
+
+def _decode_limit(at_ms: Any, per_unit: Any) -> LearnedLimit:
+    _require(at_ms, (int, float), "the time of a limit")
+    _require(per_unit, (int, float), "a limit")
+    return LearnedLimit(at_ms, per_unit)
+
+
+def _decode_evacuation(active: Any) -> Evacuation:
+    return Evacuation(bool(active))
+
+
+def _decode_incarnation(number: Any) -> Incarnation:
+    _require(number, int, "an incarnation")
+    return Incarnation(number)
+
+
+def _require(value: object, kind: type | tuple[type, ...], what: str) -> None:
+    if not isinstance(value, kind):
+        raise NodeRecordError(f"{what} is {type(value).__name__}")
+
+
+_DECODERS: dict[Any, Callable[..., NodeRecord]] = {
+    _LIST_TAG: _decode_list,
+    _ENDPOINTS_TAG: _decode_endpoints,
+    _LIMIT_TAG: _decode_limit,
+    _EVACUATION_TAG: _decode_evacuation,
+    _INCARNATION_TAG: _decode_incarnation,
+}
--- a/crowpost/node/state/writer.py
+++ b/crowpost/node/state/writer.py
@@ -1,7 +1,8 @@
-"""The node's state directory: what it found there, and what it keeps for its next process.
+"""The writer of a node's state directory, which also restores what the process before has left.
 
-Only imported where it is on.  One process writes at a time.  A second one of the same node, as in an upgrade,
-reads what the first has written so far, and takes over once the first has let go of the directory.
+It is only imported where it is configured.  One process writes at a time.  A second one of the same node, as
+in an upgrade, reads what the first has written so far, and takes over once the first has released the
+directory.
 """
 
 from __future__ import annotations
@@ -11,215 +12,246 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 from contextlib import suppress
-from typing import Any, Protocol
+from typing import Protocol
 
 from crowpost.interface import RememberedEndpoint
+from crowpost.node.state.node_state import NodeState, read_node_state
 from crowpost.node.state.records import (
-    PIECE,
-    Evacuated,
-    Fact,
+    ENDPOINTS_PER_RECORD,
+    EndpointListPart,
+    Evacuation,
     Incarnation,
-    Kept,
-    Learned,
-    Limit,
-    ListPart,
-    parts,
-    read,
+    Instance,
+    LearnedEndpoints,
+    LearnedLimit,
+    NodeRecord,
+    split_list,
 )
-from crowpost.storage.config import StateConfig
-from crowpost.storage.core import Pace
-from crowpost.storage.disk import LockedError
-from crowpost.storage.model import Durability, ForeignError, StoreError
-from crowpost.storage.runner import Keeper, Opened, look, open_locked, tell
+from crowpost.storage.config import REFUSE_ON_DAMAGE, StateConfig
+from crowpost.storage.errors import DirectoryLockedError, OwnerMismatchError, StoreError
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import OpenedStore, StoreRunner, inspect_store, log_event, open_store
+from crowpost.storage.write_policy import WritePolicy
 
 log = logging.getLogger(__name__)
 
-LISTS_MOST = 400  # parts of lists that wait to be written
+MAX_WAITING_LIST_PARTS = 400  # beyond these the list is written as a snapshot
 BURST_BYTES = 1 << 20
-LOOK_S = 0.1  # between looks at what is to be written, and at a directory that another process has
-ACKNOWLEDGE_S = 1.0  # that staff wait for a drain to be kept
+POLL_INTERVAL_S = 0.1  # between checks of what is to be written, and of a locked directory
+ACKNOWLEDGE_TIMEOUT_S = 1.0  # that an operator waits for an evacuation to be durable
 
 
-class Learner(Protocol):
-    """The module, as far as what it has learned is asked for."""
+class LearnedStateSource(Protocol):
+    """The part of the balancer that returns what it has learned."""
 
     @property
-    def pool_size(self) -> int: ...
+    def pool_size(self) -> int:
+        """Number of endpoints."""
 
     @property
-    def limit_each(self) -> float: ...
+    def limit_each(self) -> float:
+        """The concurrency limit for each unit of capacity."""
 
-    def remember(self, first: int, most: int) -> list[RememberedEndpoint]: ...
+    def remember(self, first: int, most: int) -> list[RememberedEndpoint]:
+        """Return what was learned of at most so many endpoints from a position on."""
 
 
-class Keeping:
-    """What the node's last process left, and the writing of what the next will find.
+class NodeStateWriter:
+    """Restores the state of the node's last process, and writes that of this one.
 
-    clock: Unix time in ms.  StoreError from `open` only where the configuration asks
-    for that, or names a directory that is another's.
+    clock: returns Unix time in ms.  on_evacuation: called with the evacuation that an operator asked of the
+    process before, while this one was starting.
     """
 
     def __init__(
         self,
         config: StateConfig,
-        learner: Learner,
+        source: LearnedStateSource,
         clock: Callable[[], float],
-        on_drain: Callable[[bool], object],
+        on_evacuation: Callable[[bool], object],
     ) -> None:
-        self._config, self._learner, self._clock = config, learner, clock
-        self._on_drain = on_drain  # staff told the process before, while this one started
+        self._config = config
+        self._source = source
+        self._clock = clock
+        self._on_evacuation = on_evacuation
         self._loop = asyncio.get_running_loop()
-        self._keeper: Keeper | None = None
-        self._lists: deque[ListPart] = deque()  # that are still to be written
+        self._runner: StoreRunner | None = None  # None until this process has the directory
+        self._waiting_list_parts: deque[EndpointListPart] = deque()
         self._timer: asyncio.TimerHandle | None = None
-        self._learn_at = 0.0
-        self._place = 0  # in the list, of what is written next
-        self._last = 0  # sequence of what was written last
-        self._said_drain = False  # staff have told this process
+        self._next_learned_at = 0.0
+        self._position = 0  # in the pool, of the endpoints that are written next
+        self._last_sequence = 0  # of the last record appended
+        self._evacuation_set = False  # an operator has set it in this process
         self._closing: asyncio.Task[None] | None = None
-        self._taking: asyncio.Task[None] | None = None  # of the directory, from the process before
-        self._logged = 0  # bytes of the log as of the last snapshot
-        self.damaged = ""  # why the directory is not used
-        self.kept = Kept()
+        self._take_over_task: asyncio.Task[None] | None = None
+        self._log_bytes_at_snapshot = 0
+        self.damage = ""  # why the directory is not used
+        self.state = NodeState()
 
-    # ------------------------------------------------------------ what was found
+    # ------------------------------------------------------------ opening
 
     def open(self) -> None:
-        """Read the directory, which blocks; take it, or wait until its process lets go of it."""
+        """Read the directory, which blocks, and lock it, or wait until another process releases it.
+
+        Raise StoreError if the directory belongs to another owner, or if it is damaged and the configuration
+        refuses to start then.
+        """
         config = self._config
         try:
-            try:
-                self._take(*self._open())
-            except LockedError:
-                self.kept = read(look(config.directory, config.owner))
-                tell("waiting", path=str(config.directory), text="another process of this node writes")
+            self._open_or_inspect()
         except StoreError as error:
-            if config.on_damage == "refuse" or isinstance(error, ForeignError):
+            if config.on_damage == REFUSE_ON_DAMAGE or isinstance(error, OwnerMismatchError):
                 raise
-            self._give_up(error)
+            self._continue_without_state(error)
+            return
+        self._poll()
+
+    def _open_or_inspect(self) -> None:
+        config = self._config
+        try:
+            opened, state = self._open_and_read()
+        except DirectoryLockedError:
+            self.state = read_node_state(inspect_store(config.directory, config.owner))
+            log_event("waiting", path=str(config.directory), text="another process of this node writes")
             return
-        self._look()
+        self._use(opened, state)
 
-    def _open(self) -> tuple[Opened, Kept]:
+    def _open_and_read(self) -> tuple[OpenedStore, NodeState]:
         """Lock and read the directory, which blocks."""
-        opened = open_locked(self._config.directory, self._config.owner)
+        opened = open_store(self._config.directory, self._config.owner)
         try:
-            return opened, read(opened.found)
+            return opened, read_node_state(opened.recovered)
         except StoreError:
             opened.disk.close()
             raise
 
-    def _take(self, opened: Opened, kept: Kept) -> None:
+    def _use(self, opened: OpenedStore, state: NodeState) -> None:
         rate = self._config.bytes_per_s
-        self._keeper = Keeper(opened, Pace(bytes_per_s=rate, burst_bytes=max(rate, BURST_BYTES)))
-        self.kept = kept
+        policy = WritePolicy(bytes_per_s=rate, burst_bytes=max(rate, BURST_BYTES))
+        self._runner = StoreRunner(opened, policy)
+        self.state = state
 
     async def _take_over(self) -> None:
-        """The process before has let go: go on from what it wrote last, with what this one knows itself."""
+        """Continue from the state that the process before wrote last, with what this one knows itself."""
         try:
-            opened, kept = await self._loop.run_in_executor(None, self._open)
-        except LockedError:
+            opened, state = await self._loop.run_in_executor(None, self._open_and_read)
+        except DirectoryLockedError:
             return
         except StoreError as error:
-            self._give_up(error)
+            self._continue_without_state(error)
             return
-        own = self.kept
-        self._take(opened, kept)
-        tell("taken_over", path=str(self._config.directory))
-        if self._said_drain:
-            self._write(Evacuated(own.evacuated), Durability.ACKNOWLEDGED)
-        elif kept.evacuated != own.evacuated:
-            self._on_drain(kept.evacuated)
-        if own.incarnation > kept.incarnation:
-            self._write(Incarnation(own.incarnation))
-        if own.generation > kept.generation:
-            self.note_list(True, own.generation, own.listed())
-
-    def _give_up(self, error: StoreError) -> None:
-        self.damaged = str(error)
-        tell("unusable", path=str(self._config.directory), why=str(error), text="going on without the state")
-
-    # ------------------------------------------------------------ what is to be kept
-
-    def note_list(self, reset: bool, generation: int, instances: Sequence[dict[str, Any]]) -> None:
-        """A list or a change of it, as discovery told it; written in parts, one at a look."""
-        if self.damaged or self._closing is not None:
+        own = self.state
+        self._use(opened, state)
+        log_event("taken_over", path=str(self._config.directory))
+        if self._evacuation_set:
+            self._append(Evacuation(own.evacuated), Durability.ACKNOWLEDGED)
+        elif state.evacuated != own.evacuated:
+            self._on_evacuation(state.evacuated)
+        if own.incarnation > state.incarnation:
+            self._append(Incarnation(own.incarnation))
+        if own.generation > state.generation:
+            self.record_list(True, own.generation, own.decoded_instances())
+
+    def _continue_without_state(self, error: StoreError) -> None:
+        self.damage = str(error)
+        path = str(self._config.directory)
+        log_event("unusable", path=path, why=str(error), text="going on without the state")
+
+    # ------------------------------------------------------------ recording
+
+    def record_list(self, reset: bool, generation: int, instances: Sequence[Instance]) -> None:
+        """Record a list from discovery or a change of it; it is written in parts, one in each poll."""
+        if self.damage or self._closing is not None:
             return
-        if self._keeper is not None and self._keeper.core.failed:
+        if self._runner is not None and self._runner.store.failure:
             return
-        for part in parts(reset, generation, instances):
-            if self._keeper is None:
-                self.kept.apply(part)
+        for part in split_list(reset, generation, instances):
+            if self._runner is None:
+                self.state.apply(part)
             else:
-                self._lists.append(part)
+                self._waiting_list_parts.append(part)
 
-    def note_incarnation(self, number: int) -> None:
-        """This node's number among the members."""
-        if number > self.kept.incarnation:
-            self._write(Incarnation(number))
+    def record_incarnation(self, number: int) -> None:
+        """Record this node's incarnation number in the membership."""
+        if number > self.state.incarnation:
+            self._append(Incarnation(number))
 
-    async def keep_drain(self, evacuated: bool) -> str:
-        """Keep what staff have asked for; empty once that is on the disk, else why it is not."""
-        self._said_drain = True
+    async def record_evacuation(self, active: bool) -> str:
+        """Record what an operator asked for; return why that is not durable, or an empty text if it is."""
+        self._evacuation_set = True
         if self._closing is not None:
             return "the node is ending"
-        self._write(Evacuated(evacuated), Durability.ACKNOWLEDGED)
-        if self._keeper is None:
-            return self.damaged or "another process of this node has the state directory"
+        self._append(Evacuation(active), Durability.ACKNOWLEDGED)
+        if self._runner is None:
+            return self.damage or "another process of this node has the state directory"
         try:
-            await asyncio.wait_for(self._keeper.kept(self._last), ACKNOWLEDGE_S)
+            await asyncio.wait_for(self._runner.wait_durable(self._last_sequence), ACKNOWLEDGE_TIMEOUT_S)
         except StoreError as error:
             return str(error)
         except TimeoutError:
-            return f"the disk has not answered within {ACKNOWLEDGE_S:g} s"
+            return f"the disk has not answered within {ACKNOWLEDGE_TIMEOUT_S:g} s"
         return ""
 
-    def _write(self, fact: Fact, durability: Durability = Durability.SOON) -> None:
-        self.kept.apply(fact)
-        if self._keeper is not None and self._closing is None and not self._keeper.core.failed:
-            self._last = self._keeper.append(fact.pack(), durability)
-
-    def _look(self) -> None:
-        self._timer = self._loop.call_later(LOOK_S, self._look)
-        keeper = self._keeper
-        if keeper is None:
-            if self._taking is None or self._taking.done():
-                self._taking = None if self.damaged else self._loop.create_task(self._take_over())
-            return
-        core = keeper.core
-        if len(self._lists) > LISTS_MOST:
-            # News comes faster than it may be written: a snapshot says it all at once.
-            while self._lists:
-                self.kept.apply(self._lists.popleft())
-            self._logged = -self._config.snapshot_bytes
-        if core.failed or core.kept < self._last:
-            return  # the budget is used up, or the disk is slow: later
-        if self._lists:
-            self._write(self._lists.popleft())
-        else:
-            self._learn()
-        if self.kept.staged is None and core.written.logged - self._logged >= self._config.snapshot_bytes:
-            keeper.snapshot(self.kept.pieces())
-            self._logged = core.written.logged
+    def _append(self, record: NodeRecord, durability: Durability = Durability.DELAYED) -> None:
+        self.state.apply(record)
+        if self._runner is not None and self._closing is None and not self._runner.store.failure:
+            self._last_sequence = self._runner.append(record.encode(), durability)
+
+    # ------------------------------------------------------------ polling
 
-    def _learn(self) -> None:
-        """Write what is known of some servers, all of them in turn; and of the limit, once in each turn."""
+    def _poll(self) -> None:
+        self._timer = self._loop.call_later(POLL_INTERVAL_S, self._poll)
+        if self._runner is None:
+            self._try_to_take_over()
+        else:
+            self._write_next(self._runner)
+
+    def _try_to_take_over(self) -> None:
+        if self._take_over_task is None or self._take_over_task.done():
+            self._take_over_task = None if self.damage else self._loop.create_task(self._take_over())
+
+    def _write_next(self, runner: StoreRunner) -> None:
+        """Write the next part of a list, or else of what was learned; and a snapshot if one is due."""
+        store = runner.store
+        if len(self._waiting_list_parts) > MAX_WAITING_LIST_PARTS:
+            self._collapse_list_parts()
+        if store.failure or store.durable_sequence < self._last_sequence:
+            return  # the budget is used up, or the disk is slow
+        if self._waiting_list_parts:
+            self._append(self._waiting_list_parts.popleft())
+        else:
+            self._write_learned()
+        log_bytes = store.counters.log_bytes
+        is_due = log_bytes - self._log_bytes_at_snapshot >= self._config.snapshot_bytes
+        if is_due and self.state.staged is None:
+            runner.write_snapshot(self.state.snapshot_pieces())
+            # Read again: the job of the snapshot may have sealed a segment.
+            self._log_bytes_at_snapshot = store.counters.log_bytes
+
+    def _collapse_list_parts(self) -> None:
+        """Changes arrive faster than they may be written: apply them all, and make a snapshot due."""
+        while self._waiting_list_parts:
+            self.state.apply(self._waiting_list_parts.popleft())
+        self._log_bytes_at_snapshot = -self._config.snapshot_bytes
+
+    def _write_learned(self) -> None:
+        """Write what was learned of the next endpoints of the pool; and the limit, once in each round."""
         now = self._clock()
-        if now < self._learn_at:
+        if now < self._next_learned_at:
             return
-        rows = self._learner.remember(self._place, PIECE)
-        if rows:
-            self._write(Learned(now, rows))
-        self._place += PIECE
-        if self._place >= self._learner.pool_size:
-            self._place = 0
-            self._learn_at = now + self._config.every_ms
-            self._write(Limit(now, self._learner.limit_each))
+        endpoints = self._source.remember(self._position, ENDPOINTS_PER_RECORD)
+        if endpoints:
+            self._append(LearnedEndpoints(now, endpoints))
+        self._position += ENDPOINTS_PER_RECORD
+        if self._position >= self._source.pool_size:
+            self._position = 0
+            self._next_learned_at = now + self._config.write_interval_ms
+            self._append(LearnedLimit(now, self._source.limit_each))
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ closing
 
     def close(self) -> asyncio.Task[None]:
-        """Write what was learned last, seal the log and let go of the directory."""
+        """Write what was learned last, seal the log and release the directory."""
         if self._closing is None:
             if self._timer is not None:
                 self._timer.cancel()
@@ -227,31 +259,32 @@
         return self._closing
 
     async def _close(self) -> None:
-        if self._taking is not None:
-            await self._taking
-        keeper = self._keeper
-        if keeper is None:
+        if self._take_over_task is not None:
+            await self._take_over_task
+        runner = self._runner
+        if runner is None:
             return
-        with suppress(StoreError):  # that writing has stopped was told when it did
-            while self._lists:
-                keeper.append(self._lists.popleft().pack(), Durability.SOON)
+        with suppress(StoreError):  # that writing has stopped was logged when it did
+            while self._waiting_list_parts:
+                runner.append(self._waiting_list_parts.popleft().encode(), Durability.DELAYED)
                 await asyncio.sleep(0)
             now = self._clock()
-            keeper.append(Learned(now, self._learner.remember(0, PIECE)).pack(), Durability.SOON)
-            keeper.append(Limit(now, self._learner.limit_each).pack(), Durability.SOON)
-        await keeper.close()
+            learned = LearnedEndpoints(now, self._source.remember(0, ENDPOINTS_PER_RECORD))
+            runner.append(learned.encode(), Durability.DELAYED)
+            runner.append(LearnedLimit(now, self._source.limit_each).encode(), Durability.DELAYED)
+        await runner.close()
 
     def figures(self) -> dict[str, float]:
-        """Figures by name and label, for the second address."""
-        core = self._keeper.core if self._keeper is not None else None
-        written = core.written if core is not None else None
+        """Return metrics by name, for /api/telemetry."""
+        store = self._runner.store if self._runner is not None else None
+        counters = store.counters if store is not None else None
         return {
-            "state_writing": int(core is not None and not core.failed and not self.damaged),
-            "state_damaged": int(bool(self.damaged)),
-            "state_records": written.records if written is not None else 0,
-            "state_bytes": written.bytes if written is not None else 0,
-            "state_snapshots": written.snapshots if written is not None else 0,
-            "state_log_bytes": core.log_bytes if core is not None else 0,
-            "state_unkept": core.next_sequence - 1 - core.kept if core is not None else 0,
-            "state_generation": self.kept.generation,
+            "state_writing": int(store is not None and not store.failure and not self.damage),
+            "state_damaged": int(bool(self.damage)),
+            "state_records": counters.records if counters is not None else 0,
+            "state_bytes": counters.bytes if counters is not None else 0,
+            "state_snapshots": counters.snapshots if counters is not None else 0,
+            "state_log_bytes": store.log_bytes if store is not None else 0,
+            "state_unkept": store.pending_records if store is not None else 0,
+            "state_generation": self.state.generation,
         }
--- a/crowpost/storage/__init__.py
+++ b/crowpost/storage/__init__.py
@@ -1,6 +1,6 @@
-"""Storage: an append-only log with snapshots that keeps what it has acknowledged through a power loss.
+"""Storage: an append-only log with snapshots whose acknowledged records survive a power loss.
 
-`core` decides what is written when, without I/O: it hands out jobs of disk operations and is told how each
-ended.  `recover` reads what a directory holds, `carrier` does the operations on a thread of its own, and
-`repair` takes apart a directory that recovery refuses.
+`core` plans what is written when, without I/O: it hands out jobs of disk operations and is given the result
+of each.  `recovery` reads what a directory holds, `runner` executes the jobs on a thread of its own, and
+`repair` saves what is intact of a directory that recovery refuses.
 """
--- a/crowpost/storage/core.py
+++ b/crowpost/storage/core.py
@@ -1,8 +1,8 @@
 """The writing side of a store, without I/O: records and times in; jobs of disk operations out, one at a time.
 
-While a job is being done further records wait and become the next one, so that an fsync is shared by all that
-came meanwhile.  After any operation that failed nothing more is written: what an fsync that failed has lost
-is not known, and asking again would only hide it.
+While a job is executed further records wait and become the next job, so that one fsync serves them all.
+After any operation that failed nothing more is written: what a failed fsync has lost is not known, and a
+second fsync would succeed without writing it.
 """
 
 from __future__ import annotations
@@ -11,237 +11,252 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from crowpost.storage.errors import StoreError
 from crowpost.storage.file_format import (
-    HEAD_BYTES,
-    LOG,
-    NEW,
-    SNAPSHOT,
+    HEADER_BYTES,
+    TEMPORARY_SUFFIX,
+    FileKind,
+    FrameCodec,
     FrameKind,
-    Framer,
-    head,
-    log_name,
-    snapshot_name,
-    snapshot_pieces,
+    Header,
+    encode_snapshot,
+    log_file_name,
+    snapshot_file_name,
 )
-from crowpost.storage.model import (
-    SNAPSHOTS_KEPT,
+from crowpost.storage.model import RETAINED_SNAPSHOTS, Durability, Record, RecoveredState, StoredFile
+from crowpost.storage.operations import (
     Append,
+    AppendPieces,
     Create,
-    Durability,
-    Fill,
-    Found,
     Job,
+    JobResult,
     Operation,
     Remove,
     Rename,
-    StoreError,
     Sync,
     SyncDirectory,
 )
-
-
-@dataclass(frozen=True, slots=True)
-class Pace:
-    """How much is written, and how soon."""
-
-    segment_bytes: int = 4 << 20  # a log of this size is ended and the next begun
-    bytes_per_s: float = 262_144.0  # in the mean; acknowledged records never wait for it
-    burst_bytes: float = 1 << 20  # that may be saved up for a burst
-    soon_ms: float = 200.0  # that a record which need not be acknowledged waits for company
+from crowpost.storage.write_policy import WriteBudget, WritePolicy
 
 
 @dataclass(slots=True)
-class Written:
+class WriteCounters:
     """Counts since the start."""
 
     records: int = 0
     bytes: int = 0
-    logged: int = 0  # of these, other than snapshots
+    log_bytes: int = 0  # of these, other than snapshots
     jobs: int = 0
     snapshots: int = 0
 
 
+@dataclass(frozen=True, slots=True)
+class SnapshotRequest:
+    """A snapshot that is to be written: the state after a record, as pieces."""
+
+    sequence: int
+    pieces: Iterable[bytes]
+
+
 class Store:
-    """Feed it records, ends of jobs, and times in ms that never go back; do what `take` hands out.
+    """Plans the writes of one directory.
 
-    found: by recovery, its repairs done.  identity: of the directory.
+    Give it records, job results, and times in ms that never decrease; execute the jobs of `next_job`.
+    recovered: the result of recovery, whose repairs have been executed.
     """
 
-    def __init__(self, found: Found, identity: bytes, now: float, pace: Pace | None = None) -> None:
-        self.pace, self._identity = pace or Pace(), identity
-        self.next_sequence = found.next_sequence
-        self.kept = found.next_sequence - 1  # the last record that is on the disk for sure
-        self.failed = ""  # why nothing is written any more
+    def __init__(self, recovered: RecoveredState, now: float, policy: WritePolicy | None = None) -> None:
+        self.policy = policy or WritePolicy()
+        self.next_sequence = recovered.next_sequence
+        self.durable_sequence = recovered.last_sequence  # of the last record that is durable
+        self.failure = ""  # why nothing is written any more
         self.closed = False
-        self.written = Written()
-        self._segments, self._snapshots = list(found.segments), list(found.snapshots)
-        self._open(self._segments[-1], found.tail_bytes)
-        self._waiting: list[tuple[int, bytes]] = []
-        self._due = math.inf
-        self._urgent = False
-        self._snapshot: tuple[int, Iterable[bytes]] | None = None
+        self.counters = WriteCounters()
+        self._identity = recovered.identity
+        self._segments = list(recovered.segments)
+        self._snapshots = list(recovered.snapshots)
+        self._open_segment(self._segments[-1], recovered.tail_bytes)
+        self._waiting: list[Record] = []
+        self._due = math.inf  # when the waiting records should be written
+        self._urgent = False  # one of them has to be acknowledged
+        self._requested_snapshot: SnapshotRequest | None = None
         self._job: Job | None = None
-        self._jobs = 0
-        self._closing = self._sealing = False
-        self._budget, self._budget_at = self.pace.burst_bytes, now
+        self._closing = False
+        self._sealing = False  # the last job seals the log
+        self._budget = WriteBudget(self.policy, now)
 
-    def _open(self, segment: tuple[int, str], size: int) -> None:
-        first, self._log = segment
-        self._framer, self._log_bytes = Framer(head(LOG, self._identity, first)), size
+    def _open_segment(self, segment: StoredFile, size: int) -> None:
+        self._log = segment.name
+        self._log_bytes = size
+        self._codec = FrameCodec(self._log_header(segment.sequence))
 
-    # ------------------------------------------------------------ what comes in
+    def _log_header(self, first_sequence: int) -> Header:
+        return Header(FileKind.LOG, self._identity, first_sequence)
+
+    # ------------------------------------------------------------ input
 
     def append(self, payload: bytes, durability: Durability, now: float) -> int:
-        """Take in a record; returns its sequence, which is kept once `kept` has reached it.
+        """Accept a record and return its sequence number.
 
-        StoreError once writing has stopped.
+        The record is durable once `durable_sequence` has reached it.  Raise StoreError once writing has
+        stopped.
         """
-        self._check()
+        self._require_open()
         sequence = self.next_sequence
         self.next_sequence += 1
-        self._waiting.append((sequence, payload))
-        self._due = min(self._due, now + self.pace.soon_ms)
+        self._waiting.append(Record(sequence, payload))
+        self._due = min(self._due, now + self.policy.max_delay_ms)
         self._urgent |= durability is Durability.ACKNOWLEDGED
         return sequence
 
-    def snapshot(self, payloads: Iterable[bytes]) -> None:
-        """The state after the last record taken in; its pieces are made while they are written.
+    def write_snapshot(self, pieces: Iterable[bytes]) -> None:
+        """Request a snapshot of the state after the last accepted record.
 
-        Once it is kept, logs and snapshots that nothing needs any more are removed.  A later one replaces one
-        that has not been begun.
+        The pieces are generated while they are written.  Once the snapshot is durable, segments and snapshots
+        that are not needed any more are removed.  A request that has not been started is replaced by a later
+        one.
         """
-        self._check()
-        self._snapshot = self.next_sequence - 1, payloads
+        self._require_open()
+        self._requested_snapshot = SnapshotRequest(self.next_sequence - 1, pieces)
 
     def close(self) -> None:
-        """Write what waits and seal the log; `closed` once that is done."""
+        """Write what waits and seal the log; `closed` is set once that is done."""
         self._closing = True
 
-    def done(self, number: int, error: str | None = None, filled: int = 0) -> None:
-        """A job has ended: with all its operations done, or at the first that failed.
-
-        filled: bytes of what was only made while it was written.
-        """
-        job, self._job = self._job, None
+    def complete_job(self, number: int, result: JobResult) -> None:
+        """Take in the result of the job that was being executed."""
+        job = self._job
+        self._job = None
         if job is None or job.number != number:
-            raise StoreError(f"job {number} was not being done")
-        self._budget -= filled
-        self.written.bytes += filled
-        if error is not None:
-            self.failed = error
+            raise StoreError(f"job {number} was not being executed")
+        self._budget.spend(result.generated_bytes)
+        self.counters.bytes += result.generated_bytes
+        if result.error is not None:
+            self.failure = result.error
             self._waiting.clear()
-            self._snapshot = None
+            self._requested_snapshot = None
             return
-        self.kept = job.through
-        self.closed = self._closing and not self._waiting and self._snapshot is None and self._sealing
+        self.durable_sequence = job.last_sequence
+        has_work = bool(self._waiting) or self._requested_snapshot is not None
+        self.closed = self._closing and self._sealing and not has_work
 
-    def _check(self) -> None:
-        if self.failed:
-            raise StoreError(f"writing has stopped: {self.failed}")
+    def _require_open(self) -> None:
+        self.require_no_failure()
         if self._closing:
             raise StoreError("the store has been closed")
 
-    # ------------------------------------------------------------ what is to be done
+    def require_no_failure(self) -> None:
+        """Raise StoreError if writing has stopped."""
+        if self.failure:
+            raise StoreError(f"writing has stopped: {self.failure}")
+
+    # ------------------------------------------------------------ output
 
     @property
     def busy(self) -> bool:
-        """Whether a job is being done."""
+        """Whether a job is being executed."""
         return self._job is not None
 
     @property
     def log_bytes(self) -> int:
-        """Size of the log that is being written."""
+        """Size of the current log segment."""
         return self._log_bytes
 
-    def next_at(self) -> float:
-        """When `take` should be asked next, in ms; infinity while a job is being done or nothing waits."""
-        if self._job is not None or self.failed or self.closed:
+    @property
+    def pending_records(self) -> int:
+        """Number of records that are not durable yet."""
+        return self.next_sequence - 1 - self.durable_sequence
+
+    def next_job_at(self) -> float:
+        """Return the time in ms at which a job is due; infinity if none will be, or while one is executed."""
+        if self._job is not None or self.failure or self.closed:
             return math.inf
         if self._urgent or self._closing:
             return -math.inf
-        due = self._budget_at if self._snapshot is not None else self._due
-        if due < math.inf and self._budget < 0.0:
-            due = max(due, self._budget_at - 1000.0 * self._budget / self.pace.bytes_per_s)
-        return due
-
-    def take(self, now: float) -> Job | None:
-        """The next job, if one is due."""
-        pace = self.pace
-        self._budget += (now - self._budget_at) * pace.bytes_per_s / 1000.0
-        self._budget, self._budget_at = min(self._budget, pace.burst_bytes), now
-        if self.next_at() > now:
+        due = self._due if self._requested_snapshot is None else self._budget.refilled_at
+        return self._budget.available_at(due)
+
+    def next_job(self, now: float) -> Job | None:
+        """Return the next job if one is due."""
+        self._budget.refill(now)
+        if self.next_job_at() > now:
             return None
         operations: list[Operation] = []
         if self._waiting:
-            operations += self._write_waiting()
-        through = self.next_sequence - 1
-        self._sealing = self._closing and self._snapshot is None
-        if self._snapshot is not None:
-            operations += self._write_snapshot(*self._snapshot)
-            self._snapshot = None
-        elif self._closing or self._log_bytes >= pace.segment_bytes:
-            operations += self._seal()
-            if not self._closing:
-                operations += self._begin_log()
-        self._jobs += 1
-        self.written.jobs += 1
-        self._job = Job(self._jobs, tuple(operations), through)
+            operations += self._write_records()
+        last_sequence = self.next_sequence - 1
+        request = self._requested_snapshot
+        self._requested_snapshot = None
+        self._sealing = self._closing and request is None
+        if request is not None:
+            operations += self._write_snapshot_file(request)
+        elif self._closing:
+            operations += self._seal_segment()
+        elif self._log_bytes >= self.policy.segment_bytes:
+            operations += [*self._seal_segment(), *self._create_segment()]
+        self.counters.jobs += 1
+        self._job = Job(self.counters.jobs, tuple(operations), last_sequence)
         return self._job
 
-    def _write_waiting(self) -> list[Operation]:
-        frames = [self._framer.frame(FrameKind.RECORD, n, self.kept, data) for n, data in self._waiting]
-        data = b"".join(frames)
-        self._count(len(data))
-        self._log_bytes += len(data)
-        self.written.records += len(frames)
+    def _write_records(self) -> list[Operation]:
+        synced = self.durable_sequence
+        frames = [
+            self._codec.encode(FrameKind.RECORD, record.sequence, synced, record.payload)
+            for record in self._waiting
+        ]
         self._waiting.clear()
-        self._due, self._urgent = math.inf, False
-        return [Append(self._log, data), Sync(self._log)]
+        self._due = math.inf
+        self._urgent = False
+        self.counters.records += len(frames)
+        return self._append_to_log(b"".join(frames))
 
-    def _seal(self) -> list[Operation]:
-        """End the log: all before this is kept, as the operations before it have said."""
+    def _seal_segment(self) -> list[Operation]:
+        """End the segment; all records before the seal are durable by the operations before it."""
         last = self.next_sequence - 1
-        frame = self._framer.frame(FrameKind.SEAL, last, last)
-        self._count(len(frame))
-        self._log_bytes += len(frame)
-        return [Append(self._log, frame), Sync(self._log)]
-
-    def _begin_log(self) -> list[Operation]:
-        first = self.next_sequence
-        name = log_name(first)
-        self._segments.append((first, name))
-        self._open(self._segments[-1], HEAD_BYTES)
-        return [Create(name, head(LOG, self._identity, first)), Sync(name), SyncDirectory()]
-
-    def _write_snapshot(self, sequence: int, payloads: Iterable[bytes]) -> list[Operation]:
-        """The state, whole before it gets its name; then what nothing needs any more goes."""
-        name = snapshot_name(sequence)
-        if self._snapshots and self._snapshots[-1][0] == sequence:
-            return []  # nothing has come since the last one
-        new = name + NEW
+        return self._append_to_log(self._codec.encode(FrameKind.SEAL, last, last))
+
+    def _append_to_log(self, data: bytes) -> list[Operation]:
+        self._budget.spend(len(data))
+        self.counters.bytes += len(data)
+        self.counters.log_bytes += len(data)
+        self._log_bytes += len(data)
+        return [Append(self._log, data), Sync(self._log)]
+
+    def _create_segment(self) -> list[Operation]:
+        segment = StoredFile(self.next_sequence, log_file_name(self.next_sequence))
+        self._segments.append(segment)
+        self._open_segment(segment, HEADER_BYTES)
+        header = self._log_header(segment.sequence).encode()
+        return [Create(segment.name, header), Sync(segment.name), SyncDirectory()]
+
+    def _write_snapshot_file(self, request: SnapshotRequest) -> list[Operation]:
+        """Write a snapshot, give it its name once it is complete, and remove what is not needed any more."""
+        sequence = request.sequence
+        if self._snapshots and self._snapshots[-1].sequence == sequence:
+            return []  # no record was written since the last snapshot
+        name = snapshot_file_name(sequence)
+        temporary = name + TEMPORARY_SUFFIX
+        header = Header(FileKind.SNAPSHOT, self._identity, sequence)
         operations: list[Operation] = [
-            Create(new, head(SNAPSHOT, self._identity, sequence)),
-            Fill(new, snapshot_pieces(self._identity, sequence, payloads)),
-            Sync(new),
-            Rename(new, name),
+            Create(temporary, header.encode()),
+            AppendPieces(temporary, encode_snapshot(header, request.pieces)),
+            Sync(temporary),
+            Rename(temporary, name),
             SyncDirectory(),
         ]
-        self.written.snapshots += 1
-        self._snapshots.append((sequence, name))
-        if self._log_bytes > HEAD_BYTES and self._segments[-1][0] <= sequence:
-            operations += [*self._seal(), *self._begin_log()]
+        self.counters.snapshots += 1
+        self._snapshots.append(StoredFile(sequence, name))
+        if self._log_bytes > HEADER_BYTES and self._segments[-1].sequence <= sequence:
+            operations += [*self._seal_segment(), *self._create_segment()]
         return operations + self._compact()
 
     def _compact(self) -> list[Operation]:
-        """Remove snapshots beyond those kept, and logs whose records the oldest of those holds."""
-        old, self._snapshots = self._snapshots[:-SNAPSHOTS_KEPT], self._snapshots[-SNAPSHOTS_KEPT:]
-        base = self._snapshots[0][0] if len(self._snapshots) == SNAPSHOTS_KEPT else 0
-        ends = [first - 1 for first, _ in self._segments[1:]]
-        gone = sum(end <= base for end in ends)
-        logs, self._segments = self._segments[:gone], self._segments[gone:]
-        return [Remove(name) for _, name in (*old, *logs)]
-
-    def _count(self, size: int) -> None:
-        self._budget -= size
-        self.written.bytes += size
-        self.written.logged += size
+        """Remove older snapshots, and the segments whose records the oldest retained snapshot contains."""
+        removed = self._snapshots[:-RETAINED_SNAPSHOTS]
+        self._snapshots = self._snapshots[-RETAINED_SNAPSHOTS:]
+        base = self._snapshots[0].sequence if len(self._snapshots) == RETAINED_SNAPSHOTS else 0
+        last_sequences = [following.sequence - 1 for following in self._segments[1:]]
+        covered = sum(last <= base for last in last_sequences)
+        removed += self._segments[:covered]
+        self._segments = self._segments[covered:]
+        return [Remove(file.name) for file in removed]
--- a/crowpost/storage/disk.py
+++ b/crowpost/storage/disk.py
@@ -1,4 +1,4 @@
-"""A directory on a real disk: the lock, the operations, and errors in words.  All of it blocks."""
+"""A directory on a real disk: its lock, its operations, and texts for its errors.  All calls block."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 import os
 from pathlib import Path
 
-from crowpost.storage.model import (
+from crowpost.storage.errors import DirectoryLockedError, StoreError
+from crowpost.storage.operations import (
     Append,
+    AppendPieces,
     Create,
-    Fill,
     Operation,
     Remove,
     Rename,
-    StoreError,
     Sync,
     SyncDirectory,
 )
 
-LOCK = "lock"
-_WORDS = {
+LOCK_FILE = "lock"
+_DIRECTORY_MODE = 0o750
+_FILE_MODE = 0o640
+_DESCRIPTIONS = {
     errno.ENOSPC: "the disk is full",
     errno.EDQUOT: "the quota of the disk is used up",
     errno.EROFS: "the disk is read-only",
@@ -30,18 +32,18 @@
 }
 
 
-class LockedError(StoreError):
-    """Another process has the directory."""
-
-
-def words(error: OSError) -> str:
-    """One line for an error of the disk."""
-    return _WORDS.get(error.errno or 0, os.strerror(error.errno) if error.errno else str(error))
+def describe_os_error(error: OSError) -> str:
+    """Return one line for an error of the disk."""
+    if not error.errno:
+        return str(error)
+    return _DESCRIPTIONS.get(error.errno, os.strerror(error.errno))
 
 
 class Disk:
-    """One directory.  With `lock` only one process at a time has it; it is given back by `close`, or by the
-    process's end, however that comes.
+    """One directory.
+
+    With `lock` only one process at a time can use it; the lock ends with `close` or with the process.  Raise
+    DirectoryLockedError if another process has the lock, and StoreError if the directory cannot be opened.
     """
 
     def __init__(self, path: Path, *, lock: bool) -> None:
@@ -51,77 +53,82 @@
         self._directory: int | None = None
         try:
             if lock:
-                path.mkdir(mode=0o750, exist_ok=True)
-                self._lock = os.open(path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
+                path.mkdir(mode=_DIRECTORY_MODE, exist_ok=True)
+                self._lock = os.open(path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, _FILE_MODE)
                 fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self._directory = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        except BlockingIOError:
+        except BlockingIOError as error:
             self.close()
-            raise LockedError(f"{path}: another process has this state directory") from None
+            raise DirectoryLockedError(f"{path}: another process has this state directory") from error
         except OSError as error:
             self.close()
-            raise StoreError(f"{path}: {words(error)}") from None
+            raise StoreError(f"{path}: {describe_os_error(error)}") from error
 
     def names(self) -> list[str]:
-        """Files of the directory; StoreError where it cannot be read."""
+        """Return the names of the files.  Raise StoreError if the directory cannot be read."""
         try:
             return [entry.name for entry in os.scandir(self.path) if entry.is_file(follow_symlinks=False)]
         except OSError as error:
-            raise StoreError(f"{self.path}: {words(error)}") from None
+            raise StoreError(f"{self.path}: {describe_os_error(error)}") from error
 
     def read(self, name: str) -> bytes:
-        """The whole content of a file; StoreError where it cannot be read."""
+        """Return the content of a file.  Raise StoreError if it cannot be read."""
         try:
             return (self.path / name).read_bytes()
         except OSError as error:
-            raise StoreError(f"{self.path / name}: {words(error)}") from None
+            raise StoreError(f"{self.path / name}: {describe_os_error(error)}") from error
 
     def perform(self, operation: Operation) -> int:
-        """Do one operation; returns the bytes written of a Fill.  OSError if it cannot be done whole."""
+        """Execute one operation and return the bytes written for AppendPieces, 0 for any other.
+
+        Raise OSError if it cannot be completed.
+        """
         match operation:
             case Create(file, data):
                 flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
-                self._files[file] = os.open(self.path / file, flags, 0o640)
+                self._files[file] = os.open(self.path / file, flags, _FILE_MODE)
                 self._write(file, data)
             case Append(file, data):
                 self._write(file, data)
-            case Fill(file, pieces):
+            case AppendPieces(file, pieces):
                 return sum(self._write(file, piece) for piece in pieces)
             case Sync(file):
-                os.fsync(self._file(file))
+                os.fsync(self._descriptor(file))
             case SyncDirectory():
                 assert self._directory is not None
                 os.fsync(self._directory)
-            case Rename(file, to):
-                os.rename(self.path / file, self.path / to)
-                self._forget(file)
+            case Rename(file, new_name):
+                os.rename(self.path / file, self.path / new_name)
+                self._close_file(file)
             case Remove(file):
                 os.unlink(self.path / file)
-                self._forget(file)
+                self._close_file(file)
         return 0
 
-    def _file(self, name: str) -> int:
+    def _descriptor(self, name: str) -> int:
         if name not in self._files:
             self._files[name] = os.open(self.path / name, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
         return self._files[name]
 
     def _write(self, name: str, data: bytes) -> int:
-        """All of it: a write may take less than it was given, and says why only when asked again."""
-        descriptor, left = self._file(name), memoryview(data)
-        while left:
-            left = left[os.write(descriptor, left) :]
+        """Write all of it: a call may write only a part, and then the next one raises the error."""
+        descriptor = self._descriptor(name)
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
         return len(data)
 
-    def _forget(self, name: str) -> None:
+    def _close_file(self, name: str) -> None:
         descriptor = self._files.pop(name, None)
         if descriptor is not None:
             os.close(descriptor)
 
     def close(self) -> None:
-        """Give everything back."""
+        """Close all files and release the lock."""
         for name in list(self._files):
-            self._forget(name)
+            self._close_file(name)
         for descriptor in (self._directory, self._lock):
             if descriptor is not None:
                 os.close(descriptor)
-        self._directory = self._lock = None
+        self._directory = None
+        self._lock = None
--- a/crowpost/storage/file_format.py
+++ b/crowpost/storage/file_format.py
@@ -1,13 +1,14 @@
-"""Bytes on disk: the directory's own file, heads of files, and frames with length, sequence and CRC32C.
+"""The format on disk: the store file, file headers, and frames with length, sequence number and CRC32C.
 
     store            two lines: JSON with format, owner and identity; its CRC32C in hexadecimal
-    log-N.2          a head, then frames of records from sequence N on, a seal where it ended in order
-    snapshot-N.2     a head, then frames of pieces and one that counts them: the state after record N
+    log-N.2          a header, then frames of records from sequence N on, and a seal if it was closed in order
+    snapshot-N.2     a header, then frames of pieces and one with their count: the state after record N
 
 A frame is marker, kind, length, sequence, synced, CRC and payload.  `synced` is the last record that was
-known to be kept when the frame was written: that tells a torn end, which is cut, from damage to what had been
-acknowledged, which is an error.  The CRC also covers the head of the file, so that no frame of another file,
-or of another directory's, passes for one of this.  CRC32C (Castagnoli, 1993) as in iSCSI, RFC 3720.
+known to be durable when the frame was written.  It distinguishes a torn tail, which is truncated, from
+corruption of acknowledged records, which is an error.  The CRC also covers the header of the file, so that a
+frame of another file or another directory is never accepted.  CRC32C (Castagnoli, 1993) as in iSCSI, RFC
+3720.
 """
 
 from __future__ import annotations
@@ -17,178 +18,242 @@
 import struct
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
-from enum import IntEnum
+from enum import Enum, IntEnum
 
 import google_crc32c
 
-from crowpost.storage.model import FORMAT, RECORD_BYTES, DamagedError, StoreError
+from crowpost.storage.errors import CorruptionError, StoreError
+from crowpost.storage.model import FORMAT_VERSION, MAX_RECORD_BYTES
 
-STORE = "store"
-NEW = ".new"  # the end of a name that is not yet what it will be
-MARKER = b"\xa7R"
-_FRAME = struct.Struct("<2sBIQQI")
-_FRAME_1 = struct.Struct("<2sBIQI")  # of format 1, which did not say what was synced
-_HEAD = struct.Struct("<8sH1s8sQI")
+STORE_FILE = "store"
+TEMPORARY_SUFFIX = ".new"  # of a file that is renamed once it is complete
+IDENTITY_BYTES = 8
+
+_MARKER = b"\xa7R"
 _MAGIC = b"CROWPOST"
-HEAD_BYTES = _HEAD.size
-LOG, SNAPSHOT = b"L", b"S"
-_NAME = re.compile(r"(log|snapshot)-([0-9]{20})\.([0-9]+)")
+_FRAME = struct.Struct("<2sBIQQI")
+_FRAME_VERSION_1 = struct.Struct("<2sBIQI")  # without `synced`
+_HEADER = struct.Struct("<8sH1s8sQI")
+_CRC = struct.Struct("<I")
+_FILE_NAME = re.compile(r"(log|snapshot)-([0-9]{20})\.([0-9]+)")
+
+HEADER_BYTES = _HEADER.size
+
+
+class FileKind(Enum):
+    """The kind of a file; the value is written in its header."""
+
+    LOG = b"L"
+    SNAPSHOT = b"S"
 
 
 class FrameKind(IntEnum):
     """What a frame holds."""
 
     RECORD = 0
-    SEAL = 1  # nothing: all before it is kept, and the file was ended in order
-    PIECE = 2  # of a snapshot; its sequence counts them
-    END = 3  # of a snapshot; its sequence is how many pieces there were
+    SEAL = 1  # nothing: all records before it are durable, and the file was closed in order
+    SNAPSHOT_PIECE = 2  # its sequence is the index of the piece
+    SNAPSHOT_END = 3  # its sequence is the number of pieces
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A whole frame, and where it begins and ends in its file."""
+    """A valid frame, and the positions at which it starts and ends in its file."""
 
     kind: FrameKind
     sequence: int
     synced: int
     payload: bytes
-    at: int
+    start: int
     end: int
 
 
+# ---------------------------------------------------------------- file names
+
+
 @dataclass(frozen=True, slots=True)
 class FileName:
-    """What the name of a log or snapshot says."""
+    """The content of the name of a log segment or snapshot."""
 
-    log: bool
+    kind: FileKind
     sequence: int
-    format: int
+    format_version: int
+
 
+def log_file_name(first_sequence: int) -> str:
+    """Return the name of the log segment that begins with this record."""
+    return f"log-{first_sequence:020d}.{FORMAT_VERSION}"
 
-def log_name(first: int) -> str:
-    """The file of records from this sequence on."""
-    return f"log-{first:020d}.{FORMAT}"
 
+def snapshot_file_name(sequence: int) -> str:
+    """Return the name of the snapshot of the state after this record."""
+    return f"snapshot-{sequence:020d}.{FORMAT_VERSION}"
 
-def snapshot_name(sequence: int) -> str:
-    """The file of the state after this record."""
-    return f"snapshot-{sequence:020d}.{FORMAT}"
 
+def parse_file_name(name: str) -> FileName | None:
+    """Return what a file name says; None for a file that is no log segment and no snapshot."""
+    match = _FILE_NAME.fullmatch(name)
+    if match is None:
+        return None
+    kind = FileKind.LOG if match[1] == "log" else FileKind.SNAPSHOT
+    return FileName(kind, int(match[2]), int(match[3]))
 
-def read_name(name: str) -> FileName | None:
-    """What a file name says; None for one that is no log and no snapshot."""
-    found = _NAME.fullmatch(name)
-    return FileName(found[1] == "log", int(found[2]), int(found[3])) if found else None
 
+# ---------------------------------------------------------------- headers
 
-def head(kind: bytes, identity: bytes, sequence: int, version: int = FORMAT) -> bytes:
-    """The first bytes of a log or snapshot."""
-    body = _HEAD.pack(_MAGIC, version, kind, identity, sequence, 0)[:-4]
-    return body + struct.pack("<I", google_crc32c.value(body))
 
+@dataclass(frozen=True, slots=True)
+class Header:
+    """The header of a log segment or snapshot."""
+
+    kind: FileKind
+    identity: bytes
+    sequence: int
+    format_version: int = FORMAT_VERSION
 
-def _crc(context: bytes, fields: bytes, payload: bytes) -> int:
+    def encode(self) -> bytes:
+        """Return the first bytes of the file."""
+        fields = (_MAGIC, self.format_version, self.kind.value, self.identity, self.sequence, 0)
+        body = _HEADER.pack(*fields)[: -_CRC.size]
+        return body + _CRC.pack(google_crc32c.value(body))
+
+    def verify(self, file: str, data: bytes) -> None:
+        """Raise CorruptionError if the data of a file does not begin with this header."""
+        first = data[:HEADER_BYTES]
+        if len(first) < HEADER_BYTES:
+            raise CorruptionError(file, len(first), "its header is cut short")
+        if first == self.encode():
+            return
+        body = first[: -_CRC.size]
+        if first == body + _CRC.pack(google_crc32c.value(body)):
+            raise CorruptionError(file, 0, "its header is that of another store or file")
+        raise CorruptionError(file, 0, "its header is not as written")
+
+
+def identity_in_header(data: bytes) -> bytes:
+    """Return the identity in a file's header, which may be corrupt."""
+    start = len(_MAGIC) + 3  # after the format version and the kind
+    return data[start : start + IDENTITY_BYTES]
+
+
+# ---------------------------------------------------------------- frames
+
+
+def _checksum(context: bytes, fields: bytes, payload: bytes) -> int:
     return int(google_crc32c.extend(google_crc32c.value(context + fields), payload))
 
 
-class Framer:
-    """Makes and reads the frames of one file.  first: the file's whole head."""
+class FrameCodec:
+    """Encodes and decodes the frames of the file with this header."""
 
-    def __init__(self, first: bytes, version: int = FORMAT) -> None:
-        self._context = first
-        self._struct = _FRAME if version == FORMAT else _FRAME_1
+    def __init__(self, header: Header) -> None:
+        self._context = header.encode()
+        self._has_synced = header.format_version == FORMAT_VERSION
+        self._struct = _FRAME if self._has_synced else _FRAME_VERSION_1
 
-    def frame(self, kind: FrameKind, sequence: int, synced: int, payload: bytes = b"") -> bytes:
-        """One frame."""
-        if len(payload) > RECORD_BYTES:
-            raise StoreError(f"a record of {len(payload)} bytes, {RECORD_BYTES} at the most")
-        numbers = (sequence, synced) if self._struct is _FRAME else (sequence,)
-        fields = self._struct.pack(MARKER, kind, len(payload), *numbers, 0)[:-4]
-        return fields + struct.pack("<I", _crc(self._context, fields, payload)) + payload
+    def encode(self, kind: FrameKind, sequence: int, synced: int, payload: bytes = b"") -> bytes:
+        """Return one frame.  Raise StoreError for a payload above MAX_RECORD_BYTES."""
+        if len(payload) > MAX_RECORD_BYTES:
+            raise StoreError(f"a record of {len(payload)} bytes, {MAX_RECORD_BYTES} at the most")
+        numbers = (sequence, synced) if self._has_synced else (sequence,)
+        fields = self._struct.pack(_MARKER, kind, len(payload), *numbers, 0)[: -_CRC.size]
+        return fields + _CRC.pack(_checksum(self._context, fields, payload)) + payload
 
-    def at(self, data: bytes, at: int) -> Frame | None:
-        """The whole frame that begins there; None where there is none."""
+    def decode_at(self, data: bytes, start: int) -> Frame | None:
+        """Return the valid frame that starts at a position; None if there is none."""
         size = self._struct.size
-        if data[at : at + 2] != MARKER or at + size > len(data):
+        if not data.startswith(_MARKER, start) or start + size > len(data):
             return None
-        _, kind, length, sequence, *synced, crc = self._struct.unpack_from(data, at)
-        end = at + size + length
-        if kind > FrameKind.END or length > RECORD_BYTES or end > len(data):
+        _, kind, length, sequence, *synced, crc = self._struct.unpack_from(data, start)
+        end = start + size + length
+        if kind > FrameKind.SNAPSHOT_END or length > MAX_RECORD_BYTES or end > len(data):
             return None
-        payload = data[at + size : end]
-        if _crc(self._context, data[at : at + size - 4], payload) != crc:
+        fields = data[start : start + size - _CRC.size]
+        payload = data[start + size : end]
+        if _checksum(self._context, fields, payload) != crc:
             return None
-        return Frame(FrameKind(kind), sequence, synced[0] if synced else 0, payload, at, end)
+        return Frame(FrameKind(kind), sequence, synced[0] if synced else 0, payload, start, end)
 
-    def beyond(self, data: bytes, at: int) -> Iterator[Frame]:
-        """Whole frames that begin after a place where none does, wherever they may lie."""
-        at = data.find(MARKER, at + 1)
-        while at >= 0:
-            frame = self.at(data, at)
+    def scan_after(self, data: bytes, position: int) -> Iterator[Frame]:
+        """Yield the valid frames that start anywhere after a position."""
+        start = data.find(_MARKER, position + 1)
+        while start >= 0:
+            frame = self.decode_at(data, start)
             if frame is not None:
                 yield frame
-            at = data.find(MARKER, frame.end if frame is not None else at + 1)
+            start = data.find(_MARKER, frame.end if frame is not None else start + 1)
 
 
-def check_head(file: str, data: bytes, kind: bytes, identity: bytes, sequence: int, version: int) -> bytes:
-    """The head of a file, if it is the one that its name promises; DamagedError if not."""
-    first = data[:HEAD_BYTES]
-    if len(first) < HEAD_BYTES:
-        raise DamagedError(file, len(first), "its head is cut short")
-    if first != head(kind, identity, sequence, version):
-        own = first[:-4] + struct.pack("<I", google_crc32c.value(first[:-4]))
-        why = "its head is that of another store or file" if own == first else "its head is not as written"
-        raise DamagedError(file, 0, why)
-    return first
+# ---------------------------------------------------------------- snapshots
 
 
-def snapshot_pieces(identity: bytes, sequence: int, payloads: Iterable[bytes]) -> Iterator[bytes]:
-    """What comes behind a snapshot's head, made as it is asked for."""
-    framer = Framer(head(SNAPSHOT, identity, sequence))
+def encode_snapshot(header: Header, pieces: Iterable[bytes]) -> Iterator[bytes]:
+    """Yield the frames of a snapshot, without its header; the pieces are generated on demand."""
+    codec = FrameCodec(header)
     count = 0
-    for payload in payloads:
-        yield framer.frame(FrameKind.PIECE, count, 0, payload)
+    for piece in pieces:
+        yield codec.encode(FrameKind.SNAPSHOT_PIECE, count, 0, piece)
         count += 1
-    yield framer.frame(FrameKind.END, count, 0)
-
-
-def read_snapshot(file: str, data: bytes, identity: bytes, sequence: int, version: int) -> list[bytes]:
-    """The payloads of a snapshot; DamagedError if it is not whole to the last byte."""
-    framer = Framer(check_head(file, data, SNAPSHOT, identity, sequence, version), version)
-    payloads: list[bytes] = []
-    at = HEAD_BYTES
-    while (frame := framer.at(data, at)) is not None and frame.sequence == len(payloads):
-        at = frame.end
-        if frame.kind is FrameKind.END:
-            if at < len(data):
-                raise DamagedError(file, at, f"{len(data) - at} bytes behind its end")
-            return payloads
-        if frame.kind is not FrameKind.PIECE:
+    yield codec.encode(FrameKind.SNAPSHOT_END, count, 0)
+
+
+def decode_snapshot(file: str, data: bytes, header: Header) -> list[bytes]:
+    """Return the pieces of a snapshot.  Raise CorruptionError unless it is valid to its last byte."""
+    header.verify(file, data)
+    codec = FrameCodec(header)
+    pieces: list[bytes] = []
+    position = HEADER_BYTES
+    while (frame := codec.decode_at(data, position)) is not None and frame.sequence == len(pieces):
+        position = frame.end
+        if frame.kind is FrameKind.SNAPSHOT_END:
+            if position < len(data):
+                raise CorruptionError(file, position, f"{len(data) - position} bytes after its end")
+            return pieces
+        if frame.kind is not FrameKind.SNAPSHOT_PIECE:
             break
-        payloads.append(frame.payload)
-    raise DamagedError(file, at, "no whole piece of a snapshot")
-
-
-def store_text(owner: str, identity: bytes, version: int = FORMAT) -> bytes:
-    """The content of the directory's own file."""
-    line = json.dumps({"format": version, "owner": owner, "identity": identity.hex()}).encode()
-    return b"%s\n%08x\n" % (line, google_crc32c.value(line))
-
-
-def read_store(data: bytes) -> tuple[int, str, bytes]:
-    """Format, owner and identity of a directory; DamagedError or StoreError if none that can be used."""
-    line, _, crc = data.partition(b"\n")
-    if crc != b"%08x\n" % google_crc32c.value(line):
-        raise DamagedError(STORE, 0, "its checksum is not that of its content")
-    try:
-        raw = json.loads(line)
-        version, owner, identity = int(raw["format"]), str(raw["owner"]), bytes.fromhex(raw["identity"])
-    except (ValueError, KeyError, TypeError) as error:
-        raise StoreError(f"{STORE}: not a store's own file: {error}") from None
-    if version > FORMAT:
-        raise StoreError(
-            f"{STORE}: format {version} is newer than {FORMAT}, the newest known: use a newer crowpost"
-        )
-    if version < FORMAT - 1:
-        raise StoreError(f"{STORE}: format {version} is too old, {FORMAT - 1} is the oldest that is migrated")
-    return version, owner, identity
+        pieces.append(frame.payload)
+    raise CorruptionError(file, position, "no valid piece of a snapshot")
+
+
+# ---------------------------------------------------------------- the store file
+
+
+@dataclass(frozen=True, slots=True)
+class StoreFile:
+    """The content of the file `store`: format, owner and identity of a directory."""
+
+    owner: str
+    identity: bytes
+    format_version: int = FORMAT_VERSION
+
+    def encode(self) -> bytes:
+        """Return the content of the file."""
+        values = {"format": self.format_version, "owner": self.owner, "identity": self.identity.hex()}
+        line = json.dumps(values).encode()
+        return b"%s\n%08x\n" % (line, google_crc32c.value(line))
+
+    @classmethod
+    def decode(cls, data: bytes) -> StoreFile:
+        """Read the content of the file.
+
+        Raise CorruptionError for a wrong checksum, and StoreError for a format that this version cannot read.
+        """
+        line, _, crc = data.partition(b"\n")
+        if crc != b"%08x\n" % google_crc32c.value(line):
+            raise CorruptionError(STORE_FILE, 0, "its checksum does not match its content")
+        try:
+            raw = json.loads(line)
+            content = cls(str(raw["owner"]), bytes.fromhex(raw["identity"]), int(raw["format"]))
+        except (ValueError, KeyError, TypeError) as error:
+            raise StoreError(f"{STORE_FILE}: not the file of a store: {error}") from error
+        _require_known_format(content.format_version)
+        return content
+
+
+def _require_known_format(version: int) -> None:
+    if version > FORMAT_VERSION:
+        known = f"{FORMAT_VERSION}, the newest known: use a newer crowpost"
+        raise StoreError(f"{STORE_FILE}: format {version} is newer than {known}")
+    if version < FORMAT_VERSION - 1:
+        known = f"{FORMAT_VERSION - 1} is the oldest that is migrated"
+        raise StoreError(f"{STORE_FILE}: format {version} is too old, {known}")
--- a/crowpost/storage/model.py
+++ b/crowpost/storage/model.py
@@ -1,106 +1,22 @@
-"""The disk operations that the core asks for, what recovery finds, and the errors; nothing here does I/O."""
+"""Records, durability, and what recovery reads from a directory; nothing here does I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
 
-FORMAT = 2  # of the directory; the one before is migrated, a newer one refused
-RECORD_BYTES = 1 << 24  # of one record at the most: a length beyond that is damage
-SNAPSHOTS_KEPT = 2  # the last, and one that may stand in for it
+from crowpost.storage.operations import Operation
 
-
-class StoreError(Exception):
-    """A directory that cannot be used; its text is one line that names what to do."""
-
-
-class DamagedError(StoreError):
-    """What was kept is no longer as it was written."""
-
-    def __init__(self, file: str, offset: int, what: str) -> None:
-        super().__init__(f"{file} is damaged at byte {offset}: {what}")
-        self.file, self.offset, self.what = file, offset, what
-
-
-class ForeignError(StoreError):
-    """The directory is another's: a mistake of the configuration, and no damage."""
+FORMAT_VERSION = 2  # the version before is migrated, a newer one is refused
+MAX_RECORD_BYTES = 1 << 24  # a greater length in a frame is corruption
+RETAINED_SNAPSHOTS = 2  # the newest, and one that can replace it
 
 
 class Durability(Enum):
-    """When a record is held to be kept."""
-
-    ACKNOWLEDGED = "acknowledged"  # told after its fsync, which it shares with all that wait at the time
-    SOON = "soon"  # written within `soon_ms`; a power loss may take the last of these
-
-
-# ---------------------------------------------------------------- operations, done one after another
-
-
-@dataclass(frozen=True, slots=True)
-class Create:
-    """Make a file that must not exist, with these first bytes."""
-
-    file: str
-    data: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class Append:
-    """Write bytes at a file's end."""
-
-    file: str
-    data: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class Fill:
-    """Write pieces at a file's end that are only made while they are written."""
-
-    file: str
-    pieces: Iterable[bytes]
-
-
-@dataclass(frozen=True, slots=True)
-class Sync:
-    """fsync of a file."""
-
-    file: str
+    """When a record becomes durable."""
 
-
-@dataclass(frozen=True, slots=True)
-class SyncDirectory:
-    """fsync of the directory: names that were made, changed or removed are kept from then on."""
-
-
-@dataclass(frozen=True, slots=True)
-class Rename:
-    """Give a file another name, in place of whatever has it."""
-
-    file: str
-    to: str
-
-
-@dataclass(frozen=True, slots=True)
-class Remove:
-    """Remove a name."""
-
-    file: str
-
-
-Operation = Create | Append | Fill | Sync | SyncDirectory | Rename | Remove
-
-
-@dataclass(frozen=True, slots=True)
-class Job:
-    """Operations to be done in order, up to the first that fails.  number: to be named when it has ended."""
-
-    number: int
-    operations: tuple[Operation, ...]
-    through: int  # the last record that is kept once all are done
-
-
-# ---------------------------------------------------------------- what was found
+    ACKNOWLEDGED = "acknowledged"  # synced at once, by an fsync shared with all records that wait
+    DELAYED = "delayed"  # written within `WritePolicy.max_delay_ms`; a power loss may lose the last of these
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,19 +27,41 @@
     payload: bytes
 
 
+@dataclass(frozen=True, slots=True, order=True)
+class StoredFile:
+    """A log segment with the sequence of its first record, or a snapshot with that of its last."""
+
+    sequence: int
+    name: str
+
+
 @dataclass(slots=True)
-class Found:
-    """What a directory holds.  repairs: to be done before anything is written; notes: to be told."""
+class RecoveredState:
+    """What a directory holds.
+
+    identity: 8 random bytes that mark the files of one directory.  repairs: operations to execute before
+    anything is written.  notes: findings to report to an operator.
+    """
 
     owner: str
-    snapshot_sequence: int = 0
+    identity: bytes
+    snapshot_sequence: int = 0  # 0: there is no snapshot
     snapshot: list[bytes] = field(default_factory=list)
     records: list[Record] = field(default_factory=list)  # after the snapshot, without a gap
     next_sequence: int = 1
-    segments: list[tuple[int, str]] = field(default_factory=list)  # first sequence and file, in order
-    snapshots: list[tuple[int, str]] = field(default_factory=list)  # of which the last was taken
-    tail_bytes: int = 0  # of the last segment, without a torn end
+    segments: list[StoredFile] = field(default_factory=list)  # in order
+    snapshots: list[StoredFile] = field(default_factory=list)  # in order; the last one was read
+    tail_bytes: int = 0  # of the last segment, without a torn tail
     repairs: list[Operation] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
-    format: int = FORMAT
-    fresh: bool = False  # there was no store here
+    format_version: int = FORMAT_VERSION
+    is_new: bool = False  # there was no store in the directory
+
+    @property
+    def last_sequence(self) -> int:
+        """The sequence number of the last record; 0 if there is none."""
+        return self.next_sequence - 1
+
+    def payloads(self) -> list[bytes]:
+        """Return the pieces of the snapshot and the records after it."""
+        return [*self.snapshot, *(record.payload for record in self.records)]
--- a/crowpost/storage/recovery.py
+++ b/crowpost/storage/recovery.py
@@ -1,272 +1,240 @@
-"""What a directory holds after whatever happened to it: the last snapshot, the records behind it, and what
-must be put right before anything is written.  It reads and decides; what to do comes out as operations.
+"""Recovery: what a directory holds after a crash, and the repairs needed before anything is written.
+
+It reads and decides; the repairs are returned as disk operations.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Sequence
 
+from crowpost.storage.errors import CorruptionError, OwnerMismatchError, StoreError
 from crowpost.storage.file_format import (
-    HEAD_BYTES,
-    LOG,
-    NEW,
-    SNAPSHOT,
-    STORE,
-    FileName,
-    FrameKind,
-    Framer,
-    check_head,
-    head,
-    log_name,
-    read_name,
-    read_snapshot,
-    read_store,
-    snapshot_name,
-    snapshot_pieces,
-    store_text,
-)
-from crowpost.storage.model import (
-    FORMAT,
-    SNAPSHOTS_KEPT,
-    Create,
-    DamagedError,
-    Fill,
-    ForeignError,
-    Found,
-    Operation,
-    Record,
-    Remove,
-    Rename,
-    StoreError,
-    Sync,
-    SyncDirectory,
+    HEADER_BYTES,
+    STORE_FILE,
+    TEMPORARY_SUFFIX,
+    FileKind,
+    FrameCodec,
+    Header,
+    StoreFile,
+    decode_snapshot,
+    log_file_name,
+    parse_file_name,
 )
+from crowpost.storage.log_segment import read_segment, segment_header
+from crowpost.storage.migration import migrate
+from crowpost.storage.model import FORMAT_VERSION, RETAINED_SNAPSHOTS, RecoveredState, StoredFile
+from crowpost.storage.operations import Create, Operation, Remove, Rename, Sync, SyncDirectory
 
-Read = Callable[[str], bytes]
+FileReader = Callable[[str], bytes]  # returns the content of a file
+_FIRST_SEGMENT = StoredFile(1, log_file_name(1))
 
 
-def store_files(names: Iterable[str], read: Read) -> list[str]:
-    """Of these files those that only a store leaves; without any of them there is no store.
+def find_store_files(names: Iterable[str], read: FileReader) -> list[str]:
+    """Return the files that only a store leaves; none means that the directory holds no store.
 
-    The first log is made before the store's own file, and nothing is written to it until then: without a
-    record it is none.
+    The first segment is created before the store file, and no record is written to it until then: a first
+    segment without a record does not count.
     """
-    own = [name for name in names if name == STORE or read_name(name) is not None]
-    return [n for n in own if STORE in own or n != log_name(1) or len(read(n)) > HEAD_BYTES]
+    candidates = [name for name in names if name == STORE_FILE or parse_file_name(name) is not None]
+    if STORE_FILE in candidates:
+        return candidates
+    first = _FIRST_SEGMENT.name
+    return [name for name in candidates if name != first or len(read(name)) > HEADER_BYTES]
 
 
-def recover(names: Iterable[str], read: Read, owner: str, fresh_identity: bytes) -> tuple[Found, bytes]:
-    """What the directory holds, and its identity.
+def recover(
+    names: Iterable[str], read: FileReader, expected_owner: str, new_identity: bytes
+) -> RecoveredState:
+    """Return what the directory with these files holds.
 
-    names: of its files; read: the whole content of one.  owner: whose directory it must be; empty: anybody's.
-    fresh_identity: 8 random bytes for a directory that holds no store yet.  DamagedError or StoreError where
-    something that was kept is not there as it was written: nothing is passed over or chosen in secret.
+    expected_owner: empty for any.  new_identity: 8 random bytes, used if the directory holds no store yet.
+    Raise CorruptionError or StoreError if anything durable is not there as written: nothing is skipped, and
+    no older snapshot is chosen, without an operator's decision.
     """
     present = sorted(names)
-    found = Found(owner)
-    kept = [(name, told) for name in present if (told := read_name(name)) is not None]
-    for name in present:
-        if name.endswith(NEW):
-            found.repairs.append(Remove(name))  # never got its name: nothing depended on it
-    if STORE not in present:
-        for name in store_files(present, read):
-            raise StoreError(f"{STORE} is missing beside {name}: it was removed by other hands")
-        found.repairs += [Remove(name) for name, _ in kept]
-        found.fresh = True
-        found.repairs += _begin(owner, fresh_identity)
-        found.segments = [(1, log_name(1))]
-        found.tail_bytes = HEAD_BYTES
-        return found, fresh_identity
-    version, written, identity = read_store(read(STORE))
-    if owner and written != owner:
-        raise ForeignError(f"{STORE}: the directory belongs to {written!r}, not to {owner!r}")
-    found.owner, found.format = written, version
-    foreign = [name for name, told in kept if told.format != version]
-    found.repairs += [Remove(name) for name in foreign]  # of a migration that was cut off, or just done
-    own = [(name, told) for name, told in kept if told.format == version]
-    _read_all(own, read, identity, found)
-    if version != FORMAT:
-        _migrate(found, own, identity)
+    if STORE_FILE not in present:
+        return _create_state(present, read, expected_owner, new_identity)
+    store = StoreFile.decode(read(STORE_FILE))
+    if expected_owner and store.owner != expected_owner:
+        raise OwnerMismatchError(
+            f"{STORE_FILE}: the directory belongs to {store.owner!r}, not to {expected_owner!r}"
+        )
+    state = RecoveredState(store.owner, store.identity, format_version=store.format_version)
+    state.repairs += _remove_temporary_files(present)
+    data_files = _data_files(present)
+    current = [name for name in data_files if _format_version(name) == store.format_version]
+    # Files of another format are of a migration that was interrupted, or that has just ended.
+    state.repairs += [Remove(name) for name in data_files if name not in current]
+    read_files(state, current, read)
+    if store.format_version != FORMAT_VERSION:
+        migrate(state, current)
     else:
-        found.repairs += _rewrite(found, read)
-    return found, identity
+        state.repairs += rewrite_last_segment(state, read)
+    return state
 
 
-def _rewrite(found: Found, read: Read) -> list[Operation]:
-    """The last log, as far as it is whole, in a file of its own.
+def _data_files(present: Sequence[str]) -> list[str]:
+    return [name for name in present if parse_file_name(name) is not None]
+
+
+def _format_version(name: str) -> int:
+    parsed = parse_file_name(name)
+    return parsed.format_version if parsed is not None else 0
+
+
+def _remove_temporary_files(present: Sequence[str]) -> list[Operation]:
+    """Remove the files that were never renamed: nothing depends on them."""
+    return [Remove(name) for name in present if name.endswith(TEMPORARY_SUFFIX)]
+
+
+# ---------------------------------------------------------------- a new store
 
-    What is read may be in the system's memory only: left there by a process that was killed, or for good
-    after an fsync that failed, which no further fsync would tell of.  Written anew it is kept, and a torn end
-    is cut.
-    """
-    name = found.segments[-1][1]
-    new = name + NEW
-    whole = read(name)[: found.tail_bytes]
-    return [Create(new, whole), Sync(new), Rename(new, name), SyncDirectory()]
 
+def _create_state(present: Sequence[str], read: FileReader, owner: str, identity: bytes) -> RecoveredState:
+    leftover = find_store_files(present, read)
+    if leftover:
+        raise StoreError(f"{STORE_FILE} is missing beside {leftover[0]}: it was not removed by crowpost")
+    state = RecoveredState(owner, identity, is_new=True)
+    state.segments = [_FIRST_SEGMENT]
+    state.tail_bytes = HEADER_BYTES
+    state.repairs += _remove_temporary_files(present)
+    state.repairs += [Remove(name) for name in _data_files(present)]
+    state.repairs += create_store(owner, identity)
+    return state
 
-def _begin(owner: str, identity: bytes) -> list[Operation]:
-    """Make a store where there is none.  Its own file comes last: without it there is nothing to be lost."""
+
+def create_store(owner: str, identity: bytes) -> list[Operation]:
+    """Return the operations that create a store.  The store file is last: without it nothing can be lost."""
+    header = Header(FileKind.LOG, identity, _FIRST_SEGMENT.sequence)
+    temporary = STORE_FILE + TEMPORARY_SUFFIX
     return [
-        *_create_log(identity, 1),
-        Create(STORE + NEW, store_text(owner, identity)),
-        Sync(STORE + NEW),
-        Rename(STORE + NEW, STORE),
+        Create(_FIRST_SEGMENT.name, header.encode()),
+        Sync(_FIRST_SEGMENT.name),
+        SyncDirectory(),
+        Create(temporary, StoreFile(owner, identity).encode()),
+        Sync(temporary),
+        Rename(temporary, STORE_FILE),
         SyncDirectory(),
     ]
 
 
-def _create_log(identity: bytes, first: int) -> list[Operation]:
-    name = log_name(first)
-    return [Create(name, head(LOG, identity, first)), Sync(name), SyncDirectory()]
-
-
-def _read_all(own: Sequence[tuple[str, FileName]], read: Read, identity: bytes, found: Found) -> None:
-    """Snapshots and logs into `found`."""
-    found.snapshots = sorted((told.sequence, name) for name, told in own if not told.log)
-    segments = sorted((told.sequence, name) for name, told in own if told.log)
-    if segments and _unfinished(*segments[-1], read, identity, found.format):
-        _, name = segments.pop()
-        found.repairs.append(Remove(name))
-        found.notes.append(f"{name} was being made when the process ended: removed, it held no record")
-    _read_snapshots(found, read, identity, segments)
-    base = found.snapshot_sequence
-    needed = [i for i, (first, _) in enumerate(segments) if first <= base + 1]
-    if segments and not needed:
-        raise StoreError(f"the log lacks records {base + 1} to {segments[0][0] - 1}, before {segments[0][1]}")
-    begin = needed[-1] if needed else 0
-    for first, name in segments[:begin]:
-        _check_spare(found, name, first, read, identity)
-    last = base
-    for i, (first, name) in enumerate(segments[begin:], begin):
-        if i > begin and first != last + 1:
-            raise StoreError(f"the log lacks records {last + 1} to {first - 1}, before {name}")
-        whole = _read_log(found, name, first, read(name), identity, last_file=i == len(segments) - 1)
-        found.records += [r for r in whole if r.sequence > base]
-        last = first + len(whole) - 1
+# ---------------------------------------------------------------- an existing store
+
+
+def rewrite_last_segment(state: RecoveredState, read: FileReader) -> list[Operation]:
+    """Return the operations that write the valid part of the last segment to a new file.
+
+    What is read may be in the page cache only: left there by a process that was killed, or after a failed
+    fsync, which a second fsync would not report.  A new file is durable, and a torn tail is cut off.
+    """
+    name = state.segments[-1].name
+    temporary = name + TEMPORARY_SUFFIX
+    valid = read(name)[: state.tail_bytes]
+    return [Create(temporary, valid), Sync(temporary), Rename(temporary, name), SyncDirectory()]
+
+
+def read_files(state: RecoveredState, names: Sequence[str], read: FileReader) -> None:
+    """Read the snapshots and segments of these names into the state."""
+    state.snapshots = _stored_files(names, FileKind.SNAPSHOT)
+    segments = _stored_files(names, FileKind.LOG)
+    if segments and _is_unfinished(state, segments[-1], read):
+        name = segments.pop().name
+        state.repairs.append(Remove(name))
+        state.notes.append(f"{name} was being created when the process ended: removed, it held no record")
+    _read_snapshots(state, segments, read)
+    last = _read_segments(state, segments, read)
     if not segments:
-        raise StoreError(f"the log behind {found.snapshots[-1][1] if found.snapshots else STORE} is missing")
+        name = state.snapshots[-1].name if state.snapshots else STORE_FILE
+        raise StoreError(f"the log after {name} is missing")
+    base = state.snapshot_sequence
     if last < base:
-        raise StoreError(f"the log ends with record {last}, before the snapshot of {base}: some were removed")
-    found.segments, found.next_sequence = segments, max(last, base) + 1
+        raise StoreError(
+            f"the log ends with record {last}, before the snapshot of {base}: files were removed"
+        )
+    state.segments = segments
+    state.next_sequence = max(last, base) + 1
 
 
-def _read_snapshots(found: Found, read: Read, identity: bytes, segments: list[tuple[int, str]]) -> None:
-    if not found.snapshots:
-        return
-    sequence, name = found.snapshots[-1]
-    version = found.format
-    try:
-        found.snapshot = read_snapshot(name, read(name), identity, sequence, version)
-    except DamagedError as error:
-        raise DamagedError(
-            name, error.offset, f"{error.what}; {_offer(found, read, identity, segments)}"
-        ) from None
-    found.snapshot_sequence = sequence
-    for older, spare in found.snapshots[-SNAPSHOTS_KEPT:-1]:
-        try:
-            read_snapshot(spare, read(spare), identity, older, version)
-        except DamagedError as error:
-            found.notes.append(f"{error}; {name} is whole and was used, this one can stand in for it no more")
+def _stored_files(names: Sequence[str], kind: FileKind) -> list[StoredFile]:
+    parsed = [(name, parse_file_name(name)) for name in names]
+    return sorted(StoredFile(p.sequence, name) for name, p in parsed if p is not None and p.kind is kind)
 
 
-def _offer(found: Found, read: Read, identity: bytes, segments: list[tuple[int, str]]) -> str:
-    """Which snapshot could stand in for the last one."""
-    for sequence, name in reversed(found.snapshots[:-1]):
-        try:
-            read_snapshot(name, read(name), identity, sequence, found.format)
-        except DamagedError:
-            continue
-        if any(first <= sequence + 1 for first, _ in segments):
-            return f"{name} is whole: `crowpost state repair` goes back to it and the log behind it"
-    return "no other snapshot is whole: `crowpost state repair` lists what would be lost"
+def _is_unfinished(state: RecoveredState, segment: StoredFile, read: FileReader) -> bool:
+    """Return whether a segment has no valid header and no valid frame: a crash cut off its creation."""
+    data = read(segment.name)
+    header = segment_header(state, segment)
+    try:
+        header.verify(segment.name, data)
+    except CorruptionError:
+        return next(FrameCodec(header).scan_after(data, -1), None) is None
+    return False
 
 
-def _check_spare(found: Found, name: str, first: int, read: Read, identity: bytes) -> None:
-    """A log that only an older snapshot needs: damage is told, and harms nothing."""
+def _read_segments(state: RecoveredState, segments: Sequence[StoredFile], read: FileReader) -> int:
+    """Read the records after the snapshot into the state, and return the sequence of the last one."""
+    base = state.snapshot_sequence
+    spare = [segment for segment in segments if segment.sequence <= base + 1][:-1]
+    needed = segments[len(spare) :]
+    if needed and needed[0].sequence > base + 1:
+        raise StoreError(
+            f"the log lacks records {base + 1} to {needed[0].sequence - 1}, before {needed[0].name}"
+        )
+    for segment in spare:
+        _check_spare_segment(state, segment, read)
+    last = base
+    for segment in needed:
+        if segment is not needed[0] and segment.sequence != last + 1:
+            raise StoreError(
+                f"the log lacks records {last + 1} to {segment.sequence - 1}, before {segment.name}"
+            )
+        records = read_segment(state, segment, read(segment.name), is_last=segment is segments[-1])
+        state.records += [record for record in records if record.sequence > base]
+        last = segment.sequence + len(records) - 1
+    return last
+
+
+def _check_spare_segment(state: RecoveredState, segment: StoredFile, read: FileReader) -> None:
+    """Note corruption of a segment that only an older snapshot needs; no record is lost by it."""
     try:
-        _read_log(found, name, first, read(name), identity, last_file=False)
-    except DamagedError as error:
-        found.notes.append(f"{error}; a later snapshot holds all that is in it")
+        read_segment(state, segment, read(segment.name), is_last=False)
+    except CorruptionError as error:
+        state.notes.append(f"{error}; a later snapshot holds all that is in it")
+
+
+# ---------------------------------------------------------------- snapshots
 
 
-def _unfinished(first: int, name: str, read: Read, identity: bytes, version: int) -> bool:
-    """Whether a crash came before a log could hold anything: it lacks a head, and holds no frame."""
-    data = read(name)
+def _load_snapshot(state: RecoveredState, snapshot: StoredFile, read: FileReader) -> list[bytes]:
+    header = Header(FileKind.SNAPSHOT, state.identity, snapshot.sequence, state.format_version)
+    return decode_snapshot(snapshot.name, read(snapshot.name), header)
+
+
+def _read_snapshots(state: RecoveredState, segments: Sequence[StoredFile], read: FileReader) -> None:
+    """Read the last snapshot into the state, and check the others that are retained."""
+    if not state.snapshots:
+        return
+    newest = state.snapshots[-1]
     try:
-        check_head(name, data, LOG, identity, first, version)
-    except DamagedError:
-        framer = Framer(head(LOG, identity, first, version), version)
-        return next(framer.beyond(data, -1), None) is None
-    return False
+        state.snapshot = _load_snapshot(state, newest, read)
+    except CorruptionError as error:
+        reason = f"{error.reason}; {_describe_fallback(state, segments, read)}"
+        raise CorruptionError(newest.name, error.offset, reason) from error
+    state.snapshot_sequence = newest.sequence
+    for older in state.snapshots[-RETAINED_SNAPSHOTS:-1]:
+        try:
+            _load_snapshot(state, older, read)
+        except CorruptionError as error:
+            state.notes.append(f"{error}; {newest.name} is valid and was used, this one cannot replace it")
 
 
-def _read_log(
-    found: Found, name: str, first: int, data: bytes, identity: bytes, *, last_file: bool
-) -> list[Record]:
-    """The records of one file, up to a torn end."""
-    version = found.format
-    framer = Framer(check_head(name, data, LOG, identity, first, version), version)
-    records, at, sealed = log_records(framer, data, first)
-    if at < len(data):
-        _tear(found, framer, name, data, at, first + len(records), last_file)
-    if not last_file and not sealed and version == FORMAT:
-        raise DamagedError(name, at, "it ends without its seal, though another follows")
-    found.tail_bytes = at
-    return records
-
-
-def log_records(framer: Framer, data: bytes, first: int) -> tuple[list[Record], int, bool]:
-    """The records of a log up to the first that is not whole, where that is, and whether a seal was last."""
-    records: list[Record] = []
-    at, sealed = HEAD_BYTES, False
-    while (frame := framer.at(data, at)) is not None:
-        expected = first + len(records)
-        if frame.kind is FrameKind.RECORD and frame.sequence == expected:
-            records.append(Record(frame.sequence, frame.payload))
-        elif frame.kind is not FrameKind.SEAL or frame.sequence != expected - 1:
-            break
-        sealed = frame.kind is FrameKind.SEAL
-        at = frame.end
-    return records, at, sealed
-
-
-def _tear(
-    found: Found, framer: Framer, name: str, data: bytes, at: int, expected: int, last_file: bool
-) -> None:
-    """What does not read as the next frame: cut as a torn end, unless it had been acknowledged.
-
-    A power loss may leave any part of what no fsync has covered, later bytes without earlier ones as well.
-    A whole frame that says the missing record was synced before it was itself written shows damage.
-    """
-    behind = list(framer.beyond(data, at))
-    # Format 1 did not say what had been synced: whatever is whole behind it counts.
-    acknowledged = any(f.synced >= expected or found.format < FORMAT for f in behind)
-    if acknowledged or not last_file:
-        raise DamagedError(name, at, f"record {expected} is not as it was written, and had been kept")
-    lost = f", {len(behind)} whole records among them" if behind else ""
-    found.notes.append(f"{name}: a torn end of {len(data) - at} bytes from byte {at} on was cut{lost}")
-
-
-def _migrate(found: Found, own: Sequence[tuple[str, FileName]], identity: bytes) -> None:
-    """Write what was read anew in the present format; the directory's own file is the moment of change."""
-    found.notes.append(f"migrated from format {found.format} to {FORMAT}")
-    repairs = list(found.repairs)  # files that never got their name, and of a migration that was cut off
-    gone = {r.file for r in repairs if isinstance(r, Remove)}
-    base = found.snapshot_sequence
-    if found.snapshots:
-        name = snapshot_name(base)
-        pieces = tuple(snapshot_pieces(identity, base, found.snapshot))
-        repairs += [Create(name, head(SNAPSHOT, identity, base)), Fill(name, pieces), Sync(name)]
-        found.snapshots = [(base, name)]
-    log = log_name(base + 1)
-    first = head(LOG, identity, base + 1)
-    framer = Framer(first)
-    frames = [framer.frame(FrameKind.RECORD, r.sequence, r.sequence - 1, r.payload) for r in found.records]
-    data = b"".join([first, *frames])
-    repairs += [Create(log, data), Sync(log), SyncDirectory()]
-    repairs += [Create(STORE + NEW, store_text(found.owner, identity)), Sync(STORE + NEW)]
-    repairs += [Rename(STORE + NEW, STORE), SyncDirectory()]
-    repairs += [Remove(name) for name, _ in own if name not in gone]
-    found.repairs, found.segments, found.tail_bytes = repairs, [(base + 1, log)], len(data)
-    found.format = FORMAT
+def _describe_fallback(state: RecoveredState, segments: Sequence[StoredFile], read: FileReader) -> str:
+    """Return which snapshot could replace the last one."""
+    for snapshot in reversed(state.snapshots[:-1]):
+        try:
+            _load_snapshot(state, snapshot, read)
+        except CorruptionError:
+            continue
+        if any(segment.sequence <= snapshot.sequence + 1 for segment in segments):
+            return f"{snapshot.name} is whole: `crowpost state repair` goes back to it and the log after it"
+    return "no other snapshot is whole: `crowpost state repair` lists what would be lost"
--- a/crowpost/storage/repair.py
+++ b/crowpost/storage/repair.py
@@ -1,7 +1,7 @@
-"""A directory that recovery refuses: what of it is whole, what would be lost, and a copy that can be opened.
+"""Repair of a directory that recovery refuses: a copy that can be opened, and a list of what is lost.
 
-Nothing here writes into the directory itself: a repair copies it first, puts the copy right, and leaves it to
-who asked to put the one in the other's place.
+The directory itself is never written: a repair copies it first, writes what can be saved beside the copy, and
+leaves it to the operator to put that in place.
 """
 
 from __future__ import annotations
@@ -12,210 +12,201 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from crowpost.storage.disk import Disk, words
+from crowpost.storage.disk import Disk, describe_os_error
+from crowpost.storage.errors import CorruptionError, StoreError
 from crowpost.storage.file_format import (
-    HEAD_BYTES,
-    LOG,
-    NEW,
-    SNAPSHOT,
-    STORE,
-    FileName,
+    HEADER_BYTES,
+    STORE_FILE,
+    TEMPORARY_SUFFIX,
+    FileKind,
+    FrameCodec,
     FrameKind,
-    Framer,
-    check_head,
-    head,
-    log_name,
-    read_name,
-    read_snapshot,
-    read_store,
-    snapshot_name,
-    snapshot_pieces,
-    store_text,
+    Header,
+    StoreFile,
+    decode_snapshot,
+    encode_snapshot,
+    identity_in_header,
+    log_file_name,
+    parse_file_name,
+    snapshot_file_name,
 )
-from crowpost.storage.model import FORMAT, DamagedError, Found, Record, StoreError
-from crowpost.storage.recovery import Read, log_records, recover
+from crowpost.storage.log_segment import decode_log, encode_log
+from crowpost.storage.model import FORMAT_VERSION, Record
+from crowpost.storage.recovery import FileReader
 
-
-@dataclass(slots=True)
-class FileReport:
-    """What one file holds, read by itself.  damage: empty where it is whole; at: the byte it begins at."""
-
-    name: str
-    bytes: int
-    first: int = 0  # records, or pieces of a snapshot
-    last: int = 0
-    sealed: bool = False
-    damage: str = ""
-    at: int = 0
-
-
-@dataclass(slots=True)
-class Verified:
-    """Every file of a directory, and whether it can be opened as a whole.  refused: why not."""
-
-    owner: str = ""
-    format: int = 0
-    files: list[FileReport] = field(default_factory=list)
-    found: Found | None = None
-    refused: str = ""
+REPAIRED_SUFFIX = "-repaired"
 
 
 @dataclass(slots=True)
 class Salvage:
-    """What can be saved of a directory: a state that is whole, what is lost of it, and why."""
+    """What can be saved of a directory: a state without a gap, and one line for each thing that is lost."""
 
     owner: str
     identity: bytes
-    base: int = 0  # the snapshot that is used; 0: none
+    snapshot_sequence: int = 0  # of the snapshot that is used; 0: none
     snapshot: list[bytes] = field(default_factory=list)
     records: list[Record] = field(default_factory=list)
-    dropped: list[str] = field(default_factory=list)  # one line each
+    dropped: list[str] = field(default_factory=list)
 
     @property
-    def last(self) -> int:
+    def last_sequence(self) -> int:
         """The last record that is saved."""
-        return self.base + len(self.records)
+        return self.snapshot_sequence + len(self.records)
 
 
-def verify(names: Iterable[str], read: Read) -> Verified:
-    """Read every file by itself, then the directory as a whole."""
-    present = sorted(names)
-    told = Verified()
-    identity = bytes(8)
-    try:
-        told.format, told.owner, identity = read_store(read(STORE)) if STORE in present else (0, "", identity)
-    except StoreError as error:
-        told.refused = str(error)
-    for name in present:
-        kind = read_name(name)
-        if kind is not None:
-            told.files.append(_report(name, kind, read(name), identity))
-    if not told.refused:
-        try:
-            told.found, _ = recover(present, read, "", identity)
-        except StoreError as error:
-            told.refused = str(error)
-    return told
-
-
-def _report(name: str, kind: FileName, data: bytes, identity: bytes) -> FileReport:
-    report = FileReport(name, len(data))
-    try:
-        if kind.log:
-            records, report.at, report.sealed = _log_records(name, kind, data, identity)
-            report.first, report.last = kind.sequence, kind.sequence + len(records) - 1
-            if report.at < len(data):
-                report.damage = "no whole record"
-        else:
-            pieces = read_snapshot(name, data, identity, kind.sequence, kind.format)
-            report.first = report.last = kind.sequence
-            report.at, report.sealed = len(data), bool(pieces)
-    except DamagedError as error:
-        report.damage, report.at = error.what, error.offset
-    return report
-
-
-def _log_records(name: str, kind: FileName, data: bytes, identity: bytes) -> tuple[list[Record], int, bool]:
-    """As `log_records`, of a file by its name; DamagedError where its head is not whole."""
-    first = check_head(name, data, LOG, identity, kind.sequence, kind.format)
-    return log_records(Framer(first, kind.format), data, kind.sequence)
-
-
-def salvage(names: Iterable[str], read: Read, owner: str = "") -> Salvage:
-    """The longest state without a gap that is whole: from the newest good snapshot, the records behind it.
-
-    owner: for a directory whose own file cannot be read.  StoreError where nothing tells whose it is.
+@dataclass(frozen=True, slots=True)
+class _DataFile:
+    """A log segment or snapshot of a directory that is repaired."""
+
+    name: str
+    kind: FileKind
+    sequence: int
+    format_version: int
+
+    def header(self, identity: bytes) -> Header:
+        return Header(self.kind, identity, self.sequence, self.format_version)
+
+
+# ---------------------------------------------------------------- what can be saved
+
+
+def salvage(names: Iterable[str], read: FileReader, owner: str = "") -> Salvage:
+    """Return the longest intact state without a gap: the newest intact snapshot and the records after it.
+
+    owner: for a directory whose store file cannot be read.  Raise StoreError if the owner is unknown.
     """
     present = sorted(names)
-    dropped: list[str] = []
-    kept = [(name, kind) for name in present if (kind := read_name(name)) is not None]
+    files = _data_files(present)
+    store, dropped = _read_store_file(present, read, files, owner)
+    saved = Salvage(store.owner, store.identity, dropped=dropped)
+    current = [file for file in files if file.format_version == store.format_version]
+    snapshots = [file for file in current if file.kind is FileKind.SNAPSHOT]
+    for file in sorted(snapshots, key=lambda file: -file.sequence):
+        if _salvage_snapshot(saved, file, read(file.name)):
+            break
+    segments = [file for file in current if file.kind is FileKind.LOG]
+    for file in sorted(segments, key=lambda file: file.sequence):
+        _salvage_segment(saved, file, read(file.name))
+    return saved
+
+
+def _data_files(present: Iterable[str]) -> list[_DataFile]:
+    parsed = [(name, parse_file_name(name)) for name in present]
+    return [_DataFile(name, p.kind, p.sequence, p.format_version) for name, p in parsed if p is not None]
+
+
+def _read_store_file(
+    present: list[str], read: FileReader, files: list[_DataFile], owner: str
+) -> tuple[StoreFile, list[str]]:
+    """Return the store file, or one made up from the owner and the other files, and what that drops."""
     try:
-        version, owner, identity = read_store(read(STORE) if STORE in present else b"")
+        return StoreFile.decode(read(STORE_FILE) if STORE_FILE in present else b""), []
     except StoreError as error:
         if not owner:
-            raise StoreError(f"{error}; name its owner with --owner to repair it all the same") from None
-        dropped.append(f"{STORE}: {error}; written anew for {owner!r}")
-        version, identity = max((k.format for _, k in kept), default=FORMAT), _identity(kept, read)
-    saved = Salvage(owner, identity, dropped=dropped)
-    own = [(name, kind) for name, kind in kept if kind.format == version]
-    for name, kind in sorted((k for k in own if not k[1].log), key=lambda k: -k[1].sequence):
-        try:
-            saved.snapshot = read_snapshot(name, read(name), identity, kind.sequence, version)
-            saved.base = kind.sequence
-            break
-        except DamagedError as error:
-            saved.dropped.append(f"{name}: {error.what} at byte {error.offset}; the whole snapshot")
-    for name, kind in sorted((k for k in own if k[1].log), key=lambda k: k[1].sequence):
-        _save_log(saved, name, kind, read(name))
-    return saved
+            raise StoreError(f"{error}; name its owner with --owner to repair it all the same") from error
+        version = max((file.format_version for file in files), default=FORMAT_VERSION)
+        dropped = [f"{STORE_FILE}: {error}; written anew for {owner!r}"]
+        return StoreFile(owner, _find_identity(files, read), version), dropped
 
 
-def _identity(kept: list[tuple[str, FileName]], read: Read) -> bytes:
-    """The directory's identity from the first file whose head is whole."""
-    for name, kind in kept:
-        data = read(name)
-        own = data[11:19]  # behind magic, format and kind
-        if data[:HEAD_BYTES] == head(LOG if kind.log else SNAPSHOT, own, kind.sequence, kind.format):
-            return own
-    raise StoreError("no file's head is whole: nothing can be saved")
+def _find_identity(files: list[_DataFile], read: FileReader) -> bytes:
+    """Return the identity of the directory from the first file with a valid header."""
+    for file in files:
+        data = read(file.name)
+        identity = identity_in_header(data)
+        if len(data) >= HEADER_BYTES and data[:HEADER_BYTES] == file.header(identity).encode():
+            return identity
+    raise StoreError("no file has a valid header: nothing can be saved")
 
 
-def _save_log(saved: Salvage, name: str, kind: FileName, data: bytes) -> None:
+def _salvage_snapshot(saved: Salvage, file: _DataFile, data: bytes) -> bool:
+    """Take in a snapshot if it is intact; return whether it is."""
     try:
-        records, at, _ = _log_records(name, kind, data, saved.identity)
-    except DamagedError as error:
-        records, at = [], error.offset
-    wanted = saved.last + 1
-    if records and records[0].sequence > wanted:
-        many = f"{records[0].sequence} to {records[-1].sequence}"
-        saved.dropped.append(f"{name}: records {many}; those from {wanted} on before them are lost")
+        saved.snapshot = decode_snapshot(file.name, data, file.header(saved.identity))
+    except CorruptionError as error:
+        saved.dropped.append(f"{file.name}: {error.reason} at byte {error.offset}; the whole snapshot")
+        return False
+    saved.snapshot_sequence = file.sequence
+    return True
+
+
+def _salvage_segment(saved: Salvage, file: _DataFile, data: bytes) -> None:
+    """Take in the records of a segment that continue the state, and note the others as dropped."""
+    header = file.header(saved.identity)
+    try:
+        content = decode_log(file.name, data, header)
+        records = content.records
+        valid_bytes = content.valid_bytes
+    except CorruptionError as error:
+        records = []
+        valid_bytes = error.offset
+    expected = saved.last_sequence + 1
+    if records and records[0].sequence > expected:
+        span = f"{records[0].sequence} to {records[-1].sequence}"
+        saved.dropped.append(f"{file.name}: records {span}; those from {expected} on before them are lost")
     else:
-        saved.records += [r for r in records if r.sequence >= wanted]
-    if at < len(data):
-        framer = Framer(head(LOG, saved.identity, kind.sequence, kind.format), kind.format)
-        behind = [f.sequence for f in framer.beyond(data, at) if f.kind is FrameKind.RECORD]
-        whole = f", whole records {behind[0]} to {behind[-1]} among them" if behind else ""
-        saved.dropped.append(f"{name}: {len(data) - at} bytes from byte {at} on{whole}")
+        saved.records += [record for record in records if record.sequence >= expected]
+    if valid_bytes < len(data):
+        saved.dropped.append(_describe_invalid_bytes(file.name, data, valid_bytes, header))
+
+
+def _describe_invalid_bytes(name: str, data: bytes, valid_bytes: int, header: Header) -> str:
+    frames = FrameCodec(header).scan_after(data, valid_bytes)
+    following = [frame.sequence for frame in frames if frame.kind is FrameKind.RECORD]
+    lost = f", valid records {following[0]} to {following[-1]} among them" if following else ""
+    return f"{name}: {len(data) - valid_bytes} bytes from byte {valid_bytes} on{lost}"
+
+
+# ---------------------------------------------------------------- the repaired copy
+
+
+def repaired_path(copy: Path) -> Path:
+    """Return where the repaired directory is written, beside the copy."""
+    return copy.with_name(f"{copy.name}{REPAIRED_SUFFIX}")
 
 
-def copy_and_repair(path: Path, to: Path, owner: str = "") -> Salvage:
-    """Copy a directory as it is to `to`, and write what can be saved of it to `to` with `-repaired` behind.
+def copy_and_repair(path: Path, copy: Path, owner: str = "") -> Salvage:
+    """Copy a directory as it is, and write what can be saved of it to `repaired_path(copy)`.
 
-    The directory itself stays untouched, and is locked meanwhile.  StoreError where nothing can be saved, or
-    either copy is there already.
+    The directory is locked meanwhile and not changed.  Raise StoreError if nothing can be saved or one of the
+    two copies exists.
     """
-    repaired = to.with_name(f"{to.name}-repaired")
     disk = Disk(path, lock=True)
     try:
         saved = salvage(disk.names(), disk.read, owner)
-        shutil.copytree(path, to)
+        shutil.copytree(path, copy)
+        repaired = repaired_path(copy)
         repaired.mkdir(mode=0o750)
-        _write(repaired, saved)
+        _write_directory(repaired, saved)
     except OSError as error:
-        raise StoreError(f"{to}: {words(error)}") from None
+        raise StoreError(f"{copy}: {describe_os_error(error)}") from error
     finally:
         disk.close()
     return saved
 
 
-def _write(path: Path, saved: Salvage) -> None:
-    """A directory in the present format that holds just this."""
+def _encode_files(saved: Salvage) -> dict[str, bytes]:
+    """Return the content of the files by name, in the present format."""
     files: dict[str, bytes] = {}
-    if saved.base:
-        pieces = b"".join(snapshot_pieces(saved.identity, saved.base, saved.snapshot))
-        files[snapshot_name(saved.base)] = head(SNAPSHOT, saved.identity, saved.base) + pieces
-    first = head(LOG, saved.identity, saved.base + 1)
-    framer = Framer(first)
-    frames = [framer.frame(FrameKind.RECORD, r.sequence, r.sequence - 1, r.payload) for r in saved.records]
-    seal = framer.frame(FrameKind.SEAL, saved.last, saved.last)
-    files[log_name(saved.base + 1)] = b"".join([first, *frames, seal])
-    files[STORE + NEW] = store_text(saved.owner, saved.identity)
-    for name, data in files.items():
+    base = saved.snapshot_sequence
+    if base:
+        header = Header(FileKind.SNAPSHOT, saved.identity, base)
+        pieces = encode_snapshot(header, saved.snapshot)
+        files[snapshot_file_name(base)] = b"".join([header.encode(), *pieces])
+    header = Header(FileKind.LOG, saved.identity, base + 1)
+    seal = FrameCodec(header).encode(FrameKind.SEAL, saved.last_sequence, saved.last_sequence)
+    files[log_file_name(base + 1)] = encode_log(header, saved.records) + seal
+    files[STORE_FILE + TEMPORARY_SUFFIX] = StoreFile(saved.owner, saved.identity).encode()
+    return files
+
+
+def _write_directory(path: Path, saved: Salvage) -> None:
+    for name, data in _encode_files(saved).items():
         with (path / name).open("xb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-    (path / (STORE + NEW)).rename(path / STORE)
+    (path / (STORE_FILE + TEMPORARY_SUFFIX)).rename(path / STORE_FILE)
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
