--- a/crowpost/storage/runner.py
+++ b/crowpost/storage/runner.py
@@ -1,4 +1,4 @@
-"""The store on a real disk, beside a running loop: one thread does the jobs; no fsync holds the loop up."""
+"""The runner executes a store's jobs on a thread of its own, so that no fsync blocks the event loop."""
 
 from __future__ import annotations
 
@@ -11,176 +11,210 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from crowpost.storage.core import Pace, Store
-from crowpost.storage.disk import Disk, words
-from crowpost.storage.model import Durability, Found, Job, StoreError
+from crowpost.storage.core import Store
+from crowpost.storage.disk import Disk, describe_os_error
+from crowpost.storage.errors import StoreError
+from crowpost.storage.file_format import IDENTITY_BYTES
+from crowpost.storage.model import Durability, RecoveredState
+from crowpost.storage.operations import Job, JobResult, Operation, describe
 from crowpost.storage.recovery import recover
+from crowpost.storage.write_policy import WritePolicy
 
 log = logging.getLogger(__name__)
 
-LOOKS = 4  # at a directory that another process may be writing
+INSPECT_ATTEMPTS = 4  # for a directory that another process may be writing
 
 
-def look(path: Path, owner: str = "") -> Found:
-    """What a directory holds, without the lock and without a change; a torn end is left where it is.
+# ---------------------------------------------------------------- opening
 
-    Beside a process that writes, which may remove a file between two looks, it is tried a few times.
+
+def inspect_store(path: Path, owner: str = "") -> RecoveredState:
+    """Return what a directory holds, without the lock and without a change; a torn tail stays as it is.
+
+    A process that writes may remove a file while it is read, so this is attempted a few times.
     """
     disk = Disk(path, lock=False)
     try:
-        for left in reversed(range(LOOKS)):
+        for _ in range(INSPECT_ATTEMPTS - 1):
             try:
-                return recover(disk.names(), disk.read, owner, bytes(8))[0]
+                return recover(disk.names(), disk.read, owner, bytes(IDENTITY_BYTES))
             except StoreError:
-                if not left:
-                    raise
+                continue
+        return recover(disk.names(), disk.read, owner, bytes(IDENTITY_BYTES))
     finally:
         disk.close()
-    raise AssertionError("unreachable")
 
 
-def open_disk(disk: Disk, owner: str) -> tuple[Found, bytes]:
-    """Recover a directory that is locked, and put right what a crash has left; StoreError if it cannot be."""
-    found, identity = recover(disk.names(), disk.read, owner, os.urandom(8))
-    for operation in found.repairs:
+def recover_disk(disk: Disk, owner: str) -> RecoveredState:
+    """Recover a locked directory and execute the repairs.  Raise StoreError if that is not possible."""
+    state = recover(disk.names(), disk.read, owner, os.urandom(IDENTITY_BYTES))
+    for operation in state.repairs:
         try:
             disk.perform(operation)
         except OSError as error:
-            raise StoreError(f"{disk.path}: {type(operation).__name__} failed: {words(error)}") from None
-    return found, identity
+            raise StoreError(_describe_failure(disk, operation, error)) from error
+    return state
+
+
+def _describe_failure(disk: Disk, operation: Operation, error: OSError) -> str:
+    return f"{describe(operation, disk.path)}: {describe_os_error(error)}"
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """A locked directory, recovered and put right."""
+class OpenedStore:
+    """A locked directory that has been recovered and repaired."""
 
     disk: Disk
-    found: Found
-    identity: bytes
+    recovered: RecoveredState
+
 
+def open_store(path: Path, owner: str) -> OpenedStore:
+    """Lock a directory and recover it, which blocks.
 
-def open_locked(path: Path, owner: str) -> Opened:
-    """Lock a directory and recover it, which blocks; LockedError or StoreError if it cannot be."""
+    Raise DirectoryLockedError if another process has it, and StoreError if it cannot be recovered.
+    """
     disk = Disk(path, lock=True)
     try:
-        return Opened(disk, *open_disk(disk, owner))
+        return OpenedStore(disk, recover_disk(disk, owner))
     except StoreError:
         disk.close()
         raise
 
 
-def do(disk: Disk, job: Job) -> tuple[str | None, int]:
-    """All operations of a job in order; why it ended before its last one, and the bytes of its fills."""
-    filled = 0
+# ---------------------------------------------------------------- running
+
+
+def execute_job(disk: Disk, job: Job) -> JobResult:
+    """Execute the operations of a job in order, up to the first that fails."""
+    generated = 0
     for operation in job.operations:
         try:
-            filled += disk.perform(operation)
+            generated += disk.perform(operation)
         except OSError as error:
-            name = getattr(operation, "file", "the directory")
-            return f"{type(operation).__name__.lower()} of {disk.path / name}: {words(error)}", filled
-        except Exception as error:
-            # A piece that could not be made: without an end of the job the store would wait for ever.
+            return JobResult(_describe_failure(disk, operation, error), generated)
+        except Exception as error:  # a generator may raise anything, and the store needs a result
             log.exception("fault in a job of the store")
-            return f"{type(operation).__name__.lower()}: {error!r}", filled
-    return None, filled
+            return JobResult(f"{operation.label}: {error!r}", generated)
+    return JobResult(generated_bytes=generated)
+
+
+@dataclass(frozen=True, slots=True)
+class _Waiter:
+    """A caller that waits for a record to be durable."""
+
+    sequence: int
+    future: asyncio.Future[None]
 
 
-class Keeper:
-    """A directory that is written from a running loop."""
+class StoreRunner:
+    """A directory that is written from a running event loop."""
 
-    def __init__(self, opened: Opened, pace: Pace | None = None) -> None:
-        self._disk, found = opened.disk, opened.found
+    def __init__(self, opened: OpenedStore, policy: WritePolicy | None = None) -> None:
+        recovered = opened.recovered
+        self._disk = opened.disk
         self._loop = asyncio.get_running_loop()
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="store")
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = float("inf")
         self._ended = asyncio.Event()
-        self._waiters: list[tuple[int, asyncio.Future[None]]] = []
-        self.core = Store(found, opened.identity, self.now(), pace)
+        self._waiters: list[_Waiter] = []
+        self.store = Store(recovered, self.now(), policy)
         path = str(self._disk.path)
-        for note in found.notes:
-            tell("note", path=path, text=note)
-        sequence, records = found.snapshot_sequence, len(found.records)
-        tell("open", path=path, snapshot=sequence, records=records, fresh=found.fresh)
+        for note in recovered.notes:
+            log_event("note", path=path, text=note)
+        log_event(
+            "open",
+            path=path,
+            snapshot=recovered.snapshot_sequence,
+            records=len(recovered.records),
+            fresh=recovered.is_new,
+        )
 
     def now(self) -> float:
-        """Monotonic time in ms."""
+        """Return monotonic time in ms."""
         return 1000.0 * self._loop.time()
 
     def append(self, payload: bytes, durability: Durability) -> int:
-        """Take in a record; StoreError once writing has stopped."""
-        sequence = self.core.append(payload, durability, self.now())
-        self._go_on()
+        """Accept a record and return its sequence number.  Raise StoreError once writing has stopped."""
+        sequence = self.store.append(payload, durability, self.now())
+        self._run_next_job()
         return sequence
 
-    async def kept(self, sequence: int) -> None:
-        """Wait until a record is kept; StoreError if it may never be."""
-        if self.core.failed:
-            raise StoreError(f"writing has stopped: {self.core.failed}")
-        if sequence > self.core.kept:
-            waiter: asyncio.Future[None] = self._loop.create_future()
-            self._waiters.append((sequence, waiter))
-            await waiter
-
-    def snapshot(self, payloads: Iterable[bytes]) -> None:
-        """The state after the last record; its pieces are asked for on the thread that writes."""
-        self.core.snapshot(payloads)
-        self._go_on()
-
-    def _go_on(self) -> None:
+    async def wait_durable(self, sequence: int) -> None:
+        """Wait until a record is durable.  Raise StoreError once writing has stopped."""
+        self.store.require_no_failure()
+        if sequence > self.store.durable_sequence:
+            future: asyncio.Future[None] = self._loop.create_future()
+            self._waiters.append(_Waiter(sequence, future))
+            await future
+
+    def write_snapshot(self, pieces: Iterable[bytes]) -> None:
+        """Write the state after the last record; the pieces are generated on the thread that writes."""
+        self.store.write_snapshot(pieces)
+        self._run_next_job()
+
+    def _run_next_job(self) -> None:
         now = self.now()
-        job = self.core.take(now)
+        job = self.store.next_job(now)
         if job is not None:
-            self._loop.run_in_executor(self._thread, do, self._disk, job).add_done_callback(
-                lambda work: self._done(job.number, *work.result())
-            )
-        due = self.core.next_at()
-        if due < self._timer_at:
-            if self._timer is not None:
-                self._timer.cancel()
-            self._timer_at = due
-            self._timer = self._loop.call_later(max(0.0, due - now) / 1000.0, self._tick)
-
-    def _tick(self) -> None:
-        self._timer, self._timer_at = None, float("inf")
-        self._go_on()
-
-    def _done(self, number: int, error: str | None, filled: int) -> None:
-        core = self.core
-        core.done(number, error, filled)
-        if core.failed:
-            tell("stopped", why=core.failed)
-        over = [w for w in self._waiters if core.failed or w[0] <= core.kept]
-        self._waiters = [w for w in self._waiters if w not in over]
-        for _, waiter in over:
-            if waiter.done():
+            work = self._loop.run_in_executor(self._thread, execute_job, self._disk, job)
+            work.add_done_callback(lambda done: self._on_job_done(job.number, done))
+        self._schedule(self.store.next_job_at(), now)
+
+    def _schedule(self, due: float, now: float) -> None:
+        if due >= self._timer_at:
+            return
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_at = due
+        self._timer = self._loop.call_later(max(0.0, due - now) / 1000.0, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self._timer_at = float("inf")
+        self._run_next_job()
+
+    def _on_job_done(self, number: int, done: asyncio.Future[JobResult]) -> None:
+        self.store.complete_job(number, done.result())
+        if self.store.failure:
+            log_event("stopped", why=self.store.failure)
+        self._notify_waiters()
+        if self.store.closed or self.store.failure:
+            self._ended.set()
+        self._run_next_job()
+
+    def _notify_waiters(self) -> None:
+        store = self.store
+        waiting: list[_Waiter] = []
+        for waiter in self._waiters:
+            if not store.failure and waiter.sequence > store.durable_sequence:
+                waiting.append(waiter)
+            elif waiter.future.done():
                 continue
-            if core.failed:
-                waiter.set_exception(StoreError(f"writing has stopped: {core.failed}"))
+            elif store.failure:
+                waiter.future.set_exception(StoreError(f"writing has stopped: {store.failure}"))
             else:
-                waiter.set_result(None)
-        if core.closed or core.failed:
-            self._ended.set()
-        self._go_on()
+                waiter.future.set_result(None)
+        self._waiters = waiting
 
-    def abandon(self) -> None:
-        """Give the directory back without a further word; nothing may have been appended."""
+    def release(self) -> None:
+        """Release the directory without writing; nothing may have been appended."""
         self._thread.shutdown(wait=True)
         self._disk.close()
 
     async def close(self) -> None:
-        """Write what waits, seal the log, and give the directory back."""
-        if not self.core.failed:
-            self.core.close()
-            self._go_on()
+        """Write what waits, seal the log and release the directory."""
+        if not self.store.failure:
+            self.store.close()
+            self._run_next_job()
             await self._ended.wait()
-        elif self.core.busy:
+        elif self.store.busy:
             await self._ended.wait()
         if self._timer is not None:
             self._timer.cancel()
-        self.abandon()
+        self.release()
 
 
-def tell(event: str, **values: object) -> None:
-    """One structured line of the log."""
+def log_event(event: str, **values: object) -> None:
+    """Write one structured line to the log."""
     log.info("state %s", json.dumps({"event": event, **values}))
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -35,10 +35,19 @@
 from crowpost.members.model import Claim, Phase, Profile, Verdict
 from crowpost.node.config import load as load_config
 from crowpost.node.metrics import Metrics
-from crowpost.node.state.records import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
+from crowpost.node.state.node_state import NodeState
+from crowpost.node.state.records import (
+    Evacuation,
+    Incarnation,
+    LearnedEndpoints,
+    LearnedLimit,
+    NodeRecord,
+    decode_record,
+    split_list,
+)
 from crowpost.storage.core import Store
 from crowpost.storage.model import Durability
-from crowpost.storage.runner import do, open_locked
+from crowpost.storage.runner import execute_job, open_store
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent.parent
@@ -158,22 +167,21 @@
     directory: Path, owner: str, records: list[bytes], snapshot: Iterator[bytes] | None
 ) -> None:
     """A store with records, an optional snapshot after them, the records again, and no orderly end."""
-    opened = open_locked(directory, owner)
-    store = Store(opened.found, opened.identity, 0.0)
+    opened = open_store(directory, owner)
+    store = Store(opened.recovered, 0.0)
 
     def work() -> None:
         for _ in range(20):
-            job = store.take(1e9)
+            job = store.next_job(1e9)
             if job is None:
                 return
-            error, filled = do(opened.disk, job)
-            store.done(job.number, error, filled)
+            store.complete_job(job.number, execute_job(opened.disk, job))
 
     for record in records:
         store.append(record, Durability.ACKNOWLEDGED, 0.0)
     work()
     if snapshot is not None:
-        store.snapshot(snapshot)
+        store.write_snapshot(snapshot)
         work()
         for record in records:
             store.append(record, Durability.ACKNOWLEDGED, 0.0)
@@ -202,25 +210,23 @@
         RememberedEndpoint(b"s-1", 5.0, 1.25, 18.5, False),
         RememberedEndpoint(b"s-2", 5.0, 0.5, None, True),
     ]
-    facts: list[Fact] = [
-        *parts(True, 41, listed),
-        *parts(False, 42, [instance("s-7", "DELETED"), instance("s-301", "DRAINING")]),
-        Learned(NOW_MS, memories),
-        Limit(NOW_MS + 5.0, 12.5),
-        Evacuated(True),
+    records: list[NodeRecord] = [
+        *split_list(True, 41, listed),
+        *split_list(False, 42, [instance("s-7", "DELETED"), instance("s-301", "DRAINING")]),
+        LearnedEndpoints(NOW_MS, memories),
+        LearnedLimit(NOW_MS + 5.0, 12.5),
+        Evacuation(True),
         Incarnation(9),
     ]
-    return [fact.pack() for fact in facts]
+    return [record.encode() for record in records]
 
 
 def node_snapshot() -> list[bytes]:
     """The snapshot of a node after those records."""
-    from crowpost.node.state.records import unpack
-
-    kept = Kept()
+    state = NodeState()
     for record in node_records():
-        kept.apply(unpack(record))
-    return list(kept.pieces())
+        state.apply(decode_record(record))
+    return list(state.snapshot_pieces())
 
 
 def ledger_records() -> tuple[list[bytes], list[bytes]]:
--- a/tests/node/state/test_node_state.py
+++ b/tests/node/state/test_node_state.py
@@ -29,21 +29,21 @@
     StateRestored,
 )
 from crowpost.node.config import ConfigError
+from crowpost.node.state.node_state import NodeState, read_node_state
 from crowpost.node.state.records import (
-    Evacuated,
-    Fact,
+    EndpointListPart,
+    Evacuation,
     Incarnation,
-    Kept,
-    Learned,
-    Limit,
-    ListPart,
-    parts,
-    read,
-    unpack,
+    LearnedEndpoints,
+    LearnedLimit,
+    NodeRecord,
+    decode_record,
+    split_list,
 )
 from crowpost.storage.config import StateConfig, load
-from crowpost.storage.model import Durability, StoreError
-from crowpost.storage.runner import look
+from crowpost.storage.errors import StoreError
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import inspect_store
 from tests.stubs import PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell, world
 from tests.test_cli import crowpost
 from tests.test_run import _configuration, _environment, _start, _told
@@ -134,44 +134,44 @@
     st.none() | st.floats(0, 1e5),
     st.booleans(),
 )
-facts: st.SearchStrategy[Fact] = st.one_of(
-    st.builds(ListPart, st.booleans(), st.integers(1, 10**9), instances),
-    st.builds(Learned, st.floats(0, 1e13), st.lists(memories, max_size=4)),
-    st.builds(Limit, st.floats(0, 1e13), st.floats(0, 1e6)),
-    st.builds(Evacuated, st.booleans()),
+facts: st.SearchStrategy[NodeRecord] = st.one_of(
+    st.builds(EndpointListPart, st.booleans(), st.integers(1, 10**9), instances),
+    st.builds(LearnedEndpoints, st.floats(0, 1e13), st.lists(memories, max_size=4)),
+    st.builds(LearnedLimit, st.floats(0, 1e13), st.floats(0, 1e6)),
+    st.builds(Evacuation, st.booleans()),
     st.builds(Incarnation, st.integers(1, 2**32)),
 )
 
 
 @given(st.lists(facts, max_size=12))
-def test_a_snapshot_holds_what_its_facts_made(told: list[Fact]) -> None:
-    kept, again = Kept(), Kept()
+def test_a_snapshot_holds_what_its_facts_made(told: list[NodeRecord]) -> None:
+    kept, again = NodeState(), NodeState()
     for fact in told:
-        assert unpack(fact.pack()) == fact
+        assert decode_record(fact.encode()) == fact
         kept.apply(fact)
-    for piece in kept.pieces():
-        again.apply(unpack(piece))
+    for piece in kept.snapshot_pieces():
+        again.apply(decode_record(piece))
     assert again == kept
 
 
 def test_a_list_holds_once_its_last_part_has_come() -> None:
     rows = [{"instanceId": f"s{i}", "lifecycle": "SERVING"} for i in range(600)]
-    some = list(parts(True, 7, rows))
-    kept = Kept()
+    some = list(split_list(True, 7, rows))
+    kept = NodeState()
     for part in some[:-1]:
         kept.apply(part)
-    assert len(some) == 3 and kept.listing() is None
+    assert len(some) == 3 and kept.endpoint_list() is None
     kept.apply(some[-1])
     assert len(kept.instances) == 600 and kept.generation == 7
 
 
 def test_facts_from_the_future_are_not_used_and_the_drain_is() -> None:
-    kept = Kept()
-    kept.apply(Learned(50_000.0, [memory(0, 2.0)]))
-    kept.apply(Learned(20_000.0, [memory(1, 2.0)]))
-    kept.apply(Limit(50_000.0, 9.0))
-    kept.apply(Evacuated(True))
-    told = kept.remembered(30_000.0)  # the clock has gone back by twenty seconds
+    kept = NodeState()
+    kept.apply(LearnedEndpoints(50_000.0, [memory(0, 2.0)]))
+    kept.apply(LearnedEndpoints(20_000.0, [memory(1, 2.0)]))
+    kept.apply(LearnedLimit(50_000.0, 9.0))
+    kept.apply(Evacuation(True))
+    told = kept.restored_event(30_000.0)  # the clock has gone back by twenty seconds
     assert [(m.server, m.age_ms) for m in told.servers] == [(b"\x01", 10_000.0)] and told.limit_each == 0.0
     assert kept.evacuated
 
@@ -179,7 +179,7 @@
 def test_a_record_that_no_node_has_written_is_an_error() -> None:
     for payload in (b"", b"\xc1", b"\x93\xa4list", b"\x91\xa5other", b"\x92\xa7servers\x01"):
         with pytest.raises(StoreError, match="a record that no node has written"):
-            unpack(payload)
+            decode_record(payload)
 
 
 # ---------------------------------------------------------------- configuration
@@ -222,7 +222,7 @@
 
 
 def config(path: Path, **more: Any) -> StateConfig:
-    return StateConfig(path / "state", "n0", every_ms=50.0, **more)
+    return StateConfig(path / "state", "n0", write_interval_ms=50.0, **more)
 
 
 async def until(met: Any) -> None:
@@ -294,12 +294,12 @@
                 assert (await new.figures())["edge_node_state_writing"] == 0
                 assert (await old.manage("POST", "/api/evacuate")).status == 200
                 assert (await new.manage("GET", "/api/ready")).status == 200
-                kept = read(look(tmp_path / "state"))
+                kept = read_node_state(inspect_store(tmp_path / "state"))
                 assert kept.evacuated
                 old.node.terminate()  # it lets go at once, whatever it still answers
-                assert new.node._keeping is not None
-                keeping = new.node._keeping
-                await until(lambda: keeping.figures()["state_writing"])
+                assert new.node._state_writer is not None
+                writer = new.node._state_writer
+                await until(lambda: writer.figures()["state_writing"])
                 assert (await new.manage("GET", "/api/ready")).status == 503  # what staff asked of the node
                 async with world(row("a", server.address), state=config(tmp_path)) as newest:
                     assert (await newest.manage("GET", "/api/ready")).status == 503
@@ -307,7 +307,7 @@
                     new.node.terminate()
                     await until(newest.node.ready)
                 await first.__aexit__(None, None, None)
-            assert not read(look(tmp_path / "state")).evacuated
+            assert not read_node_state(inspect_store(tmp_path / "state")).evacuated
 
     run(main())
 
@@ -369,18 +369,18 @@
             StubServer([reply("200 OK")]) as server,
             world(row("a", server.address), state=config(tmp_path)) as w,
         ):
-            assert w.node._keeping is not None
-            keeping = w.node._keeping
-            await until(lambda: keeping.figures()["state_records"])
-            assert keeping._keeper is not None
-            keeping._keeper.append(Evacuated(False).pack(), Durability.SOON)
-            keeping._keeper.snapshot(pieces())
-            await until(lambda: not keeping.figures()["state_writing"])
+            assert w.node._state_writer is not None
+            writer = w.node._state_writer
+            await until(lambda: writer.figures()["state_records"])
+            assert writer._runner is not None
+            writer._runner.append(Evacuation(False).encode(), Durability.DELAYED)
+            writer._runner.write_snapshot(pieces())
+            await until(lambda: not writer.figures()["state_writing"])
             assert (await (await w.caller()).ask("look")).status == 200
             for version in range(3):
-                keeping.note_list(False, version, [])
-            assert not keeping._lists
-        assert not read(look(tmp_path / "state")).evacuated
+                writer.record_list(False, version, [])
+            assert not writer._waiting_list_parts
+        assert not read_node_state(inspect_store(tmp_path / "state")).evacuated
 
     run(main())
 
@@ -425,13 +425,13 @@
         async with StubServer([reply("200 OK")]) as server:
             state = config(tmp_path, bytes_per_s=1_000.0)
             async with world(row("a", server.address), state=state) as w:
-                assert w.node._keeping is not None
-                keeping = w.node._keeping
+                assert w.node._state_writer is not None
+                writer = w.node._state_writer
                 for version in range(2, 600):
-                    keeping.note_list(False, version, [row(f"s{version}", server.address)])
-                await until(lambda: keeping.figures()["state_snapshots"])
-                assert keeping.kept.generation == 599
-            kept = read(look(tmp_path / "state"))
+                    writer.record_list(False, version, [row(f"s{version}", server.address)])
+                await until(lambda: writer.figures()["state_snapshots"])
+                assert writer.state.generation == 599
+            kept = read_node_state(inspect_store(tmp_path / "state"))
             assert len(kept.instances) >= 598 and kept.generation == 599
 
     run(main())
@@ -448,9 +448,9 @@
         ):
             tell(await w.discovery.watch(), listing(3, row("a", server.address)))
             assert (await (await w.caller()).ask("look")).status == 200
-            assert w.node._keeping is not None
-            keeping = w.node._keeping
-            await until(lambda: keeping.kept.generation == 3)
+            assert w.node._state_writer is not None
+            writer = w.node._state_writer
+            await until(lambda: writer.state.generation == 3)
             await w.manage("POST", "/api/evacuate")
 
     run(main())
--- a/tests/test_feed_ledger.py
+++ b/tests/test_feed_ledger.py
@@ -15,11 +15,12 @@
 from crowpost.feed.model import Document, FeedError, Tuning, make_document
 from crowpost.feed.table import Table
 from crowpost.lab.crash_consistency.checker import do_jobs
-from crowpost.lab.crash_consistency.simulated_disk import TraceDisk
+from crowpost.lab.crash_consistency.simulated_disk import SimulatedDisk
 from crowpost.node.overlays import checker
-from crowpost.storage.core import Pace, Store
-from crowpost.storage.model import Durability, Found
+from crowpost.storage.core import Store
+from crowpost.storage.model import Durability, RecoveredState
 from crowpost.storage.recovery import recover
+from crowpost.storage.write_policy import WritePolicy
 
 PUBLISHERS = {"north": "p-n", "south": "p-s"}
 ID = bytes(range(8))
@@ -228,7 +229,7 @@
 
 # ---------------------------------------------------------------- a power loss at every step
 
-PACE = Pace(segment_bytes=900, bytes_per_s=1e9, burst_bytes=1e9)
+POLICY = WritePolicy(segment_bytes=900, bytes_per_s=1e9, burst_bytes=1e9)
 SCOPES = ("all", "region/north", "service/cart")
 
 
@@ -250,39 +251,39 @@
         key = head.scope, head.era, head.version
         assert self.assigned.setdefault(key, head.digest) == head.digest, "a version was used twice"
 
-    def work(self, disk: TraceDisk, publishes: int = 7) -> Iterator[None]:
+    def work(self, disk: SimulatedDisk, publishes: int = 7) -> Iterator[None]:
         """Open, publish, and pause after each step of the disk."""
-        found, identity = recover(disk.names(), disk.read, "feed", ID)
+        found = recover(disk.names(), disk.read, "feed", ID)
         for operation in found.repairs:
             disk.perform(operation)
             yield
-        store, book = Store(found, identity, 0.0, PACE), opened(found)
+        store, book = Store(found, 0.0, POLICY), opened(found)
         for document in book.documents():
             self.table.put(document)
         for number in range(publishes):
             pending = []
             for _ in range(self.rng.choice((1, 1, 2))):
                 body = b"%d %d " % (self.seed, number) * self.rng.randrange(1, 60)
-                if store.failed:
-                    self.said.append(store.failed)
+                if store.failure:
+                    self.said.append(store.failure)
                     return
                 record, document = book.publish(asked(self.rng.choice(SCOPES), body), self.table)
                 self.assign(document)
                 pending.append((store.append(record, Durability.ACKNOWLEDGED, 0.0), document))
             if number % 3 == 2:
-                store.snapshot(book.snapshot())
+                store.write_snapshot(book.snapshot())
 
             def kept(pending: list[tuple[int, Document]] = pending) -> None:
                 for sequence, document in pending:
-                    if sequence <= store.kept:
+                    if sequence <= store.durable_sequence:
                         self.acknowledged[document.head.scope] = document
                         self.table.put(document)
 
             yield from do_jobs(disk, store, kept)
 
-    def check(self, disk: TraceDisk) -> None:
+    def check(self, disk: SimulatedDisk) -> None:
         """What a new process finds: all that was acknowledged, nothing half, and no version free again."""
-        found, identity = recover(disk.names(), disk.read, "feed", ID)
+        found = recover(disk.names(), disk.read, "feed", ID)
         book = opened(found)
         held = {document.head.scope: document for document in book.documents()}
         for scope, document in self.acknowledged.items():
@@ -303,19 +304,19 @@
                 assert book.publish(asked(scope, back=True), table)[1].body == held[scope].body
 
 
-def opened(found: Found) -> Ledger:
+def opened(found: RecoveredState) -> Ledger:
     return ledger(records=[*found.snapshot, *(record.payload for record in found.records)])
 
 
 def test_a_publisher_killed_at_any_step_of_a_publish_loses_nothing_it_acknowledged() -> None:
     states = 0
     for seed in range(3):
-        works, disk = Works(seed), TraceDisk()
+        works, disk = Works(seed), SimulatedDisk()
         for _ in range(2):
             for _ in works.work(disk):
                 works.check(disk.survivor())
                 for _, files in disk.crash_states(works.rng, 2):
-                    works.check(TraceDisk(files))
+                    works.check(SimulatedDisk(files))
                     states += 1
             disk = disk.survivor()  # a second process goes on
         assert len(works.acknowledged) == len(SCOPES)
@@ -324,12 +325,12 @@
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
 def test_a_disk_that_is_full_or_fails_at_any_step_loses_nothing_and_takes_nothing_more(code: int) -> None:
-    count = TraceDisk()
+    count = SimulatedDisk()
     for _ in Works(1).work(count):
         pass
     stopped = 0
     for step in range(5, count.operations):
-        works, disk = Works(1), TraceDisk(fail=(step, code))
+        works, disk = Works(1), SimulatedDisk(fail=(step, code))
         try:
             for _ in works.work(disk):
                 pass
@@ -337,6 +338,6 @@
             continue  # while it was opened: it does not start
         works.check(disk.survivor())
         for _, files in disk.crash_states(works.rng, 1):
-            works.check(TraceDisk(files))
+            works.check(SimulatedDisk(files))
         stopped += bool(works.said)
     assert stopped > count.operations // 2
--- a/tests/test_feed_real.py
+++ b/tests/test_feed_real.py
@@ -18,7 +18,7 @@
 from crowpost.feed.model import Document, FeedError, Server
 from crowpost.feed.publishing import Publisher
 from crowpost.storage.disk import Disk
-from crowpost.storage.model import Append, Operation
+from crowpost.storage.operations import Append, Operation
 from tests.feed_fleet import CLUSTER, connect, fleet, in_force, version
 from tests.stubs import (
     HOST,
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -17,9 +17,9 @@
 from crowpost.feed.shelf import Shelf
 from crowpost.lab.scenario import load as load_scenario
 from crowpost.members.config import load as load_members
-from crowpost.node.state.records import read
+from crowpost.node.state.node_state import read_node_state
 from crowpost.storage.config import load as load_state
-from crowpost.storage.runner import look, open_locked
+from crowpost.storage.runner import inspect_store, open_store
 from tests.golden import build
 from tests.golden.build import HERE, ROOT
 
@@ -73,18 +73,18 @@
 
 def test_a_state_directory_gives_the_snapshot_that_it_holds(tmp_path: Path) -> None:
     shutil.copytree(HERE / "state", tmp_path / "state")
-    opened = open_locked(tmp_path / "state", build.OWNER)
+    opened = open_store(tmp_path / "state", build.OWNER)
     try:
-        assert list(read(opened.found).pieces()) == opened.found.snapshot
-        assert [record.payload for record in opened.found.records] == build.node_records()
-        assert opened.found.snapshot == build.node_snapshot()
+        assert list(read_node_state(opened.recovered).snapshot_pieces()) == opened.recovered.snapshot
+        assert [record.payload for record in opened.recovered.records] == build.node_records()
+        assert opened.recovered.snapshot == build.node_snapshot()
     finally:
         opened.disk.close()
 
 
 def test_a_publishers_ledger_is_read_as_before(tmp_path: Path) -> None:
     shutil.copytree(HERE / "ledger", tmp_path / "ledger")
-    found = look(tmp_path / "ledger", "pub-n")
+    found = inspect_store(tmp_path / "ledger", "pub-n")
     records, snapshot = build.ledger_records()
     assert found.snapshot == snapshot
     assert [record.payload for record in found.records] == records
