--- /dev/null
+++ b/tests/node/state/helpers.py
@@ -0,0 +1,46 @@
+"""Configuration and waiting, for the tests of the node's state."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+from typing import Any
+
+import msgpack
+
+from crowpost.interface import RememberedEndpoint
+from crowpost.storage.config import StateConfig
+from crowpost.storage.core import Store
+from crowpost.storage.disk import Disk
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import execute_job, recover_disk
+from tests.stubs import PATIENCE_S
+
+
+def remembered(i: int, ratio: float, average: float = 20.0, **more: Any) -> RememberedEndpoint:
+    return RememberedEndpoint(bytes([i]), more.pop("started", 5.0), ratio, average, **more)
+
+
+def config(path: Path, **more: Any) -> StateConfig:
+    return StateConfig(path / "state", "n0", write_interval_ms=50.0, **more)
+
+
+def write_malformed_list(path: Path) -> None:
+    """Make a store of n0 whose second record is a list with an endpoint without a lifecycle."""
+    disk = Disk(path, lock=True)
+    try:
+        store = Store(recover_disk(disk, "n0"), 0.0)
+        for record in (("drain", False), ("list", True, 7, [{"instanceId": "a"}], False)):
+            store.append(msgpack.packb(record), Durability.ACKNOWLEDGED, 0.0)
+        job = store.next_job(0.0)
+        assert job is not None and execute_job(disk, job).error is None
+    finally:
+        disk.close()
+
+
+async def until(met: Any) -> None:
+    async def wait() -> None:
+        while not met():
+            await asyncio.sleep(0.01)
+
+    await asyncio.wait_for(wait(), PATIENCE_S)
