--- a/crowpost/cli/main.py
+++ b/crowpost/cli/main.py
@@ -32,7 +32,7 @@
     from crowpost.lab.runs import RunFolderError
     from crowpost.lab.scenario import ScenarioError
     from crowpost.membership.errors import MembershipError
-    from crowpost.storage.model import StoreError
+    from crowpost.storage.errors import StoreError
 
     try:
         app()
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -21,7 +21,7 @@
 from crowpost.config_feed.transport import FeedTransport
 from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.storage.disk import Disk
-from crowpost.storage.model import Append, Operation
+from crowpost.storage.operations import Append, Operation
 from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
 from tests.stubs import HOST, PATIENCE_S, Caller, StubDiscovery, StubServer, listing, reply, row, run, tell
 
