--- a/crowpost/__main__.py
+++ b/crowpost/__main__.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from crowpost.node.config import Config, ConfigError, load
+from crowpost.node.configuration import Config, ConfigError, load
 from crowpost.node.node import Node
 
 
--- a/crowpost/lab/capacity/connections.py
+++ b/crowpost/lab/capacity/connections.py
@@ -16,8 +16,8 @@
 from crowpost.decide.fleet import Fleet
 from crowpost.interface import EndpointEntry, EndpointList, ListKind, RequestClass, Settings
 from crowpost.lab.capacity.records import RecordError
-from crowpost.node.config import _DEFAULT_CONN_IDLE_MS
-from crowpost.node.servers import IDLE_PART
+from crowpost.node.configuration import _DEFAULT_CONN_IDLE_MS
+from crowpost.node.upstream.pool import IDLE_PART
 
 IDLE_S = IDLE_PART * _DEFAULT_CONN_IDLE_MS / 1000.0  # that a node keeps a connection nobody uses
 PLACES = 2  # of nodes whose homes are dealt out for a mean: homes are alike in size but for one server
--- a/crowpost/lab/overhead/profile.py
+++ b/crowpost/lab/overhead/profile.py
@@ -19,7 +19,10 @@
     "records.py": "decision",
     "parts.py": "decision",
     "interface.py": "decision",
-    "node/http.py": "parsing and rendering",
+    "node/http/": "parsing and rendering",
+    "node/downstream/": "callers' side",
+    "node/upstream/": "servers' side",
+    "node/http.py": "parsing and rendering",  # this and the next four: of older revisions
     "node/callers.py": "callers' side",
     "node/exchange.py": "callers' side",
     "node/servers.py": "servers' side",
--- a/crowpost/node/management.py
+++ b/crowpost/node/admin.py
@@ -8,7 +8,9 @@
 from dataclasses import dataclass
 from typing import cast
 
-from crowpost.node.http import Message, MessageError, Reader, answer
+from crowpost.node.http.message import Message, MessageError
+from crowpost.node.http.reader import Reader
+from crowpost.node.http.rendering import answer
 
 log = logging.getLogger(__name__)
 
--- a/crowpost/node/config.py
+++ b/crowpost/node/configuration.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from crowpost.interface import InvalidSettingsError, Settings
-from crowpost.node.discovery import ListError, Listing, Naming
+from crowpost.node.discovery.endpoint_list import ListError, Listing, Naming
 from crowpost.settings import SettingsError, read_settings
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/crowpost/node/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery: the endpoint list, watched."""
--- /dev/null
+++ b/crowpost/node/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""The client side of a node: listener, connections and exchanges."""
--- a/crowpost/node/callers.py
+++ b/crowpost/node/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The listening side: all connections of callers, what their requests ask, and /ready."""
+"""The listener: accepts client connections, limits them, and routes their requests."""
 
 from __future__ import annotations
 
@@ -7,13 +7,22 @@
 import socket
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
 from hashlib import blake2b
 
 from crowpost.interface import Effect, Settings
-from crowpost.node.config import ConfigError
-from crowpost.node.exchange import LONG_BYTES, CallerConnection, Exchange
-from crowpost.node.http import (
+from crowpost.node.configuration import ConfigError
+from crowpost.node.downstream.connection import CallerConnection
+from crowpost.node.downstream.exchange import LONG_BYTES, Exchange
+from crowpost.node.downstream.request import (
+    LONGEST_DEADLINE_S,
+    ClientRequest,
+    _hint_ms,
+    _is_api,
+    _number,
+    _path,
+)
+from crowpost.node.http.body import Budget
+from crowpost.node.http.message import (
     CLASS,
     COST_HINT,
     DEADLINE,
@@ -21,7 +30,6 @@
     REQUEST_ID,
     RETRY,
     TENANT,
-    Budget,
     Message,
     MessageError,
 )
@@ -29,26 +37,11 @@
 
 log = logging.getLogger(__name__)
 
-LONGEST_DEADLINE_S = 3600.0
-HINT_MOST_US = 1e9
 SWEEP_S = 0.1
 FULL_RETRY_S = 0.5
 BACKLOG = 1024
 
 
-@dataclass(frozen=True, slots=True)
-class ClientRequest:
-    """A valid request in the terms of the settings."""
-
-    message: Message
-    class_index: int
-    tenant: int
-    key: int
-    budget_ms: float
-    cost_hint_ms: float | None
-    is_repeat: bool
-
-
 def adopt(descriptor: int) -> socket.socket:
     """The listening socket that this process was started with."""
     try:
@@ -264,34 +257,3 @@
             or IDEMPOTENCY_KEY in message.repeated
         ):
             raise MessageError(400, "method or key does not fit the class")
-
-
-def _path(message: Message) -> bytes:
-    """The path of a request; a target that names the host as well is brought to the usual form."""
-    scheme, mark, rest = message.start.partition(b"://")
-    if mark and scheme.lower() in (b"http", b"https"):
-        slash = rest.find(b"/")
-        message.start = rest[slash:] if slash >= 0 else b"/"
-    return message.start.partition(b"?")[0]
-
-
-def _is_api(path: bytes) -> bool:
-    return path == b"/api" or path.startswith(b"/api/")
-
-
-def _hint_ms(text: bytes | None) -> float | None:
-    """A hint is a guess: one that cannot be read is none, and no reason to turn the request down."""
-    try:
-        return None if text is None else _number(text, "cost hint", HINT_MOST_US) / 1000.0
-    except MessageError:
-        return None
-
-
-def _number(text: bytes, what: str, most: float) -> float:
-    try:
-        value = float(text) if b"_" not in text else -1.0  # Python's own grouping is none of HTTP's
-    except ValueError:
-        value = -1.0
-    if not 0.0 < value <= most or value == float("inf"):
-        raise MessageError(400, f"bad {what}")
-    return value
--- a/crowpost/node/drain.py
+++ b/crowpost/node/drain.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from crowpost.node.callers import Callers
+from crowpost.node.downstream.listener import Callers
 
 log = logging.getLogger(__name__)
 
--- a/crowpost/node/feeding.py
+++ b/crowpost/node/feeding.py
@@ -15,7 +15,7 @@
 from crowpost.feed.config import FeedConfig
 from crowpost.feed.model import WHY_BYTES, Document
 from crowpost.feed.shelf import Shelf
-from crowpost.node.config import ConfigError
+from crowpost.node.configuration import ConfigError
 from crowpost.node.overlays import Live, Overlays
 
 
--- /dev/null
+++ b/crowpost/node/http/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP/1.1 messages: parsing, bodies and rendering."""
--- /dev/null
+++ b/crowpost/node/http/load_report.py
@@ -0,0 +1,25 @@
+"""The load report that a server puts into a header of its responses."""
+
+from __future__ import annotations
+
+import json
+import math
+from collections.abc import Sequence
+
+from crowpost.node.http.message import LOAD, Message
+
+
+def load_report(message: Message | None, columns: Sequence[str]) -> tuple[float, ...]:
+    """The load report of an answer, in the order of the columns; empty where there is none that can be read.
+
+    A report only advises: one that is malformed spoils neither its answer nor the connection.
+    """
+    raw = message.headers.get(LOAD) if message is not None else None
+    if raw is None or not columns:
+        return ()
+    try:
+        report = json.loads(raw)
+        values = tuple(float(report[name]) for name in columns)
+    except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
+        return ()
+    return values if all(math.isfinite(value) and value >= 0.0 for value in values) else ()
--- /dev/null
+++ b/crowpost/node/http/message.py
@@ -0,0 +1,54 @@
+"""Parsed HTTP/1.1 messages, the header names that a node reads, and the size limits."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from crowpost.node.http.body import Upload
+
+MAX_BODY = 64 * 1024  # that is held whole
+MAX_HEAD = 16 * 1024
+
+REQUEST_ID = b"x-request-id"
+CLASS = b"x-class"
+TENANT = b"x-tenant"
+DEADLINE = b"x-deadline"
+RETRY = b"x-retry"
+COST_HINT = b"x-cost-hint"
+IDEMPOTENCY_KEY = b"idempotency-key"
+NOT_RUN = b"x-not-run"
+CONTENT_TYPE = b"content-type"
+CONTENT_LENGTH = b"content-length"
+TRANSFER_ENCODING = b"transfer-encoding"
+EXPECT = b"expect"
+HOST = b"host"
+LOAD = b"x-load"
+
+
+class MessageError(Exception):
+    """A message that cannot be taken; a request of this form is answered with the status."""
+
+    def __init__(self, status: int, text: str) -> None:
+        super().__init__(text)
+        self.status = status
+
+
+@dataclass(slots=True)
+class Message:
+    """A request or answer: whole, or the head of a long one and the first bytes of its body."""
+
+    start: bytes = b""  # a request's target
+    method: bytes = b""
+    status: int = 0
+    version: str = "1.1"
+    headers: dict[bytes, bytes] = field(default_factory=dict)
+    repeated: set[bytes] = field(default_factory=set)
+    body: bytes = b""
+    keep_alive: bool = False
+    upload: Upload | None = None  # the body of a request too long to be held
+
+    @property
+    def length(self) -> int | None:
+        """The length of the body, where the head tells it."""
+        text = self.headers.get(CONTENT_LENGTH)
+        return None if text is None else int(text)
--- /dev/null
+++ b/crowpost/node/http/rendering.py
@@ -0,0 +1,69 @@
+"""Rendering of requests, responses and chunks as bytes."""
+
+from __future__ import annotations
+
+from crowpost.node.http.message import CONTENT_TYPE, IDEMPOTENCY_KEY, REQUEST_ID, Message
+
+_REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    417: b"Expectation Failed",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+}
+
+
+def chunk(data: bytes) -> bytes:
+    """A piece of a body in chunked coding; without data the end of the body."""
+    return b"%x\r\n%s\r\n" % (len(data), data)
+
+
+def answer(status: int, body: bytes = b"", extra: bytes = b"", *, close: bool = False) -> bytes:
+    """An answer to a caller; extra holds whole header lines."""
+    return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n%s" % (
+        status,
+        _REASONS[status],
+        len(body),
+        extra,
+        b"Connection: close\r\n" if close else b"",
+        body,
+    )
+
+
+def long_answer_head(message: Message, *, version: str, close: bool) -> tuple[bytes, bool]:
+    """The head of a long answer of a server's as its caller gets it, and whether the body goes in chunks."""
+    kind = message.headers.get(CONTENT_TYPE)
+    lines = [b"HTTP/1.1 200 OK\r\n", b"Content-Type: %s\r\n" % kind if kind else b""]
+    chunked = message.length is None and version == "1.1"
+    if message.length is not None:
+        lines.append(b"Content-Length: %d\r\n" % message.length)
+    elif chunked:
+        lines.append(b"Transfer-Encoding: chunked\r\n")
+    lines.append(b"Connection: close\r\n\r\n" if close else b"\r\n")
+    return b"".join(lines), chunked
+
+
+def request_head(message: Message, host: bytes) -> bytes:
+    """The part of an attempt's head that is the same for each attempt: all but the deadline."""
+    lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (message.method, message.start, host)]
+    lines.append(b"X-Request-Id: %s\r\n" % message.headers[REQUEST_ID])
+    key = message.headers.get(IDEMPOTENCY_KEY)
+    if key is not None:
+        lines.append(b"Idempotency-Key: %s\r\n" % key)
+    kind = message.headers.get(CONTENT_TYPE)
+    if kind is not None:
+        lines.append(b"Content-Type: %s\r\n" % kind)
+    if message.upload is not None:
+        length = message.length
+        lines.append(
+            b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
+        )
+    elif message.body or message.method == b"POST":
+        lines.append(b"Content-Length: %d\r\n" % len(message.body))
+    return b"".join(lines)
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -44,17 +44,22 @@
     Subscribe,
     TimerFired,
 )
-from crowpost.node import management
-from crowpost.node.callers import Callers, ClientRequest, adopt
-from crowpost.node.config import Config, ConfigError, read_discovery
-from crowpost.node.discovery import Discovery, ListError, Listing
+from crowpost.node import admin
+from crowpost.node.admin import Management, Reply
+from crowpost.node.configuration import Config, ConfigError, read_discovery
+from crowpost.node.discovery.client import Discovery
+from crowpost.node.discovery.endpoint_list import ListError, Listing
+from crowpost.node.downstream.exchange import Exchange
+from crowpost.node.downstream.listener import Callers, adopt
+from crowpost.node.downstream.request import ClientRequest
 from crowpost.node.drain import Drain, Phase
-from crowpost.node.exchange import Exchange
-from crowpost.node.http import CLASS, CONTENT_TYPE, REQUEST_ID, Message, Sink, load_report, request_head
-from crowpost.node.management import Management, Reply
+from crowpost.node.http.body import Sink
+from crowpost.node.http.load_report import load_report
+from crowpost.node.http.message import CLASS, CONTENT_TYPE, REQUEST_ID, Message
+from crowpost.node.http.rendering import request_head
 from crowpost.node.metrics import Metrics
-from crowpost.node.servers import Servers
-from crowpost.node.upstream import Call
+from crowpost.node.upstream.call import Call
+from crowpost.node.upstream.pool import Servers
 
 if TYPE_CHECKING:
     from crowpost.node.feeding import Feeding
@@ -166,12 +171,10 @@
         )
         self._management = Management(
             {
-                b"/api/ready": management.Call(b"GET", lambda: Reply(200 if self.ready() else 503)),
-                b"/api/telemetry": management.Call(b"GET", self._telemetry),
-                b"/api/evacuate": management.Call(
-                    b"POST", lambda: self._by_staff(self._drain.evacuate(), True)
-                ),
-                b"/api/rejoin": management.Call(b"POST", lambda: self._by_staff(self._drain.rejoin(), False)),
+                b"/api/ready": admin.Call(b"GET", lambda: Reply(200 if self.ready() else 503)),
+                b"/api/telemetry": admin.Call(b"GET", self._telemetry),
+                b"/api/evacuate": admin.Call(b"POST", lambda: self._by_staff(self._drain.evacuate(), True)),
+                b"/api/rejoin": admin.Call(b"POST", lambda: self._by_staff(self._drain.rejoin(), False)),
             },
             most=max(MANAGEMENT_LEAST, int(MANAGEMENT_PART * sockets)),
         )
--- a/crowpost/node/overlays.py
+++ b/crowpost/node/overlays.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from crowpost.feed.model import Document, FeedError, Head, make_document, order
-from crowpost.node.config import Config, ConfigError, read_config, read_file
+from crowpost.node.configuration import Config, ConfigError, read_config, read_file
 
 BYTES = 32_768  # of a document: what reads and compares it holds the loop up, and may not for 5 ms
 KEY = 120  # characters of a key that are told
--- /dev/null
+++ b/crowpost/node/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoint side of a node: connection pool, connections and calls."""
--- a/crowpost/node/upstream.py
+++ b/crowpost/node/upstream/connection.py
@@ -1,161 +1,48 @@
-"""One call to a server, with one outcome, and the connection that carries it.
-
-Nothing is ever sent twice here.  Whatever ends after the request was handed to the socket may have run; only
-what ended before that is told as 'could not connect'.
-"""
+"""One connection to an endpoint; carries one call at a time."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import math
 from collections.abc import Callable
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 from crowpost.interface import Outcome
-from crowpost.node.http import NOT_RUN, Message, MessageError, Reader, Sink, Upload, chunk
-
-if TYPE_CHECKING:
-    from crowpost.node.servers import Peer, Servers
+from crowpost.node.http.body import Sink
+from crowpost.node.http.message import NOT_RUN, Message, MessageError
+from crowpost.node.http.reader import Reader
+from crowpost.node.http.rendering import chunk
+from crowpost.node.upstream.call import Call
+from crowpost.node.upstream.endpoint import Peer
+from crowpost.node.upstream.keep_alive import KeepAlive
 
 log = logging.getLogger(__name__)
 
-EARLY_PART = 0.2  # of the idle time after which one was found lost: where some are closed, others drop sooner
 AT_ONCE_S = 0.05  # a break this soon follows from what came before it: no work and no idle time is so short
 STUCK_S = 30.0  # without a byte of a long body, or room for one: a slow peer may pause for seconds
 HOLD_S = 0.25  # an answer of unknown length is held for so long, or to a full hold, before it is passed on
-TRUST_S = 10.0  # without a new sign of it, trust in idle connections doubles in this time
-
-MayWrite = Callable[[], bool]
-Done = Callable[[Outcome, Message | None], None]
-Render = Callable[[float], bytes]
-Begin = Callable[[Message, Callable[[bool], None]], Sink | None]
-
-
-class Call:
-    """One request to a server: an attempt or a probe.  It ends once, with one outcome."""
-
-    __slots__ = (
-        "_done",
-        "_loop",
-        "_timer",
-        "begin",
-        "connection",
-        "deadline",
-        "ended",
-        "may_write",
-        "on_written",
-        "path",
-        "render",
-        "started",
-        "upload",
-        "written",
-    )
-
-    def __init__(
-        self,
-        render: Render,
-        timeout_s: float,
-        done: Done,
-        *,
-        on_written: Callable[[], None] | None = None,
-        begin: Begin | None = None,
-        upload: Upload | None = None,
-        may_write: MayWrite = lambda: True,
-    ) -> None:
-        self._loop = asyncio.get_running_loop()
-        self.render = render
-        self.may_write = may_write  # asked once a connection is there: a dial or a probe takes its time
-        self.connection: Connection | None = None
-        self.written = False  # its last byte may have reached the server
-        self.started = False  # its answer is long and has begun
-        self.on_written = on_written
-        self.begin = begin  # takes a long answer and the means to pace it; None where only a status is asked
-        self.upload = upload
-        self.path = "not written"  # which connection it went out on, for the log
-        self.ended = False
-        self._done = done
-        self._timer: asyncio.TimerHandle | None = None
-        self.deadline = math.inf
-        if upload is None or upload.ended:
-            self.expire_in(timeout_s)
-
-    def expire_in(self, timeout_s: float) -> None:
-        """Wait so long from now on."""
-        self.deadline = self._loop.time() + timeout_s
-        if not self.ended and not self.started:
-            self._timer = self._loop.call_later(timeout_s, self._time_out)
-
-    def start(self, message: Message, pace: Callable[[bool], None]) -> Sink | None:
-        """A long answer has begun: time counts no longer.  Where its pieces go, None if nobody wants them."""
-        self.started = True
-        self._stop_timer()
-        return self.begin(message, pace) if self.begin is not None else None
-
-    def end(self, outcome: Outcome, answer: Message | None = None) -> None:
-        """The one outcome; later ones are nobody's."""
-        if self.ended:
-            return
-        self.ended = True
-        self._stop_timer()
-        self.connection = None
-        if self.upload is not None and self.upload.spent:
-            self.upload.detach()
-        self._done(outcome, answer)
-
-    def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting.  The connection goes with the call, so that its late bytes reach no other request."""
-        connection = self.connection
-        if not self.ended and connection is not None:
-            connection.abandon()
-        self.end(outcome)
-
-    def in_chunks(self) -> bool:
-        """Whether its long body is of unknown length."""
-        return self.upload is not None and self.upload.length is None
-
-    def leave(self, outcome: Outcome) -> None:
-        """Stop waiting, but let the answer come in: a new connection would cost more than its bytes."""
-        if self.started or (self.connection is not None and not self.written):
-            self.give_up(outcome)
-            return
-        if not self.ended and self.connection is not None:
-            self.connection.leave(self.deadline)
-        self.end(outcome)
-
-    def _stop_timer(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-
-    def _time_out(self) -> None:
-        self.give_up(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
 
 
-class KeepAlive:
-    """How long an idle connection may be trusted with a request that must not be lost.
+class ConnectionOwner(Protocol):
+    """What a connection needs of the pool that opened it."""
 
-    The settings say when servers close at the latest.  Some close or drop them far earlier, without a word,
-    and what is written to a dropped one may have run: a request that cannot be repeated has then failed.
-    """
+    keep_alive: KeepAlive
+    left: set[Connection]
 
-    def __init__(self, most_s: float) -> None:
-        self._most_s = most_s
-        self._trusted_s = most_s
-        self._at = 0.0
+    def opened(self, connection: Connection) -> None:
+        """Count a connection that has come up."""
 
-    def trusted_s(self, now: float) -> float:
-        return min(self._most_s, self._trusted_s * math.exp2(min((now - self._at) / TRUST_S, 60.0)))
+    def closed(self, connection: Connection) -> None:
+        """Forget a connection that has ended."""
 
-    def lost(self, idle_s: float, now: float) -> None:
-        """A server gave up a connection that had been idle for this long."""
-        self._trusted_s = min(self.trusted_s(now), EARLY_PART * idle_s)
-        self._at = now
+    def rest(self, connection: Connection) -> None:
+        """Keep a connection for the next call."""
 
 
 class Connection(asyncio.Protocol):
     """One connection to a server; carries one call at a time."""
 
-    def __init__(self, peer: Peer, servers: Servers) -> None:
+    def __init__(self, peer: Peer[Connection], servers: ConnectionOwner) -> None:
         self.peer = peer
         self.idle_since = 0.0
         self._answer: Message | None = None
--- a/crowpost/node/servers.py
+++ b/crowpost/node/upstream/pool.py
@@ -1,123 +1,26 @@
-"""The side towards the servers: who is listed, which connection carries a call, and which ones rest."""
+"""The connection pool: open connections to all listed endpoints, and the choice of one for each call."""
 
 from __future__ import annotations
 
 import asyncio
-import bisect
 import logging
-import math
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 
 from crowpost.interface import EndpointId, Outcome, Readiness
-from crowpost.node.discovery import Listing
-from crowpost.node.http import Message, Upload
-from crowpost.node.upstream import Begin, Call, Connection, Done, KeepAlive, MayWrite, Render
+from crowpost.node.discovery.endpoint_list import Listing
+from crowpost.node.http.body import Upload
+from crowpost.node.http.message import Message
+from crowpost.node.upstream.call import Begin, Call, Done, MayWrite, Render
+from crowpost.node.upstream.connection import Connection
+from crowpost.node.upstream.endpoint import Peer
+from crowpost.node.upstream.handover import Handover
+from crowpost.node.upstream.keep_alive import KeepAlive
 
 log = logging.getLogger(__name__)
 
 IDLE_PART = 0.5  # of the time after which servers close: a request must never cross that close
 SWEEP_S = 1.0
 REUSE_DELAY_S = 0.01  # between an answer and the next call: what some servers send unasked comes sooner
-WORTH_WAITING = 0.1  # of a server's usual answer time: beyond it a new connection is dialled beside the wait
-GROWING_MOST = 4  # such dials at once to one server: they cost it handshakes, and may never come up
-SMOOTHING = 0.125  # of the usual answer time, as for TCP's smoothed round trip (RFC 6298)
-
-
-def _idle_since(connection: Connection) -> float:
-    return connection.idle_since
-
-
-@dataclass(slots=True, eq=False)
-class Peer:
-    """A server process as it is listed, and this node's idle connections to it, by `idle_since`."""
-
-    name: str
-    address: tuple[str, int]
-    started_ms: float
-    idle: list[Connection] = field(default_factory=list)
-    current: bool = True  # False once drained, gone or restarted: its connections are not kept
-    answer_s: float | None = None  # the smoothed time of its good answers; None before the first
-    growing: int = 0  # dials beside a connection that rests
-
-    def most_recent(self, before: float) -> Connection:
-        """The idle connection used last of those used before this, or the first that will have been."""
-        return self.idle[max(0, bisect.bisect_right(self.idle, before, key=_idle_since) - 1)]
-
-    def keep(self, connection: Connection) -> None:
-        """One more idle connection."""
-        bisect.insort(self.idle, connection, key=_idle_since)
-
-    def answered(self, took_s: float) -> None:
-        """It has given a good answer, so long after the call."""
-        before = took_s if self.answer_s is None else self.answer_s
-        self.answer_s = before + SMOOTHING * (took_s - before)
-
-    def worth_waiting_s(self) -> float:
-        """How long a call may wait for a connection to rest before a handshake is the lesser price."""
-        return math.inf if self.answer_s is None else WORTH_WAITING * self.answer_s
-
-
-class Handover:
-    """A call between its decision and a connection that may carry it: one that rests, or a dial beside it.
-
-    Whichever is there first carries the call; what the other brings is kept for the next one.
-    """
-
-    def __init__(self, servers: Servers, connection: Connection, call: Call, left_s: float) -> None:
-        self._servers, self._peer, self._call = servers, connection.peer, call
-        self._resting: Connection | None = connection
-        self._dialling = self._done = False
-        connection.on_lost = self._lost
-        self._timer = asyncio.get_running_loop().call_later(left_s, self._rested)
-        if left_s > self._peer.worth_waiting_s() and self._may_dial():
-            self._dialling = True
-            self._peer.growing += 1
-            servers.dial(self._peer, self._dialled)
-
-    def _may_dial(self) -> bool:
-        wanted = not self._call.ended and self._call.may_write()
-        return wanted and self._peer.growing < GROWING_MOST and self._servers.spare()
-
-    def _release(self) -> Connection | None:
-        """The resting connection, for which nothing is waited any more."""
-        self._timer.cancel()
-        connection, self._resting = self._resting, None
-        if connection is not None:
-            connection.on_lost = None
-        return connection
-
-    def _rested(self) -> None:
-        connection = self._release()
-        assert connection is not None
-        self._done = True
-        self._servers.dispatch(self._call, connection)
-
-    def _lost(self) -> None:
-        """The resting connection has ended, or brought what nobody had asked for."""
-        self._release()
-        if self._call.ended or not self._peer.current:
-            self._done = True
-            self._call.end(Outcome.CONNECT_FAILED)
-        elif not self._dialling:
-            self._done = True
-            self._servers.open_for(self._peer, self._call)
-
-    def _dialled(self, connection: Connection | None) -> None:
-        self._peer.growing -= 1
-        self._dialling = False
-        if self._done:
-            if connection is not None:
-                self._servers.rest(connection)
-        elif connection is not None:
-            self._done = True
-            resting = self._release()
-            if resting is not None:
-                self._servers.put_back(resting)
-            self._servers.dispatch(self._call, connection)
-        elif self._resting is None:
-            self._done = True
-            self._call.end(Outcome.CONNECT_FAILED)
 
 
 class Servers:
@@ -132,7 +35,7 @@
         self.keep_alive = KeepAlive(self._idle_s)
         self._most_open = most_open
         self._probe = probe  # tells whether a connection still stands; None where probes are not allowed
-        self._peers: dict[EndpointId, Peer] = {}
+        self._peers: dict[EndpointId, Peer[Connection]] = {}
         self._open: set[Connection] = set()
         self.left: set[Connection] = set()  # those that wait for an answer that nobody wants
         self._opening: set[asyncio.Task[None]] = set()
@@ -243,7 +146,7 @@
         else:
             Handover(self, connection, call, left)
 
-    def open_for(self, peer: Peer, call: Call) -> None:
+    def open_for(self, peer: Peer[Connection], call: Call) -> None:
         """Have the call carried by a new connection."""
         if not self._room():
             log.warning("no descriptor left for a connection to %s", peer.name)
@@ -258,13 +161,13 @@
 
         self.dial(peer, dialled)
 
-    def dial(self, peer: Peer, done: Callable[[Connection | None], None]) -> None:
+    def dial(self, peer: Peer[Connection], done: Callable[[Connection | None], None]) -> None:
         """Open a connection and hand it on; None where it does not come up in time."""
         task = self._loop.create_task(self._connect(peer, done))
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
 
-    async def _connect(self, peer: Peer, done: Callable[[Connection | None], None]) -> None:
+    async def _connect(self, peer: Peer[Connection], done: Callable[[Connection | None], None]) -> None:
         host, port = peer.address
         try:
             async with asyncio.timeout(self.connect_s):
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -33,7 +33,7 @@
 from crowpost.members import exchange
 from crowpost.members.core import Members
 from crowpost.members.model import Claim, Phase, Profile, Verdict
-from crowpost.node.config import load as load_config
+from crowpost.node.configuration import load as load_config
 from crowpost.node.kept import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
 from crowpost.node.metrics import Metrics
 from crowpost.store.carrier import do, open_locked
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -12,8 +12,8 @@
 import uvloop
 
 from crowpost.members.config import MembersConfig
-from crowpost.node.config import Config, Limits, flat
-from crowpost.node.discovery import Naming
+from crowpost.node.configuration import Config, Limits, flat
+from crowpost.node.discovery.endpoint_list import Naming
 from crowpost.node.node import Node
 from crowpost.settings import read_settings
 from crowpost.store.config import StateConfig
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,9 +8,12 @@
 
 import pytest
 
-from crowpost.node import callers, exchange, upstream
-from crowpost.node.exchange import BODY_S, FIRST_S, HEAD_S, CallerConnection
-from crowpost.node.http import MAX_BODY, Message, MessageError, Reader
+from crowpost.node.downstream import connection as client_connection
+from crowpost.node.downstream import exchange, listener
+from crowpost.node.downstream.connection import BODY_S, FIRST_S, HEAD_S, CallerConnection
+from crowpost.node.http.message import MAX_BODY, Message, MessageError
+from crowpost.node.http.reader import Reader
+from crowpost.node.upstream import connection as upstream_connection
 from tests.stubs import (
     HOST,
     PATIENCE_S,
@@ -347,8 +350,8 @@
     """Its connection was ended a second after the last piece, with up to 64 KiB not sent yet."""
 
     async def main() -> None:
-        monkeypatch.setattr(exchange, "LINGER_S", 0.02)
-        monkeypatch.setattr(exchange, "LINGER_MOST_S", 0.04)
+        monkeypatch.setattr(client_connection, "LINGER_S", 0.02)
+        monkeypatch.setattr(client_connection, "LINGER_MOST_S", 0.04)
         size = 4 * 1024 * 1024
         pour = written(OK + b"Content-Length: %d\r\n\r\n" % size + bytes(size))
         loop = asyncio.get_running_loop()
@@ -505,7 +508,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        monkeypatch.setattr(exchange, "STALLED_S", 0.3)
+        monkeypatch.setattr(client_connection, "STALLED_S", 0.3)
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             caller = await w.caller()
             caller.writer.write(request("book", body=LONG)[:200_000])
@@ -538,7 +541,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        monkeypatch.setattr(upstream, "STUCK_S", 0.5)
+        monkeypatch.setattr(upstream_connection, "STUCK_S", 0.5)
         with socket.socket() as deaf:
             deaf.bind((HOST, 0))
             deaf.listen()  # connections come up, and nobody reads from them
@@ -651,7 +654,7 @@
             head = await _connection(w, b"POST /api HTTP/1.1\r\nX-Cl")
             assert not head.stalled(head.opened_at + 2.2), "a head may take 2 s"
             assert head.stalled(head.opened_at + HEAD_S + 0.01)
-            assert FIRST_S < HEAD_S <= 3.0 - 2 * callers.SWEEP_S
+            assert FIRST_S < HEAD_S <= 3.0 - 2 * listener.SWEEP_S
             head.drop()
             while w.node._callers._open:
                 await asyncio.sleep(0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,11 +27,11 @@
     RequestArrived,
     Send,
 )
-from crowpost.node.discovery import REWATCH_MOST_S
-from crowpost.node.exchange import MAX_CONCURRENT, MAX_PIPELINED
-from crowpost.node.http import MAX_BODY
+from crowpost.node.discovery.client import REWATCH_MOST_S
+from crowpost.node.downstream.connection import MAX_CONCURRENT, MAX_PIPELINED
+from crowpost.node.http.message import MAX_BODY
 from crowpost.node.node import Node
-from crowpost.node.servers import REUSE_DELAY_S
+from crowpost.node.upstream.pool import REUSE_DELAY_S
 from tests.stubs import (
     HOST,
     PATIENCE_S,
@@ -277,7 +277,7 @@
     probed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against the next call on that connection being answered by it, after a probe as well."""
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", PATIENCE_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", PATIENCE_S)
 
     async def main() -> None:
         async with (
--- a/tests/test_feed_node.py
+++ b/tests/test_feed_node.py
@@ -12,7 +12,7 @@
 
 from crowpost.feed.model import Document, FeedError, make_document
 from crowpost.feed.shelf import Shelf
-from crowpost.node.config import ConfigError, load
+from crowpost.node.configuration import ConfigError, load
 from crowpost.node.overlays import Overlays, patched
 from tests.stubs import HOST, listing, row, settings
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,7 +9,9 @@
 import pytest
 
 from crowpost.interface import AttemptEnded, Outcome, RequestAbandoned
-from crowpost.node.servers import GROWING_MOST, Peer
+from crowpost.node.upstream.connection import Connection
+from crowpost.node.upstream.endpoint import Peer
+from crowpost.node.upstream.handover import GROWING_MOST
 from tests.stubs import (
     PATIENCE_S,
     Behaviour,
@@ -35,7 +37,7 @@
 FAST_S = 1e-6
 
 
-def the_peer(w: World) -> Peer:
+def the_peer(w: World) -> Peer[Connection]:
     (peer,) = w.node._servers._peers.values()
     return peer
 
@@ -79,7 +81,7 @@
 
 def test_a_call_to_a_fast_server_waits_for_no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against the 10 ms that such a call took at the most; the pool grows, and then suffices."""
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair() as (server, w):
@@ -107,7 +109,7 @@
 
 def test_the_usual_time_of_a_server_comes_from_good_answers_alone() -> None:
     """Failures at once and probes take no work: they make no server a fast one."""
-    peer = Peer("a", ("127.0.0.1", 1), 0.0)
+    peer: Peer[Connection] = Peer("a", ("127.0.0.1", 1), 0.0)
     assert peer.worth_waiting_s() > 1e9
     peer.answered(0.8)
     assert peer.answer_s == pytest.approx(0.8)
@@ -140,7 +142,7 @@
             await dials.begun()
             await until(lambda: len(server.received) == 2)
             assert server.opened == 1
-            monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", PAST_DEADLINE_S)
+            monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", PAST_DEADLINE_S)
             steps = [dials.release, server.release]
             for step in reversed(steps) if behind_the_answer else steps:
                 step.set()
@@ -159,7 +161,7 @@
 
 def test_a_connection_that_was_passed_over_goes_on_resting(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a call on it that meets what the first answer still brings."""
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(twice, reply("200 OK", b"own")) as (server, w):
@@ -183,7 +185,7 @@
 
 def test_a_stray_answer_during_the_wait_spoils_the_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     """The dial beside it goes on, and carries the call."""
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(twice, reply("200 OK", b"own")) as (server, w):
@@ -205,7 +207,7 @@
 def test_a_call_whose_connection_breaks_is_dialled_for_where_nothing_was(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(then_break, reply("200 OK", b"own")) as (server, w):
@@ -234,7 +236,7 @@
 
 def test_a_call_that_loses_both_has_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection that rests breaks, and the dial beside it fails: nothing was sent."""
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(then_break) as (server, w):
@@ -259,7 +261,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Whichever of the two comes up: both are kept."""
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair(cancel=cancel) as (server, w):
@@ -278,7 +280,7 @@
 
 
 def test_a_server_that_drains_during_the_wait_is_sent_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair() as (server, w):
@@ -300,7 +302,7 @@
 def test_a_pool_grows_by_a_few_dials_at_once_and_at_no_other_connection_s_cost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", NEVER_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
         async with pair() as (_, w):
@@ -318,7 +320,7 @@
         async with pair() as (server, w):
             caller = await ask_first(w, FAST_S)
             w.node._servers._most_open = 1
-            monkeypatch.setattr("crowpost.node.servers.REUSE_DELAY_S", 0.01)
+            monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", 0.01)
             assert (await caller.ask("look")).status == 200
             assert server.opened == 1
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -28,7 +28,7 @@
     Settings,
     StateRestored,
 )
-from crowpost.node.config import ConfigError
+from crowpost.node.configuration import ConfigError
 from crowpost.node.kept import (
     Evacuated,
     Fact,
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -10,7 +10,7 @@
 import pytest
 
 from crowpost.interface import Action, AttemptEnded, Cancel, Event, Outcome, RequestArrived, Send
-from crowpost.node.management import FIRST_S
+from crowpost.node.admin import FIRST_S
 from crowpost.node.metrics import Metrics
 from tests.stubs import (
     HOST,
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,10 +9,10 @@
 import pytest
 
 from crowpost.interface import Action, AttemptEnded, Event, RequestAbandoned
-from crowpost.node.discovery import REWATCH_MOST_S, REWATCH_S
-from crowpost.node.exchange import FIRST_S, CallerConnection
+from crowpost.node.discovery.client import REWATCH_MOST_S, REWATCH_S
+from crowpost.node.downstream.connection import FIRST_S, CallerConnection
 from crowpost.node.node import ADOPT_WAIT_S
-from crowpost.node.servers import REUSE_DELAY_S
+from crowpost.node.upstream.pool import REUSE_DELAY_S
 from tests.stubs import (
     HOST,
     PATIENCE_S,
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -10,10 +10,11 @@
 import pytest
 
 from crowpost.interface import Outcome
-from crowpost.node.discovery import Naming
-from crowpost.node.http import Message
-from crowpost.node.servers import Servers
-from crowpost.node.upstream import Call, KeepAlive
+from crowpost.node.discovery.endpoint_list import Naming
+from crowpost.node.http.message import Message
+from crowpost.node.upstream.call import Call
+from crowpost.node.upstream.keep_alive import KeepAlive
+from crowpost.node.upstream.pool import Servers
 from tests.stubs import (
     HOST,
     PATIENCE_S,
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -27,7 +27,7 @@
     RequestArrived,
     Send,
 )
-from crowpost.node.http import MAX_BODY
+from crowpost.node.http.message import MAX_BODY
 from tests.hastened import run_hastened
 from tests.stubs import (
     HOST,
