--- a/crowpost/node/config.py
+++ b/crowpost/node/configuration.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from crowpost.decision_api import InvalidSettingsError, Settings, SettingsError, read_settings
-from crowpost.node.discovery import ListError, Listing, Naming
+from crowpost.node.discovery.endpoint_list import ListError, Listing, Naming
 
 if TYPE_CHECKING:
     from crowpost.config_feed.configuration import FeedConfig
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -13,7 +13,7 @@
 from crowpost.config_feed.document_cache import DocumentCache
 from crowpost.config_feed.documents import Document, make_document
 from crowpost.config_feed.errors import FeedError
-from crowpost.node.config import ConfigError, load
+from crowpost.node.configuration import ConfigError, load
 from crowpost.node.configuration_overlays import ConfigurationOverlays, patched
 from tests.stubs import HOST, listing, row, settings
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -36,7 +36,7 @@
 from crowpost.membership.core import MembershipCore
 from crowpost.membership.model import Liveness, Phase, Profile, StateUpdate
 from crowpost.membership.snapshot import view_snapshot
-from crowpost.node.config import load as load_config
+from crowpost.node.configuration import load as load_config
 from crowpost.node.metrics import Metrics
 from crowpost.node.state.node_state import NodeState
 from crowpost.node.state.records import (
@@ -274,7 +274,7 @@
     for index, status in ((0, 200), (0, 200), (0, 503), (0, 429), (1, 502), (1, 200)):
         metrics.answered(index, status)
     for _ in range(7):
-        metrics.tried()
+        metrics.attempt_written()
     return metrics.render(active=3, pool_size=12, pool_ejected=2, more={'members{state="alive"}': 4})
 
 
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from crowpost.node.config import ConfigError
+from crowpost.node.configuration import ConfigError
 from crowpost.node.state.node_state import read_node_state
 from crowpost.node.state.records import (
     Evacuation,
