--- a/crowpost/lab/capacity/demand.py
+++ b/crowpost/lab/capacity/demand.py
@@ -46,8 +46,9 @@
     def __init__(self, target: Target, records: Records, built: Sequence[str] | None = None) -> None:
         """built: the packages that stand for a mechanism; None: those that this tree has."""
         self.target, self.records = target, records
-        known = ("members", "feed", "directory", "shared", "rollout", "collect")
-        found = [name for name in known if find_spec(f"crowpost.{name}") is not None]
+        known = ("directory", "shared", "rollout", "collect")
+        packages = {"members": "membership", "feed": "config_feed", **{name: name for name in known}}
+        found = [name for name, package in packages.items() if find_spec(f"crowpost.{package}") is not None]
         self.built = frozenset(found if built is None else built)
         self.used: set[str] = set()  # assumptions that a figure was made with
 
