--- a/tests/membership/test_command.py
+++ b/tests/membership/test_command.py
@@ -15,14 +15,14 @@
 from tests.test_cli import crowpost
 
 
-def test_the_command_says_in_one_line_whom_it_cannot_reach() -> None:
+def test_an_unreachable_member_is_reported_in_one_line() -> None:
     done = crowpost("members", "--at", f"{HOST}:1")
     assert done.returncode == 2 and done.stderr.startswith(f"crowpost: {HOST}:1: ")
     done = crowpost("members", "--at", "nowhere")
     assert (done.returncode, done.stderr) == (2, "crowpost: not an IPv4 address and a port: 'nowhere'\n")
 
 
-def test_compare_names_who_holds_what_else() -> None:
+def test_a_comparison_names_the_observers_that_disagree() -> None:
     def view(**states: str) -> dict[str, Any]:
         more = {"since_ms": 5.0, "said_by": "x", "why": "w"}
         return {"members": [{"name": n, "state": s, **more} for n, s in states.items()]}
--- a/tests/membership/test_configuration.py
+++ b/tests/membership/test_configuration.py
@@ -13,7 +13,7 @@
 from tests.test_cli import crowpost
 
 
-def test_a_file_is_read_whole(tmp_path: Path) -> None:
+def test_all_tables_of_a_file_are_read(tmp_path: Path) -> None:
     file = tmp_path / "m.toml"
     file.write_text(
         MINIMAL_FILE
@@ -48,7 +48,7 @@
         (MINIMAL_FILE.replace('"n"', f'"{"n" * 65}"'), "name is longer than 64 bytes"),
     ],
 )
-def test_what_a_file_cannot_mean_is_said_with_file_and_key(tmp_path: Path, text: str, said: str) -> None:
+def test_an_invalid_file_is_reported_with_its_path_and_key(tmp_path: Path, text: str, said: str) -> None:
     file = tmp_path / "m.toml"
     file.write_text(text)
     done = crowpost("members", "run", str(file))
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -1,4 +1,4 @@
-"""Membership by the hard cases: each is a fault that a fleet meets, on the real cores in simulated time."""
+"""The protocol under faults that clusters meet: the real cores in simulated time."""
 
 from __future__ import annotations
 
@@ -33,95 +33,99 @@
 )
 
 TAG = cluster_tag(CLUSTER)
-RICH = NetworkConditions(loss_rate=0.05, duplicate_rate=0.05, straggler_rate=0.05)
+BAD_NETWORK = NetworkConditions(loss_rate=0.05, duplicate_rate=0.05, straggler_rate=0.05)
 
 
-def swarm(count: int, seed: int = 1, conditions: NetworkConditions | None = None) -> SimulatedCluster:
-    """So many processes that all join by the first three, and have met."""
-    made = SimulatedCluster(seed, conditions)
-    contacts = [made.start("n0").address]
+def joined_cluster(
+    count: int, seed: int = 1, conditions: NetworkConditions | None = None
+) -> SimulatedCluster:
+    """Return a cluster of processes that joined through the first three and know each other."""
+    cluster = SimulatedCluster(seed, conditions)
+    contacts = [cluster.start("n0").address]
     for i in range(1, count):
-        process = made.start(f"n{i}", contacts)
+        process = cluster.start(f"n{i}", contacts)
         if i < 3:
             contacts.append(process.address)
-    made.run(15_000)
-    assert made.views_agree()
-    return made
+    cluster.run(15_000)
+    assert cluster.views_agree()
+    return cluster
 
 
-def deaths(made: SimulatedCluster, of: str = "") -> list[tuple[str, str]]:
+def observed_deaths(cluster: SimulatedCluster, of: str = "") -> list[tuple[str, str]]:
     """Observer and member of every change to dead."""
-    found = [(seen, c.name) for seen, c in made.history if c.after == "dead"]
+    found = [(seen, c.name) for seen, c in cluster.history if c.after == "dead"]
     return [pair for pair in found if not of or pair[1] == of]
 
 
-def states(process: SimulatedProcess) -> dict[str, str]:
+def states_seen_by(process: SimulatedProcess) -> dict[str, str]:
     return {m.name: m.state for m in process.core.view.members.values()}
 
 
-def settle(made: SimulatedCluster, within_ms: float) -> None:
-    """Go on until all agree."""
+def run_until_views_agree(cluster: SimulatedCluster, within_ms: float) -> None:
+    """Run until all views agree."""
     for _ in range(int(within_ms / 500)):
-        if made.views_agree():
+        if cluster.views_agree():
             return
-        made.run(500)
-    told = {p.name: {n: s for n, s in states(p).items() if s != "present"} for p in made.running()}
-    pytest.fail(f"no one view after {within_ms} ms: {told}")
+        cluster.run(500)
+    states = {
+        p.name: {n: s for n, s in states_seen_by(p).items() if s != "present"} for p in cluster.running()
+    }
+    pytest.fail(f"views differ after {within_ms} ms: {states}")
 
 
-# ---------------------------------------------------------------- ordinary life
+# ---------------------------------------------------------------- regular operation
 
 
-def test_a_death_is_known_to_all_and_a_good_bye_is_no_death() -> None:
-    made = swarm(20)
-    made.kill("n7")
-    n8 = made.processes["n8"]
-    n8.core.leave(made.engine.now)
-    made.process_output(n8)
-    made.run(12_000)
-    for process in made.running():
+def test_all_learn_of_a_death_and_a_leave_is_no_death() -> None:
+    cluster = joined_cluster(20)
+    cluster.kill("n7")
+    n8 = cluster.processes["n8"]
+    n8.core.leave(cluster.engine.now)
+    cluster.process_output(n8)
+    cluster.run(12_000)
+    for process in cluster.running():
         if process is not n8:
-            assert states(process)["n7"] == "dead" and states(process)["n8"] == "left"
+            assert states_seen_by(process)["n7"] == "dead" and states_seen_by(process)["n8"] == "left"
     n8.up = False
-    made.run(20_000)
-    assert deaths(made, "n8") == []
-    dead = made.processes["n0"].core.view.members["n7"]
-    assert "no answer" in dead.reason and dead.origin in made.processes
-
-
-def test_a_phase_is_told_to_all() -> None:
-    made = swarm(8)
-    n3 = made.processes["n3"]
-    n3.core.announce_phase(Phase.LEAVING, made.engine.now, "drained")
-    made.process_output(n3)
-    made.run(3_000)
-    assert {states(p)["n3"] for p in made.running()} == {"leaving"}
-    n3.core.announce_phase(Phase.PRESENT, made.engine.now)
-    made.process_output(n3)
-    made.run(3_000)
-    assert {states(p)["n3"] for p in made.running()} == {"present"}
-
-
-def test_joining_needs_only_one_contact_that_lives_and_goes_on_when_all_are_gone() -> None:
-    made = swarm(6)
-    late = made.start("late", ["10.9.9.1:1", "10.9.9.2:1", made.processes["n1"].address])
-    settle(made, 20_000)
+    cluster.run(20_000)
+    assert observed_deaths(cluster, "n8") == []
+    dead = cluster.processes["n0"].core.view.members["n7"]
+    assert "no answer" in dead.reason and dead.origin in cluster.processes
+
+
+def test_all_learn_of_a_phase_change() -> None:
+    cluster = joined_cluster(8)
+    n3 = cluster.processes["n3"]
+    n3.core.announce_phase(Phase.LEAVING, cluster.engine.now, "drained")
+    cluster.process_output(n3)
+    cluster.run(3_000)
+    assert {states_seen_by(p)["n3"] for p in cluster.running()} == {"leaving"}
+    n3.core.announce_phase(Phase.PRESENT, cluster.engine.now)
+    cluster.process_output(n3)
+    cluster.run(3_000)
+    assert {states_seen_by(p)["n3"] for p in cluster.running()} == {"present"}
+
+
+def test_a_join_needs_one_live_contact_and_members_outlive_their_contacts() -> None:
+    cluster = joined_cluster(6)
+    late = cluster.start("late", ["10.9.9.1:1", "10.9.9.2:1", cluster.processes["n1"].address])
+    run_until_views_agree(cluster, 20_000)
     for i in range(3):
-        made.kill(f"n{i}")
-    settle(made, 20_000)
+        cluster.kill(f"n{i}")
+    run_until_views_agree(cluster, 20_000)
     assert len(late.core.view.members) == 7
 
 
-def test_all_start_at_once() -> None:
-    made = SimulatedCluster(3)
+def test_a_cluster_forms_when_all_start_at_once() -> None:
+    cluster = SimulatedCluster(3)
     addresses = [f"10.0.0.{i}:7000" for i in range(3)]
     for i in range(80):
-        made.start(f"n{i}", addresses, address=addresses[i] if i < 3 else "")
-    settle(made, 20_000)
-    assert deaths(made) == []
+        cluster.start(f"n{i}", addresses, address=addresses[i] if i < 3 else "")
+    run_until_views_agree(cluster, 20_000)
+    assert observed_deaths(cluster) == []
 
 
-def test_another_cluster_is_refused_with_its_name_and_so_is_a_far_wire_version() -> None:
+def test_a_sync_refuses_another_cluster_by_name_and_a_distant_wire_version() -> None:
     def core(cluster: str) -> MembershipCore:
         return MembershipCore(cluster, Profile("a", "127.0.0.1:1"), (), seed=1, instance_id=5, now=0.0)
 
@@ -137,15 +141,15 @@
 
 
 def test_a_neighbouring_wire_version_that_appends_to_its_messages_is_understood() -> None:
-    made = swarm(3)
-    n0, n1 = made.processes["n0"], made.processes["n1"]
+    cluster = joined_cluster(3)
+    n0, n1 = cluster.processes["n0"], cluster.processes["n1"]
     s = n1.core.own_update
     body = pack(
         [["n1", s.instance_id, s.incarnation, 1, 9_000, 0, "new"], 7, "n0", n1.address, [], {"more": 1}]
     )
     head = HEADER.pack(MAGIC, WIRE_VERSION + 1, int(MessageKind.PING), TAG, zlib.crc32(body))
     n0.core.take_output()
-    n0.core.handle_datagram(head + body, made.engine.now)
+    n0.core.handle_datagram(head + body, cluster.engine.now)
     out = n0.core.take_output()
     assert [address for address, _ in out.datagrams] == [n1.address]
     assert decode_datagram(out.datagrams[0][1], TAG, 1200).kind is MessageKind.ACK
@@ -155,154 +159,154 @@
 
 
 @pytest.mark.parametrize("address", ["", "10.7.7.7:7000"])
-def test_a_process_back_under_its_name_before_its_death_was_noticed(address: str) -> None:
+def test_a_process_that_restarts_before_its_death_is_noticed_is_never_dead(address: str) -> None:
     """Also at another address; for the others it was never dead."""
-    made = swarm(12)
-    old = made.processes["n5"]
-    made.kill("n5")
-    made.run(300)
-    new = made.start("n5", [made.processes["n0"].address], address=address or old.address)
-    settle(made, 20_000)
-    made.run(15_000)
-    assert made.views_agree() and deaths(made) == []
-    for process in made.running():
+    cluster = joined_cluster(12)
+    old = cluster.processes["n5"]
+    cluster.kill("n5")
+    cluster.run(300)
+    new = cluster.start("n5", [cluster.processes["n0"].address], address=address or old.address)
+    run_until_views_agree(cluster, 20_000)
+    cluster.run(15_000)
+    assert cluster.views_agree() and observed_deaths(cluster) == []
+    for process in cluster.running():
         held = process.core.view.members["n5"]
         assert held.instance_id == new.core.own_update.instance_id and held.profile.address == new.address
 
 
-def test_one_that_comes_back_by_contacts_that_know_nothing_yet_keeps_its_name() -> None:
-    """Seen on real processes: it took an empty table for the whole, and gave way to its own dead
+def test_a_restarted_process_keeps_its_name_when_its_contacts_restarted_too() -> None:
+    """Seen on real processes: it took an empty view for complete, and yielded to its own dead
     predecessor.
     """
-    made = swarm(12)
-    old = {name: made.processes[name].address for name in ("n0", "n1", "n2", "n5")}
+    cluster = joined_cluster(12)
+    old = {name: cluster.processes[name].address for name in ("n0", "n1", "n2", "n5")}
     for name in old:
-        made.kill(name)
-    made.run(500)
+        cluster.kill(name)
+    cluster.run(500)
     contacts = [old["n0"], old["n1"], old["n2"]]
     for name, address in old.items():
-        made.start(name, [c for c in contacts if c != address], address=address)
-    settle(made, 30_000)
-    assert not any(process.core.superseded for process in made.running())
+        cluster.start(name, [c for c in contacts if c != address], address=address)
+    run_until_views_agree(cluster, 30_000)
+    assert not any(process.core.superseded for process in cluster.running())
 
 
-def test_one_that_gave_way_by_mistake_comes_back_whatever_it_said_meanwhile() -> None:
-    made = swarm(8)
-    n5 = made.processes["n5"]
+def test_a_process_superseded_by_mistake_becomes_active_again() -> None:
+    cluster = joined_cluster(8)
+    n5 = cluster.processes["n5"]
     other = replace(n5.core.own_update, instance_id=77, incarnation=n5.core.own_update.incarnation + 1)
-    n5.core.apply_update(other, made.engine.now)
+    n5.core.apply_update(other, cluster.engine.now)
     assert n5.core.superseded
     for phase in (Phase.LEAVING, Phase.PRESENT):
-        n5.core.announce_phase(phase, made.engine.now)
-    made.process_output(n5)
-    made.processes["n0"].core.apply_update(other, made.engine.now)
-    made.run(60_000)
-    assert not n5.core.superseded and made.views_agree()
-
-
-def test_two_processes_of_one_node_are_one_member_and_the_old_ones_end_is_no_death() -> None:
-    made = swarm(12)
-    old = made.processes.pop("n5")
-    made.processes["n5 before"] = old
-    new = made.start("n5", [made.processes["n0"].address])
-    made.run(15_000)
+        n5.core.announce_phase(phase, cluster.engine.now)
+    cluster.process_output(n5)
+    cluster.processes["n0"].core.apply_update(other, cluster.engine.now)
+    cluster.run(60_000)
+    assert not n5.core.superseded and cluster.views_agree()
+
+
+def test_the_end_of_a_superseded_process_is_no_death() -> None:
+    cluster = joined_cluster(12)
+    old = cluster.processes.pop("n5")
+    cluster.processes["n5 before"] = old
+    new = cluster.start("n5", [cluster.processes["n0"].address])
+    cluster.run(15_000)
     assert old.core.superseded and not new.core.superseded
-    assert all(states(p).get("n5") == "present" for p in made.running())
-    old.core.leave(made.engine.now)
-    made.process_output(old)
-    made.run(2_000)
+    assert all(states_seen_by(p).get("n5") == "present" for p in cluster.running())
+    old.core.leave(cluster.engine.now)
+    cluster.process_output(old)
+    cluster.run(2_000)
     old.up = False
-    made.run(20_000)
-    assert deaths(made) == [] and all(c.after != "left" for _, c in made.history)
-    assert made.views_agree()
+    cluster.run(20_000)
+    assert observed_deaths(cluster) == [] and all(c.after != "left" for _, c in cluster.history)
+    assert cluster.views_agree()
 
 
-def test_the_old_process_of_an_upgrade_takes_its_place_back_when_the_new_one_dies() -> None:
-    made = swarm(8)
-    old = made.processes.pop("n5")
-    made.processes["n5 before"] = old
-    new = made.start("n5", [made.processes["n0"].address])
-    made.run(5_000)
+def test_a_superseded_process_becomes_active_when_its_successor_dies() -> None:
+    cluster = joined_cluster(8)
+    old = cluster.processes.pop("n5")
+    cluster.processes["n5 before"] = old
+    new = cluster.start("n5", [cluster.processes["n0"].address])
+    cluster.run(5_000)
     assert old.core.superseded
     new.up = False
-    made.run(40_000)
+    cluster.run(40_000)
     assert not old.core.superseded
-    for process in made.running():
+    for process in cluster.running():
         held = process.core.view.members["n5"]
         assert held.state == "present" and held.instance_id == old.core.own_update.instance_id
 
 
 def test_a_wall_clock_that_jumps_changes_nothing() -> None:
     """The start is shown only: one from the year 2000 replaces one from 2040 all the same."""
-    made = swarm(5)
-    made.kill("n4")
-    made.start("n4", [made.processes["n0"].address], started_s=2_208_988_800.0)
-    settle(made, 15_000)
-    made.kill("n4")
-    new = made.start("n4", [made.processes["n0"].address], started_s=946_684_800.0)
-    settle(made, 15_000)
-    assert made.processes["n1"].core.view.members["n4"].instance_id == new.core.own_update.instance_id
+    cluster = joined_cluster(5)
+    cluster.kill("n4")
+    cluster.start("n4", [cluster.processes["n0"].address], started_s=2_208_988_800.0)
+    run_until_views_agree(cluster, 15_000)
+    cluster.kill("n4")
+    new = cluster.start("n4", [cluster.processes["n0"].address], started_s=946_684_800.0)
+    run_until_views_agree(cluster, 15_000)
+    assert cluster.processes["n1"].core.view.members["n4"].instance_id == new.core.own_update.instance_id
 
 
-# ---------------------------------------------------------------- bad machines and bad links
+# ---------------------------------------------------------------- slow machines and bad links
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_one_that_was_stopped_for_15_s_wakes_and_nobody_dies_of_it(seed: int) -> None:
-    made = swarm(16, seed)
-    made.pause("n6", 15_000.0)
-    made.run(14_900)
-    assert all(states(p)["n6"] == "dead" for p in made.running() if p.name != "n6")
-    made.history.clear()
-    made.run(30_000)
-    assert deaths(made) == [] and made.views_agree()
+def test_a_process_that_was_paused_for_15_s_declares_nobody_dead(seed: int) -> None:
+    cluster = joined_cluster(16, seed)
+    cluster.pause("n6", 15_000.0)
+    cluster.run(14_900)
+    assert all(states_seen_by(p)["n6"] == "dead" for p in cluster.running() if p.name != "n6")
+    cluster.history.clear()
+    cluster.run(30_000)
+    assert observed_deaths(cluster) == [] and cluster.views_agree()
 
 
-def test_many_that_stand_still_again_and_again_do_not_die_of_it() -> None:
-    made = swarm(30, 5, NetworkConditions(loss_rate=0.1, starved_fraction=0.1))
-    made.starve()
-    made.run(300_000)
-    assert deaths(made) == []
+def test_starved_members_are_not_declared_dead() -> None:
+    cluster = joined_cluster(30, 5, NetworkConditions(loss_rate=0.1, starved_fraction=0.1))
+    cluster.starve()
+    cluster.run(300_000)
+    assert observed_deaths(cluster) == []
 
 
-def test_a_link_that_works_one_way_only_kills_nobody() -> None:
-    made = swarm(10)
-    made.may_pass = lambda a, b: (a, b) != ("n2", "n3")
-    made.run(60_000)
-    assert deaths(made) == [] and made.views_agree()
+def test_a_link_that_works_in_one_direction_only_causes_no_death() -> None:
+    cluster = joined_cluster(10)
+    cluster.may_pass = lambda a, b: (a, b) != ("n2", "n3")
+    cluster.run(60_000)
+    assert observed_deaths(cluster) == [] and cluster.views_agree()
 
 
 @pytest.mark.parametrize(("count", "cut", "for_s"), [(24, 12, 30), (100, 10, 150)])
-def test_parts_that_were_cut_off_come_together_by_themselves(count: int, cut: int, for_s: int) -> None:
+def test_a_partition_heals_by_itself(count: int, cut: int, for_s: int) -> None:
     """The few probe less often while they hear nobody, so they need longer to hold the many dead."""
-    made = swarm(count, 2)
+    cluster = joined_cluster(count, 2)
     side = {f"n{i}" for i in range(cut)}
-    made.may_pass = lambda a, b: (a in side) == (b in side)
-    made.run(1_000 * for_s)
-    for process in made.running():
-        alive = {n for n, s in states(process).items() if s == "present"}
-        assert alive == (side if process.name in side else set(made.processes) - side)
-    made.may_pass = lambda a, b: True
-    made.history.clear()
-    settle(made, 30_000)
-    assert deaths(made) == [], "nobody dies of the joining"
+    cluster.may_pass = lambda a, b: (a in side) == (b in side)
+    cluster.run(1_000 * for_s)
+    for process in cluster.running():
+        alive = {n for n, s in states_seen_by(process).items() if s == "present"}
+        assert alive == (side if process.name in side else set(cluster.processes) - side)
+    cluster.may_pass = lambda a, b: True
+    cluster.history.clear()
+    run_until_views_agree(cluster, 30_000)
+    assert observed_deaths(cluster) == [], "nobody dies of the joining"
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_what_was_said_behind_a_cut_just_before_it_ends_kills_nobody(seed: int) -> None:
+def test_a_death_declared_behind_a_partition_just_before_it_heals_does_not_spread(seed: int) -> None:
     """Seen on real processes: the few had declared a death a second before, and then it was one for all."""
-    made = swarm(40, seed)
+    cluster = joined_cluster(40, seed)
     side = {f"n{i}" for i in range(6)}
-    made.may_pass = lambda a, b: (a in side) == (b in side)
+    cluster.may_pass = lambda a, b: (a in side) == (b in side)
     for _ in range(200):  # until one of the few has declared a death, and its news is still on the way
-        made.run(500)
-        if any(seen in side for seen, c in made.history if c.after == "dead" and c.name not in side):
+        cluster.run(500)
+        if any(seen in side for seen, c in cluster.history if c.after == "dead" and c.name not in side):
             break
-    made.may_pass = lambda a, b: True
-    made.history.clear()
-    made.run(30_000)
-    wrong = [(seen, name) for seen, name in deaths(made) if (seen in side) == (name in side)]
-    assert wrong == [] and made.views_agree()
+    cluster.may_pass = lambda a, b: True
+    cluster.history.clear()
+    cluster.run(30_000)
+    wrong = [(seen, name) for seen, name in observed_deaths(cluster) if (seen in side) == (name in side)]
+    assert wrong == [] and cluster.views_agree()
 
 
 @pytest.mark.parametrize(("count", "gone", "within_ms"), [(60, 9, 9_000), (20, 14, 14_000)])
@@ -310,71 +314,73 @@
     """Seen on sixty real processes: probes used up the budget of bytes, and nothing was passed on for ten
     seconds.
     """
-    made = swarm(count, 3, NetworkConditions(loss_rate=0.1))
+    cluster = joined_cluster(count, 3, NetworkConditions(loss_rate=0.1))
     for i in range(gone):
-        made.kill(f"n{i}")
-    made.run(within_ms)
-    for process in made.running():
-        assert {n for n, s in states(process).items() if s == "dead"} == {f"n{i}" for i in range(gone)}
+        cluster.kill(f"n{i}")
+    cluster.run(within_ms)
+    for process in cluster.running():
+        assert {n for n, s in states_seen_by(process).items() if s == "dead"} == {
+            f"n{i}" for i in range(gone)
+        }
 
 
-def test_a_member_that_flaps_ends_as_it_stands() -> None:
-    made = swarm(10, 4, RICH)
+def test_a_flapping_member_ends_in_its_actual_state() -> None:
+    cluster = joined_cluster(10, 4, BAD_NETWORK)
     for _ in range(4):
-        made.kill("n4")
-        made.run(9_000)
-        made.start("n4", [made.processes["n0"].address], address=made.processes["n4"].address)
-        made.run(4_000)
-    settle(made, 20_000)
-    assert {c.name for _, c in made.history if c.after == "dead"} == {"n4"}
+        cluster.kill("n4")
+        cluster.run(9_000)
+        cluster.start("n4", [cluster.processes["n0"].address], address=cluster.processes["n4"].address)
+        cluster.run(4_000)
+    run_until_views_agree(cluster, 20_000)
+    assert {c.name for _, c in cluster.history if c.after == "dead"} == {"n4"}
 
 
-def test_loss_duplicates_and_reordering_together() -> None:
-    made = swarm(20, 6, NetworkConditions(loss_rate=0.2, duplicate_rate=0.2, straggler_rate=0.1))
-    made.run(120_000)
-    assert deaths(made) == []
-    made.kill("n9")
-    settle(made, 30_000)
+def test_loss_duplicates_and_reordering_cause_no_false_death() -> None:
+    cluster = joined_cluster(20, 6, NetworkConditions(loss_rate=0.2, duplicate_rate=0.2, straggler_rate=0.1))
+    cluster.run(120_000)
+    assert observed_deaths(cluster) == []
+    cluster.kill("n9")
+    run_until_views_agree(cluster, 30_000)
 
 
-# ---------------------------------------------------------------- bytes that are no good
+# ---------------------------------------------------------------- invalid bytes
 
 
 def test_datagrams_replayed_from_an_hour_ago_change_nothing() -> None:
-    made = swarm(6)
+    cluster = joined_cluster(6)
     kept: list[tuple[str, bytes]] = []
-    send = made.send
+    send = cluster.send
 
     def tap(process: SimulatedProcess, address: str, data: bytes) -> None:
         kept.append((address, data))
         send(process, address, data)
 
-    made.send = tap  # type: ignore[method-assign]
-    made.start("gone", [made.processes["n0"].address])
-    made.run(5_000)
-    made.kill("gone")
-    made.run(20_000)
-    made.send = send  # type: ignore[method-assign]
-    made.run(3_600_000)
-    before = {p.name: states(p) for p in made.running()}
-    made.history.clear()
+    cluster.send = tap  # type: ignore[method-assign]
+    cluster.start("gone", [cluster.processes["n0"].address])
+    cluster.run(5_000)
+    cluster.kill("gone")
+    cluster.run(20_000)
+    cluster.send = send  # type: ignore[method-assign]
+    cluster.run(3_600_000)
+    before = {p.name: states_seen_by(p) for p in cluster.running()}
+    cluster.history.clear()
     for address, data in kept:
-        made.deliver(address, data)
-    made.run(20_000)
-    assert {p.name: states(p) for p in made.running()} == before and made.history == []
-    assert sum(p.core.counts["dropped_replayed"] for p in made.running()) > 100
+        cluster.deliver(address, data)
+    cluster.run(20_000)
+    assert {p.name: states_seen_by(p) for p in cluster.running()} == before and cluster.history == []
+    assert sum(p.core.counts["dropped_replayed"] for p in cluster.running()) > 100
 
 
-def test_damaged_cut_oversized_and_foreign_datagrams_are_counted_and_dropped() -> None:
-    made = swarm(4)
-    n0, n1 = made.processes["n0"], made.processes["n1"]
+def test_damaged_truncated_oversized_and_foreign_datagrams_are_counted_and_dropped() -> None:
+    cluster = joined_cluster(4)
+    n0, n1 = cluster.processes["n0"], cluster.processes["n1"]
     good: list[bytes] = []
     for _ in range(40):
-        made.run(100)
-        n1.core._outbox.send(n0.address, MessageKind.GOSSIP, made.engine.now, 0, "", [n1.core.own_update])
+        cluster.run(100)
+        n1.core._outbox.send(n0.address, MessageKind.GOSSIP, cluster.engine.now, 0, "", [n1.core.own_update])
         good += [datagram.data for datagram in n1.core._outbox.take()]
     rng = random.Random(7)
-    before, counts = states(n0), n0.core.counts.copy()
+    before, counts = states_seen_by(n0), n0.core.counts.copy()
     tries = 0
     for data in good:
         for _ in range(50):
@@ -388,28 +394,32 @@
                     bad = bytearray(rng.randbytes(rng.randrange(1500)))
                 case _:
                     bad += bytes(1201 - len(bad))
-            n0.core.handle_datagram(bytes(bad), made.engine.now)
+            n0.core.handle_datagram(bytes(bad), cluster.engine.now)
             tries += 1
     dropped = sum(v - counts[k] for k, v in n0.core.counts.items() if k.startswith("dropped_"))
-    assert states(n0) == before and dropped >= 0.98 * tries  # a flip of a version may make a neighbour's
-    n0.core.handle_datagram(encode_frame(MessageKind.GOSSIP, cluster_tag("other"), b"\x95"), made.engine.now)
+    assert (
+        states_seen_by(n0) == before and dropped >= 0.98 * tries
+    )  # a flip of a version may make a neighbour's
+    n0.core.handle_datagram(
+        encode_frame(MessageKind.GOSSIP, cluster_tag("other"), b"\x95"), cluster.engine.now
+    )
     assert n0.core.counts["dropped_cluster"] >= 1
 
 
-def test_a_stranger_that_names_no_address_is_not_answered() -> None:
-    made = swarm(3)
-    core = made.processes["n0"].core
+def test_an_unknown_sender_without_a_valid_address_is_not_answered() -> None:
+    cluster = joined_cluster(3)
+    core = cluster.processes["n0"].core
     core.take_output()
     stranger = Sender("x", 1, 1, Phase.PRESENT, 1, 0)
     core.handle_datagram(
         encode_datagram(Message(MessageKind.PING, stranger, 1, "n0", "nowhere"), TAG, []),
-        made.engine.now,
+        cluster.engine.now,
     )
     out = core.take_output()
     assert core.counts["dropped_malformed"] == 1 and not out.sync_addresses and not out.datagrams
     core.handle_datagram(
         encode_datagram(Message(MessageKind.PING, stranger, 1, "n0", "10.1.1.1:5"), TAG, []),
-        made.engine.now,
+        cluster.engine.now,
     )
     out = core.take_output()
     assert out.sync_addresses == ["10.1.1.1:5"] and [address for address, _ in out.datagrams] == [
@@ -417,10 +427,10 @@
     ]
 
 
-def test_well_sealed_nonsense_is_dropped_too() -> None:
+def test_messages_of_random_values_are_dropped() -> None:
     """The checksum is no defence against a program that is wrong: types and bounds are looked at."""
-    made = swarm(3)
-    core = made.processes["n0"].core
+    cluster = joined_cluster(3)
+    core = cluster.processes["n0"].core
     rng = random.Random(3)
 
     def junk(depth: int = 0) -> object:
@@ -435,20 +445,20 @@
         ]
         return rng.choice(kinds)()
 
-    before = states(made.processes["n0"])
+    before = states_seen_by(cluster.processes["n0"])
     for _ in range(3_000):
         sender = ["n1", junk(), junk(), junk(), junk(), junk()]
         body = pack([sender, junk(), junk(), junk(), [junk(), junk()]])
-        core.handle_datagram(encode_frame(MessageKind(rng.randrange(1, 6)), TAG, body), made.engine.now)
+        core.handle_datagram(encode_frame(MessageKind(rng.randrange(1, 6)), TAG, body), cluster.engine.now)
         frame = encode_frame(MessageKind(rng.choice([16, 17, 18])), TAG, pack([junk(), junk(), junk()]))
-        sync.handle_request(core, frame, made.engine.now)
+        sync.handle_request(core, frame, cluster.engine.now)
         for take in (sync.handle_response, sync.handle_completion):
             with contextlib.suppress(MembershipError):  # a list that is empty is no nonsense
-                take(core, frame, made.engine.now)
-    assert states(made.processes["n0"]) == before
+                take(core, frame, cluster.engine.now)
+    assert states_seen_by(cluster.processes["n0"]) == before
 
 
-def test_bounds_of_what_a_member_carries_are_kept_on_both_sides() -> None:
+def test_the_bounds_of_a_profile_hold_when_it_is_made_and_when_it_is_decoded() -> None:
     for bad in (
         {"name": "n" * 65},
         {"zone": "z" * 33},
@@ -474,12 +484,12 @@
         decode_update(encode_update(replace(update, reason="w" * 65)))
 
 
-def test_a_full_table_takes_no_more_and_says_so() -> None:
-    made = SimulatedCluster(1, settings=ProtocolSettings(max_members=5, max_dead_members=2))
-    first = made.start("n0")
+def test_a_full_view_rejects_members_and_counts_them() -> None:
+    cluster = SimulatedCluster(1, settings=ProtocolSettings(max_members=5, max_dead_members=2))
+    first = cluster.start("n0")
     for i in range(1, 9):
-        made.start(f"n{i}", [first.address])
-    made.run(10_000)
+        cluster.start(f"n{i}", [first.address])
+    cluster.run(10_000)
     assert first.core.view.alive_count == 5 and first.core.view.rejected_updates > 0
 
 
@@ -488,9 +498,9 @@
 
 def test_equal_seeds_give_equal_histories() -> None:
     def history(seed: int) -> list[object]:
-        made = swarm(12, seed, RICH)
-        made.kill("n3")
-        made.run(20_000)
-        return [*made.history, made.engine.handled]
+        cluster = joined_cluster(12, seed, BAD_NETWORK)
+        cluster.kill("n3")
+        cluster.run(20_000)
+        return [*cluster.history, cluster.engine.handled]
 
     assert history(9) == history(9) != history(10)
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -49,11 +49,11 @@
     async def until(self, name: str, state: str) -> None:
         """Until all others hold this of a member."""
 
-        def told() -> bool:
+        def all_hold_it() -> bool:
             views = [c.core.view.members for c in self.transports if c.core.local_member.name != name]
             return all(name in v and v[name].state == state for v in views)
 
-        while not told():
+        while not all_hold_it():
             self.changed.clear()
             await asyncio.wait_for(self.changed.wait(), PATIENCE_S)
 
@@ -62,7 +62,7 @@
             transport.abort()
 
 
-def test_members_on_sockets_join_see_a_death_and_a_leaving_and_answer_the_command() -> None:
+def test_members_on_sockets_join_see_a_death_and_a_leave_and_answer_queries() -> None:
     async def main() -> None:
         cluster = Cluster()
         try:
@@ -85,7 +85,7 @@
     run(main())
 
 
-def test_bytes_that_are_no_frame_end_their_connection_and_nothing_else() -> None:
+def test_bytes_that_are_no_frame_end_only_their_connection() -> None:
     async def main() -> None:
         cluster = Cluster()
         try:
@@ -107,7 +107,7 @@
     run(main())
 
 
-def test_a_node_that_is_a_member_says_when_it_is_ready_and_when_it_drains(tmp_path: Path) -> None:
+def test_a_node_announces_when_it_is_ready_and_when_it_drains(tmp_path: Path) -> None:
     async def main() -> None:
         cluster = Cluster()
         try:
