--- a/crowpost/cli/state.py
+++ b/crowpost/cli/state.py
@@ -132,7 +132,7 @@
     or find anything amiss in.
 
     Example: crowpost state verify /var/lib/crowpost/n3
-    """  # noqa: D205 - the first sentence is also the command's help, and does not fit on one line
+    """
     from crowpost.storage.disk import Disk
     from crowpost.storage.verification import verify as verify_files
 
