--- a/crowpost/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -323,7 +323,7 @@
         raise typer.BadParameter(str(error)) from None
     workers = jobs or os.cpu_count() or 1
     if broken:
-        rows = report.broken(len(numbers), workers)
+        rows = report.check_faults(len(numbers), workers)
         if as_json:
             print(json.dumps([asdict(row) for row in rows]))
         else:
@@ -336,19 +336,21 @@
             raise typer.Exit(1)
         return
     began = time.perf_counter()
-    tally = report.whole(numbers, flips, workers)
+    results = report.check_seeds(numbers, flips, workers)
     if as_json:
-        print(json.dumps({"states": dict(tally.states), "breaches": dict(tally.breaches)}, sort_keys=True))
+        print(
+            json.dumps({"states": dict(results.states), "breaches": dict(results.violations)}, sort_keys=True)
+        )
     else:
         table = Table("kind of state", "tried", box=None)
-        for kind, count in sorted(tally.states.items(), key=lambda item: -item[1]):
+        for kind, count in sorted(results.states.items(), key=lambda item: -item[1]):
             table.add_row(kind, str(count))
         out.print(table)
-        out.print(f"{sum(tally.states.values())} states of {len(numbers)} seeds", end="")
-        out.print(f" in {time.perf_counter() - began:.0f} s, {sum(tally.breaches.values())} found bad")
-    for story in tally.stories:
-        print(story, file=sys.stderr)
-    if tally.breaches:
+        out.print(f"{results.state_count} states of {len(numbers)} seeds", end="")
+        out.print(f" in {time.perf_counter() - began:.0f} s, {sum(results.violations.values())} found bad")
+    for description in results.descriptions:
+        print(description, file=sys.stderr)
+    if results.violations:
         raise typer.Exit(1)
 
 
--- a/crowpost/lab/crash_consistency/kills.py
+++ b/crowpost/lab/crash_consistency/kills.py
@@ -1,8 +1,8 @@
 """Kill real processes that write to real directories: python -m crowpost.lab.crash_consistency.kills DIR.
 
-A worker writes numbered records and takes snapshots, and tells of each record on its standard output once it
-has been acknowledged.  It is killed by SIGKILL, what it told is compared with what recovery finds, and the
-next worker goes on in the same directory.
+A worker writes numbered records and snapshots, and prints the number of each record once it was
+acknowledged.  It is killed by SIGKILL, what it printed is compared with what recovery finds, and the next
+worker continues in the same directory.
 """
 
 from __future__ import annotations
@@ -16,106 +16,141 @@
 import time
 from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
+from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
 from subprocess import DEVNULL, PIPE, Popen
-from typing import Any
 
-from crowpost.lab.crash_consistency.checker import payload, state
+from crowpost.lab.crash_consistency.workload import OWNER, record_payload, snapshot_pieces
 from crowpost.storage.errors import StoreError
-from crowpost.storage.model import Durability
+from crowpost.storage.model import Durability, RecoveredState
 from crowpost.storage.runner import StoreRunner, inspect_store, open_store
 from crowpost.storage.write_policy import WritePolicy
 
-OWNER = "n0"
+MODULE = "crowpost.lab.crash_consistency.kills"
 POLICY = WritePolicy(segment_bytes=20_000, bytes_per_s=1e9, burst_bytes=1e9)
-LIVES_S = 0.25  # a worker is killed within so long after its first word
+MAX_LIFETIME_S = 0.25  # of a worker after its first line
+MAX_PAUSE_S = 0.002  # of a worker between its batches
+BATCH_SIZES = (1, 1, 3, 20)
+SNAPSHOT_PROBABILITY = 0.05
 
 
-async def work(path: Path, seed: int) -> None:
-    """Write without end; a line for each acknowledged record."""
+# ---------------------------------------------------------------- a worker
+
+
+async def write_records(path: Path, seed: int) -> None:
+    """Write without end, and print a line for each acknowledged record."""
     runner = StoreRunner(open_store(path, OWNER), POLICY)
-    rng, waiting = Random(os.getpid()), set[asyncio.Task[None]]()
+    rng = Random(os.getpid())
+    waiting: set[asyncio.Task[None]] = set()
 
-    async def tell(sequence: int) -> None:
+    async def print_when_durable(sequence: int) -> None:
         await runner.wait_durable(sequence)
-        os.write(1, b"%d\n" % sequence)
+        _print_sequence(sequence)
 
-    os.write(1, b"%d\n" % runner.store.durable_sequence)
+    _print_sequence(runner.store.durable_sequence)
     while True:
-        for _ in range(rng.choice((1, 1, 3, 20))):
-            number = runner.store.next_sequence
-            sequence = runner.append(payload(number, seed), Durability.ACKNOWLEDGED)
-            task = asyncio.ensure_future(tell(sequence))
+        for _ in range(rng.choice(BATCH_SIZES)):
+            payload = record_payload(runner.store.next_sequence, seed)
+            sequence = runner.append(payload, Durability.ACKNOWLEDGED)
+            task = asyncio.create_task(print_when_durable(sequence))
             waiting.add(task)
             task.add_done_callback(waiting.discard)
-        if rng.random() < 0.05:
-            runner.write_snapshot(state(runner.store.next_sequence - 1, seed))
-        await asyncio.sleep(0.002 * rng.random())
+        if rng.random() < SNAPSHOT_PROBABILITY:
+            runner.write_snapshot(snapshot_pieces(runner.store.next_sequence - 1, seed))
+        await asyncio.sleep(MAX_PAUSE_S * rng.random())
+
+
+def _print_sequence(sequence: int) -> None:
+    os.write(sys.stdout.fileno(), b"%d\n" % sequence)
+
+
+# ---------------------------------------------------------------- the kills
 
 
-def kill_again_and_again(path: Path, seed: int, kills: int) -> dict[str, Any]:
-    """One directory and one worker after another; what was found wrong is a list of lines."""
-    rng, wrong, told, done = Random(f"kills {seed}"), list[str](), 0, 0
+@dataclass
+class KillResults:
+    """What was found in one directory."""
+
+    kills: int = 0
+    records: int = 0  # acknowledged
+    violations: list[str] = field(default_factory=list)
+
+
+def kill_repeatedly(path: Path, seed: int, kills: int) -> KillResults:
+    """Kill one worker after another in one directory, and check it after each."""
+    rng = Random(f"kills {seed}")
+    results = KillResults()
     for number in range(kills):
-        command = [
-            sys.executable,
-            "-m",
-            "crowpost.lab.crash_consistency.kills",
-            str(path),
-            "--work",
-            str(seed),
+        results.records = max([results.records, *_run_and_kill(path, seed, rng)])
+        results.kills += 1
+        place = f"seed {seed}, kill {number}"
+        try:
+            recovered = inspect_store(path, OWNER)
+        except StoreError as error:
+            results.violations.append(f"{place}: {error}")
+            break
+        results.violations += [
+            f"{place}: {text}" for text in _find_violations(recovered, seed, results.records)
         ]
-        worker = Popen(command, stdout=PIPE, stderr=DEVNULL)
+    return results
+
+
+def _run_and_kill(path: Path, seed: int, rng: Random) -> list[int]:
+    """Return the sequence numbers that a worker has printed until it was killed."""
+    command = [sys.executable, "-m", MODULE, str(path), "--work", str(seed)]
+    with Popen(command, stdout=PIPE, stderr=DEVNULL) as worker:
         assert worker.stdout is not None
         first = worker.stdout.readline()
-        time.sleep(LIVES_S * rng.random())
+        time.sleep(MAX_LIFETIME_S * rng.random())
         worker.kill()
-        done += 1
-        lines = (first + worker.stdout.read()).split()
-        worker.stdout.close()
-        worker.wait()
-        told = max([told, *(int(line) for line in lines)])
-        try:
-            found = inspect_store(path, OWNER)
-        except StoreError as error:
-            wrong.append(f"seed {seed}, kill {number}: {error}")
-            break
-        last = found.last_sequence
-        base = found.snapshot_sequence
-        if last < told:
-            wrong.append(f"seed {seed}, kill {number}: {told} was acknowledged, {last} is there")
-        if found.snapshot != (state(base, seed) if base else []):
-            wrong.append(f"seed {seed}, kill {number}: the snapshot of {base} is not what was written")
-        if any(r.payload != payload(r.sequence, seed) for r in found.records):
-            wrong.append(f"seed {seed}, kill {number}: a record is not what was written")
-    return {"kills": done, "records": told, "wrong": wrong}
+        printed = first + worker.stdout.read()
+    return [int(line) for line in printed.split()]
+
+
+def _find_violations(recovered: RecoveredState, seed: int, acknowledged: int) -> list[str]:
+    violations = []
+    last = recovered.last_sequence
+    base = recovered.snapshot_sequence
+    if last < acknowledged:
+        violations.append(f"{acknowledged} was acknowledged, {last} is there")
+    if recovered.snapshot != (snapshot_pieces(base, seed) if base else []):
+        violations.append(f"the snapshot of {base} is not what was written")
+    if any(record.payload != record_payload(record.sequence, seed) for record in recovered.records):
+        violations.append("a record is not what was written")
+    return violations
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Exit code 1 if anything was found wrong."""
-    parser = argparse.ArgumentParser(prog="python -m crowpost.lab.crash_consistency.kills")
+    """Run the command; return 1 if a violation was found, else 0."""
+    parser = argparse.ArgumentParser(prog=f"python -m {MODULE}")
     parser.add_argument("path", type=Path)
     parser.add_argument("--kills", type=int, default=500)
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
     parser.add_argument("--work", type=int, help="be a worker with this seed")
-    chosen = parser.parse_args(arguments)
-    if chosen.work is not None:
+    options = parser.parse_args(arguments)
+    if options.work is not None:
         with contextlib.suppress(KeyboardInterrupt):
-            asyncio.run(work(chosen.path, chosen.work))
+            asyncio.run(write_records(options.path, options.work))
         return 0
-    chosen.path.mkdir(parents=True, exist_ok=True)
-    each = [chosen.kills // chosen.jobs + (i < chosen.kills % chosen.jobs) for i in range(chosen.jobs)]
-    with ThreadPoolExecutor(chosen.jobs) as pool:
-        played = [
-            pool.submit(kill_again_and_again, chosen.path / f"store-{seed}", seed, kills)
-            for seed, kills in enumerate(each, 1)
+    results = _kill_in_parallel(options.path, options.kills, options.jobs)
+    violations = [violation for result in results for violation in result.violations]
+    kills = sum(result.kills for result in results)
+    records = sum(result.records for result in results)
+    print(json.dumps({"kills": kills, "records": records, "wrong": violations}))
+    return 1 if violations else 0
+
+
+def _kill_in_parallel(path: Path, kills: int, jobs: int) -> list[KillResults]:
+    """Divide the kills over as many directories as there are jobs."""
+    path.mkdir(parents=True, exist_ok=True)
+    shares = [kills // jobs + (index < kills % jobs) for index in range(jobs)]
+    with ThreadPoolExecutor(jobs) as pool:
+        futures = [
+            pool.submit(kill_repeatedly, path / f"store-{seed}", seed, share)
+            for seed, share in enumerate(shares, 1)
         ]
-        results = [p.result() for p in played]
-    wrong = [line for result in results for line in result["wrong"]]
-    records = sum(r["records"] for r in results)
-    print(json.dumps({"kills": sum(r["kills"] for r in results), "records": records, "wrong": wrong}))
-    return 1 if wrong else 0
+        return [future.result() for future in futures]
 
 
 if __name__ == "__main__":
--- a/crowpost/lab/crash_consistency/report.py
+++ b/crowpost/lab/crash_consistency/report.py
@@ -1,4 +1,4 @@
-"""Many seeds of the crash states, and every fault of the list, over all cores."""
+"""Crash consistency checks of many seeds, and of every seeded fault, on all cores."""
 
 from __future__ import annotations
 
@@ -8,38 +8,39 @@
 from dataclasses import dataclass
 from functools import partial
 
-from crowpost.lab.crash_consistency.checker import Tally, play, play_broken
+from crowpost.lab.crash_consistency.checker import check_fault, check_seed
+from crowpost.lab.crash_consistency.results import CheckResults
 from crowpost.lab.crash_consistency.seeded_faults import FAULTS
 
 
 @dataclass(frozen=True, slots=True)
-class Discovery:
-    """How a fault that was put in was found; breach empty: it was not."""
+class FaultReport:
+    """How a seeded fault was found; the fields are the keys of the command's --json."""
 
     name: str
-    breach: str
+    breach: str  # the kind of the first violation; empty: the fault was not found
     seed: int
     states: int
     seconds: float  # of one core
 
 
-def whole(seeds: Sequence[int], flip_step: int, jobs: int) -> Tally:
-    """The tally of all seeds; equal seeds give an equal one on any number of workers."""
-    tally = Tally()
+def check_seeds(seeds: Sequence[int], flip_step: int, jobs: int) -> CheckResults:
+    """Return the results of all seeds; they do not depend on the number of worker processes."""
+    total = CheckResults()
     with ProcessPoolExecutor(jobs) as pool:
-        for one in pool.map(partial(play, flip_step=flip_step), seeds):
-            tally.add(one)
-    return tally
+        for results in pool.map(partial(check_seed, flip_step=flip_step), seeds):
+            total.add(results)
+    return total
 
 
-def broken(seeds: int, jobs: int) -> list[Discovery]:
-    """Each fault of the list on at most so many seeds."""
+def check_faults(seeds: int, jobs: int) -> list[FaultReport]:
+    """Check each seeded fault on at most so many seeds."""
     with ProcessPoolExecutor(jobs) as pool:
-        return list(pool.map(partial(_broken, seeds), FAULTS))
+        return list(pool.map(partial(_check_fault, seeds), FAULTS))
 
 
-def _broken(seeds: int, name: str) -> Discovery:
-    began = time.perf_counter()
-    seed, tally = play_broken(name, seeds)
-    breach = next(iter(tally.breaches), "")
-    return Discovery(name, breach, seed, sum(tally.states.values()), time.perf_counter() - began)
+def _check_fault(seeds: int, name: str) -> FaultReport:
+    started = time.perf_counter()
+    seed, results = check_fault(name, seeds)
+    violation = next(iter(results.violations), "")
+    return FaultReport(name, violation, seed, results.state_count, time.perf_counter() - started)
--- a/crowpost/lab/crash_consistency/simulated_disk.py
+++ b/crowpost/lab/crash_consistency/simulated_disk.py
@@ -1,10 +1,10 @@
-"""A disk that remembers what no fsync has covered, and the states that a power loss may leave of it.
+"""A simulated disk that tracks what was not synced, and the states that a power loss may leave of it.
 
-The model is the harshest that a POSIX file system allows.  Of the writes to a file that no fsync has covered
-any sector of 512 bytes may be there or not, in any order, and the file may be as long as if all were; a
-name that was made, changed or removed is kept only by an fsync of the directory, whatever became of its
-data.  Of two changes to one name the earlier comes first.  An fsync that fails loses what it was to keep,
-while reads go on showing it until the power is gone.
+The model is the harshest that a POSIX file system allows.  Of the writes to a file that were not synced, any
+sector of 512 bytes may be there or not, in any order, and the file may be as long as if all were.  A name
+that was created, renamed or removed is durable only after an fsync of the directory, whatever happened to its
+data. Of two changes to one name the earlier comes first.  A failed fsync loses the writes that it should
+sync, while reads still show them until the power is lost.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
     SyncDirectory,
 )
 
-SECTOR = 512  # bytes that a disk writes whole or not at all
+SECTOR_BYTES = 512  # that a disk writes completely or not at all
 
-Files = dict[str, bytes]  # a state: what a machine wakes up with
+Files = dict[str, bytes]  # the content by name: what a machine has after a restart
 
 
 @dataclass
 class Inode:
-    """A file's content on the disk, and what is on its way there."""
+    """A file's durable content, and the writes that are not synced."""
 
     durable: bytes = b""
     pending: list[tuple[int, bytes]] = field(default_factory=list)  # offset and data
-    lost: list[tuple[int, bytes]] = field(default_factory=list)  # by an fsync that failed, and still shown
+    lost: list[tuple[int, bytes]] = field(default_factory=list)  # by a failed fsync, and still shown by reads
     size: int = 0
 
     def seen(self) -> bytes:
-        """What a read shows."""
+        """Return what a read shows."""
         return self.with_pieces(self.lost + self.pending, self.size)
 
     def with_pieces(self, pieces: list[tuple[int, bytes]], size: int | None = None) -> bytes:
-        """The durable content with some of what was on its way; bytes between are zeros."""
+        """Return the durable content with some of the pending writes; bytes between them are zeros."""
         content = bytearray(self.durable)
         for offset, data in pieces:
             content.extend(bytes(max(0, offset - len(content))))
@@ -55,62 +55,69 @@
         return bytes(content)
 
     def sectors(self) -> list[tuple[int, bytes]]:
-        """What is on its way, in parts that are written whole or not at all."""
+        """Return the pending writes in parts that are written completely or not at all."""
         parts = []
         for offset, data in self.pending:
             while data:
-                room = SECTOR - offset % SECTOR
-                parts.append((offset, data[:room]))
-                offset, data = offset + room, data[room:]
+                size = SECTOR_BYTES - offset % SECTOR_BYTES
+                parts.append((offset, data[:size]))
+                offset += size
+                data = data[size:]
         return parts
 
 
 @dataclass(frozen=True)
 class NameChange:
-    """A change of the directory that is on its way.  inode None: the name goes; was: its name until then."""
+    """A change of the directory that is not synced.
+
+    inode: None if the name is removed.  old_name: the name before a rename.
+    """
 
     name: str
     inode: int | None
-    was: str = ""
+    old_name: str = ""
 
 
 class SimulatedDisk:
-    """Does a store's operations in memory.  fail: the number of the operation that fails, and how."""
+    """Executes a store's operations in memory.
+
+    fail: the number of the operation that fails, and its errno.
+    """
 
     def __init__(self, files: Files | None = None, fail: tuple[int, int] | None = None) -> None:
         self.inodes = [Inode(data, size=len(data)) for data in (files or {}).values()]
         self.durable = {name: i for i, name in enumerate(files or {})}
-        self.names_now = dict(self.durable)
+        self.current = dict(self.durable)
         self.changes: list[NameChange] = []
         self.operations = 0
         self.fail = fail
 
     def names(self) -> list[str]:
-        """Files as a process sees them."""
-        return list(self.names_now)
+        """Return the names of the files as a process sees them."""
+        return list(self.current)
 
     def read(self, name: str) -> bytes:
-        """A file as a process sees it."""
-        return self.inodes[self.names_now[name]].seen()
+        """Return the content of a file as a process sees it."""
+        return self.inodes[self.current[name]].seen()
 
     def seen(self) -> Files:
-        """All files as a process sees them: what is left after its end, while the machine runs on."""
-        return {name: self.inodes[i].seen() for name, i in self.names_now.items()}
+        """Return all files as a process sees them; they are left if it is killed while the machine runs."""
+        return {name: self.inodes[i].seen() for name, i in self.current.items()}
 
     def survivor(self) -> SimulatedDisk:
-        """The same disk for another process: this one has ended, and the machine runs on."""
+        """Return the same disk for another process, after this one has ended while the machine runs."""
         other = copy.deepcopy(self)
         other.fail = None
         return other
 
     def steps(self, operation: Operation) -> list[Operation]:
-        """The operation in steps between which the power may go."""
+        """Return the operation in steps between which the power may be lost."""
         if isinstance(operation, AppendPieces):
             return [Append(operation.file, piece) for piece in operation.pieces]
         return [operation]
 
     def perform(self, operation: Operation) -> int:
-        """Do one operation; OSError where this is the one that fails."""
+        """Execute one operation.  Raise OSError if it is the one that fails."""
         if isinstance(operation, AppendPieces):
             return sum(self.perform(step) for step in self.steps(operation)) or 0
         failing = self.fail is not None and self.operations == self.fail[0]
@@ -119,38 +126,41 @@
             self._fail(operation, self.fail[1])
         match operation:
             case Create(file, data):
-                if file in self.names_now:
+                if file in self.current:
                     raise FileExistsError(errno.EEXIST, "it exists", file)
                 self.inodes.append(Inode())
-                self._name(NameChange(file, len(self.inodes) - 1))
+                self._change_name(NameChange(file, len(self.inodes) - 1))
                 self._write(file, data)
             case Append(file, data):
                 self._write(file, data)
                 return len(data)
             case Sync(file):
                 inode = self._inode(file)
-                inode.durable, inode.pending = inode.with_pieces(inode.pending), []
+                inode.durable = inode.with_pieces(inode.pending)
+                inode.pending = []
             case SyncDirectory():
-                self.durable, self.changes = dict(self.names_now), []
+                self.durable = dict(self.current)
+                self.changes = []
             case Rename(file, new_name):
-                self._name(NameChange(new_name, self.names_now[file], file))
+                self._change_name(NameChange(new_name, self.current[file], file))
             case Remove(file):
-                self._name(NameChange(file, None))
+                self._change_name(NameChange(file, None))
         return 0
 
     def _fail(self, operation: Operation, number: int) -> None:
-        """Of a write half comes through; what an fsync was to keep is lost, and shown till the power goes."""
+        """Write one half of an Append; lose what a Sync should make durable, though reads still show it."""
         if isinstance(operation, Append):
             self._write(operation.file, operation.data[: len(operation.data) // 2])
         if isinstance(operation, Sync):
             inode = self._inode(operation.file)
-            inode.lost, inode.pending = inode.lost + inode.pending, []
+            inode.lost = inode.lost + inode.pending
+            inode.pending = []
         raise OSError(number, "the disk failed")
 
     def _inode(self, file: str) -> Inode:
-        if file not in self.names_now:
+        if file not in self.current:
             raise FileNotFoundError(errno.ENOENT, "it does not exist", file)
-        return self.inodes[self.names_now[file]]
+        return self.inodes[self.current[file]]
 
     def _write(self, file: str, data: bytes) -> None:
         inode = self._inode(file)
@@ -158,14 +168,14 @@
             inode.pending.append((inode.size, data))
             inode.size += len(data)
 
-    def _name(self, change: NameChange) -> None:
+    def _change_name(self, change: NameChange) -> None:
         self.changes.append(change)
-        _change(self.names_now, change)
+        _apply_change(self.current, change)
 
     # ------------------------------------------------------------ what a power loss may leave
 
     def crash_states(self, rng: Random, samples: int) -> Iterator[tuple[str, Files]]:
-        """States with the name of their kind; `samples` of the random ones."""
+        """Yield the states that a power loss may leave, with their kinds; `samples` of random ones."""
         every = list(range(len(self.changes)))
         none: dict[int, list[tuple[int, bytes]]] = {}
         parts = {i: inode.sectors() for i, inode in enumerate(self.inodes) if inode.pending}
@@ -196,7 +206,7 @@
     ) -> Files:
         names = dict(self.durable)
         for number in changes:
-            _change(names, self.changes[number])
+            _apply_change(names, self.changes[number])
         files = {}
         for name, i in names.items():
             inode = self.inodes[i]
@@ -205,13 +215,13 @@
         return files
 
 
-def _change(names: dict[str, int], change: NameChange) -> None:
-    """A rename takes the old name away with it: no file system leaves both behind, or neither."""
+def _apply_change(names: dict[str, int], change: NameChange) -> None:
+    """Apply a change; a rename also removes the old name, since no file system leaves both or neither."""
     if change.inode is None:
         names.pop(change.name, None)
         return
-    if change.was:
-        if names.get(change.was) != change.inode:
+    if change.old_name:
+        if names.get(change.old_name) != change.inode:
             return
-        del names[change.was]
+        del names[change.old_name]
     names[change.name] = change.inode
--- a/tests/storage/test_crash_consistency.py
+++ b/tests/storage/test_crash_consistency.py
@@ -8,22 +8,22 @@
 
 import pytest
 
-from crowpost.lab.crash_consistency.checker import play, play_broken
+from crowpost.lab.crash_consistency.checker import check_fault, check_seed
 from crowpost.lab.crash_consistency.seeded_faults import FAULTS
 
 
 def test_recovery_holds_after_every_state_that_a_power_loss_may_leave() -> None:
-    tally = play(2, flip_step=101, records=24)
-    assert not tally.breaches, tally.stories
-    assert sum(tally.states.values()) > 3_000
+    results = check_seed(2, flip_step=101, records=24)
+    assert not results.violations, results.descriptions
+    assert results.state_count > 3_000
     kinds = {"torn", "a sector missing", "later without earlier", "names without data", "a bit flipped"}
-    assert kinds <= set(tally.states) and any(kind.startswith("in recovery") for kind in tally.states)
+    assert kinds <= set(results.states) and any(kind.startswith("in recovery") for kind in results.states)
 
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_every_seeded_fault_is_found(name: str) -> None:
-    seeds, tally = play_broken(name, seeds=3, records=16)
-    assert tally.breaches, f"{name}: not found on {seeds} seeds"
+    seeds, results = check_fault(name, seeds=3, records=16)
+    assert results.violations, f"{name}: not found on {seeds} seeds"
 
 
 def test_acknowledged_records_survive_kills_of_a_writing_process(tmp_path: Path) -> None:
--- a/tests/test_feed_ledger.py
+++ b/tests/test_feed_ledger.py
@@ -14,8 +14,8 @@
 from crowpost.feed.messages import Publish
 from crowpost.feed.model import Document, FeedError, Tuning, make_document
 from crowpost.feed.table import Table
-from crowpost.lab.crash_consistency.checker import do_jobs
 from crowpost.lab.crash_consistency.simulated_disk import SimulatedDisk
+from crowpost.lab.crash_consistency.workload import run_jobs
 from crowpost.node.overlays import checker
 from crowpost.storage.core import Store
 from crowpost.storage.model import Durability, RecoveredState
@@ -279,7 +279,7 @@
                         self.acknowledged[document.head.scope] = document
                         self.table.put(document)
 
-            yield from do_jobs(disk, store, kept)
+            yield from run_jobs(disk, store, kept)
 
     def check(self, disk: SimulatedDisk) -> None:
         """What a new process finds: all that was acknowledged, nothing half, and no version free again."""
