--- a/tests/config_feed/fleet.py
+++ b/tests/config_feed/fleet.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.cli.feed import ask_all, picture
+from crowpost.cli.feed_status import collect_statuses, summarize
 from crowpost.config_feed.messages import Message, PublishAccepted, PublishRequest
 from crowpost.config_feed.request_reply import request_reply
 from tests.stubs import (
@@ -147,7 +147,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + PATIENCE_S
         while loop.time() < end:
-            found = picture(*await ask_all(list(self.at.values()), CLUSTER, PATIENCE_S))
+            found = summarize(await collect_statuses(list(self.at.values()), CLUSTER, PATIENCE_S))
             if met(found):
                 return found
             await asyncio.sleep(0.02)
--- a/tests/config_feed/test_command.py
+++ b/tests/config_feed/test_command.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from crowpost.cli.feed import ASK_S, ask_all, picture
+from crowpost.cli.feed import STATUS_TIMEOUT_S
+from crowpost.cli.feed_status import StatusAnswers, collect_statuses, summarize
 from crowpost.config_feed.command import main as feed_main
 from tests.config_feed.fleet import CLUSTER, connect, fleet, version
 from tests.stubs import (
@@ -34,10 +35,11 @@
             asked = [f"{HOST}:{server.sockets[0].getsockname()[1]}" for server in servers]
             loop = asyncio.get_running_loop()
             began = loop.time()
-            told, unheard = await ask_all([*asked, *world.at.values()], CLUSTER, 0.5)
-            assert loop.time() - began < 2.0 and ASK_S <= 1.5
-            assert sorted(unheard) == sorted(asked) and unheard[asked[0]].endswith("no answer within 0.5 s")
-            found = picture(told, unheard)
+            answers = await collect_statuses([*asked, *world.at.values()], CLUSTER, 0.5)
+            assert loop.time() - began < 2.0 and STATUS_TIMEOUT_S <= 1.5
+            assert sorted(answers.errors) == sorted(asked)
+            assert answers.errors[asked[0]].endswith("no answer within 0.5 s")
+            found = summarize(answers)
             assert sorted(found["answered"]) == ["p", "r0", "r1"] and found["heads"]["all"]["in_force"] == 1
             at = ["--at", ",".join(world.at.values()), "--cluster", CLUSTER]
             await commands(at, tmp_path)
@@ -77,15 +79,15 @@
     status: dict[str, Any] = {"name": "p", "heads": [header], "conflicts": [], "counts": {}}
     rows = [follower("here", True, 1_000.0), follower("slow", True, 700_000.0)]
     rows += [follower("away", False, 11_000.0), follower("replaced", False, 600_001.0)]
-    found = picture([{**status, "followers": rows}], {})
+    found = summarize(StatusAnswers([{**status, "followers": rows}]))
     assert found["gone"] == ["replaced"] and list(found["followers"]) == ["away", "here", "slow"]
     assert [n for n, f in found["followers"].items() if f["unheard"]] == ["away", "slow"] and not found[
         "whole"
     ]
     assert found["heads"]["all"]["meant"] == 3
     rows = [rows[0], rows[3]]
-    assert picture([{**status, "followers": rows}], {})["whole"]
-    assert not picture([{**status, "followers": rows}], {"h:1": "h:1: no answer"})["whole"]
+    assert summarize(StatusAnswers([{**status, "followers": rows}]))["whole"]
+    assert not summarize(StatusAnswers([{**status, "followers": rows}], {"h:1": "h:1: no answer"}))["whole"]
 
 
 @pytest.mark.parametrize(
--- a/tests/config_feed/test_cores.py
+++ b/tests/config_feed/test_cores.py
@@ -4,6 +4,7 @@
 
 import random
 from dataclasses import replace
+from itertools import pairwise
 
 import pytest
 
@@ -427,7 +428,7 @@
             p.say(server, Heartbeat(1 if server == "a" else 0))
         times += [p.now for connection_id, m in p.seen[before:] if isinstance(m, Hello)]
     assert hellos == 2 and 4 <= len(times) <= 7  # of 60 beats
-    gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
+    gaps = [after - before for before, after in pairwise(times)]
     assert gaps == sorted(gaps)
 
 
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -193,7 +193,7 @@
     shelf.store(document({}))
     (tmp_path / "all.document").rename(tmp_path / "kept")
     (tmp_path / "all.document").mkdir()  # nothing can be renamed onto it
-    with pytest.raises(OSError):
+    with pytest.raises(IsADirectoryError):
         shelf.store(document({}, version=2))
     (tmp_path / "all.document").rmdir()
     (tmp_path / "kept").rename(tmp_path / "all.document")
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from crowpost.cli.feed import ask_all, picture
+from crowpost.cli.feed_status import collect_statuses, summarize
 from crowpost.config_feed.configuration import FeedConfig
 from crowpost.config_feed.documents import Document
 from crowpost.config_feed.errors import FeedError
@@ -217,7 +217,7 @@
         watcher = FeedTransport(config("w", "watch", upstreams=(UpstreamServer(at),)), came.put_nowait)
         watcher.start()
         assert (await asyncio.wait_for(came.get(), PATIENCE_S)).body == b"1"
-        found = picture(*await ask_all([at], CLUSTER, PATIENCE_S))
+        found = summarize(await collect_statuses([at], CLUSTER, PATIENCE_S))
         assert found["stopped"] == {"p": 1} and not found["whole"] and found["heads"]["all"]["version"] == 1
         await watcher.close()
         await publisher.close()
