--- a/crowpost/lab/feed/network.py
+++ b/crowpost/lab/feed/network.py
@@ -15,26 +15,26 @@
 
 from crowpost.lab.engine import Engine
 
-SEGMENT = 1_460  # bytes of payload
+SEGMENT_BYTES = 1_460  # bytes of payload
 PACKET_OVERHEAD_BYTES = 40  # of TCP and IP, counted for each segment; bare acknowledgements are not counted
 RTO_MS = 200.0
-SYN_MS = 1_000.0  # until a lost SYN is sent again, doubled each time
-RTO_MOST_MS = 60_000.0
-UNREAD = 262_144  # bytes under way or unread at which the sender's socket is full
+SYN_TIMEOUT_MS = 1_000.0  # until a lost SYN is sent again, doubled each time
+MAX_RTO_MS = 60_000.0
+MAX_UNREAD_BYTES = 262_144  # bytes under way or unread at which the sender's socket is full
 
 
 @dataclass(frozen=True)
 class NetworkConditions:
     """The network and the machines; times in ms."""
 
-    loss: float = 0.0  # part of the segments that is lost
-    near: tuple[float, float] = (0.1, 0.4)  # delay within a zone
+    loss_fraction: float = 0.0  # part of the segments that is lost
+    zone_delay_ms: tuple[float, float] = (0.1, 0.4)  # delay within a zone
     region: tuple[float, float] = (0.4, 1.5)  # between zones of a region
-    far: tuple[float, float] = (30.0, 40.0)  # between regions
+    cross_region_delay_ms: tuple[float, float] = (30.0, 40.0)  # between regions
     bytes_per_ms: float = 12_500.0  # that a machine sends at the most
-    starved: float = 0.0  # part of the processes that stand still again and again
-    still: tuple[float, float] = (100.0, 1_500.0)
-    running: tuple[float, float] = (300.0, 3_000.0)
+    starved_fraction: float = 0.0  # part of the processes that stand still again and again
+    suspension_ms: tuple[float, float] = (100.0, 1_500.0)
+    running_ms: tuple[float, float] = (300.0, 3_000.0)
 
 
 @dataclass(eq=False)
@@ -44,16 +44,16 @@
     name: str
     region: str
     zone: str
-    hear: Callable[[bytes], None]
+    receive: Callable[[bytes], None]
     close: Callable[[], None]
-    full: Callable[[bool], None]
-    conn: Connection | None = None
-    free_at: float = 0.0
-    arrives: float = 0.0  # what was sent last, at the other end
-    unread: int = 0  # of what it sent
-    is_full: bool = False
-    gone: bool = False  # closed here
-    told: bool = False  # that the other end is gone
+    set_blocked: Callable[[bool], None]
+    connection: Connection | None = None
+    sender_free_at: float = 0.0
+    last_arrival: float = 0.0  # what was sent last, at the other end
+    unread_bytes: int = 0  # of what it sent
+    is_blocked: bool = False
+    closed: bool = False  # closed here
+    close_notified: bool = False  # that the other end is gone
 
 
 @dataclass(eq=False)
@@ -61,7 +61,7 @@
     """A connection between two ends; `held` is what waits for a cut to end."""
 
     ends: tuple[ConnectionEnd, ConnectionEnd]
-    held: list[tuple[ConnectionEnd, bytes | None]] = field(default_factory=list)
+    delayed: list[tuple[ConnectionEnd, bytes | None]] = field(default_factory=list)
 
     def other(self, end: ConnectionEnd) -> ConnectionEnd:
         return self.ends[1] if end is self.ends[0] else self.ends[0]
@@ -70,48 +70,48 @@
 class Network:
     """All connections.  damage: part of the sends in which a byte is changed, in spite of TCP's checksum."""
 
-    def __init__(self, engine: Engine, rng: random.Random, weather: NetworkConditions) -> None:
-        self.engine, self.rng, self.weather = engine, rng, weather
-        self.cuts: dict[tuple[str, str], float] = {}  # pairs of regions, and since when
-        self.dark: dict[str, bool] = {}  # machines that neither send nor receive
-        self.damage: dict[str, float] = {}  # by sender
-        self.sent: dict[str, int] = {}  # bytes with headers, by process
-        self.heard: dict[str, int] = {}
-        self._conns: dict[Connection, None] = {}
+    def __init__(self, engine: Engine, rng: random.Random, conditions: NetworkConditions) -> None:
+        self.engine, self.rng, self.conditions = engine, rng, conditions
+        self.partitions: dict[tuple[str, str], float] = {}  # pairs of regions, and since when
+        self.unreachable: dict[str, bool] = {}  # machines that neither send nor receive
+        self.damage_fraction: dict[str, float] = {}  # by sender
+        self.sent_bytes: dict[str, int] = {}  # bytes with headers, by process
+        self.received_bytes: dict[str, int] = {}
+        self._connections: dict[Connection, None] = {}
 
     # ------------------------------------------------------------ ways
 
-    def whole(self, a: ConnectionEnd, b: ConnectionEnd) -> bool:
+    def is_connected(self, a: ConnectionEnd, b: ConnectionEnd) -> bool:
         """Whether the way from one to the other is whole."""
-        if self.dark.get(a.name) or self.dark.get(b.name):
+        if self.unreachable.get(a.name) or self.unreachable.get(b.name):
             return False
-        return a.region == b.region or _pair(a.region, b.region) not in self.cuts
+        return a.region == b.region or _pair(a.region, b.region) not in self.partitions
 
-    def cut(self, one: str, other: str) -> None:
+    def partition(self, one: str, other: str) -> None:
         """Two regions lose each other."""
-        self.cuts[_pair(one, other)] = self.engine.now
+        self.partitions[_pair(one, other)] = self.engine.now
 
-    def join(self, one: str, other: str) -> None:
+    def heal(self, one: str, other: str) -> None:
         """They are joined again: what waited comes after the rest of a timeout that had grown."""
-        since = self.cuts.pop(_pair(one, other))
-        most = min(max(self.engine.now - since, RTO_MS), RTO_MOST_MS)
-        for conn in list(self._conns):
-            if conn.held:
-                self.engine.after(self.rng.uniform(0.0, most), self._release, conn)
-
-    def _release(self, conn: Connection) -> None:
-        if not self.whole(*conn.ends):
+        since = self.partitions.pop(_pair(one, other))
+        most = min(max(self.engine.now - since, RTO_MS), MAX_RTO_MS)
+        for connection in list(self._connections):
+            if connection.delayed:
+                self.engine.after(self.rng.uniform(0.0, most), self._release, connection)
+
+    def _release(self, connection: Connection) -> None:
+        if not self.is_connected(*connection.ends):
             return
-        held, conn.held = conn.held, []
-        for end, data in held:
-            self._arrive(conn, end, data)
+        delayed, connection.delayed = connection.delayed, []
+        for end, data in delayed:
+            self._arrive(connection, end, data)
 
     def _delay(self, a: ConnectionEnd, b: ConnectionEnd) -> float:
-        w = self.weather
+        w = self.conditions
         if a.region != b.region:
-            low, high = w.far
+            low, high = w.cross_region_delay_ms
         else:
-            low, high = w.near if a.zone == b.zone else w.region
+            low, high = w.zone_delay_ms if a.zone == b.zone else w.region
         return low + (high - low) * self.rng.random()
 
     # ------------------------------------------------------------ connections
@@ -121,13 +121,13 @@
     ) -> None:
         """Connect; find: the listening end, None where nobody listens (refused)."""
         target = find()
-        wait, again = 0.0, SYN_MS
-        while self.rng.random() < self.weather.loss and wait < RTO_MOST_MS:
+        wait, again = 0.0, SYN_TIMEOUT_MS
+        while self.rng.random() < self.conditions.loss_fraction and wait < MAX_RTO_MS:
             wait, again = wait + again, 2 * again
         if target is None:
             self.engine.after(1.0 + wait, a.close)
             return
-        if not self.whole(a, target):
+        if not self.is_connected(a, target):
             return  # no answer at all: whoever dials gives up by its own time
         self.engine.after(wait + 2.0 * self._delay(a, target), self._connect, a, find, up)
 
@@ -136,87 +136,89 @@
     ) -> None:
         b = find()
         if b is None:
-            if not a.gone:
+            if not a.closed:
                 a.close()
             return
-        if a.gone or not self.whole(a, b):
+        if a.closed or not self.is_connected(a, b):
             return
-        conn = Connection((a, b))
-        a.conn = b.conn = conn
-        self._conns[conn] = None
-        up(conn)
+        connection = Connection((a, b))
+        a.connection = b.connection = connection
+        self._connections[connection] = None
+        up(connection)
 
     def send(self, end: ConnectionEnd, data: bytes) -> None:
         """Bytes from an end to the other."""
-        conn = end.conn
-        if conn is None or end.gone:
+        connection = end.connection
+        if connection is None or end.closed:
             return
-        other, now = conn.other(end), self.engine.now
-        segments = -(-len(data) // SEGMENT)
+        other, now = connection.other(end), self.engine.now
+        segments = -(-len(data) // SEGMENT_BYTES)
         size = len(data) + PACKET_OVERHEAD_BYTES * segments
-        self.sent[end.name] = self.sent.get(end.name, 0) + size
-        part = self.damage.get(end.name, 0.0)
+        self.sent_bytes[end.name] = self.sent_bytes.get(end.name, 0) + size
+        part = self.damage_fraction.get(end.name, 0.0)
         if part and self.rng.random() < part:
             at = self.rng.randrange(len(data))
             data = data[:at] + bytes([data[at] ^ (1 << self.rng.randrange(8))]) + data[at + 1 :]
-        end.free_at = max(now, end.free_at) + size / self.weather.bytes_per_ms
+        end.sender_free_at = max(now, end.sender_free_at) + size / self.conditions.bytes_per_ms
         late = 0.0
-        if self.weather.loss:
+        if self.conditions.loss_fraction:
             for _ in range(segments):
                 wait, rto = 0.0, RTO_MS
-                while self.rng.random() < self.weather.loss and wait < RTO_MOST_MS:
+                while self.rng.random() < self.conditions.loss_fraction and wait < MAX_RTO_MS:
                     wait, rto = wait + rto, 2.0 * rto
                 late = max(late, wait)
-        end.arrives = max(end.arrives, end.free_at + self._delay(end, other) + late)
-        end.unread += len(data)
-        if end.unread > UNREAD and not end.is_full:
-            end.is_full = True
-            end.full(True)
-        self.engine.at(end.arrives, self._arrive, conn, end, data)
-
-    def _arrive(self, conn: Connection, end: ConnectionEnd, data: bytes | None) -> None:
-        other = conn.other(end)
-        if conn.held or not self.whole(end, other):
-            conn.held.append((end, data))
+        end.last_arrival = max(end.last_arrival, end.sender_free_at + self._delay(end, other) + late)
+        end.unread_bytes += len(data)
+        if end.unread_bytes > MAX_UNREAD_BYTES and not end.is_blocked:
+            end.is_blocked = True
+            end.set_blocked(True)
+        self.engine.at(end.last_arrival, self._arrive, connection, end, data)
+
+    def _arrive(self, connection: Connection, end: ConnectionEnd, data: bytes | None) -> None:
+        other = connection.other(end)
+        if connection.delayed or not self.is_connected(end, other):
+            connection.delayed.append((end, data))
             return
         if data is None:
-            if not other.gone and not other.told:
-                other.told = True
+            if not other.closed and not other.close_notified:
+                other.close_notified = True
                 other.close()
-            self._conns.pop(conn, None)
+            self._connections.pop(connection, None)
             return
-        if other.gone:
-            self._reset(conn, other)
+        if other.closed:
+            self._reset(connection, other)
             return
-        segments = -(-len(data) // SEGMENT)
-        self.heard[other.name] = self.heard.get(other.name, 0) + len(data) + PACKET_OVERHEAD_BYTES * segments
-        other.hear(data)
+        segments = -(-len(data) // SEGMENT_BYTES)
+        self.received_bytes[other.name] = (
+            self.received_bytes.get(other.name, 0) + len(data) + PACKET_OVERHEAD_BYTES * segments
+        )
+        other.receive(data)
 
     def read(self, end: ConnectionEnd, size: int) -> None:
         """The process at this end has read so many bytes."""
-        if end.conn is None:
+        if end.connection is None:
             return
-        other = end.conn.other(end)
-        other.unread -= size
-        if other.is_full and other.unread < UNREAD // 2 and not other.gone:
-            other.is_full = False
-            other.full(False)
+        other = end.connection.other(end)
+        other.unread_bytes -= size
+        if other.is_blocked and other.unread_bytes < MAX_UNREAD_BYTES // 2 and not other.closed:
+            other.is_blocked = False
+            other.set_blocked(False)
 
     def close(self, end: ConnectionEnd) -> None:
         """An end closes, or its process dies: the other learns it after all that was sent before."""
-        if end.gone:
+        if end.closed:
             return
-        end.gone = True
-        if end.conn is not None:
-            self._reset(end.conn, end)
-
-    def _reset(self, conn: Connection, end: ConnectionEnd) -> None:
-        other = conn.other(end)
-        if other.gone:
-            self._conns.pop(conn, None)
+        end.closed = True
+        if end.connection is not None:
+            self._reset(end.connection, end)
+
+    def _reset(self, connection: Connection, end: ConnectionEnd) -> None:
+        other = connection.other(end)
+        if other.closed:
+            self._connections.pop(connection, None)
             return
-        end.arrives = max(end.arrives, self.engine.now + self._delay(end, other))
-        self.engine.at(end.arrives, self._arrive, conn, end, None)
+        end.last_arrival = max(end.last_arrival, self.engine.now + self._delay(end, other))
+        self.engine.at(end.last_arrival, self._arrive, connection, end, None)
 
 
 def _pair(one: str, other: str) -> tuple[str, str]:
--- a/crowpost/lab/feed/process.py
+++ b/crowpost/lab/feed/process.py
@@ -40,13 +40,13 @@
         self.spec, self.name = spec, spec.name
         self.follower, self.distribution_server = follower, distribution_server
         self.offset = offset  # of its clock, in ms
-        self.up, self.frozen, self.mute = True, False, False
-        self.mailbox: list[Callable[[], None]] = []
-        self.wake: Planned | None = None
-        self.wake_at = float("inf")
+        self.up, self.suspended, self.truncates_bodies = True, False, False
+        self.inbox: list[Callable[[], None]] = []
+        self.timer: Planned | None = None
+        self.timer_at = float("inf")
         self.ends: dict[tuple[str, int], ConnectionEnd] = {}  # side ("f" or "h") and link
         self.links = 0  # of its hub
-        self.spins = 0
+        self.immediate_ticks = 0
 
 
 @dataclass(eq=False)
@@ -55,5 +55,5 @@
 
     header: DocumentHeader
     at: float
-    owed: dict[str, float]  # name, and since when it counts for that one
-    took: dict[str, float] = field(default_factory=dict)
+    pending: dict[str, float]  # name, and since when it counts for that one
+    latency_ms: dict[str, float] = field(default_factory=dict)
--- a/crowpost/lab/feed/publishing.py
+++ b/crowpost/lab/feed/publishing.py
@@ -28,7 +28,7 @@
         self._synced: dict[str, list[bytes]] = {}  # records on the disk, by publisher
         self._ledgers: dict[str, PublicationLog] = {}  # of the life at hand
         self._synced_at: dict[str, float] = {}
-        world.killed = self._killed
+        world.on_killed = self._killed
 
     def _killed(self, name: str) -> None:
         self._ledgers.pop(name, None)
@@ -43,8 +43,8 @@
         """Publish at a publisher; crash: the step at which it is killed."""
         world = self._world
         process = world.processes[by]
-        if process.frozen:
-            process.mailbox.append(partial(self.publish, by, scope, body, crash))
+        if process.suspended:
+            process.inbox.append(partial(self.publish, by, scope, body, crash))
             return
         if not process.up or self._crashes(process, crash, "received"):
             return
--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -40,11 +40,11 @@
         self,
         nodes: int,
         seed: int,
-        weather: NetworkConditions | None = None,
+        conditions: NetworkConditions | None = None,
         tuning: Tuning | None = None,
         regions: tuple[tuple[str, tuple[str, ...]], ...] = ZONES,
     ) -> None:
-        self.world = World(seed, weather, tuning)
+        self.world = World(seed, conditions, tuning)
         by_region = {region: f"p-{region}" for region, _ in regions}
         home_region = regions[0][0]
         writers = {name: WriteAuthority(name, home_region, by_region) for name in by_region.values()}
@@ -162,37 +162,37 @@
     fleet.world.run(80_000.0)
 
 
-def _relay(fleet: Fleet, trouble: Callable[[], None]) -> None:
+def _relay(fleet: Fleet, fault: Callable[[], None]) -> None:
     fleet.day(24, 48_000.0)
-    fleet.world.engine.after(12_050.0, trouble)
+    fleet.world.engine.after(12_050.0, fault)
     fleet.world.engine.after(12_060.0, fleet.publish, "all")
     fleet.world.run(75_000.0)
 
 
 def _relay_dies(fleet: Fleet) -> None:
     world = fleet.world
-    world.engine.after(40_000.0, world.back, "r-e2")
+    world.engine.after(40_000.0, world.restart_process, "r-e2")
     _relay(fleet, lambda: world.kill("r-e2"))
 
 
 def _relay_dark(fleet: Fleet) -> None:
     world = fleet.world
-    world.engine.after(40_000.0, world.back, "r-e2")
-    _relay(fleet, lambda: world.kill("r-e2", dark=True))
+    world.engine.after(40_000.0, world.restart_process, "r-e2")
+    _relay(fleet, lambda: world.kill("r-e2", unreachable=True))
 
 
 def _relay_stalls(fleet: Fleet) -> None:
-    _relay(fleet, lambda: fleet.world.freeze("r-e2", 15_000.0))
+    _relay(fleet, lambda: fleet.world.suspend("r-e2", 15_000.0))
 
 
 def _relay_half(fleet: Fleet) -> None:
     process = fleet.world.processes["r-e2"]
 
-    def mute(on: bool) -> None:
-        process.mute = on
+    def truncates_bodies(on: bool) -> None:
+        process.truncates_bodies = on
 
-    fleet.world.engine.after(40_000.0, mute, False)
-    _relay(fleet, lambda: mute(True))
+    fleet.world.engine.after(40_000.0, truncates_bodies, False)
+    _relay(fleet, lambda: truncates_bodies(True))
 
 
 def _publisher_killed(fleet: Fleet) -> None:
@@ -202,7 +202,7 @@
         at = 12_000.0 * i
         world.engine.after(at + 1_000.0, fleet.publish, "all", "p-east", BODY, step)
         world.engine.after(at + 1_000.0, fleet.publish, "region/west", "p-west")
-        world.engine.after(at + 6_000.0, world.back, "p-east")
+        world.engine.after(at + 6_000.0, world.restart_process, "p-east")
         world.engine.after(at + 8_000.0, fleet.publish, "all")
     world.run(75_000.0)
 
@@ -213,7 +213,7 @@
 
     def lose() -> None:
         for name in fleet.in_zone("e3"):
-            world.kill(name, dark=True)
+            world.kill(name, unreachable=True)
 
     def back() -> None:
         for name in fleet.in_zone("e3"):
@@ -244,26 +244,26 @@
         fleet.publish(scope, by)
     world.run(5_000.0)
     for name in fleet.nodes:
-        world.engine.after(fleet.rng.uniform(0.0, 1_000.0), world.back, name)
+        world.engine.after(fleet.rng.uniform(0.0, 1_000.0), world.restart_process, name)
     world.run(40_000.0)
 
 
 def _cut(fleet: Fleet, for_ms: float) -> None:
     """The regions lose each other; both change their own scopes, and the home region what concerns all."""
     world = fleet.world
-    world.net.cut("east", "west")
+    world.network.partition("east", "west")
     for i in range(8):
         at = 1_000.0 + (for_ms - 2_000.0) * i / 8
         world.engine.after(at, fleet.publish, "region/east", "p-east")
         world.engine.after(at, fleet.publish, "region/west", "p-west")
         world.engine.after(at, fleet.publish, "all", "p-east")
     world.run(for_ms)
-    world.net.join("east", "west")
+    world.network.heal("east", "west")
     now = world.engine.now
     for change in world.changes:  # they could not be reached before
-        for name in change.owed:
+        for name in change.pending:
             if world.specs[name].region == "west":
-                change.owed[name] = now
+                change.pending[name] = now
     for i in range(4):
         world.engine.after(8_000.0 + 1_000.0 * i, fleet.publish, *fleet.scope())
     world.run(40_000.0)
@@ -271,10 +271,10 @@
 
 CASES: dict[str, tuple[Case, NetworkConditions]] = {
     "calm": (_calm, NetworkConditions()),
-    "loss": (_calm, NetworkConditions(loss=0.1, starved=0.05)),
+    "loss": (_calm, NetworkConditions(loss_fraction=0.1, starved_fraction=0.05)),
     "burst": (_burst, NetworkConditions()),
     "burst-mixed": (_burst_mixed, NetworkConditions()),
-    "burst-loss": (_burst_mixed, NetworkConditions(loss=0.1, starved=0.05)),
+    "burst-loss": (_burst_mixed, NetworkConditions(loss_fraction=0.1, starved_fraction=0.05)),
     "relay-dies": (_relay_dies, NetworkConditions()),
     "relay-dark": (_relay_dark, NetworkConditions()),
     "relay-stalls": (_relay_stalls, NetworkConditions()),
@@ -292,14 +292,14 @@
     """One run of a case, as docs/capacity/feed.json keeps it; FeedError for a case that there is not."""
     if case not in CASES:
         raise FeedError(f"no case {case!r}; there are {', '.join(CASES)}")
-    run, weather = CASES[case]
-    fleet = Fleet(nodes, seed, weather, tuning)
+    run, conditions = CASES[case]
+    fleet = Fleet(nodes, seed, conditions, tuning)
     world = fleet.world
     fleet.publish("all")
     fleet.publish("region/east")
     fleet.publish("region/west", "p-west")
     world.run(WARM_MS)
-    world.starve()
+    world.start_starvation()
     first = len(world.changes)
     meter = Meter(fleet)
     meter.start()
@@ -308,7 +308,7 @@
     gc.freeze()  # nothing of the fleet goes before the run is over: it need not be looked through
     run(fleet)
     gc.unfreeze()
-    took = sorted(ms / 1000.0 for change in world.changes[first:] for ms in change.took.values())
+    latencies_s = sorted(ms / 1000.0 for change in world.changes[first:] for ms in change.latency_ms.values())
     counts: dict[str, int] = {}
     for process in world.processes.values():
         for core in (process.follower, process.distribution_server):
@@ -324,8 +324,10 @@
         "command": f"crowpost lab feed {case} --nodes {nodes} --seed {seed}",
         "simulated_s": round((world.engine.now - began) / 1000.0, 1),
         "changes": len(world.changes) - first,
-        "taken": len(took),
-        "in_force_s": {name: _figure(took, q) for name, q in (("p50", 50), ("p99", 99), ("worst", 100))},
+        "taken": len(latencies_s),
+        "in_force_s": {
+            name: _figure(latencies_s, q) for name, q in (("p50", 50), ("p99", 99), ("worst", 100))
+        },
         "node_bytes_per_s": round(node[1]),
         "node_bytes_per_s_mean": round(node[0]),
         "node_bytes_per_s_busiest_10s": round(node[2]),
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -31,21 +31,21 @@
     """Many processes on one simulated network."""
 
     def __init__(
-        self, seed: int, weather: NetworkConditions | None = None, tuning: Tuning | None = None
+        self, seed: int, conditions: NetworkConditions | None = None, tuning: Tuning | None = None
     ) -> None:
         self.engine, self.rng = Engine(), random.Random(seed)
-        self.weather, self.tuning = weather or NetworkConditions(), tuning or Tuning()
-        self.net = Network(self.engine, random.Random(self.rng.getrandbits(64)), self.weather)
+        self.conditions, self.tuning = conditions or NetworkConditions(), tuning or Tuning()
+        self.network = Network(self.engine, random.Random(self.rng.getrandbits(64)), self.conditions)
         self.specs: dict[str, ProcessSpec] = {}
         self.processes: dict[str, Process] = {}
         self.by_address: dict[str, Process] = {}
         self.changes: list[Change] = []
         self._open: dict[str, dict[Change, None]] = {}
         self.faults: list[str] = []  # invariants that were broken
-        self.refuses: Callable[[str, Document], str] = lambda name, document: ""
+        self.rejection_of: Callable[[str, Document], str] = lambda name, document: ""
         self._trace = hashlib.sha256()
         self.history: dict[str, list[Document]] = {}  # what each node took, in order
-        self.killed: Callable[[str], None] = lambda name: None  # a process was
+        self.on_killed: Callable[[str], None] = lambda name: None  # a process was
 
     def note(self, *values: object) -> None:
         """Part of the trace by which two runs are compared."""
@@ -69,9 +69,9 @@
         """A new process."""
         address = f"10.{len(self.specs) >> 8}.{len(self.specs) & 255}.1:7000"
         spec = self.specs[name] = ProcessSpec(name, role, region, zone, service, address, servers)
-        return self._live(spec)
+        return self._start_instance(spec)
 
-    def _live(self, spec: ProcessSpec) -> Process:
+    def _start_instance(self, spec: ProcessSpec) -> Process:
         rng = random.Random(self.rng.getrandbits(64))
         offset = rng.uniform(0.0, 1e6)
         now, instance_id = self.engine.now + offset, rng.getrandbits(32)
@@ -99,75 +99,75 @@
             )
         process = Process(spec, follower, distribution_server, offset)
         self.processes[spec.name] = self.by_address[spec.address] = process
-        self.net.dark.pop(spec.name, None)
+        self.network.unreachable.pop(spec.name, None)
         self.note("live", spec.name)
         self.after(process)
         return process
 
-    def kill(self, name: str, dark: bool = False) -> None:
+    def kill(self, name: str, unreachable: bool = False) -> None:
         """SIGKILL; dark: the machine goes with it, so that nobody is told."""
         process = self.processes[name]
         if not process.up:
             return
         process.up = False
         self.note("kill", name)
-        self.killed(name)
-        if dark:
-            self.net.dark[name] = True
+        self.on_killed(name)
+        if unreachable:
+            self.network.unreachable[name] = True
         for end in process.ends.values():
-            self.net.close(end)
+            self.network.close(end)
         for change in self.changes:
-            change.owed.pop(name, None)
+            change.pending.pop(name, None)
 
     def restart(self, name: str) -> Process:
         """A new process with what the old one left on its disk; it owes all that is not superseded."""
         self.kill(name)
         spec, now = self.specs[name], self.engine.now
-        process = self._live(spec)
+        process = self._start_instance(spec)
         latest = {change.header.scope: change for change in self.changes}
         for scope, change in latest.items():
             held = spec.disk.get(scope)
             if self.meant(spec, scope) and (held is None or held.header.rank < change.header.rank):
-                change.owed[name] = now
+                change.pending[name] = now
                 self._open[scope][change] = None
         return process
 
-    def back(self, name: str) -> None:
+    def restart_process(self, name: str) -> None:
         """The same, for a timetable."""
         self.restart(name)
 
-    def freeze(self, name: str, for_ms: float) -> None:
+    def suspend(self, name: str, for_ms: float) -> None:
         """SIGSTOP, and SIGCONT after so long."""
         process = self.processes[name]
-        process.frozen = True
-        self.engine.after(for_ms, self._thaw, process)
+        process.suspended = True
+        self.engine.after(for_ms, self._resume, process)
 
-    def _thaw(self, process: Process) -> None:
-        process.frozen = False
-        box, process.mailbox = process.mailbox, []
+    def _resume(self, process: Process) -> None:
+        process.suspended = False
+        waiting, process.inbox = process.inbox, []
         # Which comes first, the timer or the socket, is the operating system's choice.
         if self.rng.random() < 0.5:
             self._tick(process)
-        for i, call in enumerate(box):
-            if process.frozen:
-                process.mailbox = box[i:] + process.mailbox
+        for i, call in enumerate(waiting):
+            if process.suspended:
+                process.inbox = waiting[i:] + process.inbox
                 return
             if process.up:
                 call()
         self._tick(process)
 
-    def starve(self) -> None:
+    def start_starvation(self) -> None:
         """Let a part of the processes stand still again and again."""
         names = list(self.processes)
-        for name in self.rng.sample(names, round(self.weather.starved * len(names))):
-            self.engine.after(self.rng.uniform(0.0, self.weather.running[1]), self._starve_once, name)
+        for name in self.rng.sample(names, round(self.conditions.starved_fraction * len(names))):
+            self.engine.after(self.rng.uniform(0.0, self.conditions.running_ms[1]), self._starve, name)
 
-    def _starve_once(self, name: str) -> None:
-        still = self.rng.uniform(*self.weather.still)
-        self.freeze(name, still)
-        self.engine.after(still + self.rng.uniform(*self.weather.running), self._starve_once, name)
+    def _starve(self, name: str) -> None:
+        still = self.rng.uniform(*self.conditions.suspension_ms)
+        self.suspend(name, still)
+        self.engine.after(still + self.rng.uniform(*self.conditions.running_ms), self._starve, name)
 
-    def jump(self, name: str, by_ms: float) -> None:
+    def jump_clock(self, name: str, by_ms: float) -> None:
         """The clock of a process jumps, though a monotonic one never should."""
         process = self.processes[name]
         process.offset += by_ms
@@ -182,15 +182,15 @@
     def call(self, process: Process, call: Callable[[], None]) -> None:
         if not process.up:
             return
-        if process.frozen:
-            process.mailbox.append(call)
+        if process.suspended:
+            process.inbox.append(call)
             return
         call()
         self.after(process)
 
     def _tick(self, process: Process) -> None:
-        process.wake, process.wake_at = None, float("inf")
-        if not process.up or process.frozen:
+        process.timer, process.timer_at = None, float("inf")
+        if not process.up or process.suspended:
             return
         now = self.engine.now + process.offset
         if process.follower is not None and process.follower.next_at() <= now:
@@ -202,22 +202,22 @@
     def after(self, process: Process) -> None:
         due = float("inf")
         if process.follower is not None:
-            self._carry_follower(process, process.follower)
+            self._perform_follower_output(process, process.follower)
             due = process.follower.next_at()
         if process.distribution_server is not None:
-            self._carry_hub(process, process.distribution_server)
+            self._perform_server_output(process, process.distribution_server)
             due = min(due, process.distribution_server.next_at())
         due += LATE_MS - process.offset
-        process.spins = process.spins + 1 if due <= self.engine.now else 0
-        if process.spins > 1_000:
+        process.immediate_ticks = process.immediate_ticks + 1 if due <= self.engine.now else 0
+        if process.immediate_ticks > 1_000:
             raise RuntimeError(f"{process.name} is due again and again at {self.engine.now}")
-        if due < process.wake_at:
-            if process.wake is not None:
-                self.engine.cancel(process.wake)
-            process.wake_at = due
-            process.wake = self.engine.at(due, self._tick, process)
+        if due < process.timer_at:
+            if process.timer is not None:
+                self.engine.cancel(process.timer)
+            process.timer_at = due
+            process.timer = self.engine.at(due, self._tick, process)
 
-    def _carry_follower(self, process: Process, follower: Follower) -> None:
+    def _perform_follower_output(self, process: Process, follower: Follower) -> None:
         out = follower.take()
         for dial in out.connects:
             self._dial(process, dial.connection_id, dial.address)
@@ -233,7 +233,7 @@
                     self.rng.uniform(*APPLY_MS), self.call, process, partial(self._apply, process, document)
                 )
 
-    def _carry_hub(self, process: Process, distribution_server: DistributionServer) -> None:
+    def _perform_server_output(self, process: Process, distribution_server: DistributionServer) -> None:
         out = distribution_server.take()
         for connection_id, data in out.sends:
             self._write(process, "h", connection_id, data)
@@ -245,8 +245,8 @@
     def _end(self, process: Process, side: str, connection_id: int) -> ConnectionEnd:
         spec = process.spec
 
-        def hear(data: bytes) -> None:
-            self.call(process, partial(self._hear, process, side, connection_id, data))
+        def receive(data: bytes) -> None:
+            self.call(process, partial(self._received, process, side, connection_id, data))
 
         def close() -> None:
             self.call(process, partial(self._lost, process, side, connection_id))
@@ -256,7 +256,7 @@
                 self.call(process, partial(self._blocked, process, connection_id, blocked))
 
         end = process.ends[side, connection_id] = ConnectionEnd(
-            spec.name, spec.region, spec.zone, hear, close, full
+            spec.name, spec.region, spec.zone, receive, close, full
         )
         return end
 
@@ -267,35 +267,35 @@
             target = self.by_address.get(address)
             if target is None or target.distribution_server is None:
                 return None
-            if not target.up and not self.net.dark.get(target.name):
+            if not target.up and not self.network.unreachable.get(target.name):
                 return None
             spec = target.spec
             return ConnectionEnd(spec.name, spec.region, spec.zone, _nothing, _nothing, _nothing)
 
-        def up(conn: Connection) -> None:
+        def up(connection: Connection) -> None:
             target = self.by_address[address]
             target.links += 1
             taken = self._end(target, "h", target.links)
-            taken.conn = conn
-            conn.ends = (end, taken)
+            taken.connection = connection
+            connection.ends = (end, taken)
             self.call(target, partial(self._accepted, target, target.links))
             self.call(process, partial(self._connected, process, connection_id))
 
-        self.net.dial(end, find, up)
+        self.network.dial(end, find, up)
 
     def _write(self, process: Process, side: str, connection_id: int, data: bytes) -> None:
         end = process.ends.get((side, connection_id))
         if end is None:
             return
-        if process.mute and side == "h" and len(data) > 600:
+        if process.truncates_bodies and side == "h" and len(data) > 600:
             data = data[: len(data) // 2]  # half a body, then nothing any more
             process.ends.pop((side, connection_id))
-        self.net.send(end, data)
+        self.network.send(end, data)
 
     def _hang_up(self, process: Process, side: str, connection_id: int) -> None:
         end = process.ends.pop((side, connection_id), None)
         if end is not None:
-            self.net.close(end)
+            self.network.close(end)
 
     def _connected(self, process: Process, connection_id: int) -> None:
         assert process.follower is not None
@@ -309,10 +309,10 @@
         assert process.distribution_server is not None
         process.distribution_server.blocked(connection_id, blocked, self.engine.now + process.offset)
 
-    def _hear(self, process: Process, side: str, connection_id: int, data: bytes) -> None:
+    def _received(self, process: Process, side: str, connection_id: int, data: bytes) -> None:
         end = process.ends.get((side, connection_id))
         if end is not None:
-            self.net.read(end, len(data))
+            self.network.read(end, len(data))
         core = process.follower if side == "f" else process.distribution_server
         assert core is not None
         core.received(connection_id, data, self.engine.now + process.offset)
@@ -334,15 +334,15 @@
             self.faults.append(f"{process.name} was given a body that is not the head's: {header}")
         if before is not None and before.header.rank >= header.rank:
             self.faults.append(f"{process.name} went back from {before.header} to {header}")
-        why = self.refuses(process.name, document)
+        why = self.rejection_of(process.name, document)
         if not why:
             process.spec.disk[header.scope] = document
             taken.append(document)
             self.note("in force", process.name, header.scope, header.epoch, header.version)
             for change in list(self._open.get(header.scope, ())):
-                if change.header.rank <= header.rank and process.name in change.owed:
-                    change.took[process.name] = self.engine.now - change.owed.pop(process.name)
-                    if not change.owed:
+                if change.header.rank <= header.rank and process.name in change.pending:
+                    change.latency_ms[process.name] = self.engine.now - change.pending.pop(process.name)
+                    if not change.pending:
                         del self._open[header.scope][change]
         follower.apply_finished(header, why, self.engine.now + process.offset)
 
@@ -356,26 +356,26 @@
         """A document was: it is owed to all that it is meant for and that run."""
         now = self.engine.now
         self.note("acknowledged", header.scope, header.epoch, header.version)
-        owed = {
+        pending = {
             name: now
             for name, spec in self.specs.items()
             if self.meant(spec, header.scope) and self.processes[name].up
         }
-        change = Change(header, now, owed)
+        change = Change(header, now, pending)
         self.changes.append(change)
         self._open.setdefault(header.scope, {})[change] = None
 
     def unreached(self) -> dict[str, list[str]]:
         """Scope and version, and the names that should have it in force and have not."""
         return {
-            f"{change.header.scope} {change.header.version}": list(change.owed)
+            f"{change.header.scope} {change.header.version}": list(change.pending)
             for change in self.changes
-            if change.owed
+            if change.pending
         }
 
     def traffic(self, name: str) -> int:
         """Bytes with headers, both ways."""
-        return self.net.sent.get(name, 0) + self.net.heard.get(name, 0)
+        return self.network.sent_bytes.get(name, 0) + self.network.received_bytes.get(name, 0)
 
     def converged(self) -> bool:
         """Whether every process that runs holds the highest head of each scope that is meant for it."""
--- a/tests/config_feed/test_simulation.py
+++ b/tests/config_feed/test_simulation.py
@@ -23,9 +23,9 @@
 RATE, SAVED = Tuning().bytes_per_s, Tuning().burst_bytes
 
 
-def fleet(nodes: int = 21, seed: int = 1, weather: NetworkConditions | None = None) -> Fleet:
+def fleet(nodes: int = 21, seed: int = 1, conditions: NetworkConditions | None = None) -> Fleet:
     """A fleet that holds a first document everywhere."""
-    made = Fleet(nodes, seed, weather)
+    made = Fleet(nodes, seed, conditions)
     made.publish("all")
     made.world.run(5_000.0)
     settled(made)
@@ -41,7 +41,7 @@
 
 def worst(made: Fleet, since: int = 0) -> float:
     """Seconds from a change to the last that had it."""
-    return max(ms for change in made.world.changes[since:] for ms in change.took.values()) / 1000.0
+    return max(ms for change in made.world.changes[since:] for ms in change.latency_ms.values()) / 1000.0
 
 
 def test_equal_arguments_give_an_equal_run() -> None:
@@ -84,7 +84,7 @@
     made = fleet()
     world = made.world
     near = [name for name in made.nodes if world.specs[name].zone == "e2"]
-    world.freeze("r-e2", 15_000.0)
+    world.suspend("r-e2", 15_000.0)
     for _ in range(5):
         made.publish("all")
         world.run(2_000.0)
@@ -105,7 +105,7 @@
     world = made.world
     made.publish("all", size=20_000)
     world.run(4.0)
-    world.freeze("n3", 15_000.0)
+    world.suspend("n3", 15_000.0)
     for _ in range(3):
         made.publish("all")
         world.run(3_000.0)
@@ -155,11 +155,11 @@
 def test_documents_damaged_on_the_way_are_never_taken() -> None:
     made = fleet()
     world = made.world
-    world.net.damage = {"r-e1": 0.2, "r-w1": 0.2, "p-east": 0.1}
+    world.network.damage_fraction = {"r-e1": 0.2, "r-w1": 0.2, "p-east": 0.1}
     for i in range(20):
         made.publish(*made.scope(), size=2_000 + 500 * i)
         world.run(1_500.0)
-    world.net.damage = {}
+    world.network.damage_fraction = {}
     world.run(20_000.0)
     settled(made)
     dropped = [
@@ -186,7 +186,7 @@
     world = made.world
     made.publish("all")
     world.run(5_000.0)
-    world.net.cut("east", "west")
+    world.network.partition("east", "west")
     for i in range(6):
         made.publish("region/east")
         made.publish("region/west", "p-west")
@@ -196,7 +196,7 @@
     in_force = world.specs["n1"].disk
     assert in_force["region/west"].header.version == 6 and in_force["all"].header.version == 1
     assert list(world.unreached()) == ["all 2"]
-    world.net.join("east", "west")
+    world.network.heal("east", "west")
     world.run(13_000.0)
     settled(made)
     for name in ("p-east", "p-west", "r-e1", "r-w1"):
@@ -212,7 +212,7 @@
 def test_two_answers_after_a_cut_are_shown_everywhere_and_one_holds() -> None:
     made = fleet(14)
     world = made.world
-    world.net.cut("east", "west")
+    world.network.partition("east", "west")
     world.run(6_000.0)
     made.publish("all", "p-east")
     made.ledger.writers["p-west"] = replace(
@@ -221,7 +221,7 @@
     made.publish("all", "p-west")
     world.run(5_000.0)
     assert len({world.specs[name].disk["all"].header.digest for name in made.nodes}) == 2
-    world.net.join("east", "west")
+    world.network.heal("east", "west")
     world.run(30_000.0)
     assert world.faults == [] and world.converged()
     assert {world.specs[name].disk["all"].header.writer for name in made.nodes} == {"p-west"}
@@ -244,7 +244,7 @@
     world = made.world
     for name in ("n1", "r-e1", "p-east", "n2", "r-w1"):
         for by_ms in (3_600_000.0, -3_600_000.0, -5_000.0, 15_000.0):
-            world.jump(name, by_ms)
+            world.jump_clock(name, by_ms)
             made.publish("all")
             world.run(4_000.0)
     world.run(10_000.0)
@@ -322,32 +322,36 @@
 def test_random_faults(seed: int) -> None:
     """Never an older version, never a body that is not its head's, and all agree after the last fault."""
     rng = random.Random(seed)
-    weather = NetworkConditions(loss=rng.choice((0.0, 0.05, 0.2)), starved=rng.choice((0.0, 0.1)))
-    made = Fleet(10, seed, weather)
+    conditions = NetworkConditions(
+        loss_fraction=rng.choice((0.0, 0.05, 0.2)), starved_fraction=rng.choice((0.0, 0.1))
+    )
+    made = Fleet(10, seed, conditions)
     world = made.world
     budget = Budget(made)
     made.publish("all")
     world.run(3_000.0)
-    world.starve()
+    world.start_starvation()
     names = list(world.processes)
     for _ in range(25):
         name = rng.choice(names)
         process = world.processes[name]
         match rng.choice(FAULTS):
             case "kill":
-                world.kill(name, dark=rng.random() < 0.5)
+                world.kill(name, unreachable=rng.random() < 0.5)
             case "restart":
                 world.restart(name)
             case "freeze":
-                world.freeze(name, rng.uniform(100.0, 20_000.0))
+                world.suspend(name, rng.uniform(100.0, 20_000.0))
             case "cut":
-                world.net.join("east", "west") if world.net.cuts else world.net.cut("east", "west")
+                world.network.heal("east", "west") if world.network.partitions else world.network.partition(
+                    "east", "west"
+                )
             case "damage":
-                world.net.damage[name] = rng.choice((0.0, 0.3))
+                world.network.damage_fraction[name] = rng.choice((0.0, 0.3))
             case "mute":
-                process.mute = not process.mute
+                process.truncates_bodies = not process.truncates_bodies
             case "jump":
-                world.jump(name, rng.uniform(-60_000.0, 60_000.0))
+                world.jump_clock(name, rng.uniform(-60_000.0, 60_000.0))
                 budget.jumped.add(process.follower)
             case "crash":
                 made.publish("region/west", "p-west", crash=rng.choice(STEPS))
@@ -355,11 +359,11 @@
                 scope, by = made.scope()
                 made.publish(scope, by, size=rng.choice((10, 2_000, 40_000)))
         world.run(rng.choice((1.0, 100.0, 1_000.0, 5_000.0)))
-    if world.net.cuts:
-        world.net.join("east", "west")
-    world.net.damage = {}
+    if world.network.partitions:
+        world.network.heal("east", "west")
+    world.network.damage_fraction = {}
     for name in names:
-        world.processes[name].mute = False
+        world.processes[name].truncates_bodies = False
     world.run(20_000.0)  # those that stand still wake up, and may yet be killed amid a publish that waited
     for name in names:
         if not world.processes[name].up:
