--- a/crowpost/config_feed/distribution_server.py
+++ b/crowpost/config_feed/distribution_server.py
@@ -10,8 +10,7 @@
 from __future__ import annotations
 
 import math
-from collections import Counter, deque
-from dataclasses import dataclass, field
+from collections import Counter
 
 from crowpost.config_feed.document_table import DocumentTable
 from crowpost.config_feed.documents import Document
@@ -42,8 +41,9 @@
     StatusResponse,
 )
 from crowpost.config_feed.monotonic_clock import MonotonicClock
-from crowpost.config_feed.outputs import FeedEvent
+from crowpost.config_feed.outputs import FeedEvent, ServerOutput
 from crowpost.config_feed.scopes import Subscription
+from crowpost.config_feed.send_scheduler import SendScheduler
 from crowpost.config_feed.token_bucket import TokenBucket
 from crowpost.config_feed.tuning import Tuning
 
@@ -51,20 +51,9 @@
 MAX_QUEUED_FETCHES = 64  # of one connection
 MIN_FRAME_LIMIT_BYTES = 524_288  # fits a version vector of all scopes
 PUBLISH_OVERHEAD_BYTES = 65_536  # allowed around the body of a publish request
-MIN_DEFERRAL_MS = 1.0
 RELAY_REJECTION = "a relay takes no documents; publish to a publisher"
 
 
-@dataclass
-class ServerOutput:
-    """What a call left for the transport to do, in the order of the fields."""
-
-    sends: list[tuple[int, bytes]] = field(default_factory=list)  # connection and frame
-    disconnects: list[int] = field(default_factory=list)  # connections to close once their data is sent
-    requests: list[tuple[int, PublishRequest]] = field(default_factory=list)  # see `answer`
-    events: list[FeedEvent] = field(default_factory=list)
-
-
 class DistributionServer:
     """Serves the documents of a table to followers.
 
@@ -90,10 +79,8 @@
         self._cluster = cluster_tag(identity.cluster)
         self._connections: dict[int, FollowerConnection] = {}
         self._index = SubscriptionIndex()
-        self._send_queue: deque[FollowerConnection] = deque()  # with data, in the order of arrival
-        self._deferred: dict[int, FollowerConnection] = {}  # with data, but no tokens or a blocked socket
-        self._deferred_until = math.inf
         self._bucket = TokenBucket(self.tuning.server_bytes_per_s, self.tuning.server_burst_bytes, now)
+        self._scheduler = SendScheduler(self._bucket, self.tuning.concurrent_bodies, self._serve)
         self._heartbeat_interval_ms = self.tuning.heartbeat_ms / HEARTBEAT_GROUPS
         self._heartbeat_group = 0
         self._heartbeat_at = now + self._heartbeat_interval_ms
@@ -131,8 +118,9 @@
         connection = self._connections.pop(connection_id, None)
         if connection is None:
             return
+        connection.is_closed = True
         self._index.remove(connection)
-        self._deferred.pop(connection_id, None)
+        self._scheduler.remove(connection)
         connection.fetch_queue.clear()
         connection.pending_headers.clear()
         if connection.hello is not None:
@@ -149,8 +137,8 @@
             connection.blocked_at = min(connection.blocked_at, now)
             return
         connection.blocked_at = math.inf
-        self._enqueue(connection)
-        self._send_queued(now)
+        self._scheduler.enqueue(connection)
+        self._scheduler.run(now)
 
     def received(self, connection_id: int, data: bytes, now: float) -> None:
         """Bytes were received on a connection, in any portions."""
@@ -163,7 +151,7 @@
             if connection_id not in self._connections:
                 break
             self._handle(connection, message, now)
-        self._send_queued(now)
+        self._scheduler.run(now)
 
     def answer(self, connection_id: int, message: Message, now: float) -> None:
         """Answer a publish request; without effect where the connection is closed by now."""
@@ -184,11 +172,11 @@
             return False
         frame = encode(DocumentHeaders((header,)), self._cluster)
         for connection in self._index.watching(header.scope):
-            if not connection.pending_headers and self._may_send(connection, now):
+            if not connection.pending_headers and self._scheduler.may_send(connection, now):
                 self._send_frame(connection, frame, now)
             else:
                 connection.pending_headers[header.scope] = header
-                self._defer(connection, now)
+                self._scheduler.defer(connection, now)
         return True
 
     def tick(self, now: float) -> None:
@@ -196,17 +184,15 @@
         now = self._advance_clock(now)
         if now >= self._heartbeat_at:
             self._send_heartbeats(now)
-        if now >= self._deferred_until:
-            for connection in list(self._deferred.values()):
-                self._enqueue(connection)
-        self._send_queued(now)
+        self._scheduler.resume_deferred(now)
+        self._scheduler.run(now)
 
     def next_at(self) -> float:
         """Return when `tick` is due next, in ms."""
         return self._clock.to_external(self._next())
 
     def _next(self) -> float:
-        return math.inf if self._closed else min(self._heartbeat_at, self._deferred_until)
+        return math.inf if self._closed else min(self._heartbeat_at, self._scheduler.next_at())
 
     def status(self, now: float) -> dict[str, object]:
         """Return documents, followers, apply statuses and conflicts; see `status_merge`."""
@@ -295,20 +281,20 @@
             self._send(connection, PublishRejected(request.number, RELAY_REJECTION), now)
 
     def _queue_fetch(self, connection: FollowerConnection, request: FetchRequest, now: float) -> None:
-        server_is_busy = len(self._send_queue) >= self.tuning.max_queued_fetches
+        server_is_busy = self._scheduler.queue_length >= self.tuning.max_queued_fetches
         if server_is_busy or len(connection.fetch_queue) >= MAX_QUEUED_FETCHES:
             self.counts["busy"] += 1
             self._send(connection, BodyUnavailable(request.key, "busy"), now)
             return
         connection.fetch_queue.append(request)
-        self._enqueue(connection)
+        self._scheduler.enqueue(connection)
 
     def _handle_hello(self, connection: FollowerConnection, hello: Hello, now: float) -> None:
         if connection.hello is None:
             self._add_follower(connection, hello, now)
         newer = self.table.newer(connection.subscription, hello.version_vector)
         connection.pending_headers = {header.scope: header for header in newer}
-        self._enqueue(connection)
+        self._scheduler.enqueue(connection)
 
     def _add_follower(self, connection: FollowerConnection, hello: Hello, now: float) -> None:
         node = hello.name if hello.role == NODE_ROLE else ""
@@ -340,54 +326,6 @@
         self.counts["bytes_out"] += len(frame)
         self._output.sends.append((connection.number, frame))
 
-    def _may_send(self, connection: FollowerConnection, now: float) -> bool:
-        if connection.is_blocked:
-            return False
-        return self._bucket.refill(now) > 0.0 and connection.bucket.refill(now) > 0.0
-
-    def _enqueue(self, connection: FollowerConnection) -> None:
-        """Put a connection that has data into the send queue."""
-        self._deferred.pop(connection.number, None)
-        if not connection.is_queued and connection.has_data:
-            connection.is_queued = True
-            self._send_queue.append(connection)
-
-    def _defer(self, connection: FollowerConnection, now: float) -> None:
-        """Keep a connection that cannot be sent to now for later."""
-        if connection.is_queued:
-            return
-        self._deferred[connection.number] = connection
-        if not connection.is_blocked:
-            self._deferred_until = min(self._deferred_until, self._ready_at(connection, now))
-
-    def _ready_at(self, connection: FollowerConnection, now: float) -> float:
-        server_at = self._bucket.available_at(1.0, now)
-        connection_at = connection.bucket.available_at(1.0, now)
-        return max(server_at, connection_at, now + MIN_DEFERRAL_MS)
-
-    def _send_queued(self, now: float) -> None:
-        """Serve a few connections of the queue in turn, a frame each, as long as the tokens last."""
-        serving: deque[FollowerConnection] = deque()
-        while serving or self._send_queue:
-            while self._send_queue and len(serving) < self.tuning.concurrent_bodies:
-                serving.append(self._send_queue.popleft())
-            connection = serving.popleft()
-            if connection.number not in self._connections:
-                continue
-            if not self._may_send(connection, now):
-                connection.is_queued = False
-                self._defer(connection, now)
-                continue
-            self._serve(connection, now)
-            if connection.has_data:
-                serving.append(connection)
-            else:
-                connection.is_queued = False
-        self._deferred_until = min(
-            (self._ready_at(waiting, now) for waiting in self._deferred.values() if not waiting.is_blocked),
-            default=math.inf,
-        )
-
     def _serve(self, connection: FollowerConnection, now: float) -> None:
         """Send one frame: headers before bodies."""
         if connection.pending_headers:
--- a/crowpost/config_feed/follower.py
+++ b/crowpost/config_feed/follower.py
@@ -14,12 +14,10 @@
 import math
 from collections import Counter
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 from random import Random
 
 from crowpost.config_feed.apply_status import ApplyState, ApplyStatus, shorten_reason
 from crowpost.config_feed.apply_tracker import ApplyTracker
-from crowpost.config_feed.conflicts import Conflict
 from crowpost.config_feed.document_table import DocumentTable
 from crowpost.config_feed.documents import Document, DocumentHeader
 from crowpost.config_feed.errors import FeedError, FrameError
@@ -38,9 +36,9 @@
     Message,
 )
 from crowpost.config_feed.monotonic_clock import MonotonicClock
-from crowpost.config_feed.outputs import ConnectRequest, FeedEvent
+from crowpost.config_feed.outputs import ConnectRequest, FeedEvent, FollowerOutput
 from crowpost.config_feed.scopes import Subscription
-from crowpost.config_feed.token_bucket import TokenBucket
+from crowpost.config_feed.token_bucket import follower_bucket
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_connections import (
     MAX_FAILURES_COUNTED,
@@ -50,17 +48,6 @@
 from crowpost.config_feed.upstream_server import UpstreamServer
 
 
-@dataclass
-class FollowerOutput:
-    """What a call left for the transport to do, in the order of the fields."""
-
-    connects: list[ConnectRequest] = field(default_factory=list)
-    sends: list[tuple[int, bytes]] = field(default_factory=list)  # connection and frame
-    disconnects: list[int] = field(default_factory=list)  # connections to close once their data is sent
-    apply: list[Document] = field(default_factory=list)  # complete documents; see `apply_finished`
-    events: list[FeedEvent] = field(default_factory=list)
-
-
 class Follower:
     """Watches a few servers and fetches each document of a subscription once, from the nearest of them.
 
@@ -91,7 +78,7 @@
         self._requires_apply = identity.role == NODE_ROLE
         self._rng = rng
         self._cluster = cluster_tag(identity.cluster)
-        self.bucket = _make_bucket(subscription, tuning, now)
+        self.bucket = follower_bucket(tuning, subscription.all_scopes, now)
         self._connections = UpstreamConnections(
             servers, identity.region, identity.zone, rng, self._cluster, tuning, now
         )
@@ -128,10 +115,6 @@
         """Return the apply status of each document, from the widest scope."""
         return self._tracker.statuses()
 
-    def conflicts(self) -> list[Conflict]:
-        """Return the conflicts that this process has seen, oldest first."""
-        return list(self.table.conflicts)
-
     @property
     def connected_servers(self) -> list[str]:
         """Addresses of the servers that are watched, the nearest first."""
@@ -152,8 +135,7 @@
             self._connections.opened(connection, now)
             heartbeat_ms = self.tuning.heartbeat_ms
             connection.heartbeat_at = now + heartbeat_ms * (0.5 + 0.5 * self._rng.random())
-            connection.resync_at = now + self.tuning.resync_ms
-            connection.resync_wait_ms = self.tuning.resync_ms
+            connection.resync.start(now)
             self._send_hello(connection, now)
         self._advance(now)
 
@@ -350,21 +332,13 @@
             self._send(connection, self._report(statuses), now)
 
     def _compare_digest(self, connection: UpstreamConnection, digest: int, now: float) -> None:
-        """Send the version vector, less and less often, while the digests of both sides differ.
-
-        A single difference is news on its way.
-        """
-        differed_before = connection.digest_differed
-        connection.digest_differed = digest != self.table.digest(self.subscription)
-        if not connection.digest_differed:
-            connection.resync_wait_ms = self.tuning.resync_ms
-            return
-        if not differed_before or now < connection.resync_at:
+        """Send the version vector, less and less often, while the digests of both sides differ."""
+        differs = digest != self.table.digest(self.subscription)
+        if not connection.resync.compare(differs, now):
             return
         if any(scope in self._scheduler.pending for scope in connection.offered_headers):
             return
-        connection.resync_at = now + connection.resync_wait_ms
-        connection.resync_wait_ms = min(2.0 * connection.resync_wait_ms, self.tuning.max_resync_ms)
+        connection.resync.sent(now)
         self.counts["vectors"] += 1
         self._send_hello(connection, now)
 
@@ -379,7 +353,7 @@
             self.counts["conflicts"] += 1
             self._emit("conflict", now, conflict.log_fields())
         if self._scheduler.offer(connection, header, now):
-            connection.resync_wait_ms = self.tuning.resync_ms
+            connection.resync.reset()
 
     def _receive_chunk(self, connection: UpstreamConnection, chunk: BodyChunk, now: float) -> None:
         document = self._scheduler.receive_chunk(connection, chunk, now)
@@ -424,9 +398,3 @@
     def _report(self, statuses: list[ApplyStatus]) -> ApplyReport:
         identity = self.identity
         return ApplyReport(identity.name, identity.instance_id, self._tracker.changes, tuple(statuses))
-
-
-def _make_bucket(subscription: Subscription, tuning: Tuning, now: float) -> TokenBucket:
-    if subscription.all_scopes:
-        return TokenBucket(tuning.relay_bytes_per_s, tuning.relay_burst_bytes, now)
-    return TokenBucket(tuning.bytes_per_s, tuning.burst_bytes, now)
--- a/crowpost/config_feed/follower_connections.py
+++ b/crowpost/config_feed/follower_connections.py
@@ -27,7 +27,8 @@
     pending_headers: dict[str, DocumentHeader] = field(default_factory=dict)  # to be sent, by scope
     fetch_queue: deque[FetchRequest] = field(default_factory=deque)
     blocked_at: float = math.inf  # since when the socket accepts no more
-    is_queued: bool = False  # in the server's send queue
+    is_queued: bool = False  # for sending
+    is_closed: bool = False
 
     @property
     def is_blocked(self) -> bool:
--- a/crowpost/config_feed/token_bucket.py
+++ b/crowpost/config_feed/token_bucket.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from crowpost.config_feed.tuning import Tuning
+
 
 class TokenBucket:
     """A number of bytes per second, and a burst of bytes that may be saved up; it starts full.
@@ -36,3 +38,10 @@
         """Return when there will be that many tokens, or a full bucket; `now` if there are already."""
         lacking = min(size, self.burst) - self.refill(now)
         return now if lacking <= 0.0 else now + 1000.0 * lacking / self.bytes_per_s
+
+
+def follower_bucket(tuning: Tuning, all_scopes: bool, now: float) -> TokenBucket:
+    """Return the bucket for all traffic of a follower of one node's scopes, or of all scopes."""
+    if all_scopes:
+        return TokenBucket(tuning.relay_bytes_per_s, tuning.relay_burst_bytes, now)
+    return TokenBucket(tuning.bytes_per_s, tuning.burst_bytes, now)
--- a/crowpost/config_feed/upstream_connections.py
+++ b/crowpost/config_feed/upstream_connections.py
@@ -9,6 +9,7 @@
 
 from crowpost.config_feed.documents import DocumentHeader
 from crowpost.config_feed.frames import FrameReader
+from crowpost.config_feed.resync import ResyncTimer
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_server import UpstreamServer
 
@@ -36,6 +37,7 @@
     upstream: UpstreamState
     since: float  # when it was requested, or opened
     reader: FrameReader
+    resync: ResyncTimer
     open: bool = False
     handshake_done: bool = False  # the server's Hello was received
     name: str = ""  # of the server
@@ -43,9 +45,6 @@
     heartbeat_at: float = math.inf
     damaged_frames: int = 0
     slow_until: float = -math.inf  # a body stalled: the server is asked last until then
-    resync_at: float = -math.inf  # the version vector is not sent again before
-    resync_wait_ms: float = 0.0
-    digest_differed: bool = False  # at the last heartbeat
     offered_headers: dict[str, DocumentHeader] = field(default_factory=dict)  # newer than the stored ones
     rejected_headers: dict[str, DocumentHeader] = field(default_factory=dict)  # without a usable body
 
@@ -111,7 +110,10 @@
     def _add(self, upstream: UpstreamState, now: float) -> UpstreamConnection:
         self._last_number += 1
         reader = FrameReader(self._cluster, MAX_SERVER_FRAME_BYTES)
-        connection = UpstreamConnection(self._last_number, upstream, now, reader, last_received_at=now)
+        resync = ResyncTimer(self._tuning.resync_ms, self._tuning.max_resync_ms)
+        connection = UpstreamConnection(
+            self._last_number, upstream, now, reader, resync, last_received_at=now
+        )
         self.connections[self._last_number] = connection
         self._plan = None
         return connection
--- a/tests/config_feed/test_cores.py
+++ b/tests/config_feed/test_cores.py
@@ -361,7 +361,7 @@
     p.give("a", answers[first])
     p.give("b", answers[1 - first])
     assert p.follower.applied_document("all") == answers[1]
-    (conflict,) = p.follower.conflicts()
+    (conflict,) = p.follower.table.conflicts
     assert (conflict.winner, conflict.loser) == (answers[1].header, answers[0].header)
     assert conflict.rule == "writer" and p.follower.counts["conflicts"] == 1
 
