--- a/crowpost/config_feed/__init__.py
+++ b/crowpost/config_feed/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration for a whole fleet: versioned documents, published once, in force everywhere.
+"""Configuration for a whole fleet: versioned documents, published once, applied everywhere.
 
-The core does no I/O: `follower` watches, `hub` serves watches, both hold a `table` of documents.
+The cores do no I/O: `follower` watches, `distribution_server` serves, and both share a `document_table`.
 """
--- a/crowpost/lab/capacity/ranking.py
+++ b/crowpost/lab/capacity/ranking.py
@@ -115,7 +115,7 @@
         ),
         Duty(
             CONFIGURATION,
-            "crowpost/feed: publishers and relays; "
+            "crowpost/config_feed: publishers and relays; "
             "without it a file replaced and SIGHUP sent, node after node",
             most(
                 share(node["configuration"], budget), of_bytes(burst.over(demand.assumed("burst_s"), "B/s"))
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -1,4 +1,6 @@
-"""Publishers, relays and nodes of `crowpost.feed` in simulated time: the real cores on simulated connections.
+"""Publishers, relays and nodes of the configuration feed in simulated time.
+
+The cores are the real ones, the connections are simulated.
 
 Equal arguments give an equal run.  How publishers publish is in `publishing`.
 """
--- a/crowpost/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -1,5 +1,6 @@
-"""A hollow node that follows configuration: the real follower and carrier of `crowpost.feed`, and no node
-that would apply a document: what comes whole is in force at once.
+"""A hollow node that follows configuration: the real follower and transport of `crowpost.config_feed`.
+
+It has no node that would apply a document: a complete document counts as applied at once.
 """
 
 from __future__ import annotations
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -256,7 +256,7 @@
     deep = next(line for line in text.splitlines() if line.startswith("| ... times the depth"))
     assert "| 6.25 ms | 18.8 ms |" in deep
     assert cells(text, "calm, 790, simulated")[3] == "4.50 s"
-    assert "Without `crowpost/feed` the same rule names **configuration to all nodes** first" in text
+    assert "Without `crowpost/config_feed` the same rule names **configuration to all nodes** first" in text
 
 
 def test_a_chain_that_was_run_needs_no_multiple(docs: Path) -> None:
