--- a/tests/config_feed/test_command.py
+++ b/tests/config_feed/test_command.py
@@ -68,7 +68,7 @@
     assert watched.returncode == 0 and json.loads(watched.stdout)["version"] == 3
 
 
-def test_nodes_that_were_replaced_are_left_out_of_the_picture_in_the_end() -> None:
+def test_nodes_that_were_replaced_are_left_out_of_the_summary_in_the_end() -> None:
     def follower(name: str, linked: bool, age_ms: float) -> dict[str, Any]:
         apply_status = {"scope": "all", "era": 1, "version": 1, "digest": "0", "state": "in force", "why": ""}
         told = {"name": name, "role": "node", "region": "r", "zone": "", "service": "s", "birth": 1}
--- /dev/null
+++ b/tests/config_feed/test_frames.py
@@ -0,0 +1,81 @@
+"""Messages as frames, and what is rejected."""
+
+from __future__ import annotations
+
+import pytest
+
+from crowpost.config_feed.apply_status import ApplyState, ApplyStatus
+from crowpost.config_feed.errors import FrameError
+from crowpost.config_feed.frames import FRAME_LENGTH, FrameReader, cluster_tag, decode, encode
+from crowpost.config_feed.message_codec import MessageKind
+from crowpost.config_feed.messages import (
+    ApplyReport,
+    BodyChunk,
+    BodyUnavailable,
+    DocumentHeaders,
+    FetchRequest,
+    Goodbye,
+    Heartbeat,
+    Hello,
+    Message,
+    PublishAccepted,
+    PublishRejected,
+    PublishRequest,
+    StatusRequest,
+    StatusResponse,
+)
+from tests.config_feed.harness import CLUSTER_TAG, HEADER, KEY, doc
+
+MESSAGES: list[Message] = [
+    Hello("n1", "node", "east", "e1", "s1", False, 7, (KEY,)),
+    DocumentHeaders((HEADER, doc(2).header)),
+    FetchRequest(KEY, 16, 24),
+    BodyChunk(KEY, 16, b"\x00" * 24),
+    BodyUnavailable(KEY, "busy"),
+    Heartbeat(2**55),
+    ApplyReport("n1", 7, 3, (ApplyStatus(KEY, ApplyState.REJECTED, "no such key"),)),
+    StatusRequest(9),
+    StatusResponse(9, {"name": "r1", "heads": []}),
+    PublishRequest(1, "node/n1", b"{}", "me", "why", "east", 4, True),
+    PublishAccepted(1, HEADER),
+    PublishRejected(1, "publish to p-west"),
+    Goodbye("in order"),
+]
+
+
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
+def test_messages_survive_a_round_trip_and_damaged_frames_are_rejected(message: Message) -> None:
+    frame = encode(message, CLUSTER_TAG)
+    reader = FrameReader(CLUSTER_TAG)
+    found = [item for byte in frame for item in reader.feed(bytes([byte]))]
+    assert found == [(message, len(frame))]
+    body = frame[FRAME_LENGTH.size :]
+    for at in range(len(body)):
+        for bit in (0, 3, 7):
+            damaged = body[:at] + bytes([body[at] ^ (1 << bit)]) + body[at + 1 :]
+            with pytest.raises(FrameError):
+                decode(damaged, CLUSTER_TAG)
+    for cut in range(len(body)):
+        with pytest.raises(FrameError):
+            decode(body[:cut], CLUSTER_TAG)
+
+
+def test_every_kind_of_message_is_covered() -> None:
+    assert len({type(m) for m in MESSAGES}) == len(MessageKind)
+
+
+def test_each_kind_of_invalid_frame_is_named() -> None:
+    good = encode(Heartbeat(1), CLUSTER_TAG)
+    cases = {
+        "cluster": encode(Heartbeat(1), cluster_tag("other")),
+        "magic": FRAME_LENGTH.pack(20) + b"GET / HTTP/1.1\r\n\r\n..",
+        "oversized": FRAME_LENGTH.pack(2_000_000),
+        "checksum": good[:-1] + bytes([good[-1] ^ 1]),
+        "malformed": FRAME_LENGTH.pack(3) + b"CF\x01",
+    }
+    for kind, data in cases.items():
+        reader = FrameReader(CLUSTER_TAG, 1_000_000)
+        found = [item for item, _ in reader.feed(data + good)]
+        assert isinstance(found[0], FrameError) and found[0].kind == kind
+        # After a frame that is merely damaged the stream goes on; otherwise nothing more is believed.
+        assert found[1:] == ([Heartbeat(1)] if not found[0].fatal else [])
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -114,7 +114,7 @@
         (b'{"a":' * 600 + b"1" + b"}" * 600, "a cannot change while the node runs"),
     ],
 )
-def test_what_a_running_node_cannot_take_is_refused_as_a_whole_and_names_the_key(
+def test_what_a_running_node_cannot_apply_is_rejected_as_a_whole_and_names_the_key(
     body: Any, said: str
 ) -> None:
     overlays = ConfigurationOverlays({}, file(), "")
@@ -127,7 +127,7 @@
     assert overlays.reloadable.connect_timeout_ms == 70.0, "and the next one is not held against it"
 
 
-def test_a_document_that_says_again_what_the_file_says_is_taken() -> None:
+def test_a_document_that_repeats_values_of_the_file_is_applied() -> None:
     overlays = ConfigurationOverlays({}, file(), "")
     take(overlays, document({"settings": {"tickMs": 5, "azs": ["hall"]}, "seed": "1", **discovery(8501)}))
     assert overlays.reloadable.discovery == FED
@@ -169,7 +169,7 @@
 # ---------------------------------------------------------------- the disk
 
 
-def test_the_shelf_gives_back_the_last_of_each_scope_and_tells_of_damage(tmp_path: Path) -> None:
+def test_the_cache_returns_the_last_document_of_each_scope_and_notes_damage(tmp_path: Path) -> None:
     shelf = DocumentCache(tmp_path / "feed", OWNER)
     assert shelf.load() == ([], [])
     older, newer, other = document({}), document(connect(70.0), version=2), document({}, "service/cart")
@@ -188,7 +188,7 @@
         DocumentCache(tmp_path / "no" / "feed", OWNER).load()
 
 
-def test_a_write_that_fails_leaves_the_last_document_whole(tmp_path: Path) -> None:
+def test_a_write_that_fails_leaves_the_last_document_intact(tmp_path: Path) -> None:
     shelf = DocumentCache(tmp_path, OWNER)
     shelf.store(document({}))
     (tmp_path / "all.document").rename(tmp_path / "kept")
@@ -216,7 +216,7 @@
     return {"NODE_NAME": "n0", "NODE_CONFIG": str(path / "config.json"), "NODE_FEED": str(feed)}
 
 
-def test_a_node_reads_its_feed_and_the_documents_kept_for_its_scopes(tmp_path: Path) -> None:
+def test_a_node_reads_its_feed_and_the_cached_documents_of_its_scopes(tmp_path: Path) -> None:
     told = environment(tmp_path, feed_file(tmp_path, directory=f'"{tmp_path / "feed"}"'))
     shelf = DocumentCache(tmp_path / "feed", OWNER)
     assert load(told).discovery == FILE
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -157,7 +157,9 @@
     run(play())
 
 
-def test_a_publisher_that_lost_its_directory_learns_from_its_relays_and_begins_an_era(tmp_path: Path) -> None:
+def test_a_publisher_that_lost_its_directory_learns_from_its_relays_and_begins_an_epoch(
+    tmp_path: Path,
+) -> None:
     async def play() -> None:
         async with fleet(tmp_path, 1) as (world, started):
             for number in range(1, 4):
--- a/tests/config_feed/test_publication_log.py
+++ b/tests/config_feed/test_publication_log.py
@@ -128,7 +128,7 @@
     assert (header.epoch, header.version) == (3, 9)
 
 
-def test_back_publishes_the_body_before_as_a_new_version_and_that_can_be_taken_back_too() -> None:
+def test_a_rollback_publishes_the_previous_body_as_a_new_version_and_can_be_rolled_back() -> None:
     book, table = ledger(), DocumentTable()
     said = "all has no document before the one in force"
     assert refusal(book, table, rollback=True) == said
@@ -143,7 +143,7 @@
 # ---------------------------------------------------------------- what is refused
 
 
-def test_bodies_that_no_one_could_hold_are_refused_before_they_are_written() -> None:
+def test_bodies_that_no_table_could_hold_are_rejected_before_they_are_written() -> None:
     tuning = Tuning(max_document_bytes=100, max_documents=2, max_table_bytes=150)
     book, table = ledger(tuning=tuning), DocumentTable(tuning)
     assert refusal(book, table, "all", bytes(101)) == "all: 101 bytes, 100 at the most"
@@ -166,13 +166,13 @@
         (b'{"settings": {"tickMs": "soon"}}', "all: settings: tickMs is not a number: 'soon'"),
     ],
 )
-def test_the_nodes_own_check_refuses_with_its_line(body: bytes, said: str) -> None:
+def test_the_nodes_own_check_rejects_with_its_line(body: bytes, said: str) -> None:
     book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), make_check())
     assert refusal(book, DocumentTable(), "all", body).startswith(said)
     assert book.documents() == [] and book.publish(asked(body=b'{"discovery": "h:1"}'), DocumentTable())
 
 
-def test_with_a_nodes_file_a_publisher_also_refuses_what_a_running_node_would(tmp_path: Any) -> None:
+def test_with_a_nodes_file_a_publisher_also_rejects_what_a_running_node_would(tmp_path: Any) -> None:
     sample = tmp_path / "node.json"
     sample.write_text(
         '{"seed": "1", "limits": {"memory_mb": 64, "sockets": 64},'
@@ -215,7 +215,7 @@
     assert book.publish(asked(body=b"new"), DocumentTable())[1].header.rank > lost.header.rank
 
 
-def test_a_state_that_was_set_back_learns_from_the_fleet_and_begins_the_next_era() -> None:
+def test_a_log_that_was_set_back_adopts_documents_of_the_fleet_and_begins_the_next_epoch() -> None:
     book, table = ledger(), DocumentTable()
     backup = [book.publish(asked(body=b"old"), table)[0]]
     lost, other = publish(book, table, "all", b"lost"), publish(book, table, "region/north", b"lost too")
--- a/tests/config_feed/test_simulation.py
+++ b/tests/config_feed/test_simulation.py
@@ -80,7 +80,7 @@
     assert found["in_force_s"]["worst"] < within_s and found["changes"] == 25
 
 
-def test_a_relay_that_stalls_is_left_and_taken_back() -> None:
+def test_a_relay_that_stalls_is_disconnected_and_used_again() -> None:
     made = fleet()
     world = made.world
     near = [name for name in made.nodes if world.specs[name].zone == "e2"]
@@ -152,7 +152,7 @@
     assert max(connection_ids) < 2 * 2 * 200 / 7  # no relay is left with all of them
 
 
-def test_documents_damaged_on_the_way_are_never_taken() -> None:
+def test_documents_damaged_on_the_way_are_never_applied() -> None:
     made = fleet()
     world = made.world
     world.network.damage_fraction = {"r-e1": 0.2, "r-w1": 0.2, "p-east": 0.1}
