--- a/crowpost/__init__.py
+++ b/crowpost/__init__.py
@@ -1,5 +1,5 @@
 """crowpost: a load balancer's decisions, without I/O."""
 
-from crowpost.decisions import Automaton, Balancer
+from crowpost.decisions import Balancer, LearningAutomaton
 
-__all__ = ["Automaton", "Balancer"]
+__all__ = ["Balancer", "LearningAutomaton"]
--- a/crowpost/decisions/endpoint_selection.py
+++ b/crowpost/decisions/endpoint_selection.py
@@ -1,153 +1,213 @@
-"""Which servers an attempt may go to, and the draw among them.
+"""Which endpoints an attempt may go to, and the draw among them.
 
-A draw from the whole vector, made again while it falls on a server that may not be drawn, is a draw
-conditioned on those that may, and costs the same in any fleet.  When several fall beside, all are looked at.
+A draw from the whole vector, made again while it falls on an endpoint that may not be drawn, is a draw
+conditioned on those that may, and costs the same for any number of them.  When several draws fall on such
+endpoints, all are looked at.
 """
 
 from __future__ import annotations
 
 from crowpost.decision_api import Effect, IdempotencyScope
-from crowpost.decisions.concurrency_limiter import Admission
-from crowpost.decisions.endpoint_set import Fleet
-from crowpost.decisions.outlier_detection import Health
-from crowpost.decisions.request_state import Request, Server
-
-# A node's calls on one server may exceed its share of all calls out by this much before it is skipped.
-BUDGET_TIMES = 1.25
-BUDGET_PLUS = 0.5
-WAITING_MOST = 4.0  # calls that may wait at a server, over all nodes, by its average against the calmest
-LOCAL_LEAST = 2  # fewer servers than this in the zone are no fleet to keep to
-HEAVY = 2.0  # from so many times the mean work on, a request is too heavy for a slow server
-DRAWS = 12  # draws that may fall beside before all servers are looked at
-
-
-class Placing:
+from crowpost.decisions.concurrency_limiter import ConcurrencyLimiter
+from crowpost.decisions.context import Context
+from crowpost.decisions.endpoint_set import EndpointSet, Scope
+from crowpost.decisions.endpoint_state import Endpoint
+from crowpost.decisions.outlier_detection import OutlierDetector
+from crowpost.decisions.request_state import Request
+
+# A node's attempts at one endpoint may exceed its share of all in flight by this much before it is skipped.
+SHARE_FACTOR = 1.25
+SHARE_EXTRA = 0.5
+MAX_QUEUED_AT_ENDPOINT = 4.0  # over all nodes, by its average latency against the baseline
+MIN_LOCAL_ENDPOINTS = 2  # fewer than this in the subset or zone are too few to keep to
+HEAVY_UNITS = 2.0  # from so many times the mean work on, a request is too heavy for a slow endpoint
+MAX_DRAWS = 12  # before all endpoints are looked at
+
+
+class EndpointSelector:
     """Eligibility and the draw, for one request at a time."""
 
-    def __init__(self, fleet: Fleet, health: Health, admission: Admission) -> None:
-        self.fleet, self.health, self.admission = fleet, health, admission
-        self._can_repeat = any(c.effect is not Effect.UNSAFE for c in fleet.settings.classes)
-        # These hold for all servers at the moment of a draw.
-        self._most_waiting = self._late = self._mean = 0.0
-        self._flow: float | None = None  # counted once, and only if a server is cold
-        self._calls_out = 0
-
-    def may_go_on(self, request: Request) -> bool:
-        """Rule 2 but for its groups: whether a further attempt may be made at all."""
-        settings, first = self.fleet.settings, request.risky()
-        if request.body_consumed or (first is not None and request.out and not settings.may_hedge):
+    def __init__(
+        self,
+        context: Context,
+        endpoints: EndpointSet,
+        outliers: OutlierDetector,
+        limiter: ConcurrencyLimiter,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._outliers = outliers
+        self._limiter = limiter
+        self._any_class_repeats = any(c.effect is not Effect.UNSAFE for c in context.settings.classes)
+        # These hold for all endpoints during one draw.
+        self._max_queued = 0.0
+        self._overdue_after = 0.0
+        self._mean_latency = 0.0
+        self._warm_rate: float | None = None  # computed once, and only if an endpoint is warming up
+        self._in_flight = 0
+
+    # ------------------------------------------------------------ the rules
+
+    def may_continue(self, request: Request) -> bool:
+        """Return whether a further attempt may be made at all: rule 2 but for its groups."""
+        settings = self._context.settings
+        first = request.first_risky_attempt()
+        if request.body_consumed:
+            return False
+        if first is not None and request.in_flight and not settings.may_hedge:
             return False
-        unsafe = first is not None and request.kind.effect is Effect.UNSAFE
-        return not unsafe and self.fleet.now < request.window_end_ms() - settings.tick_ms
+        if first is not None and request.request_class.effect is Effect.UNSAFE:
+            return False
+        return self._context.now < request.window_end_ms() - settings.tick_ms
 
-    def bound(self, request: Request) -> tuple[IdempotencyScope, int] | None:
-        """The zone or cell that a further attempt must stay in; None: any server will do, or none at all."""
-        first = request.risky() if request.kind.effect is Effect.KEYED else None
-        if first is None or request.kind.group is IdempotencyScope.ALL:
+    def scope_of(self, request: Request) -> Scope | None:
+        """Return the zone or cell that a further attempt must stay in; None where any endpoint will do."""
+        request_class = request.request_class
+        if request_class.effect is not Effect.KEYED or request_class.group is IdempotencyScope.ALL:
+            return None
+        first = request.first_risky_attempt()
+        if first is None:
             return None
-        zone = request.kind.group is IdempotencyScope.ZONE
-        return request.kind.group, first.entry.zone if zone else first.entry.cell
+        by_zone = request_class.group is IdempotencyScope.ZONE
+        return request_class.group, first.entry.zone if by_zone else first.entry.cell
 
-    def permitted(self, request: Request, server: Server) -> bool:
-        """Rules 2 and 3: whether a further attempt of this request may go to this server at all."""
-        if not server.listed or not self.may_go_on(request):
+    def is_permitted(self, request: Request, endpoint: Endpoint) -> bool:
+        """Return whether rules 2 and 3 let an attempt of this request go to this endpoint at all."""
+        if not endpoint.listed or not self.may_continue(request):
             return False
-        bound, entry = self.bound(request), server.entry
-        return bound is None or bound[1] == (entry.zone if bound[0] is IdempotencyScope.ZONE else entry.cell)
-
-    def anywhere(self, request: Request) -> bool:
-        """Whether any server may take a further attempt."""
-        group = self.fleet.in_group(self.bound(request))
-        return self.may_go_on(request) and any(self.fleet.arms[i].listed for i in group)
-
-    def draw(self, request: Request, last_resort: bool, calls_out: int) -> Server | None:
-        """The server of the request's next attempt; None where none may be drawn."""
-        fleet, automaton = self.fleet, self.fleet.automaton
-        if not fleet.arms or not self.may_go_on(request):
+        scope = self.scope_of(request)
+        if scope is None:
+            return True
+        by_zone = scope[0] is IdempotencyScope.ZONE
+        return scope[1] == (endpoint.entry.zone if by_zone else endpoint.entry.cell)
+
+    def may_go_anywhere(self, request: Request) -> bool:
+        """Return whether any endpoint may take a further attempt."""
+        in_scope = self._endpoints.in_scope(self.scope_of(request))
+        listed = self._endpoints.listed
+        return self.may_continue(request) and any(listed[index].listed for index in in_scope)
+
+    # ------------------------------------------------------------ the draw
+
+    def draw(self, request: Request, last_resort: bool, in_flight: int) -> Endpoint | None:
+        """Return the endpoint of the request's next attempt; None where none may be drawn."""
+        listed = self._endpoints.listed
+        automaton = self._endpoints.automaton
+        if not listed or not self.may_continue(request):
             return None
-        self._late, self._flow = self.health.patience.late(), None
-        self._mean, self._calls_out = automaton.mean() or 0.0, calls_out
-        self._most_waiting = max(1.0, WAITING_MOST / self.admission.sharers)
-        panic = self.health.panic()
-        if self.bound(request) is None and not panic:
-            needed, found = 1 if fleet.home is None else LOCAL_LEAST, list[Server]()
-            for _ in range(DRAWS):
-                server = fleet.arms[automaton.pick(fleet.rng.random())]
-                if server in found or request.tried(server) or not self._may(request, server, last_resort):
-                    continue
-                if request.units >= HEAVY and not self._quick(server):
-                    continue
-                found.append(server)
-                if len(found) == needed:
-                    return found[0]
-        pool = self._pool(request, last_resort, panic)
-        return fleet.arms[automaton.draw(pool, fleet.rng.random())] if pool else None
-
-    def _pool(self, request: Request, last_resort: bool, panic: bool) -> list[int]:
-        """Indices that the draw is conditioned on, by a look at every server."""
-        arms = self.fleet.arms
-        allowed = [i for i in self.fleet.in_group(self.bound(request)) if self._allowed(request, arms[i])]
-        if panic:
-            fit = allowed  # something that all servers share is wrong: health is no guide
+        self._overdue_after = self._outliers.expected.overdue_after()
+        self._warm_rate = None
+        self._mean_latency = automaton.mean() or 0.0
+        self._in_flight = in_flight
+        self._max_queued = max(1.0, MAX_QUEUED_AT_ENDPOINT / self._limiter.sharers)
+        in_panic = self._outliers.in_panic()
+        if not in_panic and self.scope_of(request) is None:
+            endpoint = self._draw_from_vector(request, last_resort)
+            if endpoint is not None:
+                return endpoint
+        pool = self._pool(request, last_resort, in_panic)
+        return listed[automaton.draw_among(pool, self._context.rng.random())] if pool else None
+
+    def _draw_from_vector(self, request: Request, last_resort: bool) -> Endpoint | None:
+        """Draw a few times from the whole vector; return None if too few draws hit an eligible one."""
+        listed = self._endpoints.listed
+        draw = self._endpoints.automaton.draw
+        random = self._context.rng.random
+        needed = 1 if self._endpoints.subset is None else MIN_LOCAL_ENDPOINTS
+        found: list[Endpoint] = []
+        for _ in range(MAX_DRAWS):
+            endpoint = listed[draw(random())]
+            if endpoint in found or request.has_tried(endpoint):
+                continue
+            if not self._is_eligible(request, endpoint, last_resort):
+                continue
+            if request.units >= HEAVY_UNITS and not self._is_fast(endpoint):
+                continue
+            found.append(endpoint)
+            if len(found) == needed:
+                return found[0]
+        return None
+
+    def _pool(self, request: Request, last_resort: bool, in_panic: bool) -> list[int]:
+        """Return the indices that the draw is conditioned on, by a look at every endpoint."""
+        listed = self._endpoints.listed
+        in_scope = self._endpoints.in_scope(self.scope_of(request))
+        allowed = [index for index in in_scope if self._is_allowed(request, listed[index])]
+        if in_panic:
+            fit = allowed  # something that all endpoints share is wrong: health is no guide
         elif last_resort:
-            # It is now or never: a crowded server may still answer in time, a silent one will not.
-            fit = [i for i in allowed if not self.health.silent(arms[i], self._late)] or allowed
+            # It is now or never: a crowded endpoint may still answer in time, an unresponsive one will not.
+            unresponsive = self._outliers.is_unresponsive
+            overdue_after = self._overdue_after
+            fit = [index for index in allowed if not unresponsive(listed[index], overdue_after)] or allowed
         else:
-            fit = [i for i in allowed if self._fit(request, arms[i])]
-        fresh = [i for i in fit if not request.tried(arms[i])]
-        pool = self.near(fresh if fresh or (request.out and not last_resort) else fit)
-        quick = [i for i in pool if self._quick(arms[i])] if request.units >= HEAVY else []
-        return quick or pool
-
-    def near(self, fit: list[int]) -> list[int]:
-        """The home's servers while two of them are fit, else, where crossing has a price, the zone's."""
-        home = [i for i in fit if self.fleet.at_home[i]]
-        if len(home) >= LOCAL_LEAST:
-            return home
-        if not self.fleet.settings.cross_zone_price:
+            fit = [index for index in allowed if self._is_fit(request, listed[index])]
+        fresh = [index for index in fit if not request.has_tried(listed[index])]
+        pool = self.prefer_local(fresh if fresh or (request.in_flight and not last_resort) else fit)
+        if request.units < HEAVY_UNITS:
+            return pool
+        return [index for index in pool if self._is_fast(listed[index])] or pool
+
+    def prefer_local(self, fit: list[int]) -> list[int]:
+        """Return the subset's endpoints while two are fit, else, where crossing has a price, the zone's."""
+        in_subset = self._endpoints.in_subset
+        subset = [index for index in fit if in_subset[index]]
+        if len(subset) >= MIN_LOCAL_ENDPOINTS:
+            return subset
+        settings = self._context.settings
+        if not settings.cross_zone_price:
             return fit
-        own = [i for i in fit if self.fleet.arms[i].entry.zone == self.fleet.settings.zone]
-        return own if len(own) >= LOCAL_LEAST else fit
+        listed = self._endpoints.listed
+        same_zone = [index for index in fit if listed[index].entry.zone == settings.zone]
+        return same_zone if len(same_zone) >= MIN_LOCAL_ENDPOINTS else fit
 
-    # ------------------------------------------------------------ one server
+    # ------------------------------------------------------------ one endpoint
 
-    def _quick(self, server: Server) -> bool:
-        """No slower than the mean, as far as is known: heavy work elsewhere would be late for sure."""
-        return (self.fleet.automaton.average[server.index] or 0.0) <= self._mean
+    def _is_fast(self, endpoint: Endpoint) -> bool:
+        """Return whether it is no slower than the mean, as far as is known."""
+        return (self._endpoints.automaton.averages[endpoint.index] or 0.0) <= self._mean_latency
 
-    def _may(self, request: Request, server: Server, last_resort: bool) -> bool:
-        if not self._allowed(request, server):
+    def _is_eligible(self, request: Request, endpoint: Endpoint, last_resort: bool) -> bool:
+        if not self._is_allowed(request, endpoint):
             return False
-        return not self.health.silent(server, self._late) if last_resort else self._fit(request, server)
-
-    def _allowed(self, request: Request, server: Server) -> bool:
-        """Rules 3 and 4; rule 2 is the request's own."""
-        if not server.listed or not self.fleet.is_cold(server):
-            return server.listed
-        if self._flow is None:
-            self._flow = self.fleet.warm_flow()
-        return self.fleet.cold_allows(server, request.units, self._flow)
-
-    def _fit(self, request: Request, server: Server) -> bool:
-        """Healthy, rested, and within what it should hold."""
-        if server.ejected or self.health.silent(server, self._late):
+        if last_resort:
+            return not self._outliers.is_unresponsive(endpoint, self._overdue_after)
+        return self._is_fit(request, endpoint)
+
+    def _is_allowed(self, request: Request, endpoint: Endpoint) -> bool:
+        """Return whether rules 3 and 4 allow an attempt; rule 2 is the request's own."""
+        endpoints = self._endpoints
+        if not endpoint.listed or not endpoints.is_warming_up(endpoint):
+            return endpoint.listed
+        if self._warm_rate is None:
+            self._warm_rate = endpoints.rate_of_warm_endpoint()
+        return endpoints.slow_start.permits(endpoint, request.units, self._warm_rate, self._context.now)
+
+    def _is_fit(self, request: Request, endpoint: Endpoint) -> bool:
+        """Return whether it is healthy, not paused, and within what it should hold."""
+        if endpoint.ejected or self._outliers.is_unresponsive(endpoint, self._overdue_after):
             return False
-        fleet, out = self.fleet, len(server.out)
-        if server.trial and (out or (self._can_repeat and not request.repeatable())):
-            return False  # a returning server gets one call at a time, and none that could be lost for good
-        if server.rest_until > fleet.now or out + 1 > server.ceiling:
+        in_flight = len(endpoint.in_flight)
+        if endpoint.half_open and (in_flight or (self._any_class_repeats and not request.is_repeatable())):
+            return False  # one trial request at a time, and none that could be lost for good
+        if endpoint.paused_until > self._context.now or in_flight + 1 > endpoint.in_flight_limit:
             return False
-        slow = fleet.automaton.average[server.index]
-        if slow and out * (1.0 - self.admission.calm / slow) > self._most_waiting:
-            # By Little's law this part of its calls waits there; a server crowded for long turns slow
+        return self._has_capacity(endpoint, in_flight)
+
+    def _has_capacity(self, endpoint: Endpoint, in_flight: int) -> bool:
+        """Return whether it holds less than its share of all requests in flight allows."""
+        endpoints = self._endpoints
+        average = endpoints.automaton.averages[endpoint.index]
+        if average and in_flight * (1.0 - self._limiter.load.baseline_latency / average) > self._max_queued:
+            # By Little's law this part of its requests queue there; an endpoint crowded for long turns slow
             # for long, and its own average tells so before the mean of all does.
             return False
-        share = fleet.automaton.share(server.index)
-        if slow and slow > self._mean:
-            share *= self._mean / slow
-        if out > BUDGET_PLUS + BUDGET_TIMES * share * self._calls_out:
+        share = endpoints.automaton.share(endpoint.index)
+        if average and average > self._mean_latency:
+            share *= self._mean_latency / average
+        if in_flight > SHARE_EXTRA + SHARE_FACTOR * share * self._in_flight:
             return False
-        held = fleet.reports.held
-        if not held or not fleet.reports.fresh(server, fleet.now):
+        held = endpoints.reports.held
+        if not held or not endpoints.reports.is_fresh(endpoint, self._context.now):
             return True
-        return out + server.others <= BUDGET_PLUS + BUDGET_TIMES * share * held
+        return in_flight + endpoint.in_flight_elsewhere <= SHARE_EXTRA + SHARE_FACTOR * share * held
--- a/crowpost/decisions/endpoint_set.py
+++ b/crowpost/decisions/endpoint_set.py
@@ -1,178 +1,190 @@
-"""What a node knows of its servers: the list, homes, cold starts, and load reports."""
+"""The endpoints that a node knows: the list, its subset, capacity, and load reports."""
 
 from __future__ import annotations
 
 import math
-import random
 from collections.abc import Sequence
 
-import crowpost.decision_api as api
+from crowpost.decision_api import (
+    EndpointEntry,
+    EndpointId,
+    EndpointList,
+    IdempotencyScope,
+    ListKind,
+    Readiness,
+)
+from crowpost.decisions.context import Context
+from crowpost.decisions.endpoint_state import Endpoint
 from crowpost.decisions.estimators import Rate
-from crowpost.decisions.learning_automaton import Automaton
-from crowpost.decisions.request_state import Reports, Server
-from crowpost.decisions.subsetting import deal
-
-HOME = 6  # servers that a node keeps to, up to twice as many: of so few half may fail and leave a choice
-HOME_COVER = 3  # nodes that must share each server at the least, for their walks to cancel out
-# By load reports budgets hold of all nodes' calls: where many share a server, each sees too few of its own.
-HELD_COLUMN = "outstanding"  # calls that a server holds, in its load reports
-REPORT_AIMS = 1.0  # a report older than this many aims says nothing of now
-LOOK = 0.02  # part of the aim between looks at what only time moves: cold starts and the age of reports
-FORGET = 2  # once so many times the listed servers are known, and some more, those long gone are forgotten
-
-
-class Fleet:
-    """The servers of the list, in the automaton's order as `arms`."""
-
-    def __init__(self, settings: api.Settings, rng: random.Random) -> None:
-        self.settings, self.rng, self.now = settings, rng, 0.0
-        self.aim = min(c.latency_objective_ms for c in settings.classes)
-        self.nodes, self.node_index = settings.node_count, settings.node_index
-        self.automaton = Automaton(self.nodes)
-        self.servers: dict[api.EndpointId, Server] = {}
-        self.arms: list[Server] = []
-        self.at_home: list[bool] = []  # in the same order: whether the node keeps to this server
-        self.home: list[int] | None = None  # indices of those, None where it is all
-        self.busy: dict[api.EndpointId, Server] = {}  # those with calls of ours out
-        self.sent = Rate(settings.warm_up_ms or 1000.0)  # units sent to warm servers
-        self.cold: list[Server] = []  # as of the last look, like these two
-        self.capacity = 0.0  # of the listed servers, in warm ones
-        self._look_at = -math.inf
-        self._groups: dict[tuple[api.IdempotencyScope, int], list[int]] = {}
+from crowpost.decisions.learning_automaton import LearningAutomaton
+from crowpost.decisions.load_reports import LoadReports
+from crowpost.decisions.slow_start import SlowStart
+from crowpost.decisions.subsetting import choose_subset
+
+# By load reports limits hold of all nodes' requests: where many share an endpoint, each sees too few itself.
+HELD_COLUMN = "outstanding"  # requests that an endpoint holds, in its load reports
+MAX_REPORT_AGE_OBJECTIVES = 1.0  # a report older than this many latency objectives is not used
+REFRESH_FRACTION = 0.02  # of the latency objective, between refreshes of what only time moves
+MAX_KNOWN_FACTOR = 2  # once so many times the listed endpoints are known, and some more, old ones are dropped
+MAX_KNOWN_EXTRA = 100
+MIN_CAPACITY_HINT = 1e-3
+DEFAULT_RATE_SPAN_MS = 1000.0
+
+Scope = tuple[IdempotencyScope, int]  # the zone or cell that a repeat must stay in, and its number
+
+
+class EndpointSet:
+    """The endpoints by their id, and those that are listed, in the automaton's order."""
+
+    def __init__(self, context: Context) -> None:
+        settings = context.settings
+        self._context = context
+        self.settings = settings
+        self.node_count = settings.node_count
+        self.node_index = settings.node_index
+        self.automaton = LearningAutomaton(self.node_count)
+        self.slow_start = SlowStart(settings)
+        self.known: dict[EndpointId, Endpoint] = {}
+        self.listed: list[Endpoint] = []
+        self.in_subset: list[bool] = []  # in the same order: whether the node keeps to this endpoint
+        self.subset: list[int] | None = None  # indices of those, None where it is all
+        self.busy: dict[EndpointId, Endpoint] = {}  # those with attempts of this node in flight
+        self.send_rate = Rate(settings.warm_up_ms or DEFAULT_RATE_SPAN_MS)  # units sent
+        self.warming_up: list[Endpoint] = []  # as of the last refresh
+        self.capacity = 0.0  # of the listed endpoints, in warm ones, as of the last refresh
+        self._refresh_at = -math.inf
+        self._by_scope: dict[Scope, list[int]] = {}
         columns = settings.load_report_columns
         column = columns.index(HELD_COLUMN) if HELD_COLUMN in columns else None
-        self.reports = Reports(column, REPORT_AIMS * self.aim)
+        self.reports = LoadReports(column, MAX_REPORT_AGE_OBJECTIVES * context.latency_objective_ms)
 
     # ------------------------------------------------------------ the list
 
-    def take(self, event: api.EndpointList) -> None:
-        """Take in a list, or changes of it."""
-        if event.kind is not api.ListKind.CHANGES:
+    def apply(self, event: EndpointList) -> None:
+        """Apply a whole list, or changes of one."""
+        if event.kind is not ListKind.CHANGES:
             named = {entry.server for entry in event.entries}
-            for name, server in self.servers.items():
+            for name, endpoint in self.known.items():
                 if name not in named:
-                    server.listed = False
+                    endpoint.listed = False
         for entry in event.entries:
-            self._take_entry(entry)
-        listed = {name: s for name, s in self.servers.items() if s.listed}
-        hints = self.settings.capacity_hints
-        weights = {n: max(s.entry.capacity_hint, 1e-3) if hints else 1.0 for n, s in listed.items()}
-        for server in self.arms:
-            server.index = -1
-        self.automaton.resize(weights, {name: s.entry.kind for name, s in listed.items()})
-        self.arms = [listed[name] for name in self.automaton.servers]
-        self._groups = {}
-        for i, server in enumerate(self.arms):
-            server.index = i
-        self._choose_home()
-        self.cold = [s for s in self.arms if self.is_cold(s)]
-        self._look_at = -math.inf
-        if len(self.servers) > FORGET * len(self.arms) + 100:
-            # A fleet of short lives must not be remembered for ever.
-            kept = {n: s for n, s in self.servers.items() if s.listed or s.out or s.ejected}
-            leaving = {n: s for n, s in self.servers.items() if s.entry.readiness is api.Readiness.DRAINING}
-            self.servers = kept | leaving
-
-    def follow_nodes(self, nodes: int, node_index: int) -> None:
-        """So many nodes share the servers now, and this one has this place among them."""
-        self.nodes, self.node_index = nodes, node_index
-        self.automaton.set_steps(nodes)
-        self._choose_home()
-
-    def _take_entry(self, entry: api.EndpointEntry) -> None:
-        server, now = self.servers.get(entry.server), self.now
-        ready = entry.readiness is api.Readiness.READY
-        if server is None:
-            server = self.servers[entry.server] = Server(entry, ready)
-            server.tokens, server.tokens_at = self.rng.random(), now
-        elif entry.started_ms > server.entry.started_ms:
-            # A restarted process: what was held against the old one is void; it is cold again.
-            server.fail, server.strikes, server.ejected, server.trial = 0.0, 0, False, False
-            server.tokens, server.tokens_at = self.rng.random(), now
-            server.heard, server.told = now, -math.inf
-        server.entry, server.listed = entry, ready
-
-    def in_group(self, bound: tuple[api.IdempotencyScope, int] | None) -> Sequence[int]:
-        """The listed servers of a zone or cell, or all."""
-        if bound is None:
-            return range(len(self.arms))
-        if bound not in self._groups:
-            zone, number = bound[0] is api.IdempotencyScope.ZONE, bound[1]
-            places = ((s.entry.zone if zone else s.entry.cell) for s in self.arms)
-            self._groups[bound] = [i for i, place in enumerate(places) if place == number]
-        return self._groups[bound]
-
-    def _choose_home(self) -> None:
-        """Where many nodes call many servers, each keeps to a home of a few, of every kind in proportion.
-
-        Guards against views so sparse that no node meets a server again within the day's troubles, and
-        against connections that grow with nodes times servers.  The servers of each kind are dealt to homes
-        by hash, anew for each turn of nodes: each server is met once in a turn, and so all are met alike.
-        """
-        settings, arms = self.settings, self.arms
-        priced, zone = settings.cross_zone_price > 0, settings.zone
-        near = [i for i, s in enumerate(arms) if not priced or s.entry.zone == zone]
-        # A power of two: their number, which all homes hang on, must not follow every change of the list.
-        # Few nodes keep to larger homes: with none at all each would open connections to every server.
-        most = min(len(near) // HOME, self.nodes // HOME_COVER)
-        homes = 1 << max(0, most.bit_length() - 1)
-        if homes > 1:
-            turn, place = divmod(self.node_index, homes)
-            kinds: dict[int, list[int]] = {}
-            for i in near:
-                kinds.setdefault(arms[i].entry.kind, []).append(i)
-            dealt = [(k, deal([arms[i].mark(turn) for i in k], homes)) for k in kinds.values()]
-            near = [i for k, homes_of in dealt for i, home in zip(k, homes_of, strict=True) if home == place]
-        whole = len(near) in (0, len(arms))
-        self.home = None if whole else sorted(near)
-        self.at_home = [whole and bool(near)] * len(arms)
-        for i in self.home or ():
-            self.at_home[i] = True
-        self.automaton.keep_to(self.home)
-
-    # ------------------------------------------------------------ cold starts and load reports
-
-    def look(self) -> bool:
-        """Count anew what time moves, if it is time to; whether the capacity may have changed."""
-        if self.now < self._look_at:
+            self._apply_entry(entry)
+        self._rebuild_listed()
+        self._choose_subset()
+        self.warming_up = [endpoint for endpoint in self.listed if self.is_warming_up(endpoint)]
+        self._refresh_at = -math.inf
+        self._drop_departed()
+
+    def _apply_entry(self, entry: EndpointEntry) -> None:
+        endpoint = self.known.get(entry.server)
+        now = self._context.now
+        is_ready = entry.readiness is Readiness.READY
+        if endpoint is None:
+            endpoint = self.known[entry.server] = Endpoint(entry, is_ready)
+            endpoint.slow_start_tokens = self._context.rng.random()
+            endpoint.slow_start_tokens_at = now
+        elif entry.started_ms > endpoint.entry.started_ms:
+            # A restarted process: what was held against the old one is void; it warms up again.
+            endpoint.failure_rate = 0.0
+            endpoint.ejections = 0
+            endpoint.ejected = False
+            endpoint.half_open = False
+            endpoint.slow_start_tokens = self._context.rng.random()
+            endpoint.slow_start_tokens_at = now
+            endpoint.last_response_at = now
+            endpoint.reported_at = -math.inf
+        endpoint.entry = entry
+        endpoint.listed = is_ready
+
+    def _rebuild_listed(self) -> None:
+        listed = {name: endpoint for name, endpoint in self.known.items() if endpoint.listed}
+        if self.settings.capacity_hints:
+            weights = {n: max(e.entry.capacity_hint, MIN_CAPACITY_HINT) for n, e in listed.items()}
+        else:
+            weights = dict.fromkeys(listed, 1.0)
+        for endpoint in self.listed:
+            endpoint.index = -1
+        self.automaton.set_endpoints(weights, {name: e.entry.kind for name, e in listed.items()})
+        self.listed = [listed[name] for name in self.automaton.endpoints]
+        self._by_scope = {}
+        for index, endpoint in enumerate(self.listed):
+            endpoint.index = index
+
+    def _drop_departed(self) -> None:
+        """Forget endpoints that are gone, once many are: lives may be short, and memory must not grow."""
+        if len(self.known) <= MAX_KNOWN_FACTOR * len(self.listed) + MAX_KNOWN_EXTRA:
+            return
+        kept = {n: e for n, e in self.known.items() if e.listed or e.in_flight or e.ejected}
+        draining = {n: e for n, e in self.known.items() if e.entry.readiness is Readiness.DRAINING}
+        self.known = kept | draining
+
+    def set_nodes(self, node_count: int, node_index: int) -> None:
+        """Follow a change of how many nodes share the endpoints, and of this one's place among them."""
+        self.node_count = node_count
+        self.node_index = node_index
+        self.automaton.set_steps(node_count)
+        self._choose_subset()
+
+    def in_scope(self, scope: Scope | None) -> Sequence[int]:
+        """Return the indices of the listed endpoints of a zone or cell, or of all."""
+        if scope is None:
+            return range(len(self.listed))
+        if scope not in self._by_scope:
+            by_zone = scope[0] is IdempotencyScope.ZONE
+            number = scope[1]
+            places = ((e.entry.zone if by_zone else e.entry.cell) for e in self.listed)
+            self._by_scope[scope] = [index for index, place in enumerate(places) if place == number]
+        return self._by_scope[scope]
+
+    def _choose_subset(self) -> None:
+        settings = self.settings
+        same_zone_only = settings.cross_zone_price > 0
+        candidates = [
+            index
+            for index, endpoint in enumerate(self.listed)
+            if not same_zone_only or endpoint.entry.zone == settings.zone
+        ]
+        chosen = choose_subset(self.listed, candidates, self.node_count, self.node_index)
+        is_whole = len(chosen) in (0, len(self.listed))
+        self.subset = None if is_whole else sorted(chosen)
+        self.in_subset = [is_whole and bool(chosen)] * len(self.listed)
+        for index in self.subset or ():
+            self.in_subset[index] = True
+        self.automaton.restrict_to(self.subset)
+
+    # ------------------------------------------------------------ capacity and load reports
+
+    def refresh(self) -> bool:
+        """Recompute what time moves, if it is due; return whether the capacity may have changed."""
+        now = self._context.now
+        if now < self._refresh_at:
             return False
-        self._look_at = self.now + LOOK * self.aim
-        changed = bool(self.cold) or not self.capacity
-        self.cold = [s for s in self.cold if self.is_cold(s)]
-        self.capacity = len(self.arms) - len(self.cold) + sum(self.ramp(s) for s in self.cold)
-        self.reports.look(self.now, self.automaton.share)
-        return changed
-
-    def count_out(self, server: Server, by: int) -> None:
-        """A call of ours went out to the server, or came back."""
-        if by > 0 or not server.out:
-            (self.busy.setdefault if by > 0 else self.busy.pop)(server.entry.server, server)
-        self.reports.count(server, by)
-
-    def is_cold(self, server: Server) -> bool:
-        start = server.entry.started_ms
-        return start > 0 and self.now - start < self.settings.warm_up_ms
-
-    def ramp(self, server: Server) -> float:
-        """The part of its capacity that a cold server has by now at the least."""
-        low, age = self.settings.slow_start_fraction, self.now - server.entry.started_ms
-        return low + (1.0 - low) * max(age, 0.0) / self.settings.warm_up_ms
-
-    def warm_flow(self) -> float:
-        """Units a millisecond that this node sends a warm server; over all servers while none is warm."""
-        return self.sent.per_ms(self.now) / (len(self.arms) - len(self.cold) or len(self.arms))
-
-    def cold_allows(self, server: Server, units: float, flow: float) -> bool:
-        """Rule 4: a cold server gets the rising part of what this node sends a warm one.
-
-        Every node does so alone; together they then send it its part of what warm servers bear, which
-        leaves the multiple that the rule allows as a margin for chance and for heavy requests.
-        """
-        ramp = self.ramp(server)
-        most = max(1.0, ramp * flow * self.settings.overload_window_ms)
-        server.tokens = min(most, server.tokens + ramp * flow * (self.now - server.tokens_at))
-        server.tokens_at = self.now
-        return server.tokens >= min(units, most)
-
-    def note_load(self, server: Server, load: Sequence[float]) -> None:
-        self.reports.note(server, load, self.now, self.automaton.share)
+        self._refresh_at = now + REFRESH_FRACTION * self._context.latency_objective_ms
+        may_have_changed = bool(self.warming_up) or not self.capacity
+        self.warming_up = [endpoint for endpoint in self.warming_up if self.is_warming_up(endpoint)]
+        fraction = self.slow_start.capacity_fraction
+        warming = sum(fraction(endpoint, now) for endpoint in self.warming_up)
+        self.capacity = len(self.listed) - len(self.warming_up) + warming
+        self.reports.refresh(now, self.automaton.share)
+        return may_have_changed
+
+    def count_in_flight(self, endpoint: Endpoint, change: int) -> None:
+        """Count an attempt of this node that the endpoint has got (1) or ended (-1)."""
+        if change > 0:
+            self.busy.setdefault(endpoint.entry.server, endpoint)
+        elif not endpoint.in_flight:
+            self.busy.pop(endpoint.entry.server, endpoint)
+        self.reports.count(endpoint, change)
+
+    def is_warming_up(self, endpoint: Endpoint) -> bool:
+        """Return whether the endpoint was started less than the warm-up time ago."""
+        return self.slow_start.is_warming_up(endpoint, self._context.now)
+
+    def rate_of_warm_endpoint(self) -> float:
+        """Return the units a millisecond that a warm endpoint gets; of all while none is warm."""
+        warm = len(self.listed) - len(self.warming_up)
+        return self.send_rate.per_ms(self._context.now) / (warm or len(self.listed))
+
+    def record_load(self, endpoint: Endpoint, load: Sequence[float]) -> None:
+        """Take in the load report that came with a response."""
+        self.reports.record(endpoint, load, self._context.now, self.automaton.share)
--- a/crowpost/decisions/estimators.py
+++ b/crowpost/decisions/estimators.py
@@ -5,6 +5,11 @@
 import math
 from dataclasses import dataclass
 
+MEAN_STEP = 0.1  # part of its distance to a new value by which a mean moves
+MIN_OVERDUE_DEVIATIONS = 4.0  # an attempt is overdue after the mean and so many deviations (RFC 6298)
+MIN_OVERDUE_FACTOR = 2.0  # and after so many means at the least, for work that always takes the same time
+MS_PER_S = 1000.0
+
 
 @dataclass(slots=True)
 class Rate:
@@ -23,7 +28,7 @@
         self.at = now
 
     def per_ms(self, now: float) -> float:
-        """Units a millisecond by now, 0 before the first."""
+        """Return units a millisecond by now, 0 before the first."""
         if self.start is None:
             return 0.0
         count = max(0.0, self._faded(now))
@@ -34,30 +39,31 @@
 
 
 @dataclass(slots=True)
-class Spread:
-    """Mean and mean deviation of times in ms, as in TCP's time-out (RFC 6298)."""
+class ExpectedLatency:
+    """Mean and mean deviation of latencies in ms, as in TCP's time-out (RFC 6298)."""
 
-    deviations: float  # that make a time late
-    least: float  # and so many means at the least
+    deviations: float = MIN_OVERDUE_DEVIATIONS
+    min_factor: float = MIN_OVERDUE_FACTOR
     mean: float = 0.0
     deviation: float = 0.0
 
-    def observe(self, time: float) -> None:
-        """Take in one more time."""
+    def observe(self, latency: float) -> None:
+        """Take in one more latency."""
         if self.mean == 0.0:
-            self.mean, self.deviation = time, time / 2
+            self.mean = latency
+            self.deviation = latency / 2
         else:
-            self.deviation += 0.1 * (abs(time - self.mean) - self.deviation)
-            self.mean += 0.1 * (time - self.mean)
+            self.deviation += MEAN_STEP * (abs(latency - self.mean) - self.deviation)
+            self.mean += MEAN_STEP * (latency - self.mean)
 
-    def late(self) -> float:
-        """The time from which on one is late; infinity before the first."""
-        bound = max(self.mean + self.deviations * self.deviation, self.least * self.mean)
+    def overdue_after(self) -> float:
+        """Return the time in ms from which on an attempt is overdue; infinity before the first latency."""
+        bound = max(self.mean + self.deviations * self.deviation, self.min_factor * self.mean)
         return bound if self.mean else math.inf
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """A token bucket that holds a second's tokens at the most."""
 
     per_s: float
@@ -66,7 +72,7 @@
 
     def take(self, now: float) -> bool:
         """Take a token at a time in ms, if there is one; a bucket without a rate is never empty."""
-        self.tokens = min(self.per_s, self.tokens + (now - self.at) * self.per_s / 1000.0)
+        self.tokens = min(self.per_s, self.tokens + (now - self.at) * self.per_s / MS_PER_S)
         self.at = now
         inside = self.tokens >= 1.0 or self.per_s <= 0.0
         self.tokens -= inside
--- a/crowpost/decisions/fenwick_tree.py
+++ b/crowpost/decisions/fenwick_tree.py
@@ -8,37 +8,39 @@
 class WeightedGroup:
     """Members with a Fenwick tree of their weights (Fenwick, 1994): add and find in O(log n)."""
 
-    __slots__ = ("_place", "_tree", "members", "total")
+    __slots__ = ("_position", "_tree", "members", "total")
 
     def __init__(self, members: list[int], weights: Sequence[float]) -> None:
         self.members = members
-        self._place = {index: at for at, index in enumerate(members, 1)}
-        self._tree = tree = [0.0, *(weights[index] for index in members)]
+        self._position = {member: position for position, member in enumerate(members, 1)}
+        self._tree = tree = [0.0, *(weights[member] for member in members)]
         self.total = sum(tree)
-        for at in range(1, len(tree)):
-            above = at + (at & -at)
-            if above < len(tree):
-                tree[above] += tree[at]
+        for position in range(1, len(tree)):
+            parent = position + (position & -position)
+            if parent < len(tree):
+                tree[parent] += tree[position]
 
-    def __contains__(self, index: int) -> bool:
-        return index in self._place
+    def __contains__(self, member: int) -> bool:
+        return member in self._position
 
-    def add(self, index: int, by: float) -> None:
+    def add(self, member: int, change: float) -> None:
         """Raise a member's weight."""
-        at, tree = self._place[index], self._tree
-        self.total += by
-        while at < len(tree):
-            tree[at] += by
-            at += at & -at
-
-    def find(self, left: float) -> int:
-        """The member at which the running sum of weights passes `left`; the last if none does."""
-        tree, at = self._tree, 0
+        position = self._position[member]
+        tree = self._tree
+        self.total += change
+        while position < len(tree):
+            tree[position] += change
+            position += position & -position
+
+    def find(self, target: float) -> int:
+        """Return the member at which the running sum of weights passes `target`; the last if none does."""
+        tree = self._tree
+        position = 0
         step = 1 << max(0, (len(tree) - 1).bit_length() - 1)
         while step:
-            ahead = at + step
-            if ahead < len(tree) and tree[ahead] <= left:
-                at = ahead
-                left -= tree[at]
+            ahead = position + step
+            if ahead < len(tree) and tree[ahead] <= target:
+                position = ahead
+                target -= tree[position]
             step >>= 1
-        return self.members[min(at, len(self.members) - 1)]
+        return self.members[min(position, len(self.members) - 1)]
--- a/crowpost/decisions/learning_automaton.py
+++ b/crowpost/decisions/learning_automaton.py
@@ -1,153 +1,188 @@
-"""The two-time-scale learning automaton, at a cost that does not grow with the fleet.
+"""The two-time-scale learning automaton, at a cost that does not grow with the number of endpoints.
 
 A payoff is an affine map of all shares of each listed kind and a rise of one, which the vector takes in a few
-numbers; the mean of averages is a running sum.
+numbers; the mean of averages is a running sum.  alpha, theta and p_min are the paper's symbols.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 
 from crowpost.decision_api import EndpointId
-from crowpost.decisions.share_vector import Vector, floored
-
-# A copy sees few calls over many servers, so both steps are far above the paper's.
-ALPHA = 0.15  # an average spans about seven of its server's calls
-THETA_SHARE = 0.06  # theta = this / r; with the floor the walk of equals stays under a sixth of a share
-# N nodes share the calls, so each learns at an N-th of the rate, while the walks of their vectors cancel out
-# in what a server gets from all of them.  theta = this * N / r keeps that sum as steady as three nodes at
-# the share above keep it; over K listed kinds in place of r servers the same holds.
-THETA_NODES = 0.02
-ALPHA_NODES = ALPHA / 3  # per node, for the same reason
-ALPHA_MOST = 0.5  # an average of a sparse view still spans two calls
-THETA_MOST = 0.1  # of alpha: the averages must stay well ahead of the shares of servers
-THETA_KIND_MOST = 1 / 3  # of alpha: the shares of kinds rest on the averages of many servers
-FLOOR_SHARE = 0.4  # p_min = this / r; also pulls shares that latency cannot tell apart back to uniform
-NEWCOMER_SHARE = 0.5  # a newcomer's part of the mean share until it has shown what it can do
-CHARGE_CAP = 3.0  # a failure enters an average at no more than this many means: silence lifts no threshold
-
-
-class Automaton:
-    """A floored probability vector over servers and a latency average for each."""
-
-    def __init__(self, nodes: int = 1) -> None:
-        self.servers: list[EndpointId] = []
-        self.average: list[float | None] = []  # None: not called yet, counts as the mean of the others
+from crowpost.decisions.share_vector import ShareVector, with_floor
+
+# A copy sees few requests over many endpoints, so both steps are far above the paper's.
+ALPHA = 0.15  # an average spans about seven of its endpoint's requests
+THETA_FRACTION = 0.06  # theta = this / r; with the floor the walk of equals stays under a sixth of a share
+# N nodes share the requests, so each learns at an N-th of the rate, while the walks of their vectors cancel
+# out in what an endpoint gets from all of them.  theta = this * N / r keeps that sum as steady as three
+# nodes at the fraction above keep it; over K listed kinds in place of r endpoints the same holds.
+THETA_PER_NODE = 0.02
+ALPHA_PER_NODE = ALPHA / 3  # for the same reason
+MAX_ALPHA = 0.5  # an average of a sparse view still spans two requests
+MAX_THETA_RATIO = 0.1  # to alpha: the averages must stay well ahead of the shares of endpoints
+MAX_KIND_THETA_RATIO = 1 / 3  # to alpha: the shares of kinds rest on the averages of many endpoints
+FLOOR_FRACTION = 0.4  # p_min = this / r; also pulls shares that latency cannot tell apart back to uniform
+NEWCOMER_FRACTION = 0.5  # a newcomer's part of the mean share until it has shown what it can do
+MAX_FAILURE_FACTOR = 3.0  # a failure counts as so many means at most: silence lifts no threshold
+
+
+@dataclass(frozen=True, slots=True)
+class LearnedEndpoint:
+    """What an earlier process learned of an endpoint."""
+
+    share_ratio: float  # its share, as a multiple of the mean share
+    average_ms: float | None  # None: not called yet
+    trust: float  # by which share and average leave their initial values
+
+
+class LearningAutomaton:
+    """A floored probability vector over endpoints and a latency average for each."""
+
+    def __init__(self, node_count: int = 1) -> None:
+        self.endpoints: list[EndpointId] = []
+        self.averages: list[float | None] = []  # None: not called yet, counts as the mean of the others
         self.theta_kind = 0.0  # 0 where all are listed as of one kind
         self._index: dict[EndpointId, int] = {}
-        self._vector = Vector()
-        self.share, self.pick, self.keep_to = self._vector.share, self._vector.pick, self._vector.keep_to
-        self._known, self._sum = 0, 0.0  # averages that are known
-        self.set_steps(nodes)
+        self._vector = ShareVector()
+        # Bound here: a layer less for each request.
+        self.share = self._vector.share
+        self.draw = self._vector.draw
+        self.restrict_to = self._vector.restrict_to
+        self._known_averages = 0
+        self._sum_of_averages = 0.0
+        self.set_steps(node_count)
 
     @property
-    def p(self) -> list[float]:
+    def shares(self) -> list[float]:
         """The whole vector."""
         return self._vector.shares()
 
     def mean(self) -> float | None:
-        """The payoff threshold: the mean of all averages, None before any answer."""
-        return self._sum / self._known if self._known else None
-
-    def draw(self, eligible: Sequence[int], u: float) -> int:
-        """The index drawn by u in [0, 1) from the vector conditioned on the eligible."""
-        shares = [self.share(i) for i in eligible]
-        left = u * sum(shares)
-        for i, share in zip(eligible, shares, strict=True):
+        """Return the payoff threshold: the mean of all averages, None before any response."""
+        return self._sum_of_averages / self._known_averages if self._known_averages else None
+
+    def draw_among(self, eligible: Sequence[int], random_value: float) -> int:
+        """Return the index drawn by a number in [0, 1) from the vector conditioned on the eligible."""
+        shares = [self.share(index) for index in eligible]
+        left = random_value * sum(shares)
+        for index, share in zip(eligible, shares, strict=True):
             left -= share
             if left < 0.0:
-                return i
+                return index
         return eligible[-1]
 
-    def learn(self, server: EndpointId, latency: float) -> bool:
-        """An answered call: move its server's average, and the vector if the call paid off."""
-        i = self._index.get(server)
-        if i is None:
+    # ------------------------------------------------------------ learning
+
+    def record_response(self, endpoint: EndpointId, latency: float) -> bool:
+        """Move an endpoint's average, and the vector if the response paid off; return whether it did."""
+        index = self._index.get(endpoint)
+        if index is None:
             return False
-        threshold = self._move(i, latency)
+        threshold = self._move_average(index, latency)
         if latency >= threshold:
             return False
-        vector, r, theta = self._vector, len(self.servers), self.theta
-        p_min = FLOOR_SHARE / r
-        for kind in range(vector.kinds):
+        vector = self._vector
+        theta = self.theta
+        count = len(self.endpoints)
+        p_min = FLOOR_FRACTION / count
+        for kind in range(vector.kind_count):
             vector.shrink(kind, theta, p_min)
-        vector.add(i, theta * (1.0 - r * p_min))
+        vector.add(index, theta * (1.0 - count * p_min))
         if self.theta_kind:
-            self._favour_kind(i, p_min)
-        vector.settle()
+            self._favour_kind(index, p_min)
+        vector.renormalize()
         return True
 
-    def _favour_kind(self, i: int, p_min: float) -> None:
-        """A payoff speaks for the servers listed as of the same kind, too: their shares grow in proportion.
+    def _favour_kind(self, index: int, p_min: float) -> None:
+        """Raise the shares of the endpoints that are listed as of the same kind, in proportion.
 
-        Guards against a fleet in which a node's calls to any one server are too few to tell slow machines
-        from fast ones before the slow are driven into the ground, seen within four seconds at full size.
+        Guards against a set in which a node's requests to any one endpoint are too few to tell slow machines
+        from fast ones before the slow are overloaded, seen within four seconds at full size.
         """
-        theta, (kind, same, members) = self.theta_kind, self._vector.kind_of(i)
-        for other in range(self._vector.kinds):
+        theta = self.theta_kind
+        kind, kind_share, members = self._vector.kind_of(index)
+        for other in range(self._vector.kind_count):
             if other != kind:
                 self._vector.shrink(other, theta, p_min)
-        rest = 1.0 - same - p_min * (len(self.servers) - members)
-        self._vector.grow(kind, 1.0 + theta * rest / same)
+        rest = 1.0 - kind_share - p_min * (len(self.endpoints) - members)
+        self._vector.grow(kind, 1.0 + theta * rest / kind_share)
 
-    def charge(self, server: EndpointId, latency: float) -> None:
-        """A failed call: a miss.  A fast error must not look quick, nor a silence lift the threshold."""
-        i = self._index.get(server)
+    def record_failure(self, endpoint: EndpointId, latency: float) -> None:
+        """Count a failure as a miss: a fast error must not look quick, nor a silence lift the threshold."""
+        index = self._index.get(endpoint)
         mean = self.mean()
-        if i is not None and mean is not None:
-            self._move(i, min(max(latency, mean), CHARGE_CAP * mean))
+        if index is not None and mean is not None:
+            self._move_average(index, min(max(latency, mean), MAX_FAILURE_FACTOR * mean))
 
-    def _move(self, i: int, latency: float) -> float:
-        """Move the chosen server's average only; returns the threshold for this call."""
+    def _move_average(self, index: int, latency: float) -> float:
+        """Move one endpoint's average only; return the threshold for this latency."""
         mean = self.mean()
-        if mean is None:  # the first answer of all is every server's starting value
-            self.average = [latency] * len(self.average)
-            self._known, self._sum = len(self.average), latency * len(self.average)
+        if mean is None:  # the first response of all is every endpoint's initial value
+            self.averages = [latency] * len(self.averages)
+            self._known_averages = len(self.averages)
+            self._sum_of_averages = latency * len(self.averages)
             return latency
-        old = self.average[i]
-        start = mean if old is None else old
-        self.average[i] = moved = start + self.alpha * (latency - start)
-        self._known += old is None
-        self._sum += moved - (old or 0.0)
+        before = self.averages[index]
+        start = mean if before is None else before
+        after = start + self.alpha * (latency - start)
+        self.averages[index] = after
+        self._known_averages += before is None
+        self._sum_of_averages += after - (before or 0.0)
         return self.mean() or latency
 
-    def recall(self, known: Mapping[EndpointId, tuple[float, float | None, float]]) -> None:
-        """What an earlier process knew: ratio, average and the trust by which each leaves its start value."""
-        shares, mean = self.p, 1.0 / max(len(self.servers), 1)
-        averages = [average for _, average, _ in known.values() if average is not None]
+    # ------------------------------------------------------------ changes of the set
+
+    def restore(self, learned: Mapping[EndpointId, LearnedEndpoint]) -> None:
+        """Start from what an earlier process learned."""
+        shares = self.shares
+        mean_share = 1.0 / max(len(self.endpoints), 1)
+        averages = [e.average_ms for e in learned.values() if e.average_ms is not None]
         level = sum(averages) / max(len(averages), 1)
-        for server, (ratio, average, trust) in known.items():
-            i = self._index[server]
-            shares[i] += trust * (ratio * mean - shares[i])
-            if average is not None and self.average[i] is None:
-                self.average[i] = level + trust * (average - level)
-        self._vector.renew(floored(shares, FLOOR_SHARE))
-        told = [a for a in self.average if a is not None]
-        self._known, self._sum = len(told), sum(told)
-
-    def resize(
+        for name, endpoint in learned.items():
+            index = self._index[name]
+            shares[index] += endpoint.trust * (endpoint.share_ratio * mean_share - shares[index])
+            if endpoint.average_ms is not None and self.averages[index] is None:
+                self.averages[index] = level + endpoint.trust * (endpoint.average_ms - level)
+        self._vector.set_shares(with_floor(shares, FLOOR_FRACTION))
+        self._sum_averages()
+
+    def set_endpoints(
         self, weights: Mapping[EndpointId, float], kinds: Mapping[EndpointId, int] | None = None
     ) -> None:
-        """Take in a new set of servers: the others keep their ratios, a newcomer gets a modest share."""
-        stay = [s for s in self.servers if s in weights]
-        p, places = self.p, [self._index[s] for s in stay]
-        ratios, averages = [p[i] for i in places], [self.average[i] for i in places]
-        new = [s for s in weights if s not in self._index]
-        unit = NEWCOMER_SHARE * sum(ratios) / sum(weights[s] for s in stay) if stay else 1.0
-        self.servers = stay + new
-        self.average = averages + [None] * len(new)
-        known = [a for a in averages if a is not None]
-        self._known, self._sum = len(known), sum(known)
-        self._index = {s: i for i, s in enumerate(self.servers)}
+        """Replace the endpoints: those that stay keep their ratios, a newcomer gets a modest share."""
+        staying = [name for name in self.endpoints if name in weights]
+        new = [name for name in weights if name not in self._index]
+        shares = self.shares
+        places = [self._index[name] for name in staying]
+        ratios = [shares[place] for place in places]
+        averages = [self.averages[place] for place in places]
+        unit = 1.0
+        if staying:
+            unit = NEWCOMER_FRACTION * sum(ratios) / sum(weights[name] for name in staying)
+        self.endpoints = staying + new
+        self.averages = averages + [None] * len(new)
+        self._sum_averages()
+        self._index = {name: index for index, name in enumerate(self.endpoints)}
         numbers: dict[int, int] = {}
-        own = [numbers.setdefault(kinds[s] if kinds else 0, len(numbers)) for s in self.servers]
-        self._vector.set(floored(ratios + [unit * weights[s] for s in new], FLOOR_SHARE), own)
-        self.set_steps(self._nodes)
-
-    def set_steps(self, nodes: int) -> None:
-        """The step sizes, by the servers and by how many nodes call them."""
-        self._nodes, of_nodes = nodes, THETA_NODES * nodes
-        self.alpha = min(max(ALPHA, ALPHA_NODES * nodes), ALPHA_MOST)
-        self.theta = min(max(THETA_SHARE, of_nodes) / max(len(self.servers), 1), THETA_MOST * self.alpha)
-        step = min(of_nodes / max(self._vector.kinds, 1), THETA_KIND_MOST * self.alpha)
-        self.theta_kind = step if self._vector.kinds > 1 else 0.0
+        own_kinds = [numbers.setdefault(kinds[name] if kinds else 0, len(numbers)) for name in self.endpoints]
+        ratios += [unit * weights[name] for name in new]
+        self._vector.set_members(with_floor(ratios, FLOOR_FRACTION), own_kinds)
+        self.set_steps(self._node_count)
+
+    def _sum_averages(self) -> None:
+        known = [average for average in self.averages if average is not None]
+        self._known_averages = len(known)
+        self._sum_of_averages = sum(known)
+
+    def set_steps(self, node_count: int) -> None:
+        """Set the step sizes by the number of endpoints and of the nodes that call them."""
+        self._node_count = node_count
+        theta_of_nodes = THETA_PER_NODE * node_count
+        self.alpha = min(max(ALPHA, ALPHA_PER_NODE * node_count), MAX_ALPHA)
+        theta = max(THETA_FRACTION, theta_of_nodes) / max(len(self.endpoints), 1)
+        self.theta = min(theta, MAX_THETA_RATIO * self.alpha)
+        kinds = self._vector.kind_count
+        theta_kind = min(theta_of_nodes / max(kinds, 1), MAX_KIND_THETA_RATIO * self.alpha)
+        self.theta_kind = theta_kind if kinds > 1 else 0.0
--- a/crowpost/decisions/outcome_scoring.py
+++ b/crowpost/decisions/outcome_scoring.py
@@ -1,96 +1,144 @@
-"""What an outcome says of its server, its class and the load."""
+"""What an outcome says of its endpoint, its class and the load."""
 
 from __future__ import annotations
 
 from crowpost.decision_api import AttemptEnded, Outcome
-from crowpost.decisions.concurrency_limiter import Admission
-from crowpost.decisions.endpoint_set import Fleet
-from crowpost.decisions.outlier_detection import Health, patience
+from crowpost.decisions.concurrency_limiter import ConcurrencyLimiter
+from crowpost.decisions.context import Context
+from crowpost.decisions.endpoint_set import EndpointSet
+from crowpost.decisions.endpoint_state import Endpoint
+from crowpost.decisions.estimators import ExpectedLatency
+from crowpost.decisions.outlier_detection import OutlierDetector
 from crowpost.decisions.request_state import Attempt, Request
 
-FULL_PAUSE = 0.02  # a server that was full rests for this part of the aim
-LATE_REST = 2.0  # one that gave no other answer during a call that ends late rests this many times as long
-# A server that turned a call away gets fewer at once; the ceiling rises by this much for each full turn.
-CEILING_DOWN = 0.9
-CEILING_UP = 0.25
+FULL_PAUSE_FRACTION = 0.02  # of the latency objective, for an endpoint that was full
+OVERDUE_PAUSE_FACTOR = 2.0  # times the latency, for one that gave no other response during an overdue attempt
+# An endpoint that refused an attempt gets fewer at once; its limit rises by this much for each full turn.
+IN_FLIGHT_DECREASE_FACTOR = 0.9
+IN_FLIGHT_INCREASE = 0.25
+COST_FRACTION = 0.5  # of a latency that hangs on the work
+FAILURES = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED})
+WITHDRAWN = frozenset({Outcome.TIMEOUT, Outcome.CANCELLED})
 
 
-def expected(units: float) -> float:
-    """The latency of so much work, in those of mean work: half of it hangs on the work."""
-    return 0.5 + 0.5 * units
+def latency_factor(units: float) -> float:
+    """Return the latency of so much work, in those of mean work: half of it hangs on the work."""
+    return (1.0 - COST_FRACTION) + COST_FRACTION * units
 
 
-class Judge:
-    """Learns from outcomes; `calls_out` counts those that still wait at a server."""
+class OutcomeScorer:
+    """Learns from the outcomes of attempts.  in_flight: those that still wait at an endpoint."""
 
-    def __init__(self, fleet: Fleet, health: Health, admission: Admission) -> None:
-        self.fleet, self.health, self.admission = fleet, health, admission
-        self.patience = health.patience
-        self.class_patience = [patience() for _ in fleet.settings.classes]
+    def __init__(
+        self,
+        context: Context,
+        endpoints: EndpointSet,
+        outliers: OutlierDetector,
+        limiter: ConcurrencyLimiter,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._outliers = outliers
+        self._limiter = limiter
+        self._expected = outliers.expected
+        self.class_expected = [ExpectedLatency() for _ in context.settings.classes]
 
-    def late(self, request: Request) -> float:
-        """How long an attempt may take; heavy work longer, by what its cost hint foretells.
+    def overdue_after(self, request: Request) -> float:
+        """Return how long an attempt may take in ms; heavy work longer, by what its cost hint foretells.
 
-        Guards against second copies of what is merely heavy: the dearest there are, on a calm day a twelfth
+        Guards against hedged requests of what is merely heavy: the dearest there are, on a calm day a twelfth
         of all work with one attempt in a hundred.
         """
-        return self.class_patience[request.class_index].late() * expected(max(1.0, request.units))
+        expected = self.class_expected[request.class_index]
+        return expected.overdue_after() * latency_factor(max(1.0, request.units))
 
-    def judge(self, attempt: Attempt, event: AttemptEnded, request: Request | None, calls_out: int) -> None:
-        outcome, elapsed, server, now = event.outcome, event.elapsed_ms, attempt.server, self.fleet.now
-        charge, name = self.fleet.automaton.charge, server.entry.server
+    def score(self, attempt: Attempt, event: AttemptEnded, request: Request | None, in_flight: int) -> None:
+        """Take in how an attempt ended.  request: None where it is answered already."""
+        outcome = event.outcome
+        elapsed = event.elapsed_ms
+        endpoint = attempt.endpoint
+        now = self._context.now
         if outcome is Outcome.REJECTED:
-            # Says nothing of the server but that it is there: counted as failures, one caller's wrong
-            # requests ejected every server in turn.
-            server.heard = now
+            # Says nothing of the endpoint but that it is there: counted as failures, one client's wrong
+            # requests ejected every endpoint in turn.
+            endpoint.last_response_at = now
             return
-        if elapsed > self.patience.late() and now - server.heard >= elapsed:
-            # All that is known of it is this one late outcome: where calls are few, an average of
-            # seven spans most of a minute, and what crowded or stopped the server is still there.
-            self.health.rest_if_spared(server, LATE_REST * elapsed)
-        current = attempt.entry.started_ms == server.entry.started_ms
+        if elapsed > self._expected.overdue_after() and now - endpoint.last_response_at >= elapsed:
+            # All that is known of it is this one overdue outcome: where requests are few, an average of
+            # seven spans most of a minute, and what crowded or stopped the endpoint is still there.
+            self._outliers.pause_if_spared(endpoint, OVERDUE_PAUSE_FACTOR * elapsed)
         if outcome is Outcome.OK:
-            self.served_in(elapsed, attempt, request, calls_out)
+            self.score_response(elapsed, attempt, request, in_flight)
         elif outcome is Outcome.FULL or (
-            outcome is Outcome.CONNECT_FAILED and now - server.heard < self.patience.late()
+            outcome is Outcome.CONNECT_FAILED
+            and now - endpoint.last_response_at < self._expected.overdue_after()
         ):
-            # A server that answers others but takes no further call, or no further connection, is full, not
-            # dead.  Without a ceiling thousands of calls a second bounced off such servers, at the cost of
-            # a handshake each, and the ejection of full servers pushed over the rest.
-            server.ceiling = max(1.0, CEILING_DOWN * min(server.ceiling, len(server.out)))
-            self.health.rest(server, FULL_PAUSE * self.fleet.aim)
-            self.fleet.sent.add(-attempt.units, now)  # what is turned away is no load that servers bear
-            charge(name, elapsed)
-            self.admission.feel(1.0, calls_out)
-        elif outcome in (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED):
-            if outcome is Outcome.ERROR:
-                server.heard = now
-            charge(name, elapsed)
-            if current:
-                self.health.failed(server, outcome)
-        elif outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
-            # What was given up took at least this long: leaving it out would shorten patience for the next.
-            if request is None:
-                return  # withdrawn because another copy was quicker
-            self.patience.observe(elapsed)
-            self.class_patience[request.class_index].observe(elapsed)
-            self.admission.feel(elapsed / request.kind.latency_objective_ms, calls_out)
-            charge(name, elapsed)
-            if current and elapsed >= self.patience.late():
-                self.health.failed(server, outcome)
-
-    def served_in(self, elapsed: float, attempt: Attempt, request: Request | None, calls_out: int) -> None:
-        """An answer, or the beginning of a long one."""
-        server, aim = attempt.server, self.fleet.aim
-        server.heard = self.fleet.now
-        server.ceiling += CEILING_UP / server.ceiling
-        self.patience.observe(elapsed)
+            self._score_full(attempt, elapsed, in_flight)
+        elif outcome in FAILURES:
+            self._score_failure(attempt, outcome, elapsed)
+        elif outcome in WITHDRAWN and request is not None:  # else another copy was quicker
+            self._score_withdrawn(attempt, event, request, in_flight)
+
+    def score_response(
+        self, elapsed: float, attempt: Attempt, request: Request | None, in_flight: int
+    ) -> None:
+        """Take in a response, or the start of a long one."""
+        endpoint = attempt.endpoint
+        objective_ms = self._context.latency_objective_ms
+        endpoint.last_response_at = self._context.now
+        endpoint.in_flight_limit += IN_FLIGHT_INCREASE / endpoint.in_flight_limit
+        self._expected.observe(elapsed)
         if request is not None:
-            self.class_patience[request.class_index].observe(elapsed)
-            aim = request.kind.latency_objective_ms
-        # Heavy work says little of its server or the load: what the cost hint foretold is half taken out.
-        usual = elapsed / expected(attempt.units)
-        self.admission.calm_down(usual)
-        self.admission.feel(elapsed / aim, calls_out)
-        self.fleet.automaton.learn(server.entry.server, usual)
-        self.health.succeeded(server)
+            self.class_expected[request.class_index].observe(elapsed)
+            objective_ms = request.request_class.latency_objective_ms
+        # Heavy work says little of its endpoint or the load: what the cost hint foretold is half taken out.
+        normalized = elapsed / latency_factor(attempt.units)
+        self._limiter.load.observe_response(normalized)
+        self._limiter.update(elapsed / objective_ms, in_flight)
+        self._endpoints.automaton.record_response(endpoint.entry.server, normalized)
+        self._outliers.record_success(endpoint)
+
+    def _score_full(self, attempt: Attempt, elapsed: float, in_flight: int) -> None:
+        """Take in a refusal.
+
+        An endpoint that answers others but takes no further request, or no further connection, is full, not
+        dead.  Without a limit of its own thousands of requests a second bounced off such endpoints, at the
+        cost of a handshake each, and the ejection of full endpoints pushed over the rest.
+        """
+        endpoint = attempt.endpoint
+        lowered = IN_FLIGHT_DECREASE_FACTOR * min(endpoint.in_flight_limit, len(endpoint.in_flight))
+        endpoint.in_flight_limit = max(1.0, lowered)
+        self._outliers.pause(endpoint, FULL_PAUSE_FRACTION * self._context.latency_objective_ms)
+        # What is refused is no load that endpoints bear.
+        self._endpoints.send_rate.add(-attempt.units, self._context.now)
+        self._endpoints.automaton.record_failure(endpoint.entry.server, elapsed)
+        self._limiter.update(1.0, in_flight)
+
+    def _score_failure(self, attempt: Attempt, outcome: Outcome, elapsed: float) -> None:
+        endpoint = attempt.endpoint
+        if outcome is Outcome.ERROR:
+            endpoint.last_response_at = self._context.now
+        self._endpoints.automaton.record_failure(endpoint.entry.server, elapsed)
+        if _is_same_process(attempt, endpoint):
+            self._outliers.record_failure(endpoint, outcome)
+
+    def _score_withdrawn(
+        self, attempt: Attempt, event: AttemptEnded, request: Request, in_flight: int
+    ) -> None:
+        """Take in an attempt that was given up.
+
+        It took at least this long: leaving it out would shorten the expected latency of the next.
+        """
+        endpoint = attempt.endpoint
+        elapsed = event.elapsed_ms
+        self._expected.observe(elapsed)
+        self.class_expected[request.class_index].observe(elapsed)
+        self._limiter.update(elapsed / request.request_class.latency_objective_ms, in_flight)
+        self._endpoints.automaton.record_failure(endpoint.entry.server, elapsed)
+        if _is_same_process(attempt, endpoint) and elapsed >= self._expected.overdue_after():
+            self._outliers.record_failure(endpoint, event.outcome)
+
+
+def _is_same_process(attempt: Attempt, endpoint: Endpoint) -> bool:
+    """Return whether the endpoint has not been started anew since the attempt was sent."""
+    return attempt.entry.started_ms == endpoint.entry.started_ms
--- a/crowpost/decisions/outlier_detection.py
+++ b/crowpost/decisions/outlier_detection.py
@@ -1,160 +1,197 @@
-"""Server health, always against peers: lateness, silence, ejection, rests, and the way back."""
+"""Outlier detection: unresponsive and failing endpoints, always against peers, and their way back."""
 
 from __future__ import annotations
 
 import math
 from itertools import islice
 
-from crowpost.decision_api import Action, CloseIdle, EndpointId, HealthCheck, HealthCheckEnded, Log, Outcome
-from crowpost.decisions.endpoint_set import Fleet
-from crowpost.decisions.estimators import Spread
-from crowpost.decisions.request_state import Server
-from crowpost.decisions.timers import Timers
-
-FAIL_STEP = 0.3  # two failures in a row cross FAIL_EJECT, one never does
-FAIL_EJECT = 0.45
-FAIL_VS_PEERS = 2.0  # and it must fail at twice the peers' rate, so that a shared cause ejects nobody
-FAIL_LEAST = 0.01  # less counts for nothing among peers
-EJECT_MOST = 0.34  # part of the fleet that may be out at once
-PANIC = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the servers
-SAMPLE = 128  # servers with calls out that are looked at for it, in fleets where there are more
-DEVIATIONS = 4.0  # patience = mean + this many mean deviations, as in TCP's time-out
-LATE_LEAST = 2.0  # and at least this many means, for work that always takes the same time
-EJECT_FIRST = 0.2  # first time out, as a part of the cold time; doubles up to EJECT_LONGEST cold times
-EJECT_LONGEST = 1.0
-RETURN = 2  # the kind of the timer that brings a server back
-
-
-def patience() -> Spread:
-    """What an attempt may take before it is late, by the latencies of those served."""
-    return Spread(DEVIATIONS, LATE_LEAST)
-
-
-def _can_spare(out: int, servers: int) -> bool:
-    """Whether one more of these servers may be left out beside those that are."""
-    return out + 1 <= max(1.0, EJECT_MOST * servers)
-
-
-class Health:
-    """Who is avoided, and for how long."""
-
-    def __init__(self, fleet: Fleet, timers: Timers) -> None:
-        self.fleet, self.timers, self.patience = fleet, timers, patience()
-        self.actions: list[Action] = []  # of the present event
-        self._suspect: dict[EndpointId, Server] = {}  # failing, ejected or resting, lately
-
-    def _suspects(self) -> list[Server]:
-        """Listed servers that something is held against."""
-        for name, s in list(self._suspect.items()):
-            if not (s.ejected or s.fail > FAIL_LEAST or s.rest_until > self.fleet.now):
-                del self._suspect[name]
-        return [s for s in self._suspect.values() if s.index >= 0]
-
-    def silent(self, server: Server, late: float) -> bool:
-        """Attempts overdue against what peers answer in count before they end."""
-        if not server.out:
+from crowpost.decision_api import CloseIdle, EndpointId, HealthCheck, HealthCheckEnded, Log, Outcome
+from crowpost.decisions.context import Context
+from crowpost.decisions.endpoint_set import EndpointSet
+from crowpost.decisions.endpoint_state import Endpoint
+from crowpost.decisions.estimators import ExpectedLatency
+from crowpost.decisions.timers import TimerKind
+
+FAILURE_STEP = 0.3  # two failures in a row cross EJECTION_FAILURE_RATE, one never does
+EJECTION_FAILURE_RATE = 0.45
+PEER_FAILURE_FACTOR = 2.0  # and it must fail at twice the peers' rate, so that a shared cause ejects nobody
+MIN_FAILURE_RATE = 0.01  # less counts for nothing among peers
+RESET_FAILURE_RATE = 0.05  # below it an endpoint's earlier ejections are forgotten
+MAX_EJECTED_FRACTION = 0.34  # of the listed endpoints, at once
+PANIC_THRESHOLD = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the endpoints
+PANIC_SAMPLE_SIZE = 128  # busy endpoints that are looked at for it, where there are more
+MIN_BACKOFF_FRACTION = 0.2  # of the warm-up time: the first ejection's; doubles up to MAX_BACKOFF_FRACTION
+MAX_BACKOFF_FRACTION = 1.0
+MAX_BACKOFF_EXPONENT = 10
+MIN_BACKOFF_JITTER = 0.75
+BACKOFF_JITTER_RANGE = 0.5
+DEFAULT_WARM_UP_MS = 10_000.0
+
+
+def _can_spare(unavailable: int, endpoints: int) -> bool:
+    """Return whether one more of these endpoints may be left out beside those that are."""
+    return unavailable + 1 <= max(1.0, MAX_EJECTED_FRACTION * endpoints)
+
+
+class OutlierDetector:
+    """Which endpoints are avoided, and for how long."""
+
+    def __init__(self, context: Context, endpoints: EndpointSet) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self.expected = ExpectedLatency()
+        self._suspects: dict[EndpointId, Endpoint] = {}  # failing, ejected or paused, lately
+
+    # ------------------------------------------------------------ state
+
+    def _listed_suspects(self) -> list[Endpoint]:
+        """Return the listed endpoints that something is held against."""
+        now = self._context.now
+        for name, endpoint in list(self._suspects.items()):
+            is_failing = endpoint.failure_rate > MIN_FAILURE_RATE
+            if not (endpoint.ejected or is_failing or endpoint.paused_until > now):
+                del self._suspects[name]
+        return [endpoint for endpoint in self._suspects.values() if endpoint.index >= 0]
+
+    def is_unresponsive(self, endpoint: Endpoint, overdue_after: float) -> bool:
+        """Return whether its attempts are overdue against what peers answer in count before they end."""
+        if not endpoint.in_flight:
             return False
-        since = max(next(iter(server.out.values())), server.heard)
-        return self.fleet.now - since > late / math.sqrt(len(server.out))
-
-    def panic(self) -> bool:
-        """Whether more than half of the listed servers are ejected or silent."""
-        most, busy = PANIC * len(self.fleet.arms), self.fleet.busy
-        if len(self._suspect) + len(busy) <= most:
-            return False  # only a server with calls out can be silent
-        late = self.patience.late()
-        silent = sum(
-            not s.ejected and s.index >= 0 and self.silent(s, late) for s in islice(busy.values(), SAMPLE)
+        since = max(next(iter(endpoint.in_flight.values())), endpoint.last_response_at)
+        return self._context.now - since > overdue_after / math.sqrt(len(endpoint.in_flight))
+
+    def in_panic(self) -> bool:
+        """Return whether more than half of the listed endpoints are ejected or unresponsive."""
+        busy = self._endpoints.busy
+        threshold = PANIC_THRESHOLD * len(self._endpoints.listed)
+        if len(self._suspects) + len(busy) <= threshold:
+            return False  # only a busy endpoint can be unresponsive
+        overdue_after = self.expected.overdue_after()
+        unresponsive = sum(
+            not endpoint.ejected and endpoint.index >= 0 and self.is_unresponsive(endpoint, overdue_after)
+            for endpoint in islice(busy.values(), PANIC_SAMPLE_SIZE)
+        )
+        ejected = sum(endpoint.ejected for endpoint in self._listed_suspects())
+        return ejected + unresponsive * max(1.0, len(busy) / PANIC_SAMPLE_SIZE) > threshold
+
+    def count_unhealthy(self) -> int:
+        """Return how many listed endpoints are avoided at the present event."""
+        overdue_after = self.expected.overdue_after()
+        return sum(
+            1
+            for endpoint in self._endpoints.listed
+            if endpoint.ejected or self.is_unresponsive(endpoint, overdue_after)
         )
-        return sum(s.ejected for s in self._suspects()) + silent * max(1.0, len(busy) / SAMPLE) > most
 
-    def unhealthy(self) -> int:
-        """Listed servers that are avoided at the last event."""
-        late = self.patience.late()
-        return sum(1 for s in self.fleet.arms if s.ejected or self.silent(s, late))
+    # ------------------------------------------------------------ pauses
 
-    def rest(self, server: Server, span: float) -> None:
-        """Skip a server for a while."""
-        server.rest_until = self.fleet.now + span
-        self._suspect[server.entry.server] = server
+    def pause(self, endpoint: Endpoint, span_ms: float) -> None:
+        """Skip an endpoint for a while."""
+        endpoint.paused_until = self._context.now + span_ms
+        self._suspects[endpoint.entry.server] = endpoint
 
-    def rest_if_spared(self, server: Server, span: float) -> None:
-        """The same, unless too many of those that would take its calls are out already.
+    def pause_if_spared(self, endpoint: Endpoint, span_ms: float) -> None:
+        """Do the same, unless too many of those that would take its requests are left out already.
 
-        Where crossing zones has a price those are the own zone's: resting by the whole fleet's number sent
-        a zone's calls across.
+        Where crossing zones has a price those are the own zone's: pauses by the whole set's number sent a
+        zone's requests across.
         """
-        fleet = self.fleet
-        home = fleet.home is not None and len(fleet.home) > 1
-        out = [s for s in self._suspects() if s.ejected or s.rest_until > fleet.now]
-        near = sum(fleet.at_home[s.index] for s in out) if home else len(out)
-        if _can_spare(near, len(fleet.home or ()) if home else len(fleet.arms)):
-            self.rest(server, span)
-
-    def succeeded(self, server: Server) -> None:
-        server.fail -= FAIL_STEP * server.fail
-        if server.trial:
-            server.trial = False
-            self.actions.append(Log(f"server {server.entry.server.hex()} returns after a good trial"))
-        elif not server.ejected and server.fail < 0.05:
-            server.strikes = 0
-
-    def failed(self, server: Server, outcome: Outcome) -> None:
-        """Outlier ejection: against peers, at most a part of the fleet, longer each time."""
-        server.fail += FAIL_STEP * (1.0 - server.fail)
-        name = server.entry.server
-        self._suspect[name] = server
-        if server.ejected:
+        endpoints = self._endpoints
+        now = self._context.now
+        has_subset = endpoints.subset is not None and len(endpoints.subset) > 1
+        out = [e for e in self._listed_suspects() if e.ejected or e.paused_until > now]
+        unavailable = sum(endpoints.in_subset[e.index] for e in out) if has_subset else len(out)
+        total = len(endpoints.subset or ()) if has_subset else len(endpoints.listed)
+        if _can_spare(unavailable, total):
+            self.pause(endpoint, span_ms)
+
+    # ------------------------------------------------------------ ejection
+
+    def record_success(self, endpoint: Endpoint) -> None:
+        """Take in that an endpoint has served."""
+        endpoint.failure_rate -= FAILURE_STEP * endpoint.failure_rate
+        if endpoint.half_open:
+            endpoint.half_open = False
+            text = f"server {endpoint.entry.server.hex()} returns after a good trial"
+            self._context.actions.append(Log(text))
+        elif not endpoint.ejected and endpoint.failure_rate < RESET_FAILURE_RATE:
+            endpoint.ejections = 0
+
+    def record_failure(self, endpoint: Endpoint, outcome: Outcome) -> None:
+        """Take in a failure; eject an outlier: against peers, at most a part of the set, longer each time."""
+        endpoint.failure_rate += FAILURE_STEP * (1.0 - endpoint.failure_rate)
+        self._suspects[endpoint.entry.server] = endpoint
+        if endpoint.ejected:
             return
-        peers = len(self.fleet.arms) - (server.index >= 0)
-        suspects = self._suspects()
-        norm = sum(s.fail for s in suspects if s is not server and not s.ejected) / peers if peers else 1.0
-        if server.trial or (
-            server.fail >= FAIL_EJECT
-            and server.fail >= FAIL_VS_PEERS * norm
-            and _can_spare(sum(s.ejected for s in suspects), len(self.fleet.arms))
+        listed = len(self._endpoints.listed)
+        peers = listed - (endpoint.index >= 0)
+        suspects = self._listed_suspects()
+        failing = sum(e.failure_rate for e in suspects if e is not endpoint and not e.ejected)
+        peer_rate = failing / peers if peers else 1.0
+        if endpoint.half_open or (
+            endpoint.failure_rate >= EJECTION_FAILURE_RATE
+            and endpoint.failure_rate >= PEER_FAILURE_FACTOR * peer_rate
+            and _can_spare(sum(e.ejected for e in suspects), listed)
         ):
-            server.ejected, server.trial = True, False
-            text = f"server {name.hex()} ejected: {outcome.value}"
-            self.actions.append(Log(f"{text}, fail {server.fail:.2f} against {norm:.2f} of its peers"))
-            # Idle connections may lead to a dead process; a fresh one proves by failing that nothing ran.
-            self.actions.append(CloseIdle(name))
-            self._schedule_return(server)
-
-    def recall_ejected(self, server: Server) -> None:
-        """An earlier process had ejected it: out until a probe or a trial, where it can be spared."""
-        if _can_spare(sum(s.ejected for s in self._suspects()), len(self.fleet.arms)):
-            server.fail, server.ejected = FAIL_EJECT, True
-            self._suspect[server.entry.server] = server
-            self._schedule_return(server)
-
-    def _schedule_return(self, server: Server) -> None:
-        cold = self.fleet.settings.warm_up_ms or 10_000.0
-        pause = min(EJECT_LONGEST * cold, EJECT_FIRST * cold * 2.0 ** min(server.strikes, 10))
-        server.strikes += 1
-        when = self.fleet.now + pause * (0.75 + 0.5 * self.fleet.rng.random())
-        self.timers.at(when, RETURN, server.entry.server)
+            self._eject(endpoint, outcome, peer_rate)
+
+    def _eject(self, endpoint: Endpoint, outcome: Outcome, peer_rate: float) -> None:
+        endpoint.ejected = True
+        endpoint.half_open = False
+        name = endpoint.entry.server
+        text = f"server {name.hex()} ejected: {outcome.value}"
+        text += f", fail {endpoint.failure_rate:.2f} against {peer_rate:.2f} of its peers"
+        self._context.actions.append(Log(text))
+        # Idle connections may lead to a dead process; a fresh one proves by failing that nothing ran.
+        self._context.actions.append(CloseIdle(name))
+        self._schedule_return(endpoint)
+
+    def restore_ejected(self, endpoint: Endpoint) -> None:
+        """Eject what an earlier process had ejected, where it can be spared."""
+        ejected = sum(e.ejected for e in self._listed_suspects())
+        if _can_spare(ejected, len(self._endpoints.listed)):
+            endpoint.failure_rate = EJECTION_FAILURE_RATE
+            endpoint.ejected = True
+            self._suspects[endpoint.entry.server] = endpoint
+            self._schedule_return(endpoint)
+
+    # ------------------------------------------------------------ the way back
+
+    def _schedule_return(self, endpoint: Endpoint) -> None:
+        context = self._context
+        warm_up_ms = context.settings.warm_up_ms or DEFAULT_WARM_UP_MS
+        doubled = 2.0 ** min(endpoint.ejections, MAX_BACKOFF_EXPONENT)
+        backoff = min(MAX_BACKOFF_FRACTION * warm_up_ms, MIN_BACKOFF_FRACTION * warm_up_ms * doubled)
+        endpoint.ejections += 1
+        jitter = MIN_BACKOFF_JITTER + BACKOFF_JITTER_RANGE * context.rng.random()
+        context.timers.at(context.now + backoff * jitter, TimerKind.RETURN_ENDPOINT, endpoint.entry.server)
 
     def try_return(self, name: EndpointId) -> None:
-        server = self.fleet.servers.get(name)
-        if server is not None and server.ejected:
-            if self.fleet.settings.may_check_health and server.listed:
-                self.actions.append(HealthCheck(name))
-            else:
-                self._admit_trial(server)
-
-    def _admit_trial(self, server: Server) -> None:
-        server.ejected, server.trial, server.fail = False, True, FAIL_STEP
-
-    def on_probe(self, event: HealthCheckEnded) -> None:
-        server = self.fleet.servers.get(event.server)
-        if server is None:
+        """End the ejection backoff of an endpoint: a health check where allowed, else a trial request."""
+        endpoint = self._endpoints.known.get(name)
+        if endpoint is None or not endpoint.ejected:
+            return
+        if self._context.settings.may_check_health and endpoint.listed:
+            self._context.actions.append(HealthCheck(name))
+        else:
+            self._open_half(endpoint)
+
+    def _open_half(self, endpoint: Endpoint) -> None:
+        endpoint.ejected = False
+        endpoint.half_open = True
+        endpoint.failure_rate = FAILURE_STEP
+
+    def on_health_check_ended(self, event: HealthCheckEnded) -> None:
+        """Admit trial requests after a good health check; wait on after a bad one."""
+        endpoint = self._endpoints.known.get(event.server)
+        if endpoint is None:
             return
-        self.fleet.note_load(server, event.load)
-        if not server.ejected:
-            return  # news of a server that has changed meanwhile
+        self._endpoints.record_load(endpoint, event.load)
+        if not endpoint.ejected:
+            return  # it has changed meanwhile
         if event.outcome is Outcome.OK:
-            self._admit_trial(server)
+            self._open_half(endpoint)
         else:
-            server.strikes = min(server.strikes, 1)  # probes are cheap: keep asking at a steady pace
-            self._schedule_return(server)
+            # Health checks are cheap: keep asking at a steady pace.
+            endpoint.ejections = min(endpoint.ejections, 1)
+            self._schedule_return(endpoint)
--- /dev/null
+++ b/crowpost/decisions/request_handling.py
@@ -0,0 +1,204 @@
+"""The life of a request: its arrival, its attempts' progress and outcomes, and its end."""
+
+from __future__ import annotations
+
+import math
+
+from crowpost.decision_api import (
+    AttemptEnded,
+    BodySent,
+    Outcome,
+    RequestAbandoned,
+    RequestArrived,
+    ResponseStarted,
+    UnexpectedEventError,
+)
+from crowpost.decisions.context import Context
+from crowpost.decisions.dispatch import Dispatcher
+from crowpost.decisions.endpoint_selection import EndpointSelector
+from crowpost.decisions.endpoint_set import EndpointSet
+from crowpost.decisions.endpoint_state import AttemptKey
+from crowpost.decisions.outcome_scoring import OutcomeScorer
+from crowpost.decisions.outlier_detection import OutlierDetector
+from crowpost.decisions.quotas import TenantQuotas
+from crowpost.decisions.request_queue import RequestQueue
+from crowpost.decisions.request_state import Request
+from crowpost.decisions.request_table import RequestTable
+from crowpost.decisions.retry_budget import RetryBudget
+
+QUEUE_FRACTION = 0.1  # of the latency objective that a request may wait: a rejected client retries in time
+MAX_BUDGET_FRACTION = 0.5  # of the time left that a request may wait
+COST_STEP = 0.02  # part of its distance to a new cost hint by which the mean moves
+MIN_TICKS_LEFT = 2  # for a retry
+# How an attempt with a streaming body ends without a fault of its endpoint.
+NOT_A_FAULT = frozenset({Outcome.OK, Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT})
+
+
+class RequestHandler:
+    """Handles the events of requests and attempts."""
+
+    def __init__(
+        self,
+        context: Context,
+        table: RequestTable,
+        queue: RequestQueue,
+        endpoints: EndpointSet,
+        dispatcher: Dispatcher,
+        selector: EndpointSelector,
+        scorer: OutcomeScorer,
+        outliers: OutlierDetector,
+        quotas: TenantQuotas,
+        budget: RetryBudget,
+    ) -> None:
+        self._context = context
+        self._table = table
+        self._queue = queue
+        self._endpoints = endpoints
+        self._dispatcher = dispatcher
+        self._selector = selector
+        self._scorer = scorer
+        self._outliers = outliers
+        self._quotas = quotas
+        self._budget = budget
+        self._mean_cost_ms = 0.0  # by cost hints
+
+    # ------------------------------------------------------------ arrival and departure
+
+    def on_arrived(self, event: RequestArrived) -> None:
+        """Queue a new request."""
+        context = self._context
+        settings = context.settings
+        number = event.request
+        if not 0 <= event.class_index < len(settings.classes):
+            raise UnexpectedEventError(f"request {number} is of unknown class {event.class_index}")
+        if number in self._table.requests:
+            raise UnexpectedEventError(f"request {number} arrived twice")
+        request_class = settings.classes[event.class_index]
+        units = self._units(event.cost_hint_ms)
+        weight = request_class.priority_weight
+        if not settings.priority_by_work:
+            weight = weight / units
+        weight *= 1.0 if self._quotas.take(event.tenant) else settings.over_quota_weight
+        deadline = math.inf if event.streamed else context.now + event.budget_ms
+        request = Request(
+            id=number,
+            request_class=request_class,
+            class_index=event.class_index,
+            deadline=deadline,
+            units=units,
+            priority_weight=weight,
+            sequence=context.next_number(),
+            body_streamed=event.streamed,
+        )
+        request.limit_fraction = context.rng.random()
+        self._table.requests[number] = request
+        self._budget.earn()
+        # At the first tier a request waits a part of its objective; further in, its work would be lost.
+        max_wait = MAX_BUDGET_FRACTION * event.budget_ms
+        if settings.tier == 0:
+            max_wait = min(QUEUE_FRACTION * request_class.latency_objective_ms, max_wait)
+        self._queue.push(request, max_wait)
+
+    def _units(self, cost_hint_ms: float | None) -> float:
+        """Return the work of a request as a multiple of the mean, by its cost hint."""
+        if cost_hint_ms is None or cost_hint_ms <= 0:
+            return 1.0
+        self._mean_cost_ms += (cost_hint_ms - self._mean_cost_ms) * (COST_STEP if self._mean_cost_ms else 1.0)
+        return cost_hint_ms / self._mean_cost_ms
+
+    def on_abandoned(self, event: RequestAbandoned) -> None:
+        """Drop a request whose client has left."""
+        request = self._table.requests.pop(event.request, None)
+        if request is not None:  # else it finished a moment ago
+            self._queue.remove(request)
+            self._dispatcher.cancel_attempts(request, None)
+
+    # ------------------------------------------------------------ progress
+
+    def on_body_sent(self, event: BodySent) -> None:
+        """Count an attempt as waiting from the last byte of its body on."""
+        key = (event.request, event.attempt)
+        if key not in self._table.streaming:
+            raise UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was sending no body")
+        self._table.start_waiting(key, self._table.streaming.pop(key), self._context.now)
+
+    def on_response_started(self, event: ResponseStarted) -> None:
+        """Bind a request to the attempt whose response has begun, and cancel the others."""
+        table = self._table
+        key = (event.request, event.attempt)
+        attempt = table.waiting.get(key)
+        if key in table.streaming:
+            return  # the endpoint responds before it has the whole body
+        if attempt is None:
+            raise _not_in_flight(key)
+        attempt.endpoint.last_response_at = self._context.now
+        request = table.requests.get(event.request)
+        if request is None:
+            return
+        if not request.request_class.stream:
+            # A long response: the work is done, and how long the bytes take is the client's affair.
+            table.streaming[key] = table.waiting.pop(key)
+            table.stop_waiting(key, attempt.endpoint)
+            self._scorer.score_response(event.elapsed_ms, attempt, request, len(table.waiting))
+        request.response_started = True
+        self._queue.remove(request)
+        self._dispatcher.cancel_attempts(request, event.attempt)
+
+    # ------------------------------------------------------------ outcomes
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Score an outcome; finish the request, retry it, or leave it to its other attempts."""
+        table = self._table
+        key = (event.request, event.attempt)
+        streaming = table.streaming.pop(key, None)
+        attempt = streaming or table.waiting.pop(key, None)
+        if attempt is None:
+            raise _not_in_flight(key)
+        attempt.outcome = event.outcome
+        self._endpoints.record_load(attempt.endpoint, event.load)
+        table.stop_waiting(key, attempt.endpoint)
+        request = table.requests.get(event.request)
+        if streaming is None or event.outcome is Outcome.FULL:
+            self._scorer.score(attempt, event, request, len(table.waiting))
+        elif event.outcome not in NOT_A_FAULT:
+            # Its time tells of the client as much as of the endpoint.
+            self._outliers.record_failure(attempt.endpoint, event.outcome)
+        if request is not None:
+            self._follow_outcome(request, event)
+
+    def _follow_outcome(self, request: Request, event: AttemptEnded) -> None:
+        request.in_flight -= 1
+        request.body_consumed |= event.body_consumed
+        if event.finished:
+            del self._table.requests[request.id]
+            self._queue.remove(request)
+            self._dispatcher.cancel_attempts(request, event.attempt)
+        elif not request.in_flight and not request.queued and not request.response_started:
+            self._retry_or_finish(request, event.outcome)
+
+    def _retry_or_finish(self, request: Request, outcome: Outcome) -> None:
+        time_left = request.deadline - self._context.now
+        # An attempt that no endpoint saw costs nothing to repeat.
+        costs_token = request.first_risky_attempt() is not None or outcome is Outcome.FULL
+        if not self._may_retry(request, outcome, time_left, costs_token):
+            self._dispatcher.finish_unserved(request)
+            return
+        if costs_token:
+            self._budget.spend()
+        max_wait = QUEUE_FRACTION * request.request_class.latency_objective_ms
+        self._queue.push(request, min(max_wait, MAX_BUDGET_FRACTION * time_left))
+
+    def _may_retry(self, request: Request, outcome: Outcome, time_left: float, costs_token: bool) -> bool:
+        settings = self._context.settings
+        expected = self._scorer.class_expected[request.class_index].mean
+        return (
+            outcome is not Outcome.REJECTED
+            and len(request.attempts) < settings.max_attempts
+            and time_left > max(expected, MIN_TICKS_LEFT * settings.tick_ms)
+            and (not costs_token or self._budget.allows())
+            and self._selector.may_go_anywhere(request)
+        )
+
+
+def _not_in_flight(key: AttemptKey) -> UnexpectedEventError:
+    return UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was not out")
--- a/crowpost/decisions/timers.py
+++ b/crowpost/decisions/timers.py
@@ -4,6 +4,16 @@
 
 import heapq
 import math
+from enum import IntEnum
+
+
+class TimerKind(IntEnum):
+    """What is to be done when a timer is due."""
+
+    HEDGE = 0
+    POLL_LIST = 1
+    RETURN_ENDPOINT = 2
+    RECHECK_QUEUE = 3
 
 
 class Timers:
@@ -22,11 +32,11 @@
         heapq.heappush(self._heap, (when, self.set, kind, subject))
 
     def earliest(self) -> float:
-        """When the next is due; infinity if none is set."""
+        """Return when the next is due; infinity if none is set."""
         return self._heap[0][0] if self._heap else math.inf
 
     def pop_due(self, now: float) -> tuple[int, int | bytes | None] | None:
-        """Kind and subject of the earliest timer that is due, which is taken off; None if none is."""
+        """Take off the earliest timer that is due; return its kind and subject, or None if none is."""
         if not self._heap or self._heap[0][0] > now:
             return None
         _, _, kind, subject = heapq.heappop(self._heap)
--- a/crowpost/lab/capacity/connections.py
+++ b/crowpost/lab/capacity/connections.py
@@ -13,8 +13,9 @@
 from functools import lru_cache
 
 from crowpost.decision_api import EndpointEntry, EndpointList, ListKind, RequestClass, Settings
-from crowpost.decisions.endpoint_set import Fleet
-from crowpost.decisions.learning_automaton import FLOOR_SHARE
+from crowpost.decisions.context import Context
+from crowpost.decisions.endpoint_set import EndpointSet
+from crowpost.decisions.learning_automaton import FLOOR_FRACTION
 from crowpost.lab.capacity.records import RecordError
 from crowpost.node.config import _DEFAULT_CONN_IDLE_MS
 from crowpost.node.servers import IDLE_PART
@@ -56,15 +57,18 @@
 
 def home(servers: int, nodes: int, zones: int = 1) -> float:
     """Servers that one of so many nodes keeps to, by the module; with zones: where crossing has a price."""
-    fleet = Fleet(
-        Settings(classes=(CLASS,), zones=zones, cross_zone_price=1.0 if zones > 1 else 0.0), random.Random(1)
+    endpoints = EndpointSet(
+        Context(
+            Settings(classes=(CLASS,), zones=zones, cross_zone_price=1.0 if zones > 1 else 0.0),
+            random.Random(1),
+        )
     )
     rows = tuple(EndpointEntry(b"s%d" % i, zone=i % zones) for i in range(servers))
-    fleet.take(EndpointList(ListKind.FULL, rows))
+    endpoints.apply(EndpointList(ListKind.FULL, rows))
     held = []
     for place in range(min(nodes, PLACES)):
-        fleet.follow_nodes(nodes, place)
-        held.append(servers if fleet.home is None else len(fleet.home))
+        endpoints.set_nodes(nodes, place)
+        held.append(servers if endpoints.subset is None else len(endpoints.subset))
     return sum(held) / len(held)
 
 
@@ -113,4 +117,4 @@
     Of an even spread, and at the floor, where a server gets the least share that the module leaves it.
     """
     even = calls_per_s * idle_s / -math.log(affordable)
-    return even, FLOOR_SHARE * even
+    return even, FLOOR_FRACTION * even
--- a/crowpost/lab/capacity/tables.py
+++ b/crowpost/lab/capacity/tables.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from crowpost.decisions.learning_automaton import FLOOR_SHARE
+from crowpost.decisions.learning_automaton import FLOOR_FRACTION
 from crowpost.lab.capacity import connections, machines, ranking, roles
 from crowpost.lab.capacity.demand import Cost, Demand, summed
 from crowpost.lab.capacity.figures import NOT_MEASURED, Figure, Origin
@@ -318,7 +318,7 @@
     of = connections.sizes(t.servers, t.services, topology.service_skew)
     behind = (
         calls.times(idle).times(affordable).origins
-        + demand.coded(1.0, "crowpost.decisions.learning_automaton.FLOOR_SHARE").origins
+        + demand.coded(1.0, "crowpost.decisions.learning_automaton.FLOOR_FRACTION").origins
     )
     home = connections.home(of[0], of[0])
 
@@ -331,7 +331,7 @@
         demand.told(of[0], "servers, services, service skew"),
         made(100.0 * connections.closed_part(calls.mid, of[0]), "%"),
         made(100.0 * connections.closed_part(calls.mid, home), "%"),
-        made(100.0 * connections.closed_part(FLOOR_SHARE * calls.mid, home), "%"),
+        made(100.0 * connections.closed_part(FLOOR_FRACTION * calls.mid, home), "%"),
         affordable.times(100.0, "%"),
         calls,
     )
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -31,8 +31,8 @@
     Subscribe,
     Tenant,
 )
-from crowpost.decisions.concurrency_limiter import LIMIT_START
-from crowpost.decisions.endpoint_selection import BUDGET_PLUS, BUDGET_TIMES
+from crowpost.decisions.concurrency_limiter import INITIAL_LIMIT
+from crowpost.decisions.endpoint_selection import SHARE_EXTRA, SHARE_FACTOR
 from tests.decisions.checker import Owed, Surrounding
 
 SAFE = RequestClass("r", 1000, 3000)
@@ -80,8 +80,8 @@
     serve(play, 3000)
     sends = sent_to(play, mark)
     assert len(sends) == 3000 and not any(isinstance(a, Reject | Cancel | CloseIdle) for a in play.log)
-    p = play.balancer._fleet.automaton.p
-    for server, share in zip(play.balancer._fleet.automaton.servers, p, strict=True):
+    p = play.balancer._endpoints.automaton.shares
+    for server, share in zip(play.balancer._endpoints.automaton.endpoints, p, strict=True):
         assert abs(sends.count(server) / 3000 - share) < 0.08
     assert texts(play) == []
 
@@ -104,14 +104,14 @@
     """Guards against wrong requests of one caller, tried five times each, that ejected every server."""
     play = make()
     serve(play, 60)
-    averages = list(play.balancer._fleet.automaton.average)
+    averages = list(play.balancer._endpoints.automaton.averages)
     for _ in range(30):
         request = play.arrive()
         mark = len(play.log)
         play.end(request, 0, Outcome.REJECTED)
         assert [type(a) for a in play.log[mark:]] == [Fail]
     assert texts(play) == []
-    assert play.balancer._fleet.automaton.average == averages
+    assert play.balancer._endpoints.automaton.averages == averages
 
 
 def test_a_trial_is_never_a_request_that_may_run_only_once() -> None:
@@ -173,12 +173,12 @@
         for number in play.live(request):
             if play.owed[request].attempts[number].entry.server != silent:
                 play.end(request, number, Outcome.OK)
-    for server in play.balancer._fleet.arms:
+    for server in play.balancer._endpoints.listed:
         if server.entry.server != silent:
-            server.rest_until = play.balancer._now + 60_000.0
-    automaton = play.balancer._fleet.automaton
-    shares = [0.97 if server == silent else 0.01 for server in automaton.servers]
-    automaton._vector.set(shares, [0] * len(shares))
+            server.paused_until = play.balancer._context.now + 60_000.0
+    automaton = play.balancer._endpoints.automaton
+    shares = [0.97 if server == silent else 0.01 for server in automaton.endpoints]
+    automaton._vector.set_members(shares, [0] * len(shares))
     mark = len(play.log)
     for _ in range(8):
         play.arrive()
@@ -211,7 +211,7 @@
         for tried in owed.attempts:
             held[tried.entry.server[0]] += 1
     assert sum(held) == 25
-    assert max(held) <= BUDGET_PLUS + BUDGET_TIMES * 25 / 5 + 1
+    assert max(held) <= SHARE_EXTRA + SHARE_FACTOR * 25 / 5 + 1
 
 
 def test_a_full_server_gets_a_ceiling_and_is_not_ejected() -> None:
@@ -391,16 +391,16 @@
 def test_the_best_rate_of_few_answers_is_not_taken_at_its_word() -> None:
     """Seen at full size: the luckiest of many short counts, twice the true rate, held the limit up."""
     play = make(node_count=100)
-    node = play.balancer._admission
+    node = play.balancer._limiter
     serve(play, 60, latency=400.0)  # two and a half answers a second
     true_rate = 1 / 400.0
-    assert node._calm_known() and 0.0 < node._peak < true_rate
+    assert node.load.is_baseline_known() and 0.0 < node.load.peak_rate < true_rate
 
 
 def test_a_fraction_of_the_limit_lets_in_that_part_of_the_requests() -> None:
     """Seen at full size: limits of one call a node, over four hundred nodes, were far too many."""
     play = make()
-    node = play.balancer._admission
+    node = play.balancer._limiter
     sent = 0
     for _ in range(400):
         node.limit = 0.3
@@ -424,7 +424,7 @@
             play.step(latency)
             play.end(request, 0, Outcome.OK)
             play.step(gap)
-        strains.append(node._admission.strain)
+        strains.append(node._limiter.load.load_ratio)
     assert strains[0] < 1.0 < strains[1]
 
 
@@ -464,7 +464,7 @@
 def _held_elsewhere(play: Surrounding, held: dict[bytes, float]) -> None:
     """Serve until every server has answered lately, each reporting what it holds for other nodes."""
     told: set[bytes] = set()
-    while len(told) < len(play.balancer._fleet.automaton.servers):
+    while len(told) < len(play.balancer._endpoints.automaton.endpoints):
         request = play.arrive()
         play.step(2)
         for number in play.live(request):
@@ -505,12 +505,12 @@
         play.list_of(rows, ListKind.CHANGES)
         new = [EndpointEntry(bytes([20 + i]), started_ms=play.now - 5000.0) for i in range(half_warm)]
         play.list_of(new, ListKind.CHANGES)
-        assert abs(play.balancer.limit - LIMIT_START * 10 * part) < 1e-6
+        assert abs(play.balancer.limit - INITIAL_LIMIT * 10 * part) < 1e-6
 
 
 def test_a_node_whose_peer_is_away_may_fill_what_reports_show_to_be_unused() -> None:
     """Until calm is known the limit is a guess for all nodes together: what the others hold is told."""
-    for others, expected in ((0.0, LIMIT_START * 4), (0.5 * LIMIT_START, 0.5 * LIMIT_START * 4)):
+    for others, expected in ((0.0, INITIAL_LIMIT * 4), (0.5 * INITIAL_LIMIT, 0.5 * INITIAL_LIMIT * 4)):
         play = make(servers=4, node_count=2, load_report_columns=("outstanding",))
         for _ in range(8):
             request = play.arrive()
@@ -525,7 +525,7 @@
     play = make(servers=10, node_count=10)
     gone = [EndpointEntry(bytes([i]), Readiness.DRAINING) for i in range(6)]
     play.list_of(gone, ListKind.CHANGES)
-    assert abs(play.balancer.limit - LIMIT_START * 0.4) < 1e-6
+    assert abs(play.balancer.limit - INITIAL_LIMIT * 0.4) < 1e-6
 
 
 # Long bodies.
@@ -544,14 +544,14 @@
     play = make()
     serve(play, 60)
     request = _streamed(play, SAFE)
-    assert not play.balancer._attempts, "it takes a place among the calls that wait"
+    assert not play.balancer._table.waiting, "it takes a place among the calls that wait"
     mark = len(play.log)
     play.step(2 * SAFE.deadline_ms)  # its time has not begun
     assert not sent_to(play, mark) and not any(isinstance(a, Reject | Fail) for a in play.log[mark:])
     play.feed(BodySent(request, 0))
-    assert len(play.balancer._attempts) == 1
+    assert len(play.balancer._table.waiting) == 1
     play.end(request, 0, Outcome.OK)
-    assert not play.balancer._attempts and not play.balancer._requests
+    assert not play.balancer._table.waiting and not play.balancer._table.requests
 
 
 def test_a_body_that_is_spent_is_refused_and_one_that_is_not_goes_on() -> None:
@@ -579,12 +579,16 @@
         play.step(20.0)
         play.feed(ResponseStarted(request, number, server, 20.0))
         play.owed[request].deadline = play.owed[request].attempts[number].limit = math.inf
-        assert not play.balancer._attempts and not play.balancer._fleet.servers[server].out
+        assert not play.balancer._table.waiting and not play.balancer._endpoints.known[server].in_flight
         play.step(10 * SAFE.deadline_ms)
         mark = len(play.log)
         play.owed[request].done_at = play.now  # whole or broken, it is the caller's
         play.end(request, number, outcome)
-        assert not sent_to(play, mark) and not play.balancer._requests and not play.balancer._moving
+        assert (
+            not sent_to(play, mark)
+            and not play.balancer._table.requests
+            and not play.balancer._table.streaming
+        )
 
 
 def test_heavy_work_is_late_later_by_its_cost_hint() -> None:
@@ -614,9 +618,9 @@
         assert not (heavy and server in slow)
         play.step((60.0 if server in slow else 20.0) * (2.0 if heavy else 1.0))
         play.end(request, 0, Outcome.OK)
-    for arm in play.balancer._fleet.arms:  # no quick one is left: the slow ones are better than waiting
+    for arm in play.balancer._endpoints.listed:  # no quick one is left: the slow ones are better than waiting
         if arm.entry.server not in slow:
-            arm.rest_until = play.now + 10_000.0
+            arm.paused_until = play.now + 10_000.0
     assert play.owed[play.arrive(hint=50.0)].attempts[0].entry.server in slow
 
 
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -198,19 +198,21 @@
         play = make(EFFECTS[0], may_hedge=duplicate, max_attempts=2)
         play.list_of(rows(3))
         node = play.balancer
-        request = node._requests[play.arrive()]
-        other, drained = (s for s in node._fleet.arms if s.entry.server != request.attempts[0].entry.server)
+        send = node._dispatcher._send
+        request = node._table.requests[play.arrive()]
+        first = request.attempts[0].entry.server
+        other, drained = (s for s in node._endpoints.listed if s.entry.server != first)
         play.list_of([EndpointEntry(drained.entry.server, Readiness.DRAINING)], ListKind.CHANGES)
-        assert not node._send(request, drained)
-        assert node._send(request, other) is duplicate  # a second copy while the first is out
-        assert not duplicate or not node._send(request, other)  # and no more than the attempts allowed
+        assert not send(request, drained)
+        assert send(request, other) is duplicate  # a second copy while the first is out
+        assert not duplicate or not send(request, other)  # and no more than the attempts allowed
         request.deadline = play.now + 1.0
-        assert not node._send(request, other)
-        node._finish(request)
-        actions = len(node._actions)
-        node._finish(request)
-        assert len(node._actions) == actions  # one final answer
-        assert not node._send(request, other)
+        assert not send(request, other)
+        node._dispatcher.finish_unserved(request)
+        actions = len(node._context.actions)
+        node._dispatcher.finish_unserved(request)
+        assert len(node._context.actions) == actions  # one final answer
+        assert not send(request, other)
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -35,7 +35,7 @@
 
 
 def home(balancer: Balancer) -> set[bytes]:
-    pairs = zip(balancer._fleet.arms, balancer._fleet.at_home, strict=True)
+    pairs = zip(balancer._endpoints.listed, balancer._endpoints.in_subset, strict=True)
     return {s.entry.server for s, own in pairs if own}
 
 
@@ -70,7 +70,7 @@
 
 def test_a_home_lies_in_the_own_zone_where_crossing_has_a_price() -> None:
     balancer = node(7, 400, 60, cross_zone_price=0.02, zone=1)
-    assert {s.entry.zone for s in balancer._fleet.arms if s.entry.server in home(balancer)} == {1}
+    assert {s.entry.zone for s in balancer._endpoints.listed if s.entry.server in home(balancer)} == {1}
 
 
 def test_a_change_of_the_list_moves_few_servers_of_a_home() -> None:
@@ -85,7 +85,7 @@
     for number, server in enumerate(sorted(home(balancer))):
         row = EndpointEntry(server, Readiness.DRAINING)
         balancer.handle(EndpointList(ListKind.CHANGES, (row,)), 2.0 + number)
-    assert len(balancer._placing.near(list(range(len(balancer._fleet.arms))))) >= 2
+    assert len(balancer._selector.prefer_local(list(range(len(balancer._endpoints.listed))))) >= 2
 
 
 @pytest.mark.parametrize("servers", [10, 37, 60, 200, 2000])
@@ -112,8 +112,8 @@
     told, born = node(3, 400, 60), node(5, 24, 60)
     told.handle(NodesPresent(24, 5), 2.0)
     assert home(told) == home(born)
-    assert told._fleet.automaton.alpha == born._fleet.automaton.alpha
-    assert told._fleet.automaton.theta == born._fleet.automaton.theta
+    assert told._endpoints.automaton.alpha == born._endpoints.automaton.alpha
+    assert told._endpoints.automaton.theta == born._endpoints.automaton.theta
     told.handle(NodesPresent(1, 0), 3.0)
     assert len(home(told)) == 60
 
@@ -126,8 +126,8 @@
     before = balancer.limit
     balancer.handle(NodesPresent(4, 0), 2.0)
     assert balancer.limit == pytest.approx(2 * before)
-    quota = balancer._admission
-    assert sum(quota.within_share(0) for _ in range(50)) == 20
+    quotas = balancer._quotas
+    assert sum(quotas.take(0) for _ in range(50)) == 20
     balancer.handle(NodesPresent(8, 7), 3.0)
     assert balancer.limit == pytest.approx(before)
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -237,7 +237,7 @@
             figures = await w.figures()
             assert figures['edge_node_responses{kind="book",result="ok"}'] == len(server.received)
             assert figures["edge_node_active"] == w.node._callers.budget.held == 0
-            assert not w.node._balancer._moving and not w.node._balancer._attempts
+            assert not w.node._balancer._table.streaming and not w.node._balancer._table.waiting
 
     run(main())
 
@@ -529,7 +529,7 @@
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
             assert not server.received and not w.node._requests and not w.node._calls
             assert w.node._callers.budget.held == 0
-            assert not w.node._balancer._moving
+            assert not w.node._balancer._table.streaming
 
     run(main())
 
--- a/tests/test_capacity_parts.py
+++ b/tests/test_capacity_parts.py
@@ -15,7 +15,8 @@
 import pytest
 
 from crowpost.decision_api import EndpointEntry, EndpointList, ListKind, Settings
-from crowpost.decisions.endpoint_set import Fleet
+from crowpost.decisions.context import Context
+from crowpost.decisions.endpoint_set import EndpointSet
 from crowpost.lab.capacity import backing, connections, lines, machines, page, ranking, records, roles, tables
 from crowpost.lab.capacity.demand import Demand
 from crowpost.lab.capacity.figures import Figure, Origin
@@ -406,12 +407,12 @@
 
 @pytest.mark.parametrize(("servers", "nodes"), [(160, 300), (40, 12), (11, 50), (60, 4)])
 def test_a_home_is_as_large_as_the_modules_own(servers: int, nodes: int) -> None:
-    fleet = Fleet(Settings(classes=(connections.CLASS,)), random.Random(2))
-    fleet.take(EndpointList(ListKind.FULL, tuple(EndpointEntry(b"s%d" % i) for i in range(servers))))
+    endpoints = EndpointSet(Context(Settings(classes=(connections.CLASS,)), random.Random(2)))
+    endpoints.apply(EndpointList(ListKind.FULL, tuple(EndpointEntry(b"s%d" % i) for i in range(servers))))
     met = []
     for place in range(nodes):
-        fleet.follow_nodes(nodes, place)
-        met.append(servers if fleet.home is None else len(fleet.home))
+        endpoints.set_nodes(nodes, place)
+        met.append(servers if endpoints.subset is None else len(endpoints.subset))
     assert connections.home(servers, nodes) == pytest.approx(sum(met) / nodes, abs=1.0)
     if servers >= 24 and nodes >= 3 * servers // 6:
         assert 6 <= connections.home(servers, nodes) <= 13
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -42,4 +42,4 @@
     play.list_of([EndpointEntry(b"a")], ListKind.CACHED)
     for _ in range(3000):
         play.feed(EndpointList(ListKind.FAILED))
-    assert play.balancer._ask_pause() <= 0.5 * ASKING.list_poll_ms
+    assert play.balancer._poller._backoff_ms() <= 0.5 * ASKING.list_poll_ms
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from crowpost import Automaton, Balancer
+from crowpost import Balancer, LearningAutomaton
 from crowpost.decision_api import EndpointEntry, EndpointList, ListKind, Readiness, Settings
-from crowpost.decisions.estimators import Bucket, Spread
+from crowpost.decisions.estimators import ExpectedLatency, TokenBucket
 from crowpost.decisions.fenwick_tree import WeightedGroup
-from crowpost.decisions.learning_automaton import FLOOR_SHARE, NEWCOMER_SHARE
-from crowpost.decisions.share_vector import floored
+from crowpost.decisions.learning_automaton import FLOOR_FRACTION, NEWCOMER_FRACTION
+from crowpost.decisions.share_vector import with_floor
 from crowpost.decisions.timers import Timers
 from crowpost.lab.bench import Drive, _settings, rows
 
@@ -22,7 +22,7 @@
 class Reference:
     """The vector by the plain formulas: every share written anew at every payoff."""
 
-    def __init__(self, like: Automaton) -> None:
+    def __init__(self, like: LearningAutomaton) -> None:
         self.like = like
         self.names: list[bytes] = []
         self.p: list[float] = []
@@ -44,7 +44,7 @@
         if latency >= (self.mean() or latency):
             return
         r, theta = len(self.p), self.like.theta
-        low = FLOOR_SHARE / r
+        low = FLOOR_FRACTION / r
         mine = self.p[i]
         self.p = [x + theta * (low - x) for x in self.p]
         self.p[i] = mine + theta * (1.0 - (r - 1) * low - mine)
@@ -61,10 +61,10 @@
         ratios = [self.p[self.names.index(n)] for n in stay]
         averages = [self.average[self.names.index(n)] for n in stay]
         new = [n for n in kinds if n not in self.names]
-        unit = NEWCOMER_SHARE * sum(ratios) / len(stay) if stay else 1.0
+        unit = NEWCOMER_FRACTION * sum(ratios) / len(stay) if stay else 1.0
         self.names, self.average = stay + new, averages + [None] * len(new)
         self.kinds = [kinds[n] for n in self.names]
-        p, low = ratios + [unit] * len(new), FLOOR_SHARE / len(self.names)
+        p, low = ratios + [unit] * len(new), FLOOR_FRACTION / len(self.names)
         held: set[int] = set()
         while True:  # lift what stands below the floor, then share out the rest
             scale = (1.0 - low * len(held)) / sum(x for i, x in enumerate(p) if i not in held)
@@ -79,38 +79,38 @@
 def test_shares_are_those_of_the_plain_formulas(seed: int) -> None:
     """On random histories of answers, failures and lists, to 1e-9, averages and their mean as well."""
     rng = random.Random(seed)
-    automaton = Automaton(rng.choice([1, 3, 60]))
+    automaton = LearningAutomaton(rng.choice([1, 3, 60]))
     plain = Reference(automaton)
     for _ in range(12):
         kinds = rng.randrange(1, 4)
         listed = {b"%d" % i: i % kinds for i in range(60) if rng.random() < 0.6}
-        automaton.resize(dict.fromkeys(listed, 1.0), listed)
+        automaton.set_endpoints(dict.fromkeys(listed, 1.0), listed)
         plain.resize(listed)
         if rng.random() < 0.5:
-            automaton.keep_to(sorted(rng.sample(range(len(listed)), len(listed) // 3)))
+            automaton.restrict_to(sorted(rng.sample(range(len(listed)), len(listed) // 3)))
         for _ in range(400):
-            name = rng.choice(automaton.servers)
-            latency = rng.expovariate(1.0) * (1 + automaton.servers.index(name) % 5)
-            automaton.learn(name, latency)
+            name = rng.choice(automaton.endpoints)
+            latency = rng.expovariate(1.0) * (1 + automaton.endpoints.index(name) % 5)
+            automaton.record_response(name, latency)
             plain.learn(name, latency)
-        assert automaton.servers == plain.names
-        assert automaton.p == pytest.approx(plain.p, abs=1e-9)
-        assert automaton.average == pytest.approx(plain.average, abs=1e-9)
+        assert automaton.endpoints == plain.names
+        assert automaton.shares == pytest.approx(plain.p, abs=1e-9)
+        assert automaton.averages == pytest.approx(plain.average, abs=1e-9)
         assert automaton.mean() == pytest.approx(plain.mean(), abs=1e-9)
 
 
 def test_a_pick_is_a_draw_by_the_shares_also_from_a_home() -> None:
-    automaton, rng = Automaton(3), random.Random(2)
+    automaton, rng = LearningAutomaton(3), random.Random(2)
     names = [b"%d" % i for i in range(9)]
-    automaton.resize(dict.fromkeys(names, 1.0), {n: i % 2 for i, n in enumerate(names)})
+    automaton.set_endpoints(dict.fromkeys(names, 1.0), {n: i % 2 for i, n in enumerate(names)})
     for _ in range(60):  # far from even, with offsets and scales in use
-        automaton.learn(rng.choice(names[:3]), 0.5 + rng.random())
-        automaton.learn(rng.choice(names), 1.0 + 2.0 * rng.random())
+        automaton.record_response(rng.choice(names[:3]), 0.5 + rng.random())
+        automaton.record_response(rng.choice(names), 1.0 + 2.0 * rng.random())
     for home in (None, [0, 4, 7]):
-        automaton.keep_to(home)
+        automaton.restrict_to(home)
         among = home or range(9)
         total = sum(automaton.share(i) for i in among)
-        picked = Counter(automaton.pick(rng.random()) for _ in range(40_000))
+        picked = Counter(automaton.draw(rng.random()) for _ in range(40_000))
         assert set(picked) == set(among)
         for i in among:
             assert picked[i] / 40_000 == pytest.approx(automaton.share(i) / total, abs=0.01)
@@ -118,12 +118,15 @@
 
 def test_scales_that_have_faded_are_taken_anew() -> None:
     """A fleet of two fades by a seventh at each payoff: after thousands floating point must still hold."""
-    automaton = Automaton(60)
-    automaton.resize({b"a": 1.0, b"b": 1.0})
-    automaton.learn(b"a", 100.0)
+    automaton = LearningAutomaton(60)
+    automaton.set_endpoints({b"a": 1.0, b"b": 1.0})
+    automaton.record_response(b"a", 100.0)
     for i in range(5000):
-        automaton.learn(b"ab"[i % 2 : i % 2 + 1], 100.0 * 0.99**i + 1e-3)
-    assert sum(automaton.p) == pytest.approx(1.0, abs=1e-9) and min(automaton.p) >= FLOOR_SHARE / 2 - 1e-9
+        automaton.record_response(b"ab"[i % 2 : i % 2 + 1], 100.0 * 0.99**i + 1e-3)
+    assert (
+        sum(automaton.shares) == pytest.approx(1.0, abs=1e-9)
+        and min(automaton.shares) >= FLOOR_FRACTION / 2 - 1e-9
+    )
 
 
 def _calls(servers: int, settings: Settings) -> float:
@@ -156,7 +159,7 @@
     for i in range(0, 4000, 40):
         gone = tuple(EndpointEntry(r.server, Readiness.GONE) for r in rows(40, i - 40)) if i else ()
         node.handle(EndpointList(ListKind.CHANGES, gone + rows(40, i)), float(i))
-    assert node.pool_size == 40 and len(node._fleet.servers) <= 2 * 40 + 140
+    assert node.pool_size == 40 and len(node._endpoints.known) <= 2 * 40 + 140
 
 
 def test_the_parts_do_what_they_say() -> None:
@@ -166,14 +169,14 @@
     ends = [(0.0, 4), (0.249, 4), (0.25, 2), (3.24, 2), (3.3, 0), (3.75, 3), (5.2, 3), (9.0, 3)]
     assert [group.find(at) for at, _ in ends] == [member for _, member in ends]
     assert group.total == 5.25 and 3 in group and 1 not in group
-    assert floored([], 0.4) == [] and floored([1.0, 0.0], 0.4) == pytest.approx([0.8, 0.2])
-    bucket = Bucket(2.0, 2.0)
+    assert with_floor([], 0.4) == [] and with_floor([1.0, 0.0], 0.4) == pytest.approx([0.8, 0.2])
+    bucket = TokenBucket(2.0, 2.0)
     assert [bucket.take(at) for at in (0.0, 0.0, 0.0, 500.0, 500.0)] == [True, True, False, True, False]
-    assert all(Bucket(0.0, 0.0).take(0.0) for _ in range(5))
-    spread = Spread(4.0, 2.0)
-    assert spread.late() == float("inf")
+    assert all(TokenBucket(0.0, 0.0).take(0.0) for _ in range(5))
+    spread = ExpectedLatency(4.0, 2.0)
+    assert spread.overdue_after() == float("inf")
     spread.observe(100.0)
-    assert spread.late() == 300.0
+    assert spread.overdue_after() == 300.0
     timers = Timers()
     timers.at(5.0, 1, 7)
     timers.at(5.0, 2, b"x")
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -109,7 +109,7 @@
     async with world(row("a", f"{HOST}:9"), registryMode=mode, guarantees=guarantees) as w:
         discovery = w.node._discovery
         discovery._random.seed(seed)
-        w.node._balancer._fleet.rng.seed(seed)
+        w.node._balancer._context.rng.seed(seed)
         discovery.close()
         discovery.address = end.getsockname()
         if mode == "pushed":
