--- a/crowpost/decisions/request_handling.py
+++ b/crowpost/decisions/attempt_handling.py
@@ -1,15 +1,12 @@
-"""The life of a request: its arrival, its attempts' progress and outcomes, and its end."""
+"""The progress and outcomes of attempts, and what follows for their requests."""
 
 from __future__ import annotations
 
-import math
-
 from crowpost.decision_api import (
     AttemptEnded,
     BodySent,
     Outcome,
     RequestAbandoned,
-    RequestArrived,
     ResponseStarted,
     UnexpectedEventError,
 )
@@ -19,23 +16,16 @@
 from crowpost.decisions.endpoint_set import EndpointSet
 from crowpost.decisions.endpoint_state import AttemptKey
 from crowpost.decisions.outcome_scoring import OutcomeScorer
-from crowpost.decisions.outlier_detection import OutlierDetector
-from crowpost.decisions.quotas import TenantQuotas
-from crowpost.decisions.request_queue import RequestQueue
+from crowpost.decisions.request_queue import MAX_BUDGET_FRACTION, QUEUE_FRACTION, RequestQueue
 from crowpost.decisions.request_state import Request
 from crowpost.decisions.request_table import RequestTable
 from crowpost.decisions.retry_budget import RetryBudget
 
-QUEUE_FRACTION = 0.1  # of the latency objective that a request may wait: a rejected client retries in time
-MAX_BUDGET_FRACTION = 0.5  # of the time left that a request may wait
-COST_STEP = 0.02  # part of its distance to a new cost hint by which the mean moves
 MIN_TICKS_LEFT = 2  # for a retry
-# How an attempt with a streaming body ends without a fault of its endpoint.
-NOT_A_FAULT = frozenset({Outcome.OK, Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT})
 
 
-class RequestHandler:
-    """Handles the events of requests and attempts."""
+class AttemptHandler:
+    """Handles the events of attempts, and the departure of clients."""
 
     def __init__(
         self,
@@ -46,8 +36,6 @@
         dispatcher: Dispatcher,
         selector: EndpointSelector,
         scorer: OutcomeScorer,
-        outliers: OutlierDetector,
-        quotas: TenantQuotas,
         budget: RetryBudget,
     ) -> None:
         self._context = context
@@ -57,54 +45,7 @@
         self._dispatcher = dispatcher
         self._selector = selector
         self._scorer = scorer
-        self._outliers = outliers
-        self._quotas = quotas
         self._budget = budget
-        self._mean_cost_ms = 0.0  # by cost hints
-
-    # ------------------------------------------------------------ arrival and departure
-
-    def on_arrived(self, event: RequestArrived) -> None:
-        """Queue a new request."""
-        context = self._context
-        settings = context.settings
-        number = event.request
-        if not 0 <= event.class_index < len(settings.classes):
-            raise UnexpectedEventError(f"request {number} is of unknown class {event.class_index}")
-        if number in self._table.requests:
-            raise UnexpectedEventError(f"request {number} arrived twice")
-        request_class = settings.classes[event.class_index]
-        units = self._units(event.cost_hint_ms)
-        weight = request_class.priority_weight
-        if not settings.priority_by_work:
-            weight = weight / units
-        weight *= 1.0 if self._quotas.take(event.tenant) else settings.over_quota_weight
-        deadline = math.inf if event.streamed else context.now + event.budget_ms
-        request = Request(
-            id=number,
-            request_class=request_class,
-            class_index=event.class_index,
-            deadline=deadline,
-            units=units,
-            priority_weight=weight,
-            sequence=context.next_number(),
-            body_streamed=event.streamed,
-        )
-        request.limit_fraction = context.rng.random()
-        self._table.requests[number] = request
-        self._budget.earn()
-        # At the first tier a request waits a part of its objective; further in, its work would be lost.
-        max_wait = MAX_BUDGET_FRACTION * event.budget_ms
-        if settings.tier == 0:
-            max_wait = min(QUEUE_FRACTION * request_class.latency_objective_ms, max_wait)
-        self._queue.push(request, max_wait)
-
-    def _units(self, cost_hint_ms: float | None) -> float:
-        """Return the work of a request as a multiple of the mean, by its cost hint."""
-        if cost_hint_ms is None or cost_hint_ms <= 0:
-            return 1.0
-        self._mean_cost_ms += (cost_hint_ms - self._mean_cost_ms) * (COST_STEP if self._mean_cost_ms else 1.0)
-        return cost_hint_ms / self._mean_cost_ms
 
     def on_abandoned(self, event: RequestAbandoned) -> None:
         """Drop a request whose client has left."""
@@ -160,9 +101,8 @@
         request = table.requests.get(event.request)
         if streaming is None or event.outcome is Outcome.FULL:
             self._scorer.score(attempt, event, request, len(table.waiting))
-        elif event.outcome not in NOT_A_FAULT:
-            # Its time tells of the client as much as of the endpoint.
-            self._outliers.record_failure(attempt.endpoint, event.outcome)
+        else:
+            self._scorer.score_streaming(attempt, event.outcome)
         if request is not None:
             self._follow_outcome(request, event)
 
--- a/crowpost/decisions/balancer.py
+++ b/crowpost/decisions/balancer.py
@@ -26,6 +26,7 @@
     TimerFired,
 )
 from crowpost.decisions import learned_state
+from crowpost.decisions.attempt_handling import AttemptHandler
 from crowpost.decisions.concurrency_limiter import ConcurrencyLimiter
 from crowpost.decisions.context import Context
 from crowpost.decisions.dispatch import Dispatcher
@@ -36,7 +37,7 @@
 from crowpost.decisions.outcome_scoring import OutcomeScorer
 from crowpost.decisions.outlier_detection import OutlierDetector
 from crowpost.decisions.quotas import TenantQuotas
-from crowpost.decisions.request_handling import RequestHandler
+from crowpost.decisions.request_arrival import ArrivalHandler
 from crowpost.decisions.request_queue import RequestQueue
 from crowpost.decisions.request_table import RequestTable
 from crowpost.decisions.retry_budget import RetryBudget
@@ -64,28 +65,20 @@
             context, self._table, self._queue, endpoints, limiter, self._selector, scorer
         )
         self._hedger = Hedger(context, self._dispatcher, scorer, outliers, limiter, budget)
-        requests = RequestHandler(
-            context,
-            self._table,
-            self._queue,
-            endpoints,
-            self._dispatcher,
-            self._selector,
-            scorer,
-            outliers,
-            self._quotas,
-            budget,
+        arrivals = ArrivalHandler(context, self._table, self._queue, self._quotas, budget)
+        attempts = AttemptHandler(
+            context, self._table, self._queue, endpoints, self._dispatcher, self._selector, scorer, budget
         )
         # The module makes no use of messages from peers.
         self._handlers: dict[type, Callable[[Any], None]] = {
-            AttemptEnded: requests.on_attempt_ended,
-            RequestArrived: requests.on_arrived,
+            AttemptEnded: attempts.on_attempt_ended,
+            RequestArrived: arrivals.on_arrived,
             TimerFired: self._on_timer_fired,
             EndpointList: self._on_endpoint_list,
-            RequestAbandoned: requests.on_abandoned,
+            RequestAbandoned: attempts.on_abandoned,
             HealthCheckEnded: outliers.on_health_check_ended,
-            ResponseStarted: requests.on_response_started,
-            BodySent: requests.on_body_sent,
+            ResponseStarted: attempts.on_response_started,
+            BodySent: attempts.on_body_sent,
             NodesPresent: self._on_nodes_present,
             StateRestored: self._on_state_restored,
         }
@@ -135,7 +128,7 @@
 
     # ------------------------------------------------------------ events
 
-    def _on_timer_fired(self, event: TimerFired) -> None:
+    def _on_timer_fired(self, _event: TimerFired) -> None:
         self._wake_at = math.inf
         context = self._context
         while (due := context.timers.pop_due(context.now)) is not None:
--- a/crowpost/decisions/outcome_scoring.py
+++ b/crowpost/decisions/outcome_scoring.py
@@ -18,6 +18,8 @@
 IN_FLIGHT_INCREASE = 0.25
 COST_FRACTION = 0.5  # of a latency that hangs on the work
 FAILURES = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED})
+# How an attempt ends, while its body or response streams, without a fault of its endpoint.
+NOT_A_FAULT = frozenset({Outcome.OK, Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT})
 WITHDRAWN = frozenset({Outcome.TIMEOUT, Outcome.CANCELLED})
 
 
@@ -79,6 +81,11 @@
         elif outcome in WITHDRAWN and request is not None:  # else another copy was quicker
             self._score_withdrawn(attempt, event, request, in_flight)
 
+    def score_streaming(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Take in how a streaming attempt ended: its time tells of the client as much as of the endpoint."""
+        if outcome not in NOT_A_FAULT:
+            self._outliers.record_failure(attempt.endpoint, outcome)
+
     def score_response(
         self, elapsed: float, attempt: Attempt, request: Request | None, in_flight: int
     ) -> None:
--- a/crowpost/decisions/request_queue.py
+++ b/crowpost/decisions/request_queue.py
@@ -9,6 +9,8 @@
 from crowpost.decisions.request_state import Request
 from crowpost.decisions.timers import TimerKind
 
+QUEUE_FRACTION = 0.1  # of the latency objective that a request may wait: a rejected client retries in time
+MAX_BUDGET_FRACTION = 0.5  # of the time left that a request may wait
 RECHECK_FRACTION = 0.02  # of the latency objective, between looks at queued requests
 
 
--- a/crowpost/simulator/encoding.py
+++ b/crowpost/simulator/encoding.py
@@ -3,6 +3,9 @@
 from __future__ import annotations
 
 import struct
+from collections.abc import Callable
+from enum import IntEnum
+from typing import Any
 
 from crowpost.decision_api import (
     Action,
@@ -16,58 +19,105 @@
     SetTimer,
     Subscribe,
 )
+from crowpost.simulator.framing import RECORD_HEADER, REPLY_HEADER
 
-REPLY_HEADER = struct.Struct("<II")
-_RECORD = struct.Struct("<BI")
-_MAX_TEXT = 1000
+_MAX_TEXT = 1000  # bytes
+
+# Each layout begins with the record's header.
 _SEND = struct.Struct("<BIII6sd")
-_REFUSE = struct.Struct("<BIIId")
+_REJECT = struct.Struct("<BIIId")
 _FAIL = struct.Struct("<BIII")
 _CANCEL = struct.Struct("<BIIIH")
-_TIMER = struct.Struct("<BIIQd")
-_SERVER = struct.Struct("<BII6s")
-_WATCH = struct.Struct("<BIIB")
+_SET_TIMER = struct.Struct("<BIIQd")
+_ENDPOINT = struct.Struct("<BII6s")
+_SUBSCRIBE = struct.Struct("<BIIB")
 _TEXT = struct.Struct("<BIIH")
 
 
-def _sized(layout: struct.Struct) -> int:
-    return layout.size - _RECORD.size
-
+class RecordCode(IntEnum):
+    """The kinds of records that a reply holds."""
 
-def _text(code: int, node: int, text: str) -> bytes:
-    body = text.encode("utf-8", "replace")[:_MAX_TEXT]
-    return _TEXT.pack(code, _sized(_TEXT) + len(body), node, len(body)) + body
+    SEND = 65
+    REJECT = 66
+    FAIL = 67
+    CANCEL = 68
+    SET_TIMER = 69
+    HEALTH_CHECK = 70
+    CLOSE_IDLE = 71
+    LOG = 73
+    FAULT = 74
+    SUBSCRIBE = 75
 
 
 def encode(node: int, action: Action) -> bytes:
-    """One action of one instance as a record."""
-    match action:
-        case Send(request, server, timeout):
-            return _SEND.pack(65, _sized(_SEND), node, request, server, timeout)
-        case SetTimer(token, at):
-            return _TIMER.pack(69, _sized(_TIMER), node, token, at)
-        case Reject(request, retry_after):
-            return _REFUSE.pack(66, _sized(_REFUSE), node, request, retry_after)
-        case Fail(request):
-            return _FAIL.pack(67, _sized(_FAIL), node, request)
-        case Cancel(request, attempt, _):
-            return _CANCEL.pack(68, _sized(_CANCEL), node, request, attempt)
-        case HealthCheck(server):
-            return _SERVER.pack(70, _sized(_SERVER), node, server)
-        case CloseIdle(server):
-            return _SERVER.pack(71, _sized(_SERVER), node, server)
-        case Subscribe():
-            return _WATCH.pack(75, _sized(_WATCH), node, 1)
-        case Log(text):
-            return _text(73, node, text)
+    """Return one action of one instance as a record."""
+    return _WRITERS[type(action)](node, action)
 
 
 def encode_fault(node: int, text: str) -> bytes:
-    """The record that declares an instance's decision code broken."""
-    return _text(74, node, text)
+    """Return the record that declares an instance's decision code broken."""
+    return _text(RecordCode.FAULT, node, text)
 
 
 def reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """Return a whole reply frame."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), len(body)) + body
+
+
+def _length(layout: struct.Struct) -> int:
+    return layout.size - RECORD_HEADER.size
+
+
+def _text(code: RecordCode, node: int, text: str) -> bytes:
+    body = text.encode("utf-8", "replace")[:_MAX_TEXT]
+    return _TEXT.pack(code, _length(_TEXT) + len(body), node, len(body)) + body
+
+
+def _send(node: int, action: Send) -> bytes:
+    return _SEND.pack(RecordCode.SEND, _length(_SEND), node, action.request, action.server, action.timeout_ms)
+
+
+def _reject(node: int, action: Reject) -> bytes:
+    return _REJECT.pack(RecordCode.REJECT, _length(_REJECT), node, action.request, action.retry_after_ms)
+
+
+def _fail(node: int, action: Fail) -> bytes:
+    return _FAIL.pack(RecordCode.FAIL, _length(_FAIL), node, action.request)
+
+
+def _cancel(node: int, action: Cancel) -> bytes:
+    return _CANCEL.pack(RecordCode.CANCEL, _length(_CANCEL), node, action.request, action.attempt)
+
+
+def _set_timer(node: int, action: SetTimer) -> bytes:
+    return _SET_TIMER.pack(RecordCode.SET_TIMER, _length(_SET_TIMER), node, action.token, action.at_ms)
+
+
+def _health_check(node: int, action: HealthCheck) -> bytes:
+    return _ENDPOINT.pack(RecordCode.HEALTH_CHECK, _length(_ENDPOINT), node, action.server)
+
+
+def _close_idle(node: int, action: CloseIdle) -> bytes:
+    return _ENDPOINT.pack(RecordCode.CLOSE_IDLE, _length(_ENDPOINT), node, action.server)
+
+
+def _subscribe(node: int, _action: Subscribe) -> bytes:
+    return _SUBSCRIBE.pack(RecordCode.SUBSCRIBE, _length(_SUBSCRIBE), node, 1)
+
+
+def _log(node: int, action: Log) -> bytes:
+    return _text(RecordCode.LOG, node, action.text)
+
+
+_WRITERS: dict[type[Action], Callable[[int, Any], bytes]] = {
+    Send: _send,
+    SetTimer: _set_timer,
+    Reject: _reject,
+    Fail: _fail,
+    Cancel: _cancel,
+    HealthCheck: _health_check,
+    CloseIdle: _close_idle,
+    Subscribe: _subscribe,
+    Log: _log,
+}
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import math
 from collections.abc import Iterable
 
@@ -302,7 +303,7 @@
         if play.subscriptions > before:
             times.append(play.now)
             play.feed(EndpointList(ListKind.FAILED))
-    gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
+    gaps = [b - a for a, b in itertools.pairwise(times)]
     assert times[0] - 1000.0 <= 3000.0 and max(gaps) <= 5000.0 and gaps[3] > gaps[0]
     assert texts(play) == ["server list lost: a call failed or the subscription broke"]
     play.feed(EndpointList(ListKind.CHANGES))
