--- a/crowpost/node/admin.py
+++ b/crowpost/node/admin.py
@@ -9,7 +9,7 @@
 from typing import cast
 
 from crowpost.node.http.message import Message, MessageError
-from crowpost.node.http.reader import MessageParser
+from crowpost.node.http.parser import MessageParser
 from crowpost.node.http.rendering import render_response
 
 log = logging.getLogger(__name__)
--- a/crowpost/node/discovery/client.py
+++ b/crowpost/node/discovery/client.py
@@ -14,22 +14,25 @@
 log = logging.getLogger(__name__)
 
 # A watch sends an empty line every 2 s: after two missing ones its machine is cut off, or discovery is down.
-# News counts as told after 6 s whether it came or not, so a new watch must bring it before that.
-SILENCE_S = 4.5
+# A change of the list must be known after 6 s, so that a new watch must bring it before that.
+SILENCE_TIMEOUT_S = 4.5
 # A new watch brings its first line at once, or an empty one after 2 s.  After a start beside another process,
-# and after SIGHUP, news counts as told sooner than otherwise; and after a call that is given up a pause may
-# follow, before the next one brings what counts as told in 6 s.
-FIRST_LINE_S = 2.5
-# Pause before the agent is watched anew: doubled while it fails, and less by chance, as all lose it at once.
-REWATCH_S = 0.25
-REWATCH_MOST_S = 1.0  # beside a silence this still brings the news in time
+# and after SIGHUP, a change must be known sooner than otherwise; and a pause may follow a call that is given
+# up, before the next call brings the change within the 6 s.
+FIRST_LINE_TIMEOUT_S = 2.5
+# The backoff before the agent is watched again: doubled while it fails, with jitter, as all nodes lose it at
+# once.
+MIN_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 1.0  # behind a silence this still brings a change in time
 
 
 class DiscoveryClient:
-    """Keeps at most one watch; tells of each list, and once of each call or watch that failed.
+    """Keeps at most one watch; reports each list, and once each call or watch that failed.
 
-    Where lists are pushed the watch is on the machine's own agent: it costs nothing, is kept up without
-    being asked for, and its breaks say nothing of the list.
+    Where lists are pushed, the watch is on the machine's own agent: it costs nothing, is kept open without
+    `subscribe`, and its failures are not reported, as they say nothing of the list.
+
+    call_timeout_s: for the first line of a watch.
     """
 
     def __init__(
@@ -58,93 +61,99 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
-        """Begin from the version of the known list."""
+        """Start from the version of the known list."""
         self._version = version
         if self._pushed:
             self.subscribe()
 
     def subscribe(self) -> None:
-        """Watch from the last version on; replaces a watch that is still there."""
+        """Watch from the last version on, in place of a watch that is still open."""
         self.close()
-        self._call = self._loop.create_task(self._open())
+        self._call = self._loop.create_task(self._open_watch())
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery has another address: go on there from the last version, if the old one was watched."""
+        """Follow discovery to another address, from the last version on, if the old address was watched."""
         self.address = address
         if self._pushed or self._watch is not None:
             self.subscribe()
 
     def close(self) -> None:
-        """Drop the watch without a word."""
-        watch, self._watch = self._watch, None
+        """Close the watch without a report."""
+        watch = self._watch
+        self._watch = None
         if self._call is not None:
             self._call.cancel()
             self._call = None
-        self._expect(None)
+        self._set_timeout(None)
         if watch is not None:
             watch.close()
 
-    async def _open(self) -> None:
+    async def _open_watch(self) -> None:
         host, port = self.address
         target = b"/v1/endpoints?watch=1&from=%d" % self._version
         watch = Watch(
             target,
             b"%s:%d" % (host.encode(), port),
-            lambda line: self._line(watch, line),
-            lambda: self._lost(watch),
+            lambda line: self._on_line(watch, line),
+            lambda: self._on_closed(watch),
         )
         self._watch = watch
-        self._expect(min(self._call_timeout_s, FIRST_LINE_S))
+        self._set_timeout(min(self._call_timeout_s, FIRST_LINE_TIMEOUT_S))
         try:
             await self._loop.create_connection(lambda: watch, host, port)
         except OSError:
-            self._lost(watch)
+            self._on_closed(watch)
 
-    def _expect(self, seconds: float | None) -> None:
-        """A cut link says nothing: without a word in this time the watch has failed."""
+    def _set_timeout(self, seconds: float | None) -> None:
+        """Let the watch fail unless something complete comes in this time: a cut link says nothing."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None if seconds is None else self._loop.call_later(seconds, self._fail)
 
-    def _line(self, watch: Watch, line: bytes) -> None:
+    def _on_line(self, watch: Watch, line: bytes) -> None:
         if watch is not self._watch:
-            return  # a late line of a watch that was given up
+            return  # a late line of an earlier watch
         if not line.strip():
-            if not watch.objects.in_object():
-                self._told()
-                if not (watch.answered or self._pushed):
-                    # Nothing is new, which answers the call; unanswered it would soon be made again.
-                    watch.answered = True
-                    self._on_list(Listing(self._version, False, (), {}))
+            self._on_empty_line(watch)
             return
         try:
             raw = watch.objects.take(line)
             if raw is None:
-                return  # time runs on: what trickles in is no better than silence
+                return  # the timeout goes on: a part of a list is no better than silence
             listing = replace(self._naming.read(raw), raw=raw["instances"])
         except (ValueError, ListError) as error:
             log.warning("discovery: bad line: %s", error)
             self._fail()
             return
-        self._told()
+        self._on_progress()
         watch.answered = True
         self._version = listing.version
         self._on_list(listing)
 
-    def _told(self) -> None:
-        """The watch has said something whole."""
+    def _on_empty_line(self, watch: Watch) -> None:
+        if watch.objects.in_object():
+            return
+        self._on_progress()
+        if not (watch.answered or self._pushed):
+            # Nothing has changed, which answers the call; unanswered it would soon be made again.
+            watch.answered = True
+            self._on_list(Listing(self._version, False, (), {}))
+
+    def _on_progress(self) -> None:
+        """Note that the watch has sent something complete."""
         self._failures = 0
-        self._expect(SILENCE_S)
+        self._set_timeout(SILENCE_TIMEOUT_S)
 
-    def _lost(self, watch: Watch) -> None:
+    def _on_closed(self, watch: Watch) -> None:
         if watch is self._watch:
             self._fail()
 
     def _fail(self) -> None:
         self.close()
-        if self._pushed:
-            pause = min(REWATCH_MOST_S, REWATCH_S * 2.0 ** min(self._failures, 10))
-            self._failures += 1
-            self._timer = self._loop.call_later(pause * (0.5 + 0.5 * self._random.random()), self.subscribe)
-        else:
+        if not self._pushed:
             self._on_failed()
+            return
+        backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0 ** min(self._failures, 10))
+        self._failures += 1
+        jitter = 0.5 + 0.5 * self._random.random()
+        self._timer = self._loop.call_later(backoff_s * jitter, self.subscribe)
--- a/crowpost/node/discovery/endpoint_list.py
+++ b/crowpost/node/discovery/endpoint_list.py
@@ -15,38 +15,39 @@
 
 
 class ListError(Exception):
-    """A list from discovery that cannot be read; its text names the field."""
+    """An endpoint list that cannot be read; its text names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """A list or a change of it, in the module's form, and where its servers listen."""
+    """An endpoint list or a change of it, in the balancer's terms, with the endpoints' addresses."""
 
     version: int
-    whole: bool
+    complete: bool  # else only changes
     entries: tuple[EndpointEntry, ...]
     addresses: dict[EndpointId, tuple[str, int]]
-    raw: list[dict[str, Any]] = field(default_factory=list)  # the servers as they were told; of news only
+    raw: list[dict[str, Any]] = field(default_factory=list)  # as discovery sent it; not of a cached list
 
     def event(self, *, cached: bool = False) -> EndpointList:
-        """What the module is told."""
-        kind = ListKind.CACHED if cached else ListKind.FULL if self.whole else ListKind.CHANGES
-        return EndpointList(kind, self.entries, self.version)
+        """Return the event for the decision module."""
+        kind = ListKind.FULL if self.complete else ListKind.CHANGES
+        return EndpointList(ListKind.CACHED if cached else kind, self.entries, self.version)
 
 
 @dataclass(slots=True)
 class Naming:
-    """Turns discovery's names of zones, machine types and cells into the module's numbers."""
+    """Translates discovery's names of zones, machine types and cells into the balancer's numbers."""
 
     zones: tuple[str, ...]
     models: tuple[str, ...]
     _others: dict[tuple[str, str], int] = field(default_factory=dict)
 
     def read(self, raw: Any) -> Listing:
-        """One object of discovery's; ListError if it is not one."""
+        """Return the list that a JSON object of discovery holds; raise ListError if it holds none."""
         try:
             instances = raw["instances"]
-            entries, addresses = [], {}
+            entries = []
+            addresses = {}
             for item in instances:
                 entry = self._entry(item)
                 entries.append(entry)
@@ -69,10 +70,10 @@
             started_ms=float(item.get("startedAtMs", 0)),
         )
 
-    def _number(self, sort: str, names: tuple[str, ...], name: Any) -> int:
+    def _number(self, category: str, names: tuple[str, ...], name: Any) -> int:
         if isinstance(name, int):
             return name
         if name in names:
             return names.index(name)
-        # A name that the settings do not list still tells its servers from the others.
-        return self._others.setdefault((sort, str(name)), len(names) + len(self._others))
+        # A name that the settings do not list still tells its endpoints from the others.
+        return self._others.setdefault((category, str(name)), len(names) + len(self._others))
--- a/crowpost/node/dispatcher.py
+++ b/crowpost/node/dispatcher.py
@@ -98,7 +98,7 @@
     def _handle(self, event: Event) -> None:
         try:
             actions = self._balancer.handle(event, self._clock.now())
-        except Exception:  # noqa: BLE001  a fault of the module on one event must cost one request alone
+        except Exception:  # a fault of the module on one event must cost one request alone
             log.exception("the decision module failed on %s", type(event).__name__)
             if isinstance(event, RequestArrived | AttemptEnded):
                 self._requests.respond_internal_error(event.request)
@@ -106,7 +106,7 @@
         for action in actions:
             try:
                 self._perform(action)
-            except Exception:  # noqa: BLE001  a fault in one action must cost one request alone
+            except Exception:  # a fault in one action must cost one request alone
                 log.exception("fault while carrying out %s", type(action).__name__)
                 if isinstance(action, Send | Reject | Fail):
                     self._requests.respond_internal_error(action.request)
--- a/crowpost/node/downstream/listener.py
+++ b/crowpost/node/downstream/listener.py
@@ -7,32 +7,13 @@
 import socket
 import time
 from collections.abc import Callable
-from hashlib import blake2b
 
-from crowpost.interface import Effect, Settings
-from crowpost.node.configuration import ConfigError
+from crowpost.interface import Settings
 from crowpost.node.downstream.connection import ClientConnection
 from crowpost.node.downstream.exchange import STREAM_BUFFER_BYTES, Exchange
-from crowpost.node.downstream.request import (
-    MAX_DEADLINE_S,
-    ClientRequest,
-    is_api_path,
-    normalize_path,
-    parse_cost_hint_ms,
-    parse_number,
-)
+from crowpost.node.downstream.request import ClientRequest, RequestParser, is_api_path, normalize_path
 from crowpost.node.http.body import ByteBudget
-from crowpost.node.http.message import (
-    CLASS,
-    COST_HINT,
-    DEADLINE,
-    IDEMPOTENCY_KEY,
-    REQUEST_ID,
-    RETRY,
-    TENANT,
-    Message,
-    MessageError,
-)
+from crowpost.node.http.message import Message, MessageError
 from crowpost.node.metrics import Metrics
 
 log = logging.getLogger(__name__)
@@ -42,23 +23,11 @@
 BACKLOG = 1024
 
 
-def adopt_listening_socket(descriptor: int) -> socket.socket:
-    """The listening socket that this process was started with."""
-    try:
-        listener = socket.socket(fileno=descriptor)
-        listening = listener.family == socket.AF_INET and listener.getsockopt(
-            socket.SOL_SOCKET, socket.SO_ACCEPTCONN
-        )
-    except OSError as error:
-        raise ConfigError(f"NODE_ACCEPT_FD: descriptor {descriptor} is no socket: {error}") from None
-    if not listening:
-        listener.detach()
-        raise ConfigError(f"NODE_ACCEPT_FD: descriptor {descriptor} is no listening TCP socket")
-    return listener
-
-
 class Listener:
-    """The listening socket and all connections of callers."""
+    """The listening socket and all client connections.
+
+    on_request: begins the work on a valid request; ready: returns whether clients may be sent here.
+    """
 
     def __init__(
         self,
@@ -69,24 +38,22 @@
         max_connections: int,
         max_body_bytes: int,
     ) -> None:
-        self.closing = False  # every answer closes its connection
+        self.closing = False  # whether every response closes its connection
         self.metrics = metrics
         self._last_activity = 0.0  # when a connection or a request last came
-        self._settings = settings
-        self._classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
-        self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
+        self._request_parser = RequestParser(settings)
         self._on_request = on_request
         self._ready = ready
         self._max_connections = max_connections
         self.budget = ByteBudget(max(max_body_bytes, STREAM_BUFFER_BYTES))
-        self._rejected = 0  # since the last sweep, for want of connections or memory
+        self._rejected = 0  # requests, since the last sweep, for want of connections or memory
         self._loop = asyncio.get_running_loop()
         self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
         self._sweeper = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def listen(self, at: tuple[str, int] | socket.socket) -> tuple[str, int]:
-        """Accept on this address only, or on a socket that listens already; returns the address."""
+        """Accept on this address only, or on a socket that listens already; return the address."""
         if isinstance(at, socket.socket):
             self._server = await self._loop.create_server(
                 lambda: ClientConnection(self), sock=at, backlog=BACKLOG
@@ -99,39 +66,46 @@
         return bound
 
     def stop_accepting(self) -> None:
-        """Leave what comes anew to the others that hold the same listening socket."""
+        """Leave new connections to the other processes that hold the same listening socket."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     @staticmethod
     def now() -> float:
-        """Seconds; the loop's own time is too coarse to tell which connection is idle longest."""
+        """Return monotonic time in seconds.
+
+        The loop's own time is too coarse to tell which connection has been idle longest.
+        """
         return time.monotonic()
 
     def listening(self) -> bool:
+        """Return whether connections are accepted."""
         return self._server is not None and self._server.is_serving()
 
     def opened(self, connection: ClientConnection) -> None:
+        """Count an accepted connection, closing another if there are too many."""
         self._connections.add(connection)
         self._last_activity = self.now()
         if len(self._connections) > self._max_connections:
             self._evict_one(connection)
 
     def closed(self, connection: ClientConnection) -> None:
+        """Forget a connection that has ended."""
         self._connections.discard(connection)
 
     def over_limit(self) -> bool:
-        """More connections than the limit, and none idle to close: what comes now is refused."""
+        """Return whether there are more connections than the limit, as none could be closed for a new one."""
         return len(self._connections) > self._max_connections
 
     def release_body(self, exchange: Exchange) -> None:
-        """The body of a request that is over no longer counts."""
-        size, exchange.reserved_body_bytes = exchange.reserved_body_bytes, 0
+        """Return the bytes of a request's body to the budget."""
+        size = exchange.reserved_body_bytes
+        exchange.reserved_body_bytes = 0
         self.budget.release(size)
 
     def _evict_one(self, newest: ClientConnection) -> None:
-        """Close the connection that can best be may_close, if one can: no crowd may take every descriptor."""
+        """Close the least useful connection that may be closed: no crowd may take every descriptor."""
         for may_close in (
             ClientConnection.is_finished,
             ClientConnection.is_idle_and_flushed,
@@ -143,7 +117,7 @@
                 default=None,
             )
             if victim is not None:
-                # It no longer counts: a request on another must not be refused until it has closed.
+                # It no longer counts: requests on others must not be rejected until it has closed.
                 self._connections.discard(victim)
                 victim.close()
                 return
@@ -153,7 +127,7 @@
         now = self.now()
         if self._rejected:
             log.warning(
-                "%d requests refused: %d callers connected (%d idle, at most %d), %d bytes held",
+                "%d requests rejected: %d clients connected (%d idle, at most %d), %d bytes reserved",
                 self._rejected,
                 len(self._connections),
                 sum(c.is_idle() for c in self._connections),
@@ -167,39 +141,40 @@
             connection.on_client_left()
 
     def close_idle(self, min_idle_s: float) -> None:
-        """Close the connections that have been idle for this long."""
+        """Close the connections that have been idle for at least this long."""
         before = self.now() - min_idle_s
         for connection in [c for c in self._connections if c.is_idle() and c.state_since <= before]:
             connection.close()
 
     def connection_count(self) -> int:
+        """Return the number of open connections."""
         return len(self._connections)
 
     def is_empty(self) -> bool:
+        """Return whether no connection is open."""
         return not self._connections
 
     def inactive_s(self) -> float:
-        """For how long neither a connection nor a request has come."""
+        """Return for how many seconds neither a connection nor a request has come."""
         return self.now() - self._last_activity
 
     def is_streaming(self) -> bool:
-        """Whether a long answer is on its way: it has no deadline."""
+        """Return whether a long response is being sent: it has no deadline."""
         return any(c.is_streaming() for c in self._connections)
 
     def has_pending_output(self) -> bool:
-        """Whether a caller is still owed something, or is sending."""
+        """Return whether a response is still to be sent, or a request is coming in."""
         return any(c.has_pending_output() for c in self._connections)
 
     def close(self) -> None:
+        """Stop accepting and close all connections at once."""
         self._sweeper.cancel()
         self.stop_accepting()
         for connection in list(self._connections):
             connection.abort()
 
-    # Requests.
-
     def route(self, message: Message, exchange: Exchange) -> None:
-        """Take one whole request; MessageError if it is none that a node serves."""
+        """Begin the work on a request; raise MessageError if it is none that a node serves."""
         self._last_activity = self.now()
         path = normalize_path(message)
         if path == b"/ready":
@@ -207,59 +182,26 @@
                 raise MessageError(400, "method")
             exchange.respond(200 if self._ready() else 503)
         elif is_api_path(path):
-            # The time of a long body runs from its last byte.
-            waited_s = 0.0 if message.upload is not None else self.now() - exchange.arrived_at
-            asked = self._parse(message, path, waited_s)
-            exchange.class_index = asked.class_index
-            size = len(message.body) if message.upload is None else STREAM_BUFFER_BYTES
-            if self.over_limit() or not self.budget.try_reserve(size):
-                self._rejected += 1
-                exchange.close_after = True
-                exchange.respond(503, extra=b"Retry-After: %.3f\r\n" % OVERLOAD_RETRY_AFTER_S)
-            else:
-                exchange.reserved_body_bytes = size
-                self._on_request(asked, exchange)
+            self._route_api(message, path, exchange)
         else:
             raise MessageError(404, "path")
 
+    def _route_api(self, message: Message, path: bytes, exchange: Exchange) -> None:
+        # The time of a long body runs from its last byte.
+        waited_s = 0.0 if message.upload is not None else self.now() - exchange.arrived_at
+        request = self._request_parser.parse(message, path, waited_s)
+        exchange.class_index = request.class_index
+        size = len(message.body) if message.upload is None else STREAM_BUFFER_BYTES
+        if self.over_limit() or not self.budget.try_reserve(size):
+            self._rejected += 1
+            exchange.close_after = True
+            exchange.respond(503, extra=b"Retry-After: %.3f\r\n" % OVERLOAD_RETRY_AFTER_S)
+        else:
+            exchange.reserved_body_bytes = size
+            self._on_request(request, exchange)
+
     def check(self, message: Message) -> None:
-        """MessageError if a request with this head would not be taken."""
+        """Raise MessageError if a request with this head would not be served."""
         path = normalize_path(message)
         if is_api_path(path):
-            self._parse(message, path)
-
-    def _parse(self, message: Message, path: bytes, waited_s: float = 0.0) -> ClientRequest:
-        headers = message.headers
-        required = [REQUEST_ID, CLASS, DEADLINE, *([TENANT] if self._tenants else [])]
-        for name in required:
-            if not headers.get(name) or name in message.repeated_headers:
-                raise MessageError(400, f"{name.decode()} is missing or repeated")
-        class_index = self._classes.get(headers[CLASS])
-        tenant = self._tenants.get(headers[TENANT]) if self._tenants else 0
-        if class_index is None or tenant is None:
-            raise MessageError(400, "unknown class or tenant")
-        self._check_method(message, self._settings.classes[class_index].effect)
-        hint = headers.get(COST_HINT)
-        item = path.removeprefix(b"/api").removeprefix(b"/")
-        return ClientRequest(
-            message=message,
-            class_index=class_index,
-            tenant=tenant,
-            key=int.from_bytes(blake2b(item, digest_size=8).digest(), "big") if item else 0,
-            budget_ms=1000.0 * (parse_number(headers[DEADLINE], "deadline", MAX_DEADLINE_S) - waited_s),
-            cost_hint_ms=parse_cost_hint_ms(hint),
-            is_repeat=headers.get(RETRY) == b"1",
-        )
-
-    @staticmethod
-    def _check_method(message: Message, effect: Effect) -> None:
-        """The method and the key must say of the effect what the class says: rule 2 rests on it."""
-        keyed = IDEMPOTENCY_KEY in message.headers
-        safe = effect is Effect.SAFE
-        if (
-            message.method != (b"GET" if safe else b"POST")
-            or keyed != (effect is Effect.KEYED)
-            or (safe and (message.body or message.upload is not None))
-            or IDEMPOTENCY_KEY in message.repeated_headers
-        ):
-            raise MessageError(400, "method or key does not fit the class")
+            self._request_parser.parse(message, path)
--- a/crowpost/node/downstream/request.py
+++ b/crowpost/node/downstream/request.py
@@ -3,8 +3,17 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from hashlib import blake2b
 
+from crowpost.interface import Effect, Settings
 from crowpost.node.http.message import (
+    CLASS,
+    COST_HINT,
+    DEADLINE,
+    IDEMPOTENCY_KEY,
+    REQUEST_ID,
+    RETRY,
+    TENANT,
     Message,
     MessageError,
 )
@@ -20,38 +29,95 @@
     message: Message
     class_index: int
     tenant: int
-    key: int
+    key: int  # a hash of the item that its path names; 0 where it names none
     budget_ms: float
     cost_hint_ms: float | None
     is_repeat: bool
 
 
+class RequestParser:
+    """Reads the headers that tell a request's class, tenant, deadline and cost."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._settings = settings
+        self._classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
+        self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
+
+    def parse(self, message: Message, path: bytes, waited_s: float = 0.0) -> ClientRequest:
+        """Return the request; raise MessageError if a header is missing, repeated or out of range.
+
+        waited_s: the part of its time that has passed since it came in.
+        """
+        headers = message.headers
+        required = [REQUEST_ID, CLASS, DEADLINE, *([TENANT] if self._tenants else [])]
+        for name in required:
+            if not headers.get(name) or name in message.repeated_headers:
+                raise MessageError(400, f"{name.decode()} is missing or repeated")
+        class_index = self._classes.get(headers[CLASS])
+        tenant = self._tenants.get(headers[TENANT]) if self._tenants else 0
+        if class_index is None or tenant is None:
+            raise MessageError(400, "unknown class or tenant")
+        _check_method(message, self._settings.classes[class_index].effect)
+        cost_hint = headers.get(COST_HINT)
+        item = path.removeprefix(b"/api").removeprefix(b"/")
+        return ClientRequest(
+            message=message,
+            class_index=class_index,
+            tenant=tenant,
+            key=int.from_bytes(blake2b(item, digest_size=8).digest(), "big") if item else 0,
+            budget_ms=1000.0 * (_parse_number(headers[DEADLINE], "deadline", MAX_DEADLINE_S) - waited_s),
+            cost_hint_ms=_parse_cost_hint_ms(cost_hint),
+            is_repeat=headers.get(RETRY) == b"1",
+        )
+
+
 def normalize_path(message: Message) -> bytes:
-    """The path of a request; a target that names the host as well is brought to the usual form."""
-    scheme, mark, rest = message.target.partition(b"://")
-    if mark and scheme.lower() in (b"http", b"https"):
+    """Return the path of a request, without its query.
+
+    A target in absolute form (RFC 9112, section 3.2.2) is replaced in the message by its origin form.
+    """
+    scheme, separator, rest = message.target.partition(b"://")
+    if separator and scheme.lower() in (b"http", b"https"):
         slash = rest.find(b"/")
         message.target = rest[slash:] if slash >= 0 else b"/"
     return message.target.partition(b"?")[0]
 
 
 def is_api_path(path: bytes) -> bool:
+    """Return whether requests with this path are forwarded."""
     return path == b"/api" or path.startswith(b"/api/")
 
 
-def parse_cost_hint_ms(text: bytes | None) -> float | None:
-    """A hint is a guess: one that cannot be read is none, and no reason to turn the request down."""
+def _check_method(message: Message, effect: Effect) -> None:
+    """Raise MessageError unless method and idempotency key agree with the class on the request's effect.
+
+    Whether a request may be retried rests on it.
+    """
+    keyed = IDEMPOTENCY_KEY in message.headers
+    safe = effect is Effect.SAFE
+    if (
+        message.method != (b"GET" if safe else b"POST")
+        or keyed != (effect is Effect.KEYED)
+        or (safe and (message.body or message.upload is not None))
+        or IDEMPOTENCY_KEY in message.repeated_headers
+    ):
+        raise MessageError(400, "method or key does not fit the class")
+
+
+def _parse_cost_hint_ms(text: bytes | None) -> float | None:
+    """Return a cost hint; None for one that cannot be read, as a hint is no reason to reject a request."""
     try:
-        return None if text is None else parse_number(text, "cost hint", MAX_COST_HINT_US) / 1000.0
+        return None if text is None else _parse_number(text, "cost hint", MAX_COST_HINT_US) / 1000.0
     except MessageError:
         return None
 
 
-def parse_number(text: bytes, what: str, most: float) -> float:
+def _parse_number(text: bytes, name: str, maximum: float) -> float:
+    """Return a positive number; raise MessageError if the text is none, or one beyond the maximum."""
     try:
-        value = float(text) if b"_" not in text else -1.0  # Python's own grouping is none of HTTP's
+        value = float(text) if b"_" not in text else -1.0  # Python's digit grouping is not HTTP's
     except ValueError:
         value = -1.0
-    if not 0.0 < value <= most or value == float("inf"):
-        raise MessageError(400, f"bad {what}")
+    if not 0.0 < value <= maximum or value == float("inf"):
+        raise MessageError(400, f"bad {name}")
     return value
--- a/crowpost/node/drain.py
+++ b/crowpost/node/drain.py
@@ -1,4 +1,4 @@
-"""Taking listener off this node, for a while or for good: one sequence for evacuate, rejoin and SIGTERM."""
+"""Draining: one sequence for evacuate, rejoin and the graceful shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,26 +12,33 @@
 
 log = logging.getLogger(__name__)
 
-NEW_S = 0.6  # after SIGTERM: new connections come for up to 0.4 s
-SILENT_S = 0.25  # and none may have come for this long
-EMPTY_S = 1.0  # an emptying node closes idle connections from then on: new ones come for 0.3 s after the no
-# A terminating node's listener may go on with the connections they have: with a node beside this one also
+MIN_ACCEPT_S = 0.6  # after SIGTERM: new connections come for up to 0.4 s
+QUIET_S = 0.25  # none may have come for this long before the process ends
+# An evacuated node closes idle connections from then on: new ones come for 0.3 s after it is no longer ready.
+EVACUATION_KEEP_S = 1.0
+# The clients of a terminating node may go on with the connections they have: with another node also
 # restarting, there may be no other to go to.  What comes last must still be answered in time.
-SERVE_S = 2.0
-SERVE_LESS_S = 1.0  # than the longest deadline
+MAX_SERVE_S = 2.0
+SERVE_RESERVE_S = 1.0  # of the longest deadline
 KILL_DEADLINE_S = 3.0  # SIGKILL comes 0.7 s after the longest deadline, or after this where it is longer
-LAST_S = 0.4  # after which all is answered, the same way
-CHECK_S = 0.05
+LAST_RESPONSE_S = 0.4  # after that deadline every request has its response
+CHECK_INTERVAL_S = 0.05
 
 
 class Phase(Enum):
+    """What a node does with clients."""
+
     SERVING = "serving"
-    EMPTYING = "emptying"  # until the end of the drain
-    LEAVING = "leaving"  # for good
+    EVACUATED = "evacuated"  # until it rejoins
+    TERMINATING = "terminating"  # for good
 
 
 class Drain:
-    """The phase that a node is in, and what it asks of the listener' connections."""
+    """The phase that a node is in, and what it means for the clients' connections.
+
+    longest_s: the longest deadline; handed_over: whether another process accepts from the same listening
+    socket; fail_remaining: responds to what is still pending; on_finished: ends the process.
+    """
 
     def __init__(
         self,
@@ -44,9 +51,9 @@
     ) -> None:
         self.phase = Phase.SERVING
         self._listener = listener
-        self._handed_over = handed_over  # the listener is shared: another process takes what comes anew
-        self._serve_s = min(SERVE_S, max(0.0, longest_s - SERVE_LESS_S))
-        self._last_s = min(KILL_DEADLINE_S, longest_s) + LAST_S
+        self._handed_over = handed_over
+        self._serve_s = min(MAX_SERVE_S, max(0.0, longest_s - SERVE_RESERVE_S))
+        self._last_s = min(KILL_DEADLINE_S, longest_s) + LAST_RESPONSE_S
         self._fail_remaining = fail_remaining
         self._on_finished = on_finished
         self._loop = asyncio.get_running_loop()
@@ -54,36 +61,37 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def time_left_s(self) -> float:
-        """Seconds until the last answer must be out; without end while the process is to stay."""
-        if self.phase is not Phase.LEAVING:
+        """Return the seconds until the last response must be sent; infinite while the process stays."""
+        if self.phase is not Phase.TERMINATING:
             return float("inf")
         return self._began + self._last_s - time.monotonic()
 
     def evacuate(self) -> bool:
-        """Empty the node: new listener go elsewhere, those that are here are answered and sent away."""
+        """Evacuate the node: new clients go elsewhere, present ones get their responses and a close."""
         if self.phase is Phase.SERVING:
-            self._enter(Phase.EMPTYING)
+            self._enter(Phase.EVACUATED)
         return True
 
     def rejoin(self) -> bool:
-        """Serve again; False once the process is leaving."""
-        if self.phase is Phase.EMPTYING:
+        """Serve again, and return True; return False once the process terminates."""
+        if self.phase is Phase.EVACUATED:
             self._enter(Phase.SERVING)
         return self.phase is Phase.SERVING
 
-    def leave(self) -> None:
-        """SIGTERM: answer what is here and what still comes, then end."""
-        if self.phase is not Phase.LEAVING:
-            self._enter(Phase.LEAVING)
+    def terminate(self) -> None:
+        """Respond to what is here and what still comes, then end the process."""
+        if self.phase is not Phase.TERMINATING:
+            self._enter(Phase.TERMINATING)
 
     def _enter(self, phase: Phase) -> None:
-        log.info("%s, %d connections of listener open", phase.value, self._listener.connection_count())
-        was, self.phase = self.phase, phase
+        log.info("%s, %d client connections open", phase.value, self._listener.connection_count())
+        previous = self.phase
+        self.phase = phase
         self._began = time.monotonic()
-        if phase is Phase.LEAVING and self._handed_over:
+        if phase is Phase.TERMINATING and self._handed_over:
             self._listener.stop_accepting()
-        # Where the listener stays and all nodes may be leaving, listener keep what they have for a while.
-        at_once = phase is Phase.EMPTYING or self._handed_over or was is Phase.EMPTYING
+        # Where the listener stays and all nodes may be terminating, clients keep what they have for a while.
+        at_once = phase is Phase.EVACUATED or self._handed_over or previous is Phase.EVACUATED
         self._listener.closing = phase is not Phase.SERVING and at_once
         if self._timer is not None:
             self._timer.cancel()
@@ -91,25 +99,26 @@
             self._check()
 
     def _check(self) -> None:
-        self._timer = self._loop.call_later(CHECK_S, self._check)
-        listener, past = self._listener, time.monotonic() - self._began
-        if past >= (EMPTY_S if self.phase is Phase.EMPTYING else self._serve_s):
+        self._timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
+        listener = self._listener
+        elapsed_s = time.monotonic() - self._began
+        if elapsed_s >= (EVACUATION_KEEP_S if self.phase is Phase.EVACUATED else self._serve_s):
             listener.closing = True
-            listener.close_idle(SILENT_S)
-        if self.phase is Phase.EMPTYING:
+            listener.close_idle(QUIET_S)
+        if self.phase is Phase.EVACUATED:
             return
-        if past >= self._last_s:
+        if elapsed_s >= self._last_s:
             self._fail_remaining()
         if self._handed_over:
-            # Nothing comes anew; a request may still come on any connection that is open.
-            over = listener.is_empty()
+            # No connection comes any more; a request may still come on any that is open.
+            finished = listener.is_empty()
         else:
-            over = (
-                past >= max(NEW_S, self._serve_s)
+            finished = (
+                elapsed_s >= max(MIN_ACCEPT_S, self._serve_s)
                 and not listener.has_pending_output()
-                and listener.inactive_s() >= SILENT_S
+                and listener.inactive_s() >= QUIET_S
             )
-        # A long answer has no deadline: it goes on until it is whole, or SIGKILL comes.
-        if over or (past >= self._last_s + SILENT_S and not listener.is_streaming()):
+        # A long response has no deadline: it goes on until it is complete, or SIGKILL comes.
+        if finished or (elapsed_s >= self._last_s + QUIET_S and not listener.is_streaming()):
             self._timer.cancel()
             self._on_finished()
--- a/crowpost/node/http/load_report.py
+++ b/crowpost/node/http/load_report.py
@@ -10,9 +10,10 @@
 
 
 def parse_load_report(message: Message | None, columns: Sequence[str]) -> tuple[float, ...]:
-    """The load report of an answer, in the order of the columns; empty where there is none that can be read.
+    """Return the values of a response's load report in the order of the columns.
 
-    A report only advises: one that is malformed spoils neither its answer nor the connection.
+    Return an empty tuple if there is no report, or a malformed one: a report only advises, so that a
+    malformed one costs neither its response nor the connection.
     """
     raw = message.headers.get(LOAD) if message is not None else None
     if raw is None or not columns:
--- a/crowpost/node/http/message.py
+++ b/crowpost/node/http/message.py
@@ -6,7 +6,8 @@
 
 from crowpost.node.http.body import Upload
 
-MAX_BODY = 64 * 1024  # that is held whole
+# Sizes in bytes.
+MAX_BODY = 64 * 1024  # of a body that is buffered; a longer one is streamed
 MAX_HEAD = 16 * 1024
 
 REQUEST_ID = b"x-request-id"
@@ -26,7 +27,10 @@
 
 
 class MessageError(Exception):
-    """A message that cannot be taken; a request of this form is answered with the status."""
+    """A message that cannot be accepted.
+
+    status: what a request of this form is answered with.
+    """
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -35,7 +39,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request or answer: whole, or the head of a long one and the first bytes of its body."""
+    """A request or response: complete, or the head of a long one and the first bytes of its body."""
 
     target: bytes = b""  # of a request
     method: bytes = b""
@@ -45,10 +49,10 @@
     repeated_headers: set[bytes] = field(default_factory=set)
     body: bytes = b""
     keep_alive: bool = False
-    upload: Upload | None = None  # the body of a request too long to be held
+    upload: Upload | None = None  # the body of a request too long to be buffered
 
     @property
     def content_length(self) -> int | None:
-        """The length of the body, where the head tells it."""
+        """The length of the body in bytes, None if the head does not tell it."""
         text = self.headers.get(CONTENT_LENGTH)
         return None if text is None else int(text)
--- a/crowpost/node/http/reader.py
+++ b/crowpost/node/http/parser.py
@@ -21,36 +21,47 @@
 
 
 class MessageReceiver(Protocol):
-    """What a reader hands on: a message whole, or, if its body is long, begun, in pieces, and ended."""
+    """What a parser calls.
 
-    def on_head(self, message: Message) -> None: ...
+    A message with a short body comes as a whole.  One with a long body comes as a stream: start, data and
+    end.
+    """
+
+    def on_head(self, message: Message) -> None:
+        """Handle a head whose body has not come yet."""
 
-    def on_message(self, message: Message) -> None: ...
+    def on_message(self, message: Message) -> None:
+        """Handle a complete message."""
 
-    def on_stream_start(self, message: Message) -> None: ...
+    def on_stream_start(self, message: Message) -> None:
+        """Handle the beginning of a message with a long body."""
 
-    def on_stream_data(self, piece: bytes) -> None: ...
+    def on_stream_data(self, data: bytes) -> None:
+        """Handle a part of a long body."""
 
-    def on_stream_end(self, message: Message) -> None: ...
+    def on_stream_end(self, message: Message) -> None:
+        """Handle the end of a long body."""
 
 
 class MessageParser:
-    """Feeds bytes to httptools and hands on messages, within the size limits.
+    """Parses messages within the size limits, with httptools.
+
+    The limits are kept here because httptools would collect a header without end.
 
-    The limits are kept here because the parser itself would collect a header without end.
+    requests: whether requests are parsed, or responses.
     """
 
     __slots__ = (
-        "_stream_immediately",
         "_body",
         "_failure",
-        "_head_bytes_left",
         "_head_bytes",
+        "_head_bytes_left",
         "_in_body",
         "_message",
         "_parser",
         "_receiver",
         "_stopped",
+        "_stream_immediately",
         "_streaming",
         "body_size",
     )
@@ -64,32 +75,31 @@
         self._head_bytes_left = MAX_HEAD
         self._head_bytes = 0
         self._in_body = False
-        self._stream_immediately = (
-            False  # the first piece of a long answer is wanted at once, a request's at a full hold
-        )
+        # A response that is known to be long is streamed from its first byte, a request from MAX_BODY on.
+        self._stream_immediately = False
         self._streaming = False
         self._message: Message | None = None
         self._body: list[bytes] = []
-        self.body_size = 0  # of the present message, as far as it has come
+        self.body_size = 0  # bytes of the current message, as far as it has come
 
     @property
     def in_message(self) -> bool:
-        """Whether a message has begun and is not whole yet."""
+        """Whether a message has begun and is not complete yet."""
         return self._message is not None
 
     @property
     def in_body(self) -> bool:
-        """Whether the head has come whole, and the body not."""
+        """Whether the head is complete, and the body is not."""
         return self._message is not None and self._in_body
 
     @property
     def awaits_unsized_body(self) -> bool:
-        """Whether a body is coming in that nothing is handed on of, and that may yet be long."""
+        """Whether a body of unknown length is coming in and is buffered."""
         message = self._message
         return self.in_body and not self._streaming and message is not None and message.content_length is None
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; MessageError if they cannot belong to a message that is taken."""
+        """Parse bytes; raise MessageError if they cannot belong to a message that is accepted."""
         if not self._in_body:
             self._head_bytes_left -= len(data)
         try:
@@ -105,11 +115,11 @@
             raise MessageError(400, "the head is too large")
 
     def stop(self) -> None:
-        """Read no further message, not even of the bytes at hand: a flood may hold thousands."""
+        """Parse no further message, not even of the bytes at hand: a flood may hold thousands."""
         self._stopped = True
 
     def feed_eof(self) -> None:
-        """The sender has ended: an answer without a length is whole now, as HTTP has it."""
+        """Note the end of the stream: a response without a length is complete now (RFC 9112, section 6.3)."""
         message = self._message
         if message is None or not self._in_body or self._failure is not None:
             return
@@ -117,16 +127,15 @@
             self.on_message_complete()
 
     def start_streaming(self) -> None:
-        """Wait no longer for the whole body: what has come of it is handed on as the first piece."""
+        """Stop buffering the body: what has come of it starts a stream."""
         if self._message is not None and not self._streaming:
             self._message.body = b"".join(self._body)
             self._body.clear()
             self._streaming = True
             self._receiver.on_stream_start(self._message)
 
-    # What httptools calls.
-
     def on_message_begin(self) -> None:
+        """Begin a message; called by httptools, as are the methods below."""
         if self._stopped:
             raise MessageError(400, "no further message is read")  # ends the parser; `feed` knows why
         self._message = Message()
@@ -136,11 +145,13 @@
         self._streaming = False
 
     def on_url(self, part: bytes) -> None:
+        """Collect the target of a request."""
         if self._message is not None:
             self._message.target += part
             self._count_head_bytes(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect one header; trailers are ignored."""
         if self._message is None:
             return
         self._count_head_bytes(len(name) + len(value))
@@ -149,9 +160,10 @@
         name = name.lower()
         if name in self._message.headers:
             self._message.repeated_headers.add(name)
-        self._message.headers[name] = value.strip(b" \t")  # the parser leaves what may stand behind a value
+        self._message.headers[name] = value.strip(b" \t")  # httptools leaves white space behind a value
 
     def on_headers_complete(self) -> None:
+        """Check a complete head and pass it on."""
         message = self._message
         if message is None:
             return
@@ -177,6 +189,7 @@
             self._receiver.on_head(message)
 
     def on_body(self, part: bytes) -> None:
+        """Buffer a part of a body, or pass it on."""
         if self._failure is not None:
             return
         self.body_size += len(part)
@@ -188,21 +201,24 @@
             self.start_streaming()
 
     def on_message_complete(self) -> None:
+        """End a message and pass it on."""
         message = self._message
         if message is None or self._failure is not None:
             return
-        self._message, self._in_body, self._head_bytes_left = None, False, MAX_HEAD
+        self._message = None
+        self._in_body = False
+        self._head_bytes_left = MAX_HEAD
         self._stream_immediately = False
         if self._streaming:
             self._receiver.on_stream_end(message)
             return
         message.body = b"".join(self._body)
         self._body.clear()
-        if not 100 <= message.status < 200:  # an interim answer is no answer
+        if not 100 <= message.status < 200:  # interim responses are skipped
             self._receiver.on_message(message)
 
     def _count_head_bytes(self, size: int) -> None:
-        """A head that came whole in one piece is measured here, before it is taken."""
+        """Measure a head before it is passed on, also one that came in a single read."""
         self._head_bytes += size
         if self._head_bytes > MAX_HEAD:
             self._fail(400, "the head is too large")
--- a/crowpost/node/http/rendering.py
+++ b/crowpost/node/http/rendering.py
@@ -20,12 +20,15 @@
 
 
 def render_chunk(data: bytes) -> bytes:
-    """A piece of a body in chunked coding; without data the end of the body."""
+    """Return a part of a body in chunked coding; without data, the end of the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def render_response(status: int, body: bytes = b"", extra: bytes = b"", *, close: bool = False) -> bytes:
-    """An answer to a caller; extra holds whole header lines."""
+    """Return a complete response.
+
+    extra: complete header lines.
+    """
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n%s" % (
         status,
         _REASONS[status],
@@ -37,9 +40,12 @@
 
 
 def render_response_head(message: Message, *, version: str, close: bool) -> tuple[bytes, bool]:
-    """The head of a long answer of a server's as its caller gets it, and whether the body goes in chunks."""
-    kind = message.headers.get(CONTENT_TYPE)
-    lines = [b"HTTP/1.1 200 OK\r\n", b"Content-Type: %s\r\n" % kind if kind else b""]
+    """Return the head of a long response for its client, and whether its body is sent in chunked coding.
+
+    message: the endpoint's response; version: the client's HTTP version.
+    """
+    content_type = message.headers.get(CONTENT_TYPE)
+    lines = [b"HTTP/1.1 200 OK\r\n", b"Content-Type: %s\r\n" % content_type if content_type else b""]
     chunked = message.content_length is None and version == "1.1"
     if message.content_length is not None:
         lines.append(b"Content-Length: %d\r\n" % message.content_length)
@@ -50,15 +56,18 @@
 
 
 def render_request_head(message: Message, host: bytes) -> bytes:
-    """The part of an attempt's head that is the same for each attempt: all but the deadline."""
+    """Return what the heads of all attempts of a request have in common: all but the deadline.
+
+    host: of the node, as host and port.
+    """
     lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (message.method, message.target, host)]
     lines.append(b"X-Request-Id: %s\r\n" % message.headers[REQUEST_ID])
     key = message.headers.get(IDEMPOTENCY_KEY)
     if key is not None:
         lines.append(b"Idempotency-Key: %s\r\n" % key)
-    kind = message.headers.get(CONTENT_TYPE)
-    if kind is not None:
-        lines.append(b"Content-Type: %s\r\n" % kind)
+    content_type = message.headers.get(CONTENT_TYPE)
+    if content_type is not None:
+        lines.append(b"Content-Type: %s\r\n" % content_type)
     if message.upload is not None:
         length = message.content_length
         lines.append(
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -23,7 +23,8 @@
 from crowpost.node.discovery.client import DiscoveryClient
 from crowpost.node.discovery.endpoint_list import ListError, Listing
 from crowpost.node.dispatcher import Dispatcher, HealthChecker
-from crowpost.node.downstream.listener import Listener, adopt_listening_socket
+from crowpost.node.downstream.listener import Listener
+from crowpost.node.downstream.sockets import adopt_listening_socket
 from crowpost.node.drain import Drain, Phase
 from crowpost.node.event_queue import EventQueue
 from crowpost.node.metrics import Metrics
@@ -250,7 +251,7 @@
     def _on_discovery_heard(self) -> None:
         """Accept from an inherited socket, as what discovery knows at the start is here."""
         self._discovery_heard = True
-        leaving = self._drain.phase is Phase.LEAVING
+        leaving = self._drain.phase is Phase.TERMINATING
         if self._inherited_socket is not None and self._pool.has_endpoints() and not leaving:
             inherited = self._inherited_socket
             self._inherited_socket = None
@@ -314,7 +315,7 @@
         self._pool.update(listing)
         self._events.post(listing.event())
         if self._keeping is not None:
-            self._keeping.note_list(listing.whole, listing.version, listing.raw)
+            self._keeping.note_list(listing.complete, listing.version, listing.raw)
         self._on_discovery_heard()
 
     def _evacuate(self) -> AdminResponse | Awaitable[AdminResponse]:
@@ -353,6 +354,6 @@
 
     def terminate(self) -> None:
         """Begin the graceful shutdown (SIGTERM): no longer ready, respond to what still comes, then end."""
-        self._drain.leave()
+        self._drain.terminate()
         if self._keeping is not None:
             self._keeping.close()  # at once, as another process of this node may wait for the directory
--- a/crowpost/node/upstream/connection.py
+++ b/crowpost/node/upstream/connection.py
@@ -10,7 +10,7 @@
 from crowpost.interface import Outcome
 from crowpost.node.http.body import BodySink
 from crowpost.node.http.message import NOT_RUN, Message, MessageError
-from crowpost.node.http.reader import MessageParser
+from crowpost.node.http.parser import MessageParser
 from crowpost.node.http.rendering import render_chunk
 from crowpost.node.upstream.call import Call
 from crowpost.node.upstream.endpoint import EndpointConnections
--- a/crowpost/node/upstream/pool.py
+++ b/crowpost/node/upstream/pool.py
@@ -56,7 +56,7 @@
 
         A new address or start time of an endpoint means that its old connections lead to a dead process.
         """
-        if listing.whole:
+        if listing.complete:
             for server in self._endpoints.keys() - {entry.server for entry in listing.entries}:
                 self._remove(server)
         for entry in listing.entries:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,16 +8,11 @@
 
 import pytest
 
-from crowpost.node.downstream import connection as client_connection
-from crowpost.node.downstream import exchange, listener
-from crowpost.node.downstream.connection import (
-    FIRST_BODY_PAUSE_S,
-    FIRST_BYTE_TIMEOUT_S,
-    FIRST_HEAD_TIMEOUT_S,
-    ClientConnection,
-)
+from crowpost.node.downstream import exchange, listener, timeouts
+from crowpost.node.downstream.connection import ClientConnection
+from crowpost.node.downstream.timeouts import FIRST_BODY_PAUSE_S, FIRST_BYTE_TIMEOUT_S, FIRST_HEAD_TIMEOUT_S
 from crowpost.node.http.message import MAX_BODY, Message, MessageError
-from crowpost.node.http.reader import MessageParser
+from crowpost.node.http.parser import MessageParser
 from crowpost.node.upstream import connection as upstream_connection
 from tests.stubs import (
     HOST,
@@ -66,8 +61,8 @@
     def on_stream_start(self, message: Message) -> None:
         self._pieces = [message.body]
 
-    def on_stream_data(self, piece: bytes) -> None:
-        self._pieces.append(piece)
+    def on_stream_data(self, data: bytes) -> None:
+        self._pieces.append(data)
 
     def on_stream_end(self, message: Message) -> None:
         self.messages.append((message.target, b"".join(self._pieces)))
@@ -355,8 +350,8 @@
     """Its connection was ended a second after the last piece, with up to 64 KiB not sent yet."""
 
     async def main() -> None:
-        monkeypatch.setattr(client_connection, "LINGER_S", 0.02)
-        monkeypatch.setattr(client_connection, "MAX_LINGER_S", 0.04)
+        monkeypatch.setattr(timeouts, "LINGER_S", 0.02)
+        monkeypatch.setattr(timeouts, "MAX_LINGER_S", 0.04)
         size = 4 * 1024 * 1024
         pour = written(OK + b"Content-Length: %d\r\n\r\n" % size + bytes(size))
         loop = asyncio.get_running_loop()
@@ -513,7 +508,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.3)
+        monkeypatch.setattr(timeouts, "IDLE_TIMEOUT_S", 0.3)
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             caller = await w.caller()
             caller.writer.write(request("book", body=LONG)[:200_000])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,8 +27,8 @@
     RequestArrived,
     Send,
 )
-from crowpost.node.discovery.client import REWATCH_MOST_S
-from crowpost.node.downstream.connection import MAX_CONCURRENT, MAX_PIPELINED
+from crowpost.node.discovery.client import MAX_BACKOFF_S
+from crowpost.node.downstream.pipeline import MAX_CONCURRENT, MAX_PIPELINED
 from crowpost.node.http.message import MAX_BODY
 from crowpost.node.node import Node
 from crowpost.node.upstream.pool import REUSE_DELAY_S
@@ -360,7 +360,7 @@
 
     with caplog.at_level("INFO"):
         run(main())
-    assert caplog.text.count("is not taken") == 1
+    assert caplog.text.count("is not served") == 1
 
 
 def test_bodies_that_wait_behind_others_are_bounded() -> None:
@@ -480,7 +480,7 @@
             assert current is not None
             timer = w.node._discovery._timer
             for line in (b"{", b'  "generation": 7,', b"", b'  "reset": true,'):
-                current._lines(line)
+                current._on_line(line)
             assert current.objects.in_object()
             assert w.node._discovery._timer is timer
 
@@ -509,7 +509,7 @@
             w.node._discovery.subscribe()
             await w.discovery.watch()
             assert w.node._discovery._watch is not before
-            before._lines(json.dumps(listing(9)).encode())
+            before._on_line(json.dumps(listing(9)).encode())
             before.connection_lost(None)
             assert not told.events and w.node._discovery._version == 0
             assert w.node._discovery._watch is not None
@@ -537,7 +537,7 @@
                 await asyncio.sleep(0)
             assert moved.targets == ["/v1/endpoints?watch=1&from=0"]
             timer = discovery._timer
-            assert timer is not None and timer.when() - asyncio.get_running_loop().time() > REWATCH_MOST_S
+            assert timer is not None and timer.when() - asyncio.get_running_loop().time() > MAX_BACKOFF_S
 
     run(main())
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,8 +9,9 @@
 import pytest
 
 from crowpost.interface import Action, AttemptEnded, Event, RequestAbandoned
-from crowpost.node.discovery.client import REWATCH_MOST_S, REWATCH_S
-from crowpost.node.downstream.connection import FIRST_BYTE_TIMEOUT_S, ClientConnection
+from crowpost.node.discovery.client import MAX_BACKOFF_S, MIN_BACKOFF_S
+from crowpost.node.downstream.connection import ClientConnection
+from crowpost.node.downstream.timeouts import FIRST_BYTE_TIMEOUT_S
 from crowpost.node.node import FIRST_LIST_TIMEOUT_S
 from crowpost.node.upstream.pool import REUSE_DELAY_S
 from tests.stubs import (
@@ -309,7 +310,7 @@
                 await asyncio.sleep(0)
             timer = w.node._discovery._timer
             assert timer is not None
-            assert timer.when() - asyncio.get_running_loop().time() + REWATCH_MOST_S < 6.0
+            assert timer.when() - asyncio.get_running_loop().time() + MAX_BACKOFF_S < 6.0
 
     run(main())
 
@@ -324,7 +325,7 @@
             timer = w.node._discovery._timer
             assert timer is not None
             left = timer.when() - asyncio.get_running_loop().time()
-            assert left + REWATCH_S < FIRST_LIST_TIMEOUT_S + 2.0 < 4.0
+            assert left + MIN_BACKOFF_S < FIRST_LIST_TIMEOUT_S + 2.0 < 4.0
 
     run(main())
 
@@ -350,7 +351,7 @@
                 await asyncio.sleep(0)
             discovery._fail()
             assert discovery._timer is not None
-            assert discovery._timer.when() - asyncio.get_running_loop().time() <= REWATCH_S + 0.01
+            assert discovery._timer.when() - asyncio.get_running_loop().time() <= MIN_BACKOFF_S + 0.01
 
     run(main())
 
