--- a/crowpost/lab/capacity/connections.py
+++ b/crowpost/lab/capacity/connections.py
@@ -16,10 +16,10 @@
 from crowpost.decide.fleet import Fleet
 from crowpost.interface import EndpointEntry, EndpointList, ListKind, RequestClass, Settings
 from crowpost.lab.capacity.records import RecordError
-from crowpost.node.configuration import _DEFAULT_CONN_IDLE_MS
+from crowpost.node.configuration import DEFAULT_CONN_IDLE_MS
 from crowpost.node.upstream.pool import IDLE_TIMEOUT_FRACTION
 
-IDLE_S = IDLE_TIMEOUT_FRACTION * _DEFAULT_CONN_IDLE_MS / 1000.0  # that a node keeps a connection nobody uses
+IDLE_S = IDLE_TIMEOUT_FRACTION * DEFAULT_CONN_IDLE_MS / 1000.0  # that a node keeps a connection nobody uses
 PLACES = 2  # of nodes whose homes are dealt out for a mean: homes are alike in size but for one server
 CLASS = RequestClass("call", latency_objective_ms=1000.0, deadline_ms=3000.0)
 
--- a/crowpost/node/admin.py
+++ b/crowpost/node/admin.py
@@ -47,11 +47,13 @@
         self._work: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the new connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
         self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._on_timeout)
         self._admin.opened(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse what comes in."""
         if self._responded:
             return
         try:
@@ -62,7 +64,7 @@
     def on_head(self, message: Message) -> None:
         """Ignore a head without its body."""
 
-    def on_stream_start(self, message: Message) -> None:
+    def on_stream_start(self, message: Message) -> None:  # noqa: ARG002  the parser passes it
         """Refuse a long body."""
         self._respond(AdminResponse(400))
 
@@ -114,7 +116,8 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio passes it
+        """Forget the connection, and end what was under way on it."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
--- a/crowpost/node/configuration.py
+++ b/crowpost/node/configuration.py
@@ -1,5 +1,7 @@
-"""What a node is told at its start: the environment and the configuration file, checked, with errors that
-name the field."""
+"""The configuration of a node: its environment and its configuration file, checked.
+
+Errors name the field.
+"""
 
 from __future__ import annotations
 
@@ -18,10 +20,10 @@
     from crowpost.node.overlays import Overlays
     from crowpost.store.config import StateConfig
 
-_DEFAULT_CONN_IDLE_MS = 15_000.0
+DEFAULT_CONN_IDLE_MS = 15_000.0
 # With fewer no request can be served.  A tight limit is the platform's to set, and no reason not to start:
 # a node that wanted 64 MB at the least did not come up on a machine of 48.
-_LEAST_SOCKETS = 16
+_MIN_SOCKETS = 16
 _SEED_MASK = 2**64 - 1
 
 
@@ -39,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a node knows when it starts."""
+    """Everything that a node knows when it starts."""
 
     name: str
     listen: tuple[str, int]
@@ -53,14 +55,14 @@
     path: str  # of the file, which the platform may replace while the node runs
     management: tuple[str, int] | None = None
     accept_fd: int | None = None  # of the clients' listening socket, where the platform holds it
-    members: MembersConfig | None = None  # None: no membership, and nothing of it is imported
-    state: StateConfig | None = None  # None: nothing is kept, and nothing of that is imported
-    feed: FeedConfig | None = None  # None: no feed of configuration, and nothing of it is imported
+    members: MembersConfig | None = None  # None: no membership
+    state: StateConfig | None = None  # None: nothing is stored
+    feed: FeedConfig | None = None  # None: no configuration feed
     overlays: Overlays | None = None  # the documents of the feed on the file, where there is one
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration of this process."""
+    """Return the configuration of this process; raise ConfigError that names the field."""
     path = _variable(environment, "NODE_CONFIG")
     raw = read_file(path)
     name = environment.get("NODE_NAME") or str(raw.get("name", ""))
@@ -70,14 +72,19 @@
         overlays = _overlays(environment, raw, path, feed)
         environment, raw = overlays.start
     config = read_config(environment, raw, path)
-    members, state = _members(environment, name), _state(environment, name)
-    return replace(config, members=members, state=state, feed=feed, overlays=overlays)
+    return replace(
+        config,
+        members=_members(environment, name),
+        state=_state(environment, name),
+        feed=feed,
+        overlays=overlays,
+    )
 
 
 def read_config(environment: Mapping[str, str], raw: Mapping[str, Any], path: str) -> Config:
-    """What the environment and the file's object say, without the parts that have files of their own.
+    """Return what the environment and the file's object say, without the parts that have files of their own.
 
-    ConfigError that names the field.
+    Raise ConfigError that names the field.
     """
     settings_raw = _member(raw, "settings", dict)
     values = dict(flat(settings_raw))
@@ -92,7 +99,7 @@
         listen=_address(environment, raw, "NODE_LISTEN", "listen"),
         discovery=_address(environment, raw, "NODE_DISCOVERY", "discovery"),
         seed=_seed(_member(raw, "seed", str)),
-        limits=Limits(_limit(limits, "memory_mb", 1), _limit(limits, "sockets", _LEAST_SOCKETS)),
+        limits=Limits(_limit(limits, "memory_mb", 1), _limit(limits, "sockets", _MIN_SOCKETS)),
         settings=settings,
         naming=naming,
         known=_known(raw.get("known"), naming),
@@ -104,7 +111,10 @@
 
 
 def read_discovery(path: str) -> tuple[str, int]:
-    """Discovery's address in a configuration file that was replaced; the environment has only the first."""
+    """Return discovery's address in a configuration file that was replaced.
+
+    The environment has only the address at the start.  Raise ConfigError if there is none.
+    """
     return _address({}, read_file(path), "discovery", "discovery")
 
 
@@ -116,7 +126,7 @@
 
 
 def read_file(path: str) -> dict[str, Any]:
-    """The object that a configuration file holds; ConfigError where it holds none."""
+    """Return the object that a configuration file holds; raise ConfigError if it holds none."""
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
@@ -134,10 +144,10 @@
     return value
 
 
-def _limit(raw: Mapping[str, Any], name: str, least: int) -> int:
+def _limit(raw: Mapping[str, Any], name: str, minimum: int) -> int:
     value: object = raw.get(name)
-    if not isinstance(value, int | float) or isinstance(value, bool) or not least <= value < float("inf"):
-        raise ConfigError(f"limits.{name} is not a number of at least {least}: {value!r}")
+    if not isinstance(value, int | float) or isinstance(value, bool) or not minimum <= value < float("inf"):
+        raise ConfigError(f"limits.{name} is not a number of at least {minimum}: {value!r}")
     return int(value)
 
 
@@ -159,14 +169,14 @@
 
 
 def _management(environment: Mapping[str, str], raw: Mapping[str, Any]) -> tuple[str, int] | None:
-    """The second address; None where the platform names none."""
+    """Return the address of the admin server; None if the platform names none."""
     if not environment.get("NODE_MANAGEMENT") and raw.get("management") is None:
         return None
     return _address(environment, raw, "NODE_MANAGEMENT", "management")
 
 
 def _members(environment: Mapping[str, str], name: str) -> MembersConfig | None:
-    """Membership, where a file for it is named."""
+    """Return the configuration of membership, if a file for it is named."""
     path = environment.get("NODE_MEMBERS", "")
     if not path:
         return None
@@ -180,7 +190,7 @@
 
 
 def _state(environment: Mapping[str, str], name: str) -> StateConfig | None:
-    """The state directory, where a file for it is named."""
+    """Return the configuration of the state directory, if a file for it is named."""
     path = environment.get("NODE_STATE", "")
     if not path:
         return None
@@ -194,7 +204,7 @@
 
 
 def _feed(environment: Mapping[str, str], name: str) -> FeedConfig | None:
-    """The feed of configuration, where a file for it is named."""
+    """Return the configuration of the configuration feed, if a file for it is named."""
     path = environment.get("NODE_FEED", "")
     if not path:
         return None
@@ -208,7 +218,7 @@
 
 
 def _overlays(environment: Mapping[str, str], raw: dict[str, Any], path: str, feed: FeedConfig) -> Overlays:
-    """The file and the documents that were last in force on it."""
+    """Return the file with the documents that were last in force on it."""
     from crowpost.feed.model import FeedError
     from crowpost.feed.shelf import Shelf
     from crowpost.node.overlays import Overlays
@@ -233,7 +243,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of 'host:port'; ValueError where there is none."""
+    """Return host and port of 'host:port'; raise ValueError if the text is not of this form."""
     host, _, port = text.rpartition(":")
     number = int(port)
     if not host or not 0 <= number < 65536:
@@ -251,7 +261,7 @@
 
 
 def _conn_idle(values: Mapping[str, str]) -> float:
-    text = values.get("policyLimits.connIdleMs", str(_DEFAULT_CONN_IDLE_MS))
+    text = values.get("policyLimits.connIdleMs", str(DEFAULT_CONN_IDLE_MS))
     try:
         idle = float(text)
     except ValueError:
@@ -269,7 +279,7 @@
 
 
 def flat(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path to value pairs of the simulator's first message."""
+    """Yield nested JSON as the path and value pairs of the simulator's first message."""
     if isinstance(value, dict):
         for name, member in value.items():
             yield from flat(member, f"{path}.{name}" if path else name)
--- a/crowpost/node/discovery/watch.py
+++ b/crowpost/node/discovery/watch.py
@@ -81,7 +81,7 @@
             log.warning("discovery: the response cannot be read: %s", error)
             self.close()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio passes it
         """Report the end of the watch."""
         self._on_closed()
 
--- a/crowpost/node/downstream/connection.py
+++ b/crowpost/node/downstream/connection.py
@@ -47,6 +47,7 @@
         self._routing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the new connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
         now = self.listener.now()
         self.opened_at = now
@@ -73,6 +74,7 @@
             self.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Parse what comes in."""
         self._received_at = self.listener.now()
         if self._discarding or self._malformed:
             return
@@ -140,7 +142,7 @@
         if self._upload is not None:
             self._upload.feed(data)
 
-    def on_stream_end(self, message: Message) -> None:
+    def on_stream_end(self, message: Message) -> None:  # noqa: ARG002  the parser passes it
         """End a long body."""
         upload = self._upload
         self._upload = None
@@ -292,9 +294,11 @@
             self._transport.close()
 
     def eof_received(self) -> bool:
+        """Close, as the peer has ended its side; return False."""
         return False
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio passes it
+        """Forget the connection, and end what was under way on it."""
         self._transport = None
         self.listener.closed(self)
         self._notify_gone()
@@ -311,9 +315,11 @@
                 exchange.on_client_gone()
 
     def pause_writing(self) -> None:
+        """Note that the peer does not read."""
         self._set_write_paused(True)
 
     def resume_writing(self) -> None:
+        """Note that the peer reads again."""
         self._set_write_paused(False)
 
     def _set_write_paused(self, paused: bool) -> None:
--- a/crowpost/node/metrics.py
+++ b/crowpost/node/metrics.py
@@ -1,4 +1,4 @@
-"""The figures that staff and their tools read: plain counts, bumped where each thing ends."""
+"""The figures that operators and their tools read: plain counters."""
 
 from __future__ import annotations
 
@@ -9,33 +9,39 @@
 
 
 class Metrics:
-    """Counts since the start of the process."""
+    """Counts since the start of the process.
+
+    classes: the names of the request classes, in the order of their indices.
+    """
 
     def __init__(self, classes: Sequence[str]) -> None:
         self._classes = [_escaped(name) for name in classes]
-        self._answers = [dict.fromkeys(_RESULTS, 0) for _ in classes]
-        self._tries = 0
+        self._responses = [dict.fromkeys(_RESULTS, 0) for _ in classes]
+        self._attempts = 0
 
     def answered(self, class_index: int, status: int) -> None:
-        """A request's final answer went out."""
+        """Count the final response of a request."""
         result = "ok" if status == 200 else "shed" if status in (429, 503) else "errors"
-        self._answers[class_index][result] += 1
+        self._responses[class_index][result] += 1
 
     def attempt_written(self) -> None:
-        """An attempt was written to a server, to its last byte."""
-        self._tries += 1
+        """Count an attempt that was written to its last byte."""
+        self._attempts += 1
 
     def render(
         self, *, active: int, pool_size: int, pool_ejected: int, more: Mapping[str, float] | None = None
     ) -> bytes:
-        """All figures, one a line; more: of parts that are on, by name and labels."""
+        """Return all figures, one a line.
+
+        more: the figures of optional parts, by name and labels.
+        """
         lines = [
-            f'{_PREFIX}_responses{{kind="{name}",result="{result}"}} {answers[result]}'
-            for name, answers in zip(self._classes, self._answers, strict=True)
+            f'{_PREFIX}_responses{{kind="{name}",result="{result}"}} {counts[result]}'
+            for name, counts in zip(self._classes, self._responses, strict=True)
             for result in _RESULTS
         ]
         lines += [
-            f"{_PREFIX}_tries {self._tries}",
+            f"{_PREFIX}_tries {self._attempts}",
             f"{_PREFIX}_active {active}",
             f"{_PREFIX}_pool_size {pool_size}",
             f"{_PREFIX}_pool_ejected {pool_ejected}",
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -226,7 +226,7 @@
             return MemberPhase.PRESENT if self.ready() else MemberPhase.JOINING
 
         keeping = self._keeping
-        note = keeping.note_incarnation if keeping is not None else lambda incarnation: None
+        note = keeping.note_incarnation if keeping is not None else lambda _: None
         self._membership = Membership(
             self._config.members, self._config.settings, phase, self._events.post, note
         )
@@ -287,7 +287,8 @@
         try:
             address = read_discovery(self._config.path)
         except ConfigError as error:
-            log.error("the new configuration cannot be used, discovery stays where it was: %s", error)
+            text = "the new configuration cannot be used, discovery stays where it was: %s"
+            log.error(text, error)  # noqa: TRY400  the error's text says all
             return
         if self._feeding is not None:
             address = self._feeding.rebase(address)
--- a/crowpost/node/upstream/connection.py
+++ b/crowpost/node/upstream/connection.py
@@ -70,6 +70,7 @@
         self.on_lost: Callable[[], None] | None = None  # for a call that waits for this connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the new connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
         self._pool.opened(self)
 
@@ -133,11 +134,13 @@
             on_flushed()
 
     def pause_writing(self) -> None:
+        """Note that the peer does not read."""
         self._write_paused = True
         if self._call is not None and self._call.upload is not None:
             self._call.upload.set_sink_ready(False)
 
     def resume_writing(self) -> None:
+        """Note that the peer reads again."""
         self._write_paused = False
         self._progress_at = asyncio.get_running_loop().time()
         if self._call is not None and self._call.upload is not None:
@@ -229,6 +232,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Parse what comes in."""
         if self._call is None and self._discard_timer is None:
             self.abort()  # nothing was asked: these bytes must not be taken for the next response
             return
@@ -240,12 +244,14 @@
         self._finish_call()
 
     def eof_received(self) -> bool:
+        """Close, as the peer has ended its side; return False."""
         self._parser.feed_eof()
         if self._response is not None:
             self._finish_call()
         return False
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio passes it
+        """Forget the connection, and end what was under way on it."""
         now = asyncio.get_running_loop().time()
         if self in self.endpoint.idle:
             # One that closed sooner was closed with the response, not for being idle.
