--- a/tests/feed_fleet.py
+++ b/tests/feed_fleet.py
@@ -16,7 +16,7 @@
 from crowpost.cli.feed import ask_all, picture
 from crowpost.feed.carrier import ask
 from crowpost.feed.messages import Message, Publish, Published
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     StubDiscovery,
--- a/tests/hastened.py
+++ b/tests/node/skipping_clock.py
@@ -14,9 +14,9 @@
 from typing import Any
 from unittest import mock
 
-SETTLE_S = 0.0005  # real time without an event, after which nothing is held to be on its way
-LEAST_S = 0.02  # skipped at once: timers may be late by so much
-LONGEST_S = 600.0  # of the skipping clock, for one test
+QUIET_S = 0.0005  # real time without an event, after which nothing is held to be on its way
+MIN_SKIP_S = 0.02  # skipped at once: timers may be late by so much
+MAX_TEST_S = 600.0  # of the skipping clock, for one test
 
 
 class _Clock:
@@ -39,9 +39,9 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None or timeout <= 0.0:
             return list(super().select(timeout))
-        ready = list(super().select(min(timeout, SETTLE_S)))
+        ready = list(super().select(min(timeout, QUIET_S)))
         if not ready:
-            self._clock.skipped += max(timeout, LEAST_S)
+            self._clock.skipped += max(timeout, MIN_SKIP_S)
         return ready
 
 
@@ -54,11 +54,11 @@
         yield
 
 
-def run_hastened(main: Coroutine[Any, Any, None]) -> None:
-    """Run a test whose waiting is skipped."""
+def run_with_skipping_clock(main: Coroutine[Any, Any, None]) -> None:
+    """Run a test on a clock that skips the time in which nothing happens."""
     clock = _Clock()
     with (
         _patched(clock),
         asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(_Selector(clock))) as runner,
     ):
-        runner.run(asyncio.wait_for(main, LONGEST_S))
+        runner.run(asyncio.wait_for(main, MAX_TEST_S))
--- a/tests/test_management.py
+++ b/tests/node/test_admin.py
@@ -12,7 +12,7 @@
 from crowpost.interface import Action, AttemptEnded, Cancel, Event, Outcome, RequestArrived, Send
 from crowpost.node.admin import CALL_TIMEOUT_S
 from crowpost.node.metrics import Metrics
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Caller,
--- a/tests/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -14,7 +14,7 @@
 from crowpost.node.http.message import MAX_BODY, Message, MessageError
 from crowpost.node.http.parser import MessageParser
 from crowpost.node.upstream import connection as upstream_connection
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Behaviour,
--- a/tests/test_config.py
+++ b/tests/node/test_configuration.py
@@ -13,7 +13,7 @@
 from crowpost.node.clock import Clock
 from crowpost.node.configuration import ConfigError, load
 from crowpost.node.discovery.endpoint_list import ListError, Naming
-from tests.stubs import listing, row, settings
+from tests.node.stubs import listing, row, settings
 
 
 def _config(**changes: Any) -> dict[str, Any]:
--- a/tests/test_handover.py
+++ b/tests/node/test_connection_race.py
@@ -12,7 +12,7 @@
 from crowpost.node.upstream.connection import UpstreamConnection
 from crowpost.node.upstream.endpoint import EndpointConnections
 from crowpost.node.upstream.race import MAX_EXTRA_DIALS
-from tests.stubs import (
+from tests.node.stubs import (
     PATIENCE_S,
     Behaviour,
     Caller,
@@ -29,7 +29,7 @@
     tell,
     world,
 )
-from tests.test_crossings import HeldDials, Told, limits, twice
+from tests.node.test_races import HeldDials, Told, limits, twice
 
 NEVER_S = 10 * PATIENCE_S
 PAST_DEADLINE_S = 5.0  # but less than an idle connection is trusted for
--- a/tests/test_node.py
+++ b/tests/node/test_node.py
@@ -14,7 +14,7 @@
 from crowpost.node.downstream.timeouts import FIRST_BYTE_TIMEOUT_S
 from crowpost.node.node import FIRST_LIST_TIMEOUT_S
 from crowpost.node.upstream.pool import REUSE_DELAY_S
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     StubDiscovery,
--- a/tests/test_run.py
+++ b/tests/node/test_process.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Caller,
@@ -31,7 +31,7 @@
     tell,
 )
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 async def _start(environment: dict[str, str], pass_fds: tuple[int, ...] = ()) -> asyncio.subprocess.Process:
--- a/tests/test_crossings.py
+++ b/tests/node/test_races.py
@@ -32,7 +32,7 @@
 from crowpost.node.http.message import MAX_BODY
 from crowpost.node.node import Node
 from crowpost.node.upstream.pool import REUSE_DELAY_S
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Received,
--- a/tests/test_servers.py
+++ b/tests/node/test_upstream.py
@@ -15,7 +15,7 @@
 from crowpost.node.upstream.call import Call
 from crowpost.node.upstream.keep_alive import KeepAlive
 from crowpost.node.upstream.pool import ConnectionPool
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Behaviour,
--- a/tests/test_carrier.py
+++ b/tests/test_carrier.py
@@ -20,7 +20,7 @@
 from crowpost.members.model import Claim, MemberError, Phase, Profile, Tuning, Verdict
 from crowpost.members.presence import Presence, Share, seats
 from crowpost.members.wire import Kind
-from tests.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
+from tests.node.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
 from tests.test_cli import crowpost
 
 QUICK = Tuning(probe_ms=40.0, gossip_ms=15.0, sync_ms=500.0, rejoin_ms=200.0)
--- a/tests/test_feed_command.py
+++ b/tests/test_feed_command.py
@@ -13,7 +13,7 @@
 from crowpost.cli.feed import ASK_S, ask_all, picture
 from crowpost.feed.__main__ import main as feed_main
 from tests.feed_fleet import CLUSTER, connect, fleet, version
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     run,
 )
--- a/tests/test_feed_node.py
+++ b/tests/test_feed_node.py
@@ -14,7 +14,7 @@
 from crowpost.feed.shelf import Shelf
 from crowpost.node.configuration import ConfigError, load
 from crowpost.node.overlays import Overlays, patched
-from tests.stubs import HOST, listing, row, settings
+from tests.node.stubs import HOST, listing, row, settings
 
 FILE, FED = (HOST, 8500), (HOST, 8501)
 OWNER = ("c", "n0")
--- a/tests/test_feed_real.py
+++ b/tests/test_feed_real.py
@@ -20,7 +20,7 @@
 from crowpost.store.disk import Disk
 from crowpost.store.model import Append, Operation
 from tests.feed_fleet import CLUSTER, connect, fleet, in_force, version
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Caller,
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -44,9 +44,9 @@
 from crowpost.store.carrier import look
 from crowpost.store.config import StateConfig, load
 from crowpost.store.model import Durability, StoreError
-from tests.stubs import PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell, world
+from tests.node.stubs import PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell, world
+from tests.node.test_process import _configuration, _environment, _start, _told
 from tests.test_cli import crowpost
-from tests.test_run import _configuration, _environment, _start, _told
 
 KIND = RequestClass("r", 1000, 3000)
 MINUTE = 60_000.0
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -17,7 +17,7 @@
 
 from crowpost.interface import EndpointEntry, RequestClass, Settings
 from tests.fleet import Fleet, SimServer, heaviest
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Caller,
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -13,7 +13,7 @@
 from crowpost.lab.rig.history import check
 from crowpost.lab.rig.plan import Act, Bad, kinds, load, shipped, timetable
 from crowpost.lab.rig.relays import Relays, own_ip
-from tests.stubs import PATIENCE_S, run
+from tests.node.stubs import PATIENCE_S, run
 from tests.test_cli import crowpost
 
 HEAD = 'schema = 1\nname = "t"\nabout = "a test"\nprocesses = 4\nduration_s = 5.0\n'
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -28,8 +28,8 @@
     Send,
 )
 from crowpost.node.http.message import MAX_BODY
-from tests.hastened import run_hastened
-from tests.stubs import (
+from tests.node.skipping_clock import run_with_skipping_clock
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Answer,
@@ -48,7 +48,7 @@
     tell,
     world,
 )
-from tests.test_crossings import HeldDials, Told, limits
+from tests.node.test_races import HeldDials, Told, limits
 
 TROUBLES = ("refused", "reset", "failed", "broken", "half", "silent", "given up")
 MARGIN_S = 0.5  # for a node that is busy
@@ -136,7 +136,7 @@
         late = [(*play, round(s, 1)) for play, s in zip(plays, took, strict=True) if s >= TOLD_S - MARGIN_S]
         assert not late
 
-    run_hastened(main())
+    run_with_skipping_clock(main())
 
 
 def test_a_watch_that_has_nothing_to_tell_is_left_in_peace() -> None:
@@ -161,7 +161,7 @@
         server.close()
         assert len(calls) == 1
 
-    run_hastened(main())
+    run_with_skipping_clock(main())
 
 
 # ---------------------------------------------------------------- callers that have left
@@ -242,7 +242,7 @@
             for server in servers:
                 server.release.set()
 
-    run_hastened(main())
+    run_with_skipping_clock(main())
 
 
 @pytest.mark.parametrize("leaves", [False, True])
@@ -315,7 +315,7 @@
             assert len(told) == 2
             assert min(told) <= max(told) - 1.0 and max(told) <= 3.0
 
-    run_hastened(main())
+    run_with_skipping_clock(main())
 
 
 # ---------------------------------------------------------------- real processes
