--- a/crowpost/lab/overhead/profile.py
+++ b/crowpost/lab/overhead/profile.py
@@ -28,6 +28,11 @@
     "node/servers.py": "servers' side",
     "node/upstream.py": "servers' side",
     "node/node.py": "the node's own events",
+    "node/dispatcher.py": "the node's own events",
+    "node/event_queue.py": "the node's own events",
+    "node/request_table.py": "the node's own events",
+    "node/attempt.py": "the node's own events",
+    "node/clock.py": "the node's own events",
     "node/metrics.py": "metrics",
 }
 BELOW = "event loop and kernel"
