--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -23,7 +23,8 @@
 from crowpost.node.discovery.client import DiscoveryClient
 from crowpost.node.discovery.endpoint_list import ListError, Listing
 from crowpost.node.dispatcher import Dispatcher, HealthChecker
-from crowpost.node.downstream.listener import Listener, adopt_listening_socket
+from crowpost.node.downstream.listener import Listener
+from crowpost.node.downstream.sockets import adopt_listening_socket
 from crowpost.node.drain import Drain, Phase
 from crowpost.node.event_queue import EventQueue
 from crowpost.node.metrics import Metrics
@@ -139,7 +140,7 @@
         )
 
     def _connect_dispatcher(self, health_check: bytes) -> None:
-        columns = self._config.settings.load_report_columns
+        columns = self._config.settings.load_columns
         attempts = AttemptSender(
             self._requests, self._pool, self._clock, self._events, self._metrics, columns
         )
@@ -192,7 +193,7 @@
         """
         if self._config.state is None:
             return known
-        from crowpost.node.state.writer import NodeStateWriter
+        from crowpost.node.state_writer import NodeStateWriter
         from crowpost.storage.errors import StoreError
 
         def drain(evacuated: bool) -> bool:
@@ -225,7 +226,7 @@
             return MemberPhase.PRESENT if self.ready() else MemberPhase.JOINING
 
         state_writer = self._state_writer
-        note = state_writer.record_incarnation if state_writer is not None else lambda incarnation: None
+        note = state_writer.record_incarnation if state_writer is not None else lambda _: None
         self._membership = Membership(
             self._config.members, self._config.settings, phase, self._events.post, note
         )
@@ -252,7 +253,7 @@
     def _on_discovery_heard(self) -> None:
         """Accept from an inherited socket, as what discovery knows at the start is here."""
         self._discovery_heard = True
-        leaving = self._drain.phase is Phase.LEAVING
+        leaving = self._drain.phase is Phase.TERMINATING
         if self._inherited_socket is not None and self._pool.has_endpoints() and not leaving:
             inherited = self._inherited_socket
             self._inherited_socket = None
@@ -288,7 +289,8 @@
         try:
             address = read_discovery(self._config.path)
         except ConfigError as error:
-            log.error("the new configuration cannot be used, discovery stays where it was: %s", error)
+            text = "the new configuration cannot be used, discovery stays where it was: %s"
+            log.error(text, error)  # noqa: TRY400  the error's text says all
             return
         if self._config_feed is not None:
             address = self._config_feed.rebase(address)
@@ -316,7 +318,7 @@
         self._pool.update(listing)
         self._events.post(listing.event())
         if self._state_writer is not None:
-            self._state_writer.record_list(listing.whole, listing.version, listing.raw)
+            self._state_writer.record_list(listing.complete, listing.version, listing.raw)
         self._on_discovery_heard()
 
     def _evacuate(self) -> AdminResponse | Awaitable[AdminResponse]:
@@ -355,6 +357,6 @@
 
     def terminate(self) -> None:
         """Begin the graceful shutdown (SIGTERM): no longer ready, respond to what still comes, then end."""
-        self._drain.leave()
+        self._drain.terminate()
         if self._state_writer is not None:
             self._state_writer.close()  # at once, as another process of this node may wait for the directory
--- a/tests/config_feed/test_command.py
+++ b/tests/config_feed/test_command.py
@@ -14,10 +14,7 @@
 from crowpost.cli.feed_status import StatusAnswers, collect_statuses, summarize
 from crowpost.config_feed.command import main as feed_main
 from tests.config_feed.fleet import CLUSTER, connect, fleet, version
-from tests.stubs import (
-    HOST,
-    run,
-)
+from tests.node.stubs import HOST, run
 from tests.test_cli import crowpost
 
 
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -15,7 +15,7 @@
 from crowpost.config_feed.errors import FeedError
 from crowpost.node.configuration import ConfigError, load
 from crowpost.node.configuration_overlays import ConfigurationOverlays, patched
-from tests.stubs import HOST, listing, row, settings
+from tests.node.stubs import HOST, listing, row, settings
 
 FILE, FED = (HOST, 8500), (HOST, 8501)
 OWNER = ("c", "n0")
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -23,7 +23,18 @@
 from crowpost.storage.disk import Disk
 from crowpost.storage.operations import Append, Operation
 from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
-from tests.stubs import HOST, PATIENCE_S, Caller, StubDiscovery, StubServer, listing, reply, row, run, tell
+from tests.node.stubs import (
+    HOST,
+    PATIENCE_S,
+    Caller,
+    StubDiscovery,
+    StubServer,
+    listing,
+    reply,
+    row,
+    run,
+    tell,
+)
 
 
 def test_changes_under_traffic_cost_no_call_and_no_connection(tmp_path: Path) -> None:
--- a/tests/config_feed/test_transport.py
+++ b/tests/config_feed/test_transport.py
@@ -9,7 +9,7 @@
 
 from crowpost.config_feed.configuration import FeedConfig
 from crowpost.config_feed.transport import FeedTransport
-from tests.stubs import run
+from tests.node.stubs import run
 
 
 def test_an_event_whose_values_hold_a_time_or_an_event_of_their_own_is_logged(
--- a/tests/membership/test_command.py
+++ b/tests/membership/test_command.py
@@ -11,7 +11,7 @@
 import pytest
 
 from crowpost.cli.members import find_disagreements
-from tests.stubs import HOST
+from tests.node.stubs import HOST
 from tests.test_cli import crowpost
 
 
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -21,7 +21,7 @@
 from crowpost.membership.transport import MembershipTransport
 from crowpost.membership.wire import MessageKind
 from tests.membership.files import MINIMAL_FILE
-from tests.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
+from tests.node.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
 
 QUICK = ProtocolSettings(
     probe_interval_ms=40.0, gossip_interval_ms=15.0, sync_interval_ms=500.0, dead_probe_interval_ms=200.0
--- a/tests/node/state/test_command.py
+++ b/tests/node/state/test_command.py
@@ -10,7 +10,7 @@
 
 from crowpost.cli.main import main
 from tests.node.state.helpers import config, until, write_malformed_list
-from tests.stubs import StubServer, listing, reply, row, run, tell, world
+from tests.node.stubs import StubServer, listing, reply, row, run, tell, world
 from tests.test_cli import crowpost
 
 
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -22,8 +22,8 @@
 from crowpost.storage.model import Durability
 from crowpost.storage.runner import inspect_store
 from tests.node.state.helpers import config, until, write_malformed_list
-from tests.stubs import PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell, world
-from tests.test_run import _configuration, _environment, _start, _told
+from tests.node.stubs import PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell, world
+from tests.node.test_process import _configuration, _environment, _start, _told
 
 
 def test_nothing_of_the_state_is_imported_where_it_is_off() -> None:
