--- a/crowpost/config_feed/document_cache.py
+++ b/crowpost/config_feed/document_cache.py
@@ -1,6 +1,6 @@
 """A node's last good documents on its disk: one file for each scope, replaced as a whole.
 
-This is not the store of `crowpost.store`: there are four documents at the most and each replaces the one
+This is not the store of `crowpost.storage`: there are four documents at the most and each replaces the one
 before, so a log has nothing to add.  Two processes of one node, as in an upgrade, may both write without a
 lock, since each file is complete by itself and an older one is corrected by the next watch.  All calls block.
 """
--- a/crowpost/node/configuration.py
+++ b/crowpost/node/configuration.py
@@ -69,7 +69,9 @@
     overlays = None
     if feed is not None:
         overlays = _overlays(environment, raw, path, feed)
-        environment, raw = overlays.start
+        inputs = overlays.start_inputs
+        environment = inputs.environment
+        raw = inputs.raw
     config = read_config(environment, raw, path)
     return replace(
         config,
@@ -227,11 +229,11 @@
     if feed.directory is None:
         return ConfigurationOverlays(environment, raw, path)
     try:
-        kept, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).read()
+        documents, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).load()
     except FeedError as error:
         raise ConfigError(f"NODE_FEED: {error}") from None
     overlays = ConfigurationOverlays(
-        environment, raw, path, [d for d in kept if feed.interest.wants(d.head.scope)]
+        environment, raw, path, [d for d in documents if feed.subscription.includes(d.header.scope)]
     )
     overlays.notes += notes
     return overlays
--- a/crowpost/node/dispatcher.py
+++ b/crowpost/node/dispatcher.py
@@ -55,14 +55,14 @@
         self._clock = clock
         self._events = events
         self._request = request
-        self._load_columns = load_report_columns
+        self._load_report_columns = load_report_columns
 
     def check(self, server: EndpointId) -> None:
         """Send one health check to a server."""
         sent_at_ms = self._clock.now()
 
         def on_finished(outcome: Outcome, response: Message | None) -> None:
-            load = parse_load_report(response, self._load_columns)
+            load = parse_load_report(response, self._load_report_columns)
             self._events.post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at_ms, load))
 
         call = Call(lambda _: self._request, HEALTH_CHECK_TIMEOUT_MS / 1000.0, on_finished)
--- a/crowpost/node/downstream/request.py
+++ b/crowpost/node/downstream/request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from crowpost.interface import Effect, Settings
+from crowpost.decision_api import Effect, Settings
 from crowpost.node.http.message import (
     CLASS,
     COST_HINT,
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -140,7 +140,7 @@
         )
 
     def _connect_dispatcher(self, health_check: bytes) -> None:
-        columns = self._config.settings.load_columns
+        columns = self._config.settings.load_report_columns
         attempts = AttemptSender(
             self._requests, self._pool, self._clock, self._events, self._metrics, columns
         )
@@ -193,7 +193,7 @@
         """
         if self._config.state is None:
             return known
-        from crowpost.node.state_writer import NodeStateWriter
+        from crowpost.node.state.writer import NodeStateWriter
         from crowpost.storage.errors import StoreError
 
         def drain(evacuated: bool) -> bool:
@@ -203,15 +203,15 @@
         try:
             self._state_writer.open()
             raw = self._state_writer.state.endpoint_list()
-            state = self._config.naming.read(raw) if raw is not None else None
+            stored = self._config.naming.read(raw) if raw is not None else None
         except (StoreError, ListError) as error:
             raise ConfigError(f"NODE_STATE: {self._config.state.directory}: {error}") from None
         if self._state_writer.state.evacuated:
             log.info("the node was evacuated and stays so until rejoin")
             self._drain.evacuate()
-        if state is None or (known is not None and known.version > state.version):
+        if stored is None or (known is not None and known.version > stored.version):
             return known
-        return state
+        return stored
 
     async def _start_membership(self) -> None:
         """Join the cluster, where membership is configured; else nothing of it is imported."""
