--- a/crowpost/lab/membership/measurement.py
+++ b/crowpost/lab/membership/measurement.py
@@ -14,6 +14,7 @@
 import numpy as np
 
 from crowpost.lab.membership.simulation import NetworkConditions, SimulatedCluster, SimulatedProcess
+from crowpost.membership import counters
 from crowpost.membership.model import Liveness, StateChange
 from crowpost.membership.settings import ProtocolSettings
 
@@ -151,7 +152,7 @@
     counts: Counter[str] = Counter()
     for process in cluster.processes.values():
         counts.update(process.core.counts)
-    sent = [process.core.counts["bytes_out"] / seconds for process in cluster.running()]
+    sent = [process.core.counts[counters.BYTES_OUT] / seconds for process in cluster.running()]
     return RunResult(
         members,
         seconds,
@@ -159,7 +160,7 @@
         list(observer.false_deaths.values()),
         float(np.mean(sent)),
         max(sent),
-        counts["suspicions"],
+        counts[counters.SUSPICIONS],
         counts,
     )
 
--- a/crowpost/lab/membership/simulation.py
+++ b/crowpost/lab/membership/simulation.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from crowpost.lab.engine import Engine, Planned
-from crowpost.membership import sync
+from crowpost.membership import counters, sync
 from crowpost.membership.core import MembershipCore, Output
 from crowpost.membership.errors import MembershipError
 from crowpost.membership.model import Phase, Profile, StateChange
@@ -234,10 +234,10 @@
             completion = sync.handle_response(initiator.core, response, now)
             sync.handle_completion(responder.core, completion, now)
         except MembershipError:
-            initiator.core.counts["exchanges_refused"] += 1
+            initiator.core.counts[counters.SYNCS_REFUSED] += 1
         sent_bytes = ((initiator, len(request) + len(completion)), (responder, len(response)))
         for process, size in sent_bytes:
-            process.core.counts["bytes_out"] += size + SYNC_OVERHEAD_BYTES
+            process.core.counts[counters.BYTES_OUT] += size + SYNC_OVERHEAD_BYTES
             self.process_output(process)
 
     # ------------------------------------------------------------ state
--- a/crowpost/lab/scale/hollow.py
+++ b/crowpost/lab/scale/hollow.py
@@ -11,6 +11,7 @@
 from typing import Any, Protocol
 
 from crowpost.lab.scale.places import Place, zone_of
+from crowpost.membership import counters
 from crowpost.membership.configuration import MembershipConfig
 from crowpost.membership.framing import FRAME_TIMEOUT_S
 from crowpost.membership.model import Phase, split_address
@@ -125,7 +126,7 @@
     async def _sync(self, address: str) -> None:
         if self.cut.between(self.region, split_address(address)[0]):
             await asyncio.sleep(FRAME_TIMEOUT_S)  # as a connection to where nothing answers
-            self.core.counts["exchanges_failed"] += 1
+            self.core.counts[counters.SYNCS_FAILED] += 1
             return
         await super()._sync(address)
 
@@ -183,11 +184,11 @@
     def counts(self) -> dict[str, float]:
         counts = self.transport.core.counts
         return {
-            "messages": counts["datagrams_out"],
-            "bytes": counts["bytes_out"],
-            "bytes_in": counts["bytes_in"],
-            "late": counts["late"],
-            "suspicions": counts["suspicions"],
+            "messages": counts[counters.DATAGRAMS_OUT],
+            "bytes": counts[counters.BYTES_OUT],
+            "bytes_in": counts[counters.BYTES_IN],
+            "late": counts[counters.LATE],
+            "suspicions": counts[counters.SUSPICIONS],
         }
 
     def look(self) -> str:
--- a/crowpost/lab/scale/simulated.py
+++ b/crowpost/lab/scale/simulated.py
@@ -9,6 +9,7 @@
 from crowpost.lab.scale.places import places
 from crowpost.lab.scale.slopes import Piece
 from crowpost.lab.scale.target import Topology
+from crowpost.membership import counters
 
 WARM_MS = 5_000.0
 STEP_MS = 1_000.0
@@ -31,8 +32,10 @@
 
 
 def _sent(swarm: SimulatedCluster) -> tuple[float, float]:
-    counts = [p.core.counts for p in swarm.processes.values()]
-    return float(sum(c["datagrams_out"] for c in counts)), float(sum(c["bytes_out"] for c in counts))
+    counts = [process.core.counts for process in swarm.processes.values()]
+    datagrams = sum(count[counters.DATAGRAMS_OUT] for count in counts)
+    sent_bytes = sum(count[counters.BYTES_OUT] for count in counts)
+    return float(datagrams), float(sent_bytes)
 
 
 def region_cut(topology: Topology, size: int, for_s: float, seed: int) -> dict[str, Any]:
--- a/crowpost/membership/core.py
+++ b/crowpost/membership/core.py
@@ -14,6 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
+from crowpost.membership import counters
 from crowpost.membership.broadcast_queue import BroadcastQueue
 from crowpost.membership.errors import InvalidMessageError
 from crowpost.membership.failure_detector import FailureDetector, ProbeVerdict
@@ -194,12 +195,12 @@
     def handle_datagram(self, data: bytes, now: float) -> None:
         """Process a received datagram; one that is not valid in this cluster is counted and dropped."""
         self._detect_pause(now)
-        self.counts["bytes_in"] += len(data)
-        self.counts["datagrams_in"] += 1
+        self.counts[counters.BYTES_IN] += len(data)
+        self.counts[counters.DATAGRAMS_IN] += 1
         try:
             message = decode_datagram(data, self._tag, self.settings.max_datagram_bytes)
         except InvalidMessageError as error:
-            self.counts[f"dropped_{error.reason}"] += 1
+            self.counts[counters.dropped(error.reason)] += 1
             return
         self._process_message(message, now)
 
@@ -227,7 +228,7 @@
         """Postpone all timers if one is so late that this process cannot have run."""
         delay = now - self.next_due_ms()
         if delay >= MAX_TIMER_DELAY_FRACTION * self.settings.probe_interval_ms:
-            self.counts["late"] += 1
+            self.counts[counters.LATE] += 1
             self._timers.postpone_all(delay)
             self.detector.on_process_paused()
 
@@ -285,7 +286,7 @@
         """Record what a datagram says of its sender; return False if the datagram is to be dropped."""
         if member is not None and member.instance_id == sender.instance_id:
             if sender.datagram_counter + REPLAY_WINDOW <= member.datagram_counter:
-                self.counts["dropped_replayed"] += 1
+                self.counts[counters.DROPPED_REPLAYED] += 1
                 return False
             member.datagram_counter = max(member.datagram_counter, sender.datagram_counter)
             member.last_heard_ms = now
@@ -297,7 +298,7 @@
             held = (member.incarnation, member.instance_id)
             if (sender.incarnation, sender.instance_id) < held:
                 # A process that was replaced, one that has yet to learn of its predecessor, or a replay.
-                self.counts["dropped_outdated"] += 1
+                self.counts[counters.DROPPED_OUTDATED] += 1
                 self._notify(member, reply_to, now)
                 return False
         self._sync_planner.request_limited(reply_to, now)  # the sender's profile is not known
@@ -310,7 +311,9 @@
                 if message.target == self.local_member.name:
                     self._send_ack(message, member, reply_to, now)
                     return
-                self.counts["dropped_misdirected"] += 1  # the address belonged to another member before
+                self.counts[counters.DROPPED_MISDIRECTED] += (
+                    1  # the address belonged to another member before
+                )
             case MessageKind.PING_REQ if reply_to:
                 self.detector.on_ping_req(message, reply_to, now)
             case MessageKind.ACK:
--- a/crowpost/membership/failure_detector.py
+++ b/crowpost/membership/failure_detector.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from crowpost.membership import counters
 from crowpost.membership.model import Liveness, Member, StateUpdate
 from crowpost.membership.settings import ProtocolSettings
 from crowpost.membership.timers import TimerKind, TimerQueue
@@ -170,7 +171,7 @@
         """
         number = self._new_number()
         self._probes[number] = _Probe(member, number, member.suspicion_generation, final_probes)
-        self._counts["probes"] += 1
+        self._counts[counters.PROBES] += 1
         self._ping(member, number, now)
         interval = self.probe_interval_ms()
         for fraction in INDIRECT_PROBE_FRACTIONS:
@@ -216,7 +217,7 @@
             return self._end_final_probe(probe, now)
         if probe.answered or not member.alive:
             return None
-        self._counts["probes_failed"] += 1
+        self._counts[counters.PROBES_FAILED] += 1
         if probe.helpers_asked and not probe.nacks:
             self.adjust_local_health(1)  # not even the helpers were heard: the fault may be local
         member.failed_probes += 1
--- a/crowpost/membership/outbox.py
+++ b/crowpost/membership/outbox.py
@@ -5,6 +5,7 @@
 from collections import Counter
 from typing import NamedTuple
 
+from crowpost.membership import counters
 from crowpost.membership.model import StateUpdate
 from crowpost.membership.settings import ProtocolSettings
 from crowpost.membership.updates import UpdateProcessor
@@ -64,8 +65,8 @@
         message = Message(kind, self._next_sender(), number, target, reply_to)
         data = encode_datagram(message, self._tag, encoded)
         updates.broadcasts.record_sent(len(data), now)
-        self._counts["bytes_out"] += len(data)
-        self._counts["datagrams_out"] += 1
+        self._counts[counters.BYTES_OUT] += len(data)
+        self._counts[counters.DATAGRAMS_OUT] += 1
         self._datagrams.append(OutgoingDatagram(address, data))
 
     def _next_sender(self) -> Sender:
--- a/crowpost/membership/sync.py
+++ b/crowpost/membership/sync.py
@@ -11,6 +11,7 @@
 
 from typing import Any
 
+from crowpost.membership import counters
 from crowpost.membership.core import MembershipCore
 from crowpost.membership.errors import InvalidMessageError, InvalidMessageReason, SyncRefusedError
 from crowpost.membership.model import StateUpdate
@@ -67,7 +68,7 @@
 
 def _refuse(core: MembershipCore, error: Exception) -> bytes:
     reason = error.reason if isinstance(error, InvalidMessageError) else InvalidMessageReason.MALFORMED
-    core.counts[f"dropped_{reason}"] += 1
+    core.counts[counters.dropped(reason)] += 1
     return _encode(core, MessageKind.SYNC_REFUSED, [str(error)[:MAX_REFUSAL_CHARS]])
 
 
@@ -88,7 +89,7 @@
     completion = _encode(core, MessageKind.SYNC_COMPLETION, [own_rows])
     _apply(core, rows, now)
     core.mark_joined()
-    core.counts["exchanges"] += 1
+    core.counts[counters.SYNCS] += 1
     return completion
 
 
@@ -98,7 +99,7 @@
     if kind is not MessageKind.SYNC_COMPLETION:
         raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is no rest")
     _apply(core, _decode_list(body)[0], now)
-    core.counts["exchanges"] += 1
+    core.counts[counters.SYNCS] += 1
 
 
 def _apply(core: MembershipCore, rows: Any, now: float) -> None:
--- a/crowpost/membership/transport.py
+++ b/crowpost/membership/transport.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from crowpost.membership import sync
+from crowpost.membership import counters, sync
 from crowpost.membership.configuration import MembershipConfig
 from crowpost.membership.core import MembershipCore, Output
 from crowpost.membership.errors import MembershipError, SyncRefusedError
@@ -155,7 +155,7 @@
         try:
             self._datagrams.sendto(data, split_address(address))
         except (OSError, ValueError):
-            self.core.counts["unsendable"] += 1  # an address that cannot exist: its probes will fail
+            self.core.counts[counters.UNSENDABLE] += 1  # an address that cannot exist: its probes will fail
 
     def _set_timer(self, due_ms: float) -> None:
         if self._datagrams is None or due_ms >= self._timer_due_ms:
@@ -180,7 +180,7 @@
                 host, port = split_address(address)
                 reader, writer = await asyncio.open_connection(host, port, local_addr=(self._host, 0))
         except (OSError, TimeoutError):
-            self.core.counts["exchanges_failed"] += 1
+            self.core.counts[counters.SYNCS_FAILED] += 1
             return
         try:
             self._write(writer, sync.make_request(self.core))
@@ -189,10 +189,10 @@
             self._process_output()
             await self._read(reader)  # the responder has applied all of it
         except SyncRefusedError as error:
-            self.core.counts["exchanges_refused"] += 1
+            self.core.counts[counters.SYNCS_REFUSED] += 1
             self._log_event("refused", self.now(), address=address, text=str(error))
         except (OSError, EOFError, TimeoutError, MembershipError):
-            self.core.counts["exchanges_failed"] += 1
+            self.core.counts[counters.SYNCS_FAILED] += 1
         finally:
             writer.close()
 
@@ -204,7 +204,7 @@
             except (OSError, EOFError, TimeoutError):
                 pass
             except MembershipError:
-                self.core.counts["frames_dropped"] += 1
+                self.core.counts[counters.FRAMES_DROPPED] += 1
             except Exception:  # nothing that one connection brings may end the process
                 log.exception("unexpected error on a membership connection")
             finally:
@@ -245,12 +245,12 @@
         self._write(writer, self._encode(MessageKind.DONE, [self.core.local_member.name]))
 
     def _write(self, writer: asyncio.StreamWriter, frame: bytes) -> None:
-        self.core.counts["bytes_out"] += stream_bytes(frame)
+        self.core.counts[counters.BYTES_OUT] += stream_bytes(frame)
         write_frame(writer, frame)
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
         frame = await read_frame(reader)
-        self.core.counts["bytes_in"] += stream_bytes(frame)
+        self.core.counts[counters.BYTES_IN] += stream_bytes(frame)
         return frame
 
     # ------------------------------------------------------------ end
--- a/crowpost/membership/updates.py
+++ b/crowpost/membership/updates.py
@@ -7,6 +7,7 @@
 from collections import Counter
 from dataclasses import replace
 
+from crowpost.membership import counters
 from crowpost.membership.broadcast_queue import BroadcastQueue
 from crowpost.membership.failure_detector import FailureDetector
 from crowpost.membership.model import Liveness, Member, Phase, Profile, StateUpdate
@@ -109,7 +110,7 @@
             self.announce(now, update.incarnation + 1)
 
     def _refute(self, update: StateUpdate, now: float) -> None:
-        self._counts["refuted"] += 1
+        self._counts[counters.REFUTED] += 1
         self.detector.adjust_local_health(1)
         self.announce(now, update.incarnation + 1)
 
@@ -126,7 +127,7 @@
             return
         if not self.superseded:
             self.superseded = True
-            self._counts["yielded"] += 1
+            self._counts[counters.SUPERSEDED] += 1
             self.log_messages.append(f"{update.name}: superseded by a newer process of this name")
         if self.view.supersedes(update, self.local_member):
             self.view.apply(self.local_member, update, now)
@@ -159,7 +160,7 @@
         elif same_process or update.profile is not None:
             self._accept(member, update, now)
         else:
-            self._counts["lacking"] += 1
+            self._counts[counters.LACKING] += 1
 
     @staticmethod
     def _is_same_suspicion(update: StateUpdate, member: Member) -> bool:
@@ -186,7 +187,7 @@
 
     def _add_member(self, update: StateUpdate, now: float) -> None:
         if update.profile is None:
-            self._counts["lacking"] += 1
+            self._counts[counters.LACKING] += 1
             return
         if update.liveness < Liveness.DEAD and self.view.alive_count >= self._settings.max_members:
             self.view.rejected_updates += 1
@@ -214,9 +215,9 @@
             member.suspected_by = frozenset()
             member.failed_probes = 0
         if before is Liveness.SUSPECT and member.liveness is Liveness.ALIVE:
-            self._counts["false_suspicions"] += 1
+            self._counts[counters.FALSE_SUSPICIONS] += 1
         elif before is Liveness.DEAD and member.alive:
-            self._counts["returned"] += 1
+            self._counts[counters.RETURNED] += 1
         if before >= Liveness.DEAD and member.alive:
             self.detector.add_target(member.name)
 
@@ -232,7 +233,7 @@
 
     def suspect(self, member: Member, now: float) -> None:
         """Suspect a member that did not answer the probes of this process."""
-        self._counts["suspicions"] += 1
+        self._counts[counters.SUSPICIONS] += 1
         update = replace(
             member.to_update(include_profile=False),
             liveness=Liveness.SUSPECT,
@@ -284,7 +285,7 @@
 
     def declare_dead(self, member: Member, now: float) -> None:
         """Declare a member dead that did not answer the final probes of this process."""
-        self._counts["declared_dead"] += 1
+        self._counts[counters.DECLARED_DEAD] += 1
         reason = f"no answer, accused by {len(member.suspected_by)}"
         self._mark_dead(member, now, self.local_member.name, reason)
 
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 
 from crowpost.interface import NodesPresent, Settings
+from crowpost.membership import counters
 from crowpost.membership.configuration import MembershipConfig
 from crowpost.membership.model import Phase, StateChange
 from crowpost.membership.transport import MembershipTransport
@@ -97,16 +98,16 @@
         core = self._transport.core
         counts = core.counts
         states = Counter(member.state for member in core.view.members.values())
-        dropped = sum(count for name, count in counts.items() if name.startswith("dropped_"))
+        dropped = sum(count for name, count in counts.items() if name.startswith(counters.DROPPED_PREFIX))
         return {
             **{f'members{{state="{state}"}}': states[state] for state in REPORTED_STATES},
-            "members_probes": counts["probes"],
-            "members_probes_failed": counts["probes_failed"],
-            "members_false_suspicions": counts["false_suspicions"],
-            'members_datagrams{way="in"}': counts["datagrams_in"],
-            'members_datagrams{way="out"}': counts["datagrams_out"],
-            'members_bytes{way="in"}': counts["bytes_in"],
-            'members_bytes{way="out"}': counts["bytes_out"],
+            "members_probes": counts[counters.PROBES],
+            "members_probes_failed": counts[counters.PROBES_FAILED],
+            "members_false_suspicions": counts[counters.FALSE_SUSPICIONS],
+            'members_datagrams{way="in"}': counts[counters.DATAGRAMS_IN],
+            'members_datagrams{way="out"}': counts[counters.DATAGRAMS_OUT],
+            'members_bytes{way="in"}': counts[counters.BYTES_IN],
+            'members_bytes{way="out"}': counts[counters.BYTES_OUT],
             "members_dropped": dropped,
             "members_awareness": core.local_health_score,
             "members_view_digest": core.view.digest,
