--- /dev/null
+++ b/crowpost/config_feed/frames.py
@@ -0,0 +1,119 @@
+"""Messages as frames: length, header (magic, version, kind, cluster), CRC-32C and MessagePack body."""
+
+from __future__ import annotations
+
+import struct
+
+import google_crc32c
+import msgpack
+
+from crowpost.config_feed.errors import FeedError, FrameError
+from crowpost.config_feed.message_codec import KINDS, MAX_BODY_BYTES, MessageKind, message_row, read_message
+from crowpost.config_feed.messages import Message
+
+WIRE_VERSION = 1
+MAGIC = b"CF"
+FRAME_LENGTH = struct.Struct(">I")  # bytes that follow
+FRAME_HEADER = struct.Struct(">2sBBI")  # magic, wire version, kind, cluster
+FRAME_CHECKSUM = struct.Struct(">I")  # of header and body
+_BODY_OFFSET = FRAME_HEADER.size + FRAME_CHECKSUM.size  # after the length
+FRAME_OVERHEAD_BYTES = FRAME_LENGTH.size + _BODY_OFFSET
+MAX_FRAME_BYTES = MAX_BODY_BYTES
+PACKET_OVERHEAD_BYTES = 40  # of TCP and IP around a frame, counted against the byte budgets
+MAX_HEADERS_PER_FRAME = 64
+
+
+def cluster_tag(cluster: str) -> int:
+    """Return the number by which frame headers name a cluster."""
+    return int(google_crc32c.value(cluster.encode()))
+
+
+def encode(message: Message, cluster: int) -> bytes:
+    """Return the frame of a message.  cluster: its `cluster_tag`."""
+    body: bytes = msgpack.packb(message_row(message))
+    header = FRAME_HEADER.pack(MAGIC, WIRE_VERSION, KINDS[type(message)], cluster)
+    checksum = google_crc32c.extend(google_crc32c.value(header), body)
+    length = FRAME_LENGTH.pack(_BODY_OFFSET + len(body))
+    return length + header + FRAME_CHECKSUM.pack(checksum) + body
+
+
+def decode(frame: bytes, cluster: int | None) -> Message:
+    """Return the message of a frame without its length.  Raise FrameError for anything else.
+
+    cluster: the accepted `cluster_tag`; None accepts messages of any cluster.
+    """
+    if len(frame) < _BODY_OFFSET:
+        raise FrameError("malformed", f"a frame of {len(frame)} bytes")
+    magic, wire_version, kind, frame_cluster = FRAME_HEADER.unpack_from(frame)
+    if magic != MAGIC:
+        raise FrameError("magic", "bytes of another protocol")
+    (checksum,) = FRAME_CHECKSUM.unpack_from(frame, FRAME_HEADER.size)
+    body = frame[_BODY_OFFSET:]
+    if google_crc32c.extend(google_crc32c.value(frame[: FRAME_HEADER.size]), body) != checksum:
+        raise FrameError("checksum", "a frame whose checksum is wrong")
+    if abs(wire_version - WIRE_VERSION) > 1:
+        raise FrameError("wire", f"wire version {wire_version}, this process speaks {WIRE_VERSION}")
+    if cluster is not None and frame_cluster != cluster:
+        raise FrameError("cluster", "a message of another cluster")
+    return _decode_body(kind, body)
+
+
+def _decode_body(kind: int, body: bytes) -> Message:
+    try:
+        return read_message(MessageKind(kind), msgpack.unpackb(body, max_bin_len=MAX_FRAME_BYTES))
+    except FrameError:
+        raise
+    except FeedError as error:
+        raise FrameError("malformed", str(error)) from error
+    except (ValueError, TypeError, IndexError, RecursionError, msgpack.exceptions.UnpackException) as error:
+        reason = "kind" if kind not in list(MessageKind) else "malformed"
+        raise FrameError(reason, f"a message that cannot be read: {error}") from error
+
+
+class FrameReader:
+    """Splits a stream of bytes into messages.
+
+    cluster: the accepted `cluster_tag`, None for any; max_frame_bytes: of a frame without its length.
+    """
+
+    def __init__(self, cluster: int | None, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        self._cluster = cluster
+        self._max_frame_bytes = max_frame_bytes
+        self._buffer = bytearray()
+        self._broken = False
+
+    def feed(self, data: bytes) -> list[tuple[Message | FrameError, int]]:
+        """Return the messages that are complete by now, each with the size of its frame in bytes.
+
+        An invalid frame is returned as its FrameError; after one that is `fatal` nothing more is read.
+        """
+        found: list[tuple[Message | FrameError, int]] = []
+        if self._broken:
+            return found
+        self._buffer += data
+        offset = 0
+        while len(self._buffer) - offset >= FRAME_LENGTH.size:
+            (length,) = FRAME_LENGTH.unpack_from(self._buffer, offset)
+            if length > self._max_frame_bytes:
+                text = f"a frame of {length} bytes, {self._max_frame_bytes} at the most"
+                found.append((FrameError("oversized", text), FRAME_LENGTH.size))
+                self._broken = True
+                break
+            start = offset + FRAME_LENGTH.size
+            end = start + length
+            if len(self._buffer) < end:
+                break
+            item = self._decode(bytes(self._buffer[start:end]))
+            found.append((item, end - offset))
+            offset = end
+            if isinstance(item, FrameError) and item.fatal:
+                self._broken = True
+                break
+        del self._buffer[:offset]
+        return found
+
+    def _decode(self, frame: bytes) -> Message | FrameError:
+        try:
+            return decode(frame, self._cluster)
+        except FrameError as error:
+            return error
--- /dev/null
+++ b/crowpost/config_feed/token_bucket.py
@@ -0,0 +1,38 @@
+"""A token bucket that limits bytes per second."""
+
+from __future__ import annotations
+
+
+class TokenBucket:
+    """A number of bytes per second, and a burst of bytes that may be saved up; it starts full.
+
+    Times are in ms.  `outstanding` counts bytes that are paid for and not yet received.  They count towards
+    the burst, so that no interval ever sees more bytes than the burst and the rate allow.
+    """
+
+    __slots__ = ("_refilled_at", "burst", "bytes_per_s", "outstanding", "tokens")
+
+    def __init__(self, bytes_per_s: float, burst: float, now: float) -> None:
+        self.bytes_per_s = bytes_per_s
+        self.burst = burst
+        self.tokens = burst
+        self.outstanding = 0
+        self._refilled_at = now
+
+    def refill(self, now: float) -> float:
+        """Return the tokens available at a time; negative after spending in advance."""
+        if now > self._refilled_at:
+            gained = (now - self._refilled_at) * self.bytes_per_s / 1000.0
+            self.tokens = min(self.burst - self.outstanding, self.tokens + gained)
+            self._refilled_at = now
+        return self.tokens
+
+    def spend(self, size: float, now: float) -> None:
+        """Take tokens, whether there are enough or not."""
+        self.refill(now)
+        self.tokens -= size
+
+    def available_at(self, size: float, now: float) -> float:
+        """Return when there will be that many tokens, or a full bucket; `now` if there are already."""
+        lacking = min(size, self.burst) - self.refill(now)
+        return now if lacking <= 0.0 else now + 1000.0 * lacking / self.bytes_per_s
--- a/tests/feed_fleet.py
+++ b/tests/config_feed/fleet.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from crowpost.cli.feed import ask_all, picture
-from crowpost.feed.carrier import ask
-from crowpost.feed.messages import Message, Publish, Published
+from crowpost.config_feed.messages import Message, PublishAccepted, PublishRequest
+from crowpost.config_feed.request_reply import request_reply
 from tests.stubs import (
     HOST,
     PATIENCE_S,
@@ -71,8 +71,8 @@
 
     async def event(self, kind: str, after: int = 0, **values: object) -> dict[str, Any]:
         """An event of the feed with these values."""
-        wanted = "".join(rf"(?=.*{re.escape(json.dumps({k: v})[1:-1])})" for k, v in values.items())
-        found = await self.told(rf'feed (\{{"event": "{kind}",{wanted}.*\}})', after)
+        applies_to_node = "".join(rf"(?=.*{re.escape(json.dumps({k: v})[1:-1])})" for k, v in values.items())
+        found = await self.told(rf'feed (\{{"event": "{kind}",{applies_to_node}.*\}})', after)
         event: dict[str, Any] = json.loads(found[1])
         return event
 
@@ -108,7 +108,7 @@
         file.write_text(text)
         return str(file)
 
-    async def hub(self, name: str, upstreams: list[str]) -> Process:
+    async def distribution_server(self, name: str, upstreams: list[str]) -> Process:
         """Start a publisher or relay, or start it again where it was."""
         role = "publisher" if name == "p" else "relay"
         more = {"directory": str(self.path / "ledger")} if role == "publisher" else {}
@@ -125,7 +125,7 @@
         raw = {"seed": "1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}}
         known = listing(1, row("a", self.server.address))
         config.write_text(json.dumps({**raw, "known": known, "settings": settings(registryMode="pushed")}))
-        relays = [hub for hub in self.at if hub != "p"]
+        relays = [distribution_server for distribution_server in self.at if distribution_server != "p"]
         folder = str(self.path / f"{name}-feed")
         environment = {
             "NODE_NAME": name,
@@ -139,8 +139,8 @@
         return process, (found[1], int(found[2]))
 
     async def publish(self, body: object, scope: str = "all", **more: Any) -> Message:
-        asked = Publish(1, scope, json.dumps(body).encode(), "ann", "why not", **more)
-        return await ask(self.at["p"], asked, CLUSTER, PATIENCE_S)
+        asked = PublishRequest(1, scope, json.dumps(body).encode(), "ann", "why not", **more)
+        return await request_reply(self.at["p"], asked, CLUSTER, PATIENCE_S)
 
     async def status(self, met: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
         """The first status that meets a condition: standings are on their way for a moment."""
@@ -160,8 +160,10 @@
     async with StubServer([reply("200 OK", b"old")]) as server, StubDiscovery() as discovery:
         world = Fleet(path, discovery, server)
         try:
-            await world.hub("p", [])
-            await asyncio.gather(world.hub("r0", ["p"]), world.hub("r1", ["p"]))
+            await world.distribution_server("p", [])
+            await asyncio.gather(
+                world.distribution_server("r0", ["p"]), world.distribution_server("r1", ["p"])
+            )
             started = await asyncio.gather(*(world.node(f"n{i}") for i in range(nodes)))
             for process, _ in started:
                 for relay in ("r0", "r1"):
@@ -177,8 +179,8 @@
 
 
 def version(answer: Message) -> int:
-    assert isinstance(answer, Published), answer
-    return answer.head.version
+    assert isinstance(answer, PublishAccepted), answer
+    return answer.header.version
 
 
 async def in_force(processes: list[Process], number: int, scope: str = "all") -> list[dict[str, Any]]:
--- a/tests/test_feed_real.py
+++ b/tests/config_feed/test_processes.py
@@ -12,26 +12,18 @@
 import pytest
 
 from crowpost.cli.feed import ask_all, picture
-from crowpost.feed.carrier import Carrier, ask
-from crowpost.feed.config import FeedConfig
-from crowpost.feed.messages import Message, Publish, Published, Refused
-from crowpost.feed.model import Document, FeedError, Server
-from crowpost.feed.publishing import Publisher
-from crowpost.store.disk import Disk
-from crowpost.store.model import Append, Operation
-from tests.feed_fleet import CLUSTER, connect, fleet, in_force, version
-from tests.stubs import (
-    HOST,
-    PATIENCE_S,
-    Caller,
-    StubDiscovery,
-    StubServer,
-    listing,
-    reply,
-    row,
-    run,
-    tell,
-)
+from crowpost.config_feed.configuration import FeedConfig
+from crowpost.config_feed.documents import Document
+from crowpost.config_feed.errors import FeedError
+from crowpost.config_feed.messages import Message, PublishAccepted, PublishRejected, PublishRequest
+from crowpost.config_feed.publisher import Publisher
+from crowpost.config_feed.request_reply import request_reply
+from crowpost.config_feed.transport import FeedTransport
+from crowpost.config_feed.upstream_server import UpstreamServer
+from crowpost.storage.disk import Disk
+from crowpost.storage.operations import Append, Operation
+from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
+from tests.stubs import HOST, PATIENCE_S, Caller, StubDiscovery, StubServer, listing, reply, row, run, tell
 
 
 def test_changes_under_traffic_cost_no_call_and_no_connection(tmp_path: Path) -> None:
@@ -77,9 +69,9 @@
             assert max(event["took_us"] for event in told) < 50_000  # what it takes is measured elsewhere
             found = await world.status(lambda f: f["followers"]["n0"]["refused"] == {"node/n0": why})
             assert found["followers"]["n1"]["refused"] == {} and not found["silent"] and not found["whole"]
-            heads = found["heads"]
-            assert (heads["all"]["in_force"], heads["all"]["meant"]) == (2, 2)
-            assert (heads["node/n0"]["in_force"], heads["node/n0"]["meant"]) == (0, 1)
+            headers = found["heads"]
+            assert (headers["all"]["in_force"], headers["all"]["meant"]) == (2, 2)
+            assert (headers["node/n0"]["in_force"], headers["node/n0"]["meant"]) == (0, 1)
             answer = await callers[0].ask("look")
             assert answer.body == b"new", "the connection still stands"
             for caller in callers:
@@ -98,9 +90,9 @@
             await world.processes["p"].kill()
             with pytest.raises(FeedError):
                 await world.publish(connect(102.0))
-            await world.hub("p", [])
+            await world.distribution_server("p", [])
             answer = await world.publish(connect(102.0), if_version=0)
-            assert isinstance(answer, Refused) and answer.why == "all is at version 1 and not at 0"
+            assert isinstance(answer, PublishRejected) and answer.why == "all is at version 1 and not at 0"
             assert version(await world.publish(connect(102.0), if_version=1)) == 2
             await in_force(processes, 2)
             nearest = world.processes["r0"]
@@ -111,7 +103,7 @@
             await nearest.event("whole", version=3)
             assert version(await world.publish(connect(104.0))) == 4
             await nearest.kill()
-            assert version(await world.publish({}, back=True)) == 5
+            assert version(await world.publish({}, rollback=True)) == 5
             await in_force(processes, 5)
             found = await world.status(lambda f: f["heads"]["all"]["in_force"] == 2)
             assert list(found["silent"]) == [world.at["r0"]] and not found["whole"]
@@ -141,7 +133,7 @@
             caller = await Caller.connect(address)
             assert (await caller.ask("look")).body == b"old"
             for name in ("p", "r0", "r1"):
-                await world.hub(name, [] if name == "p" else ["p"])
+                await world.distribution_server(name, [] if name == "p" else ["p"])
             await process.event("in force", scope="region/north", version=3)
             assert (await caller.ask("look")).status == 200
             caller.close()
@@ -162,14 +154,17 @@
             await in_force([started[0][0]], 3)
             await world.processes["p"].kill()
             (tmp_path / "ledger").rename(tmp_path / "lost")
-            publisher = await world.hub("p", ["r0", "r1"])
+            publisher = await world.distribution_server("p", ["r0", "r1"])
             await publisher.event("set_back", scope="all", version=3, era=2)
             answer = await world.publish(connect(200.0), if_version=3)
-            assert isinstance(answer, Published) and (answer.head.era, answer.head.version) == (2, 4)
+            assert isinstance(answer, PublishAccepted) and (answer.header.epoch, answer.header.version) == (
+                2,
+                4,
+            )
             await in_force([started[0][0]], 4)
             await publisher.kill()
-            publisher = await world.hub("p", ["r0", "r1"])
-            assert version(await world.publish({}, back=True)) == 5, "both are in the new directory"
+            publisher = await world.distribution_server("p", ["r0", "r1"])
+            assert version(await world.publish({}, rollback=True)) == 5, "both are in the new directory"
 
     run(play())
 
@@ -178,7 +173,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def config(name: str, role: str, **more: Any) -> FeedConfig:
-        return FeedConfig(CLUSTER, name, role, "north", home="north", publishers={"north": "p"}, **more)
+        return FeedConfig(
+            CLUSTER, name, role, "north", home_region="north", publishers={"north": "p"}, **more
+        )
 
     async def play() -> None:
         publisher = Publisher(
@@ -188,7 +185,9 @@
         at = await publisher.start()
 
         async def publish(body: bytes) -> Message:
-            return await ask(at, Publish(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S)
+            return await request_reply(
+                at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S
+            )
 
         assert version(await publish(b"1")) == 1
         perform = Disk.perform
@@ -201,10 +200,10 @@
         monkeypatch.setattr(Disk, "perform", full)
         for _ in range(2):
             answer = await publish(b"2")
-            assert isinstance(answer, Refused) and "writing has stopped" in answer.why
+            assert isinstance(answer, PublishRejected) and "writing has stopped" in answer.why
             assert "the disk is full" in answer.why
         came: asyncio.Queue[Document] = asyncio.Queue()
-        watcher = Carrier(config("w", "watch", upstreams=(Server(at),)), came.put_nowait)
+        watcher = FeedTransport(config("w", "watch", upstreams=(UpstreamServer(at),)), came.put_nowait)
         watcher.start()
         assert (await asyncio.wait_for(came.get(), PATIENCE_S)).body == b"1"
         found = picture(*await ask_all([at], CLUSTER, PATIENCE_S))
