--- a/crowpost/lab/crash_consistency/benchmark.py
+++ b/crowpost/lab/crash_consistency/benchmark.py
@@ -1,10 +1,12 @@
-"""What the store costs on a real disk."""
+"""Measure a store on a real disk: appends, a long log and a large snapshot."""
 
 from __future__ import annotations
 
 import os
 import shutil
 import time
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 from typing import Any
 
@@ -15,43 +17,52 @@
 from crowpost.storage.disk import Disk, describe_os_error
 from crowpost.storage.errors import StoreError
 from crowpost.storage.model import Durability
-from crowpost.storage.runner import execute_job, open_store
+from crowpost.storage.runner import OpenedStore, execute_job, open_store
 from crowpost.storage.write_policy import WritePolicy
 
-RECORD = 256  # bytes
-LONG_LOG = 100_000_000  # bytes
-SERVERS = 10_000
-SPAN_S = 1.5  # that each rate is measured over
+OWNER = "speed"
+RECORD_BYTES = 256
+LONG_LOG_BYTES = 100_000_000
+LONG_LOG_BATCH = 500  # records
+BATCHES = (1, 10, 100)  # records for each fsync
+ENDPOINTS = 10_000
+MEASURED_S = 1.5  # for each rate
 POLICY = WritePolicy(bytes_per_s=1e12, burst_bytes=1e12)
 
+Row = dict[str, Any]  # what, figure and unit: the keys of the command's --json
 
-def measure(directory: Path) -> list[dict[str, Any]]:
-    """Rows of what, figure and unit; StoreError where the directory cannot be made.  It is removed again."""
+
+def measure(directory: Path) -> list[Row]:
+    """Return the results.  The directory is created and removed; raise StoreError if it cannot be created."""
     try:
         directory.mkdir()
     except OSError as error:
-        raise StoreError(f"{directory}: {describe_os_error(error)}") from None
-    rows: list[dict[str, Any]] = []
+        raise StoreError(f"{directory}: {describe_os_error(error)}") from error
+    try:
+        rows: list[Row] = []
+        for batch in BATCHES:
+            appends = _measure_appends(directory / f"a{batch}", batch)
+            raw = _measure_raw_file(directory / f"r{batch}", batch)
+            rows.append(_row(f"appends with an fsync for each {batch}", appends, "a second"))
+            rows.append(_row(f"the raw file, an fsync for each {batch}", raw, "a second"))
+        rows += _measure_long_log(directory / "long")
+        rows += _measure_snapshot(directory / "snapshot")
+        return rows
+    finally:
+        shutil.rmtree(directory)
 
-    def row(what: str, figure: float, unit: str) -> None:
-        rows.append({"what": what, "figure": figure, "unit": unit})
 
+def _row(what: str, figure: float, unit: str) -> Row:
+    return {"what": what, "figure": figure, "unit": unit}
+
+
+@contextmanager
+def _opened(path: Path) -> Iterator[OpenedStore]:
+    opened = open_store(path, OWNER)
     try:
-        for batch in (1, 10, 100):
-            row(
-                f"appends with an fsync for each {batch}",
-                _appends(directory / f"a{batch}", batch),
-                "a second",
-            )
-            row(f"the raw file, an fsync for each {batch}", _raw(directory / f"r{batch}", batch), "a second")
-        size, opening = _long_log(directory / "long")
-        row("a long log", size / 1e6, "MB")
-        row("opening it", opening, "s")
-        for what, figure, unit in _snapshot(directory / "snapshot"):
-            row(what, figure, unit)
+        yield opened
     finally:
-        shutil.rmtree(directory)
-    return rows
+        opened.disk.close()
 
 
 def _execute_jobs(disk: Disk, store: Store) -> None:
@@ -61,47 +72,71 @@
         store.require_no_failure()
 
 
-def _appends(path: Path, batch: int) -> float:
-    opened = open_store(path, "speed")
-    store, data, count = Store(opened.recovered, 0.0, POLICY), bytes(RECORD), 0
-    began = time.perf_counter()
-    while time.perf_counter() - began < SPAN_S:
-        for _ in range(batch):
-            store.append(data, Durability.ACKNOWLEDGED, 0.0)
-        _execute_jobs(opened.disk, store)
-        count += batch
-    rate = count / (time.perf_counter() - began)
-    opened.disk.close()
-    return rate
+def _measure_appends(path: Path, batch: int) -> float:
+    data = bytes(RECORD_BYTES)
+    count = 0
+    with _opened(path) as opened:
+        store = Store(opened.recovered, 0.0, POLICY)
+        started = time.perf_counter()
+        while time.perf_counter() - started < MEASURED_S:
+            for _ in range(batch):
+                store.append(data, Durability.ACKNOWLEDGED, 0.0)
+            _execute_jobs(opened.disk, store)
+            count += batch
+        return count / (time.perf_counter() - started)
 
 
-def _raw(path: Path, batch: int) -> float:
-    data, count = bytes(RECORD) * batch, 0
+def _measure_raw_file(path: Path, batch: int) -> float:
+    data = bytes(RECORD_BYTES) * batch
+    count = 0
     with path.open("wb", buffering=0) as file:
-        began = time.perf_counter()
-        while time.perf_counter() - began < SPAN_S:
+        started = time.perf_counter()
+        while time.perf_counter() - started < MEASURED_S:
             file.write(data)
             os.fsync(file.fileno())
             count += batch
-        return count / (time.perf_counter() - began)
-
-
-def _long_log(path: Path) -> tuple[int, float]:
-    opened = open_store(path, "speed")
-    store, data = Store(opened.recovered, 0.0, POLICY), bytes(10 * RECORD)
-    while store.counters.bytes < LONG_LOG:
-        for _ in range(500):
-            store.append(data, Durability.DELAYED, 0.0)
+        return count / (time.perf_counter() - started)
+
+
+def _measure_long_log(path: Path) -> list[Row]:
+    data = bytes(10 * RECORD_BYTES)
+    with _opened(path) as opened:
+        store = Store(opened.recovered, 0.0, POLICY)
+        while store.counters.bytes < LONG_LOG_BYTES:
+            for _ in range(LONG_LOG_BATCH):
+                store.append(data, Durability.DELAYED, 0.0)
+            _execute_jobs(opened.disk, store)
+    started = time.perf_counter()
+    with _opened(path):
+        opening = time.perf_counter() - started
+    return [_row("a long log", store.counters.bytes / 1e6, "MB"), _row("opening it", opening, "s")]
+
+
+def _measure_snapshot(path: Path) -> list[Row]:
+    state = _large_state()
+    with _opened(path) as opened:
+        store = Store(opened.recovered, 0.0, POLICY)
+        store.append(b"\x00", Durability.DELAYED, 0.0)
+        started = time.perf_counter()
+        pieces = state.snapshot_pieces()
+        copied = time.perf_counter() - started
+        store.write_snapshot(pieces)
         _execute_jobs(opened.disk, store)
-    opened.disk.close()
-    began = time.perf_counter()
-    opened = open_store(path, "speed")
-    took = time.perf_counter() - began
-    opened.disk.close()
-    return store.counters.bytes, took
+        written = time.perf_counter() - started
+        size = store.counters.bytes - store.counters.log_bytes
+    started = time.perf_counter()
+    with _opened(path) as opened:
+        read_node_state(opened.recovered)
+        read = time.perf_counter() - started
+    return [
+        _row(f"a snapshot of {ENDPOINTS} servers", written * 1000.0, "ms"),
+        _row("of which the loop is held", copied * 1000.0, "ms"),
+        _row("its size", size / 1e6, "MB"),
+        _row("reading it back", read * 1000.0, "ms"),
+    ]
 
 
-def _snapshot(path: Path) -> list[tuple[str, float, str]]:
+def _large_state() -> NodeState:
     state = NodeState()
     instances = [
         {
@@ -114,31 +149,9 @@
             "weight": 1.0,
             "startedAtMs": 1_700_000_000_000 + i,
         }
-        for i in range(SERVERS)
+        for i in range(ENDPOINTS)
     ]
+    learned = [RememberedEndpoint(str(i).encode(), 1.0, 1.0, 20.0) for i in range(ENDPOINTS)]
     state.apply(EndpointListPart(True, 1, instances))
-    state.apply(
-        LearnedEndpoints(1.0, [RememberedEndpoint(str(i).encode(), 1.0, 1.0, 20.0) for i in range(SERVERS)])
-    )
-    opened = open_store(path, "speed")
-    store = Store(opened.recovered, 0.0, POLICY)
-    store.append(b"\x00", Durability.DELAYED, 0.0)
-    began = time.perf_counter()
-    pieces = state.snapshot_pieces()
-    copied = time.perf_counter() - began
-    store.write_snapshot(pieces)
-    _execute_jobs(opened.disk, store)
-    took = time.perf_counter() - began
-    size = store.counters.bytes - store.counters.log_bytes
-    opened.disk.close()
-    began = time.perf_counter()
-    opened = open_store(path, "speed")
-    read_node_state(opened.recovered)
-    back = time.perf_counter() - began
-    opened.disk.close()
-    return [
-        (f"a snapshot of {SERVERS} servers", took * 1000.0, "ms"),
-        ("of which the loop is held", copied * 1000.0, "ms"),
-        ("its size", size / 1e6, "MB"),
-        ("reading it back", back * 1000.0, "ms"),
-    ]
+    state.apply(LearnedEndpoints(1.0, learned))
+    return state
