--- a/crowpost/tables.py
+++ b/crowpost/tables.py
@@ -1,4 +1,4 @@
-"""Tables of a TOML file, read key by key; an error is one line: the key, what it may be and what it is."""
+"""TOML tables read key by key; an error is one line: the key, what its value may be, and what it is."""
 
 from __future__ import annotations
 
@@ -10,24 +10,28 @@
 
 
 class TableError(ValueError):
-    """A file or a key that cannot be used; its text is one line."""
+    """A file or a key cannot be used; the text is one line."""
 
 
 def read_file(path: str) -> dict[str, Any]:
-    """The tables of a file; TableError that names it."""
+    """Return the tables of a file.  Raise TableError if it cannot be read."""
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise TableError(" ".join(str(error).split())) from None
+        raise TableError(" ".join(str(error).split())) from error
 
 
 class Table:
-    """A table by its dotted name.  known: its keys; any other is a TableError."""
+    """A table with its dotted name.
+
+    known: its keys.  Raise TableError if the table is missing or has any other key.
+    """
 
     def __init__(self, name: str, raw: object, known: Collection[str]) -> None:
         if not isinstance(raw, dict):
             raise TableError(f"{name}: the table is missing" if raw is None else f"{name}: a table")
-        self.name, self._raw = name, raw
+        self.name = name
+        self._raw = raw
         for key in raw:
             if key not in known:
                 raise TableError(f"{name}.{key}: no such key; known are {', '.join(known)}")
@@ -36,11 +40,11 @@
         return key in self._raw
 
     def get(self, key: str) -> Any:
-        """What the file holds, as it is; None for nothing."""
+        """Return the value as it is in the file; None if there is none."""
         return self._raw.get(key)
 
     def text(self, key: str, default: str = "", *, needed: bool = False) -> str:
-        """A text; needed: it must be there, or have a default, and not be empty."""
+        """Return a text.  needed: there must be one, in the file or as the default, and not an empty one."""
         value = self._raw.get(key, default)
         if needed and not value:
             raise TableError(f"{self.name}.{key}: is missing")
@@ -49,35 +53,35 @@
         return value
 
     def choice(self, key: str, default: str, known: Collection[str]) -> str:
-        """One of a few texts."""
+        """Return one of the known texts."""
         value = self.text(key, default)
         if value not in known:
             raise TableError(f"{self.name}.{key}: one of {', '.join(known)}, not {value!r}")
         return value
 
     def flag(self, key: str, default: bool) -> bool:
-        """True or false."""
+        """Return a boolean."""
         value = self._raw.get(key, default)
         if not isinstance(value, bool):
             raise TableError(f"{self.name}.{key}: true or false, not {value!r}")
         return value
 
     def number(self, key: str, default: float, low: float, high: float) -> float:
-        """A number within bounds."""
+        """Return a number from low to high."""
         value = self._raw.get(key, default)
         if not isinstance(value, int | float) or isinstance(value, bool) or not low <= value <= high:
             raise TableError(f"{self.name}.{key}: a number from {low:g} to {high:g}, not {value!r}")
         return float(value)
 
     def texts(self, key: str, what: str) -> tuple[str, ...]:
-        """A list of texts, empty by default.  what: they are, for the error."""
+        """Return a list of texts, empty by default.  what: names the texts in the error."""
         value = self._raw.get(key, [])
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
             raise TableError(f"{self.name}.{key}: a list of {what}, not {value!r}")
         return tuple(value)
 
     def mapping(self, key: str) -> Mapping[str, str]:
-        """A table of texts, empty by default."""
+        """Return a table of texts, empty by default."""
         value = self._raw.get(key, {})
         if not isinstance(value, dict) or not all(isinstance(v, str) for v in value.values()):
             raise TableError(f"{self.name}.{key}: a table of texts")
