--- a/tests/node/state/test_command.py
+++ b/tests/node/state/test_command.py
@@ -31,8 +31,8 @@
     state = tmp_path / "state"
     shown = crowpost("state", "show", str(state))
     assert "emptied by staff until rejoin" in shown.stdout and "version 3, 1 servers" in shown.stdout
-    told = json.loads(crowpost("state", "show", str(state), "--json").stdout)
-    assert told["owner"] == "n0" and [s["server"] for s in told["servers"]] == ["a"]
+    values = json.loads(crowpost("state", "show", str(state), "--json").stdout)
+    assert values["owner"] == "n0" and [s["server"] for s in values["servers"]] == ["a"]
     assert crowpost("state", "verify", str(state)).returncode == 0
     log = next(state.glob("log-*"))
     data = bytearray(log.read_bytes())
@@ -46,8 +46,8 @@
     mended = crowpost("state", "repair", str(state), "--to", str(tmp_path / "copy"))
     assert mended.returncode == 0 and "dropped: " in mended.stdout
     assert crowpost("state", "verify", str(tmp_path / "copy-repaired")).returncode == 0
-    again = crowpost("state", "repair", str(state), "--to", str(tmp_path / "copy"))
-    assert again.returncode == 2 and "File exists" in again.stderr
+    repeated = crowpost("state", "repair", str(state), "--to", str(tmp_path / "copy"))
+    assert repeated.returncode == 2 and "File exists" in repeated.stderr
     assert log.read_bytes() == data and os.listdir(tmp_path / "copy")
 
 
--- a/tests/node/state/test_restoration.py
+++ b/tests/node/state/test_restoration.py
@@ -35,9 +35,9 @@
 
 def test_trust_in_restored_state_decays_with_its_age() -> None:
     fresh, older, old = module(), module(), module()
-    told = [remembered(0, 2.0, 10.0), *(remembered(i, 2 / 3, 30.0) for i in (1, 2, 3))]
+    learned = [remembered(0, 2.0, 10.0), *(remembered(i, 2 / 3, 30.0) for i in (1, 2, 3))]
     for balancer, age in ((fresh, 0.0), (older, MINUTE), (old, 60 * MINUTE)):
-        rows = tuple(RememberedEndpoint(m.server, 5.0, m.ratio, m.average_ms, age_ms=age) for m in told)
+        rows = tuple(RememberedEndpoint(m.server, 5.0, m.ratio, m.average_ms, age_ms=age) for m in learned)
         balancer.handle(StateRestored(rows, 12.0, age), 100_001.0)
     assert shares(fresh)[0] == pytest.approx(2.0) and shares(older)[0] == pytest.approx(1.5)
     assert shares(old) == pytest.approx([1.0] * 4)
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -96,8 +96,8 @@
                 assert (await new.figures())["edge_node_state_writing"] == 0
                 assert (await old.manage("POST", "/api/evacuate")).status == 200
                 assert (await new.manage("GET", "/api/ready")).status == 200
-                kept = read_node_state(inspect_store(tmp_path / "state"))
-                assert kept.evacuated
+                state = read_node_state(inspect_store(tmp_path / "state"))
+                assert state.evacuated
                 old.node.terminate()  # it lets go at once, whatever it still answers
                 assert new.node._state_writer is not None
                 writer = new.node._state_writer
@@ -225,16 +225,16 @@
 def test_list_changes_beyond_the_write_budget_become_one_snapshot(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server:
-            state = config(tmp_path, bytes_per_s=1_000.0)
-            async with world(row("a", server.address), state=state) as w:
+            slow = config(tmp_path, bytes_per_s=1_000.0)
+            async with world(row("a", server.address), state=slow) as w:
                 assert w.node._state_writer is not None
                 writer = w.node._state_writer
                 for version in range(2, 600):
                     writer.record_list(False, version, [row(f"s{version}", server.address)])
                 await until(lambda: writer.figures()["state_snapshots"])
                 assert writer.state.generation == 599
-            kept = read_node_state(inspect_store(tmp_path / "state"))
-            assert len(kept.instances) >= 598 and kept.generation == 599
+            state = read_node_state(inspect_store(tmp_path / "state"))
+            assert len(state.instances) >= 598 and state.generation == 599
 
     run(main())
 
--- a/tests/storage/test_core.py
+++ b/tests/storage/test_core.py
@@ -77,8 +77,8 @@
         if number % 10 == 0:
             store.write_snapshot([b"%d" % number])
         run(disk, store)
-    kept = sorted(n for n in disk.names() if n.startswith(("log", "snapshot")))
-    assert kept == [log_file_name(31), log_file_name(41), snapshot_file_name(30), snapshot_file_name(40)]
+    retained = sorted(n for n in disk.names() if n.startswith(("log", "snapshot")))
+    assert retained == [log_file_name(31), log_file_name(41), snapshot_file_name(30), snapshot_file_name(40)]
     disk.close()
     recovered = inspect_store(tmp_path / "s")
     assert (recovered.snapshot, recovered.records, recovered.next_sequence) == ([b"40"], [], 41)
