--- a/crowpost/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from crowpost.cli.capacity import capacity
-from crowpost.cli.feedsim import feed
+from crowpost.cli.feed_simulation import feed
 from crowpost.cli.overhead import overhead
 from crowpost.cli.scale import scale
 from crowpost.cli.terminal import console
@@ -389,7 +389,7 @@
 
     Example: crowpost lab swarm --members 1000 --loss 0.2
     """
-    from crowpost.lab.swim import measure_all
+    from crowpost.lab.membership.measurement import measure_all
 
     if kills >= members:
         raise typer.BadParameter(f"{kills} kills of {members} members")
--- /dev/null
+++ b/crowpost/config_feed/distribution_server.py
@@ -0,0 +1,429 @@
+"""The serving side of the feed, in relays and publishers.  Without I/O.
+
+A distribution server sends headers to all followers that watch them and bodies on request, and collects apply
+reports.  Connections are numbers chosen by the transport, one for each accepted connection; they are
+unrelated to those of a Follower.  What is sent is limited twice: for each connection by a part of its
+follower's budget, and in all by the server's own.  Bodies are sent to a few connections at once; others are
+queued.
+"""
+
+from __future__ import annotations
+
+import math
+from collections import Counter, deque
+from dataclasses import dataclass, field
+
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import Document
+from crowpost.config_feed.errors import FrameError
+from crowpost.config_feed.follower_connections import FollowerConnection, SubscriptionIndex
+from crowpost.config_feed.follower_status import FollowerStatusTable, server_status
+from crowpost.config_feed.frames import (
+    MAX_HEADERS_PER_FRAME,
+    PACKET_OVERHEAD_BYTES,
+    FrameReader,
+    cluster_tag,
+    encode,
+)
+from crowpost.config_feed.identity import NODE_ROLE, ProcessIdentity
+from crowpost.config_feed.messages import (
+    ApplyReport,
+    BodyChunk,
+    BodyUnavailable,
+    DocumentHeaders,
+    FetchRequest,
+    Goodbye,
+    Heartbeat,
+    Hello,
+    Message,
+    PublishRejected,
+    PublishRequest,
+    StatusRequest,
+    StatusResponse,
+)
+from crowpost.config_feed.monotonic_clock import MonotonicClock
+from crowpost.config_feed.outputs import FeedEvent
+from crowpost.config_feed.scopes import Subscription
+from crowpost.config_feed.token_bucket import TokenBucket
+from crowpost.config_feed.tuning import Tuning
+
+HEARTBEAT_GROUPS = 8  # a heartbeat goes to an eighth of the connections at a time
+MAX_QUEUED_FETCHES = 64  # of one connection
+MIN_FRAME_LIMIT_BYTES = 524_288  # fits a version vector of all scopes
+PUBLISH_OVERHEAD_BYTES = 65_536  # allowed around the body of a publish request
+MIN_DEFERRAL_MS = 1.0
+RELAY_REJECTION = "a relay takes no documents; publish to a publisher"
+
+
+@dataclass
+class ServerOutput:
+    """What a call left for the transport to do, in the order of the fields."""
+
+    sends: list[tuple[int, bytes]] = field(default_factory=list)  # connection and frame
+    disconnects: list[int] = field(default_factory=list)  # connections to close once their data is sent
+    requests: list[tuple[int, PublishRequest]] = field(default_factory=list)  # see `answer`
+    events: list[FeedEvent] = field(default_factory=list)
+
+
+class DistributionServer:
+    """Serves the documents of a table to followers.
+
+    accepts_publishes: whether publish requests are passed on in `ServerOutput.requests`, or rejected.
+    """
+
+    def __init__(
+        self,
+        identity: ProcessIdentity,
+        table: DocumentTable,
+        *,
+        accepts_publishes: bool = False,
+        now: float,
+        tuning: Tuning | None = None,
+    ) -> None:
+        self.identity = identity
+        self.table = table
+        self.tuning = tuning or Tuning()
+        self.counts: Counter[str] = Counter()
+        """bytes_in, bytes_out, bodies_out, followers, busy, dropped_KIND ..."""
+        self.follower_table = FollowerStatusTable(2 * self.tuning.max_connections)
+        self._accepts_publishes = accepts_publishes
+        self._cluster = cluster_tag(identity.cluster)
+        self._connections: dict[int, FollowerConnection] = {}
+        self._index = SubscriptionIndex()
+        self._send_queue: deque[FollowerConnection] = deque()  # with data, in the order of arrival
+        self._deferred: dict[int, FollowerConnection] = {}  # with data, but no tokens or a blocked socket
+        self._deferred_until = math.inf
+        self._bucket = TokenBucket(self.tuning.server_bytes_per_s, self.tuning.server_burst_bytes, now)
+        self._heartbeat_interval_ms = self.tuning.heartbeat_ms / HEARTBEAT_GROUPS
+        self._heartbeat_group = 0
+        self._heartbeat_at = now + self._heartbeat_interval_ms
+        self._clock = MonotonicClock(now, self.tuning.suspend_threshold_ms)
+        self._closed = False
+        self._output = ServerOutput()
+
+    # ------------------------------------------------------------ input
+
+    @property
+    def followers(self) -> int:
+        """The number of connections of followers."""
+        return sum(connection.hello is not None for connection in self._connections.values())
+
+    def accepted(self, connection_id: int, now: float) -> None:
+        """A connection was accepted."""
+        now = self._advance_clock(now)
+        if self._closed or len(self._connections) >= self.tuning.max_connections:
+            self.counts["turned_away"] += 1
+            goodbye = Goodbye("closing" if self._closed else "full")
+            self._output.sends.append((connection_id, encode(goodbye, self._cluster)))
+            self._output.disconnects.append(connection_id)
+            return
+        tuning = self.tuning
+        max_frame_bytes = max(tuning.max_document_bytes + PUBLISH_OVERHEAD_BYTES, MIN_FRAME_LIMIT_BYTES)
+        reader = FrameReader(self._cluster, max_frame_bytes)
+        bucket = TokenBucket(tuning.connection_bytes_per_s, tuning.connection_burst_bytes, now)
+        self._connections[connection_id] = FollowerConnection(connection_id, reader, now, bucket)
+
+    def lost(self, connection_id: int, now: float) -> None:
+        """A connection is closed."""
+        self._remove(connection_id, self._advance_clock(now))
+
+    def _remove(self, connection_id: int, now: float) -> None:
+        connection = self._connections.pop(connection_id, None)
+        if connection is None:
+            return
+        self._index.remove(connection)
+        self._deferred.pop(connection_id, None)
+        connection.fetch_queue.clear()
+        connection.pending_headers.clear()
+        if connection.hello is not None:
+            self.follower_table.disconnected(connection.hello.name, connection_id)
+            self._emit("lost", now, {"follower": connection.hello.name})
+
+    def blocked(self, connection_id: int, blocked: bool, now: float) -> None:
+        """The socket of a connection accepts no more for now, its buffer being full, or does again."""
+        now = self._advance_clock(now)
+        connection = self._connections.get(connection_id)
+        if connection is None:
+            return
+        if blocked:
+            connection.blocked_at = min(connection.blocked_at, now)
+            return
+        connection.blocked_at = math.inf
+        self._enqueue(connection)
+        self._send_queued(now)
+
+    def received(self, connection_id: int, data: bytes, now: float) -> None:
+        """Bytes were received on a connection, in any portions."""
+        now = self._advance_clock(now)
+        connection = self._connections.get(connection_id)
+        if connection is None:
+            return
+        self.counts["bytes_in"] += len(data)
+        for message, _ in connection.reader.feed(data):
+            if connection_id not in self._connections:
+                break
+            self._handle(connection, message, now)
+        self._send_queued(now)
+
+    def answer(self, connection_id: int, message: Message, now: float) -> None:
+        """Answer a publish request; without effect where the connection is closed by now."""
+        if connection_id in self._connections:
+            self._send(self._connections[connection_id], message, self._advance_clock(now))
+
+    def announce(self, document: Document, now: float) -> bool:
+        """Store a document and send its header to all that watch its scope.
+
+        Return False where the table has a newer one.  A document that is in the table already, as the
+        Follower with the same table fetched it, is announced as well.  Raise FeedError where it cannot be
+        stored.
+        """
+        now = self._advance_clock(now)
+        header = document.header
+        stored = self.table.get(header.scope)
+        if (stored is None or stored.header != header) and not self.table.put(document):
+            return False
+        frame = encode(DocumentHeaders((header,)), self._cluster)
+        for connection in self._index.watching(header.scope):
+            if not connection.pending_headers and self._may_send(connection, now):
+                self._send_frame(connection, frame, now)
+            else:
+                connection.pending_headers[header.scope] = header
+                self._defer(connection, now)
+        return True
+
+    def tick(self, now: float) -> None:
+        """Do what is due."""
+        now = self._advance_clock(now)
+        if now >= self._heartbeat_at:
+            self._send_heartbeats(now)
+        if now >= self._deferred_until:
+            for connection in list(self._deferred.values()):
+                self._enqueue(connection)
+        self._send_queued(now)
+
+    def next_at(self) -> float:
+        """Return when `tick` is due next, in ms."""
+        return self._clock.to_external(self._next())
+
+    def _next(self) -> float:
+        return math.inf if self._closed else min(self._heartbeat_at, self._deferred_until)
+
+    def status(self, now: float) -> dict[str, object]:
+        """Return documents, followers, apply statuses and conflicts; see `status_merge`."""
+        return self._status(self._advance_clock(now))
+
+    def _status(self, now: float) -> dict[str, object]:
+        return server_status(self.identity, self.table, self.follower_table, self.counts, now)
+
+    def close(self, now: float, why: str = "in order") -> None:
+        """Say goodbye on all connections and accept no more."""
+        now = self._advance_clock(now)
+        for connection in list(self._connections.values()):
+            self._send(connection, Goodbye(why), now)
+            self._disconnect(connection, now)
+        self._closed = True
+
+    def take(self) -> ServerOutput:
+        """Return all that is to be done since the last call."""
+        output = self._output
+        self._output = ServerOutput()
+        return output
+
+    def _advance_clock(self, now: float) -> float:
+        """Return the time to use.  After a suspension of this process no follower is to blame."""
+        suspended_ms = self._clock.advance(now, self._next())
+        if suspended_ms:
+            for connection in self._connections.values():
+                connection.last_received_at += suspended_ms
+            self.counts["slept"] += 1
+        return self._clock.now
+
+    def _emit(self, kind: str, at: float, values: dict[str, object]) -> None:
+        self._output.events.append(FeedEvent(kind, at, values))
+
+    # ------------------------------------------------------------ messages
+
+    def _handle(self, connection: FollowerConnection, message: Message | FrameError, now: float) -> None:
+        """Handle a received message, or the reason why there is none."""
+        if isinstance(message, FrameError):
+            # What a damaged frame told would be missing; a follower that reconnects tells all again.
+            self.counts[f"dropped_{message.kind}"] += 1
+            self._emit("dropped", now, {"what": message.kind, "why": str(message)})
+            self._disconnect(connection, now)
+            return
+        connection.last_received_at = now
+        match message:
+            case Hello():
+                self._handle_hello(connection, message, now)
+            case StatusRequest(number):
+                self._send(connection, StatusResponse(number, self._status(now)), now)
+            case PublishRequest():
+                self._handle_publish(connection, message, now)
+            case Goodbye():
+                self._disconnect(connection, now)
+            case Heartbeat() | FetchRequest() | ApplyReport() if connection.hello is not None:
+                self._handle_follower_message(connection, connection.hello, message, now)
+            case _:
+                self._reject(connection, now)
+
+    def _handle_follower_message(
+        self,
+        connection: FollowerConnection,
+        hello: Hello,
+        message: Heartbeat | FetchRequest | ApplyReport,
+        now: float,
+    ) -> None:
+        match message:
+            case Heartbeat():
+                self.follower_table.received(hello.name, now)
+            case FetchRequest():
+                self._queue_fetch(connection, message, now)
+            case ApplyReport(name) if name == hello.name:
+                self.follower_table.report(message, now)
+            case _:
+                self._reject(connection, now)
+
+    def _reject(self, connection: FollowerConnection, now: float) -> None:
+        """Close a connection after a message out of place."""
+        self.counts["dropped_unexpected"] += 1
+        self._disconnect(connection, now)
+
+    def _handle_publish(self, connection: FollowerConnection, request: PublishRequest, now: float) -> None:
+        if self._accepts_publishes:
+            self._output.requests.append((connection.number, request))
+        else:
+            self._send(connection, PublishRejected(request.number, RELAY_REJECTION), now)
+
+    def _queue_fetch(self, connection: FollowerConnection, request: FetchRequest, now: float) -> None:
+        server_is_busy = len(self._send_queue) >= self.tuning.max_queued_fetches
+        if server_is_busy or len(connection.fetch_queue) >= MAX_QUEUED_FETCHES:
+            self.counts["busy"] += 1
+            self._send(connection, BodyUnavailable(request.key, "busy"), now)
+            return
+        connection.fetch_queue.append(request)
+        self._enqueue(connection)
+
+    def _handle_hello(self, connection: FollowerConnection, hello: Hello, now: float) -> None:
+        if connection.hello is None:
+            self._add_follower(connection, hello, now)
+        newer = self.table.newer(connection.subscription, hello.version_vector)
+        connection.pending_headers = {header.scope: header for header in newer}
+        self._enqueue(connection)
+
+    def _add_follower(self, connection: FollowerConnection, hello: Hello, now: float) -> None:
+        node = hello.name if hello.role == NODE_ROLE else ""
+        connection.hello = hello
+        connection.subscription = Subscription(hello.region, hello.service, node, hello.all_scopes)
+        if hello.all_scopes:
+            tuning = self.tuning
+            connection.bucket = TokenBucket(tuning.relay_bytes_per_s, tuning.relay_burst_bytes, now)
+        self._index.add(connection)
+        self.counts["followers"] += 1
+        self.follower_table.connected(hello, connection.number, now)
+        own = self.identity
+        answer = Hello(own.name, own.role, own.region, own.zone, instance_id=own.instance_id)
+        self._send(connection, answer, now)
+        self._emit("linked", now, {"follower": hello.name, "role": hello.role})
+
+    def _disconnect(self, connection: FollowerConnection, now: float) -> None:
+        self._output.disconnects.append(connection.number)
+        self._remove(connection.number, now)
+
+    # ------------------------------------------------------------ sending
+
+    def _send(self, connection: FollowerConnection, message: Message, now: float) -> None:
+        self._send_frame(connection, encode(message, self._cluster), now)
+
+    def _send_frame(self, connection: FollowerConnection, frame: bytes, now: float) -> None:
+        connection.bucket.spend(len(frame) + PACKET_OVERHEAD_BYTES, now)
+        self._bucket.spend(len(frame) + PACKET_OVERHEAD_BYTES, now)
+        self.counts["bytes_out"] += len(frame)
+        self._output.sends.append((connection.number, frame))
+
+    def _may_send(self, connection: FollowerConnection, now: float) -> bool:
+        if connection.is_blocked:
+            return False
+        return self._bucket.refill(now) > 0.0 and connection.bucket.refill(now) > 0.0
+
+    def _enqueue(self, connection: FollowerConnection) -> None:
+        """Put a connection that has data into the send queue."""
+        self._deferred.pop(connection.number, None)
+        if not connection.is_queued and connection.has_data:
+            connection.is_queued = True
+            self._send_queue.append(connection)
+
+    def _defer(self, connection: FollowerConnection, now: float) -> None:
+        """Keep a connection that cannot be sent to now for later."""
+        if connection.is_queued:
+            return
+        self._deferred[connection.number] = connection
+        if not connection.is_blocked:
+            self._deferred_until = min(self._deferred_until, self._ready_at(connection, now))
+
+    def _ready_at(self, connection: FollowerConnection, now: float) -> float:
+        server_at = self._bucket.available_at(1.0, now)
+        connection_at = connection.bucket.available_at(1.0, now)
+        return max(server_at, connection_at, now + MIN_DEFERRAL_MS)
+
+    def _send_queued(self, now: float) -> None:
+        """Serve a few connections of the queue in turn, a frame each, as long as the tokens last."""
+        serving: deque[FollowerConnection] = deque()
+        while serving or self._send_queue:
+            while self._send_queue and len(serving) < self.tuning.concurrent_bodies:
+                serving.append(self._send_queue.popleft())
+            connection = serving.popleft()
+            if connection.number not in self._connections:
+                continue
+            if not self._may_send(connection, now):
+                connection.is_queued = False
+                self._defer(connection, now)
+                continue
+            self._serve(connection, now)
+            if connection.has_data:
+                serving.append(connection)
+            else:
+                connection.is_queued = False
+        self._deferred_until = min(
+            (self._ready_at(waiting, now) for waiting in self._deferred.values() if not waiting.is_blocked),
+            default=math.inf,
+        )
+
+    def _serve(self, connection: FollowerConnection, now: float) -> None:
+        """Send one frame: headers before bodies."""
+        if connection.pending_headers:
+            scopes = list(connection.pending_headers)[:MAX_HEADERS_PER_FRAME]
+            headers = tuple(connection.pending_headers.pop(scope) for scope in scopes)
+            self._send(connection, DocumentHeaders(headers), now)
+            return
+        request = connection.fetch_queue.popleft()
+        stored = self.table.get(request.key.scope)
+        if stored is None or stored.header.key != request.key or request.offset > stored.header.size:
+            self.counts["gone"] += 1
+            self._send(connection, BodyUnavailable(request.key, "gone"), now)
+            return
+        length = min(request.length, stored.header.size - request.offset)
+        chunk = stored.body[request.offset : request.offset + min(length, self.tuning.chunk_bytes)]
+        self._send(connection, BodyChunk(request.key, request.offset, chunk), now)
+        if len(chunk) < length:
+            rest = FetchRequest(request.key, request.offset + len(chunk), length - len(chunk))
+            connection.fetch_queue.appendleft(rest)
+        else:
+            self.counts["bodies_out"] += 1
+
+    def _send_heartbeats(self, now: float) -> None:
+        """Send heartbeats to a group of connections, and close those that are silent or blocked."""
+        self._heartbeat_group = (self._heartbeat_group + 1) % HEARTBEAT_GROUPS
+        interval_ms = self._heartbeat_interval_ms
+        self._heartbeat_at = max(self._heartbeat_at + interval_ms, now + 0.5 * interval_ms)
+        timeout_ms = self.tuning.follower_timeout_ms
+        group = [
+            connection
+            for connection in self._connections.values()
+            if connection.number % HEARTBEAT_GROUPS == self._heartbeat_group
+        ]
+        for connection in group:
+            is_silent = now - connection.last_received_at > timeout_ms
+            if is_silent or now - connection.blocked_at > timeout_ms:
+                self._disconnect(connection, now)
+            elif connection.hello is not None and not connection.is_blocked:
+                self._send(connection, Heartbeat(self.table.digest(connection.subscription)), now)
--- a/crowpost/lab/crash_consistency/benchmark.py
+++ b/crowpost/lab/crash_consistency/benchmark.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpost.interface import RememberedEndpoint
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.node.state.node_state import NodeState, read_node_state
 from crowpost.node.state.records import EndpointListPart, LearnedEndpoints
 from crowpost.storage.core import Store
--- a/crowpost/node/state/node_state.py
+++ b/crowpost/node/state/node_state.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from crowpost.interface import EndpointId, RememberedEndpoint, StateRestored
+from crowpost.decision_api import EndpointId, RememberedEndpoint, StateRestored
 from crowpost.node.state.records import (
     DELETED,
     ENDPOINTS_PER_RECORD,
--- a/crowpost/node/state/records.py
+++ b/crowpost/node/state/records.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from crowpost.interface import RememberedEndpoint
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.storage.errors import StoreError
 
 ENDPOINTS_PER_RECORD = 250  # encoding them takes less than a millisecond
--- a/crowpost/node/state/writer.py
+++ b/crowpost/node/state/writer.py
@@ -14,7 +14,7 @@
 from contextlib import suppress
 from typing import Protocol
 
-from crowpost.interface import RememberedEndpoint
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.node.state.node_state import NodeState, read_node_state
 from crowpost.node.state.records import (
     ENDPOINTS_PER_RECORD,
--- a/tests/test_feed_ledger.py
+++ b/tests/config_feed/test_publication_log.py
@@ -10,13 +10,16 @@
 
 import pytest
 
-from crowpost.feed.ledger import Ledger, Writers
-from crowpost.feed.messages import Publish
-from crowpost.feed.model import Document, FeedError, Tuning, make_document
-from crowpost.feed.table import Table
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import Document, make_document
+from crowpost.config_feed.errors import FeedError
+from crowpost.config_feed.messages import PublishRequest
+from crowpost.config_feed.publication_log import PublicationLog
+from crowpost.config_feed.tuning import Tuning
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.lab.crash_consistency.simulated_disk import SimulatedDisk
 from crowpost.lab.crash_consistency.workload import run_jobs
-from crowpost.node.overlays import checker
+from crowpost.node.configuration_overlays import make_check
 from crowpost.storage.core import Store
 from crowpost.storage.model import Durability, RecoveredState
 from crowpost.storage.recovery import recover
@@ -26,22 +29,24 @@
 ID = bytes(range(8))
 
 
-def ledger(name: str = "p-n", records: Any = (), tuning: Tuning | None = None) -> Ledger:
-    return Ledger(Writers(name, "north", PUBLISHERS), lambda scope, body: None, records, tuning)
+def ledger(name: str = "p-n", records: Any = (), tuning: Tuning | None = None) -> PublicationLog:
+    return PublicationLog(
+        WriteAuthority(name, "north", PUBLISHERS), lambda scope, body: None, records, tuning
+    )
 
 
-def asked(scope: str = "all", body: bytes = b"{}", **more: Any) -> Publish:
-    return Publish(1, scope, body, "ann", "why not", **more)
+def asked(scope: str = "all", body: bytes = b"{}", **more: Any) -> PublishRequest:
+    return PublishRequest(1, scope, body, "ann", "why not", **more)
 
 
-def publish(book: Ledger, table: Table, *args: Any, **more: Any) -> Document:
+def publish(book: PublicationLog, table: DocumentTable, *args: Any, **more: Any) -> Document:
     """Published and told."""
     document = book.publish(asked(*args, **more), table)[1]
     assert table.put(document)
     return document
 
 
-def refusal(book: Ledger, table: Table, *args: Any, **more: Any) -> str:
+def refusal(book: PublicationLog, table: DocumentTable, *args: Any, **more: Any) -> str:
     with pytest.raises(FeedError) as error:
         book.publish(asked(*args, **more), table)
     return str(error.value)
@@ -86,62 +91,62 @@
 def test_one_publisher_writes_a_scope_and_another_names_it(
     name: str, scope: str, region: str, said: str
 ) -> None:
-    book, table = ledger(name), Table()
+    book, table = ledger(name), DocumentTable()
     if said:
         assert refusal(book, table, scope, region=region).startswith(said)
         assert book.documents() == []
     else:
-        assert publish(book, table, scope, region=region).head.writer == name
+        assert publish(book, table, scope, region=region).header.writer == name
 
 
 def test_the_writer_of_a_node_stays_whatever_region_is_said_later() -> None:
-    north, south, table = ledger("p-n"), ledger("p-s"), Table()
+    north, south, table = ledger("p-n"), ledger("p-s"), DocumentTable()
     publish(south, table, "node/n1", region="south")
     said = refusal(north, table, "node/n1", region="north")
     assert said == "node/n1 is written by p-s, which wrote it first, and not by p-n"
-    assert publish(south, table, "node/n1", region="north").head.version == 2
+    assert publish(south, table, "node/n1", region="north").header.version == 2
 
 
 # ---------------------------------------------------------------- versions
 
 
 def test_versions_rise_in_each_scope_and_a_condition_holds_also_for_what_is_not_on_the_disk_yet() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     one = book.publish(asked(if_version=0), table)[1]
-    assert one.head.version == 1
+    assert one.header.version == 1
     # In the same millisecond, before the first is kept or told: one of the two has its way.
     assert refusal(book, table, if_version=0) == "all is at version 1 and not at 0"
-    assert book.publish(asked(if_version=1), table)[1].head.version == 2
-    assert book.publish(asked("service/cart"), table)[1].head.version == 1
+    assert book.publish(asked(if_version=1), table)[1].header.version == 2
+    assert book.publish(asked("service/cart"), table)[1].header.version == 1
     assert refusal(book, table, "service/cart", if_version=7) == "service/cart is at version 1 and not at 7"
-    assert [(d.head.scope, d.head.version) for d in book.documents()] == [("all", 2), ("service/cart", 1)]
+    assert [(d.header.scope, d.header.version) for d in book.documents()] == [("all", 2), ("service/cart", 1)]
 
 
 def test_a_version_that_only_others_know_of_is_not_used_again() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     table.put(make_document("all", 3, 8, b"x", author="", reason="", writer="p-old"))
-    head = publish(book, table).head
-    assert (head.era, head.version) == (3, 9)
+    header = publish(book, table).header
+    assert (header.epoch, header.version) == (3, 9)
 
 
 def test_back_publishes_the_body_before_as_a_new_version_and_that_can_be_taken_back_too() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     said = "all has no document before the one in force"
-    assert refusal(book, table, back=True) == said
+    assert refusal(book, table, rollback=True) == said
     publish(book, table, "all", b"1")
-    assert refusal(book, table, back=True) == said
+    assert refusal(book, table, rollback=True) == said
     publish(book, table, "all", b"2")
-    assert [publish(book, table, back=True).body for _ in range(3)] == [b"1", b"2", b"1"]
-    assert table.documents["all"].head.version == 5
-    assert refusal(book, table, back=True, if_version=4) == "all is at version 5 and not at 4"
+    assert [publish(book, table, rollback=True).body for _ in range(3)] == [b"1", b"2", b"1"]
+    assert table.documents["all"].header.version == 5
+    assert refusal(book, table, rollback=True, if_version=4) == "all is at version 5 and not at 4"
 
 
 # ---------------------------------------------------------------- what is refused
 
 
 def test_bodies_that_no_one_could_hold_are_refused_before_they_are_written() -> None:
-    tuning = Tuning(document_bytes=100, documents=2, table_bytes=150)
-    book, table = ledger(tuning=tuning), Table(tuning)
+    tuning = Tuning(max_document_bytes=100, max_documents=2, max_table_bytes=150)
+    book, table = ledger(tuning=tuning), DocumentTable(tuning)
     assert refusal(book, table, "all", bytes(101)) == "all: 101 bytes, 100 at the most"
     publish(book, table, "all", bytes(100))
     assert "would be 160 bytes" in refusal(book, table, "service/a", bytes(60))
@@ -149,8 +154,8 @@
     publish(book, table, "all", bytes(90))
     assert "in 2 scopes" in refusal(book, table, "service/b", b"")
     with pytest.raises(FeedError, match="author is longer than 64 bytes"):
-        book.publish(Publish(1, "all", b"{}", "x" * 65, ""), table)
-    assert [d.head.version for d in book.documents()] == [2, 1], "a refusal takes no version"
+        book.publish(PublishRequest(1, "all", b"{}", "x" * 65, ""), table)
+    assert [d.header.version for d in book.documents()] == [2, 1], "a refusal takes no version"
 
 
 @pytest.mark.parametrize(
@@ -163,9 +168,9 @@
     ],
 )
 def test_the_nodes_own_check_refuses_with_its_line(body: bytes, said: str) -> None:
-    book = Ledger(Writers("p-n", "north", PUBLISHERS), checker())
-    assert refusal(book, Table(), "all", body).startswith(said)
-    assert book.documents() == [] and book.publish(asked(body=b'{"discovery": "h:1"}'), Table())
+    book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), make_check())
+    assert refusal(book, DocumentTable(), "all", body).startswith(said)
+    assert book.documents() == [] and book.publish(asked(body=b'{"discovery": "h:1"}'), DocumentTable())
 
 
 def test_with_a_nodes_file_a_publisher_also_refuses_what_a_running_node_would(tmp_path: Any) -> None:
@@ -174,28 +179,28 @@
         '{"seed": "1", "limits": {"memory_mb": 64, "sockets": 64},'
         ' "settings": {"tickMs": 5, "profiles": [{"effect": "safe", "aimMs": 1, "deadlineMs": 1}]}}'
     )
-    book = Ledger(Writers("p-n", "north", PUBLISHERS), checker(str(sample)))
-    said = refusal(book, Table(), "all", b'{"settings": {"tickMs": 6}}')
+    book = PublicationLog(WriteAuthority("p-n", "north", PUBLISHERS), make_check(str(sample)))
+    said = refusal(book, DocumentTable(), "all", b'{"settings": {"tickMs": 6}}')
     assert said == "all: settings.tickMs cannot change while the node runs"
-    assert book.publish(asked(body=b'{"settings": {"tickMs": 5.0}, "discovery": "h:1"}'), Table())
+    assert book.publish(asked(body=b'{"settings": {"tickMs": 5.0}, "discovery": "h:1"}'), DocumentTable())
     with pytest.raises(FeedError, match="feed.sample: .* cannot be read"):
-        checker(str(tmp_path / "none"))
+        make_check(str(tmp_path / "none"))
 
 
 # ---------------------------------------------------------------- records
 
 
 def test_records_and_snapshots_give_the_same_state() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     records = [
         book.publish(asked(scope, body), table)[0]
         for scope in ("all", "region/north")
         for body in (b"1", b"2")
     ]
-    records.append(book.restored())
+    records.append(book.begin_epoch())
     for again in (ledger(records=records), ledger(records=book.snapshot())):
-        assert again.documents() == book.documents() and again.era == 2
-        assert again.publish(asked(back=True), table)[1] == book.publish(asked(back=True), table)[1]
+        assert again.documents() == book.documents() and again.epoch == 2
+        assert again.publish(asked(rollback=True), table)[1] == book.publish(asked(rollback=True), table)[1]
         book = ledger(records=records)
     for bad in (b"", b"\xc1", b"\x92\x07\x00", records[0][:-1] + b"?", b"\x93\x01\x90\xc4\x00"):
         with pytest.raises(FeedError):
@@ -203,28 +208,28 @@
 
 
 def test_after_a_restore_what_is_published_is_newer_than_all_before() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     backup = [book.publish(asked(body=b"old"), table)[0]]
     lost = publish(book, table, "all", b"lost")
     book = ledger(records=backup)
-    book.restored()
-    assert book.publish(asked(body=b"new"), Table())[1].head.rank > lost.head.rank
+    book.begin_epoch()
+    assert book.publish(asked(body=b"new"), DocumentTable())[1].header.rank > lost.header.rank
 
 
 def test_a_state_that_was_set_back_learns_from_the_fleet_and_begins_the_next_era() -> None:
-    book, table = ledger(), Table()
+    book, table = ledger(), DocumentTable()
     backup = [book.publish(asked(body=b"old"), table)[0]]
     lost, other = publish(book, table, "all", b"lost"), publish(book, table, "region/north", b"lost too")
     book = ledger(records=backup)
-    records = book.seen(lost)
-    assert len(records) == 2 and book.era == 2
-    assert len(book.seen(other)) == 1 and book.era == 2, "one restore is one era"
-    assert not book.seen(lost) and not book.seen(
+    records = book.adopt(lost)
+    assert len(records) == 2 and book.epoch == 2
+    assert len(book.adopt(other)) == 1 and book.epoch == 2, "one restore is one era"
+    assert not book.adopt(lost) and not book.adopt(
         make_document("all", 9, 9, b"", author="", reason="", writer="p-s")
     )
     assert ledger(records=[*backup, *records]).documents() == [lost]
-    assert publish(book, table, "all", b"new").head.rank > lost.head.rank
-    assert publish(book, table, "all", back=True).body == b"lost"
+    assert publish(book, table, "all", b"new").header.rank > lost.header.rank
+    assert publish(book, table, "all", rollback=True).body == b"lost"
 
 
 # ---------------------------------------------------------------- a power loss at every step
@@ -244,12 +249,12 @@
 
     def __post_init__(self) -> None:
         self.rng = Random(f"feed ledger {self.seed}")
-        self.table = Table()
+        self.table = DocumentTable()
 
     def assign(self, document: Document) -> None:
-        head = document.head
-        key = head.scope, head.era, head.version
-        assert self.assigned.setdefault(key, head.digest) == head.digest, "a version was used twice"
+        header = document.header
+        key = header.scope, header.epoch, header.version
+        assert self.assigned.setdefault(key, header.digest) == header.digest, "a version was used twice"
 
     def work(self, disk: SimulatedDisk, publishes: int = 7) -> Iterator[None]:
         """Open, publish, and pause after each step of the disk."""
@@ -276,7 +281,7 @@
             def kept(pending: list[tuple[int, Document]] = pending) -> None:
                 for sequence, document in pending:
                     if sequence <= store.durable_sequence:
-                        self.acknowledged[document.head.scope] = document
+                        self.acknowledged[document.header.scope] = document
                         self.table.put(document)
 
             yield from run_jobs(disk, store, kept)
@@ -285,26 +290,29 @@
         """What a new process finds: all that was acknowledged, nothing half, and no version free again."""
         found = recover(disk.names(), disk.read, "feed", ID)
         book = opened(found)
-        held = {document.head.scope: document for document in book.documents()}
+        held = {document.header.scope: document for document in book.documents()}
         for scope, document in self.acknowledged.items():
-            assert held[scope].head.rank >= document.head.rank, "an acknowledged document is lost"
+            assert held[scope].header.rank >= document.header.rank, "an acknowledged document is lost"
         for document in held.values():
-            head = document.head
-            assert document.whole and self.assigned[head.scope, head.era, head.version] == head.digest
+            header = document.header
+            assert (
+                document.is_intact
+                and self.assigned[header.scope, header.epoch, header.version] == header.digest
+            )
         for operation in found.repairs:
             disk.perform(operation)
         seen = dict(self.acknowledged)
         for scope in SCOPES:
-            table = Table()  # of a process that has just begun
+            table = DocumentTable()  # of a process that has just begun
             document = book.publish(asked(scope, b"after the crash"), table)[1]
             if scope in seen:
-                assert document.head.version > seen[scope].head.version, "a version was used twice"
+                assert document.header.version > seen[scope].header.version, "a version was used twice"
             if scope in held:
-                assert document.head.version == held[scope].head.version + 1
-                assert book.publish(asked(scope, back=True), table)[1].body == held[scope].body
+                assert document.header.version == held[scope].header.version + 1
+                assert book.publish(asked(scope, rollback=True), table)[1].body == held[scope].body
 
 
-def opened(found: RecoveredState) -> Ledger:
+def opened(found: RecoveredState) -> PublicationLog:
     return ledger(records=[*found.snapshot, *(record.payload for record in found.records)])
 
 
--- a/tests/node/state/helpers.py
+++ b/tests/node/state/helpers.py
@@ -8,7 +8,7 @@
 
 import msgpack
 
-from crowpost.interface import RememberedEndpoint
+from crowpost.decision_api import RememberedEndpoint
 from crowpost.storage.config import StateConfig
 from crowpost.storage.core import Store
 from crowpost.storage.disk import Disk
--- a/tests/node/state/test_records.py
+++ b/tests/node/state/test_records.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crowpost.interface import (
+from crowpost.decision_api import (
     RememberedEndpoint,
 )
 from crowpost.node.state.node_state import NodeState, read_node_state
--- a/tests/node/state/test_restoration.py
+++ b/tests/node/state/test_restoration.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crowpost import Balancer
-from crowpost.interface import (
+from crowpost.decision_api import (
     EndpointEntry,
     EndpointList,
     ListKind,
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
-from crowpost.members.config import MembersConfig
-from crowpost.node.config import Config, Limits, flat
-from crowpost.node.discovery import Naming
+from crowpost.decision_api import read_settings
+from crowpost.membership.configuration import MembershipConfig
+from crowpost.node.configuration import Config, Limits, flat
+from crowpost.node.discovery.endpoint_list import Naming
 from crowpost.node.node import Node
-from crowpost.settings import read_settings
 from crowpost.storage.config import StateConfig
 
 HOST = "127.0.0.1"
@@ -326,12 +326,12 @@
 
     def age(self, seconds: float) -> None:
         """Let the idle connections to servers have been idle for longer."""
-        for connection in self.node._servers._idle():
+        for connection in self.node._pool._idle_connections():
             connection.idle_since -= seconds
 
     async def manage(self, method: str, path: str) -> Answer:
         """One call to the second address."""
-        caller = await Caller.connect(self.node.management)
+        caller = await Caller.connect(self.node.admin_address)
         caller.writer.write(f"{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n".encode())
         answer = await caller.answer()
         assert await caller.ended(), "a management call left its connection open"
@@ -351,7 +351,7 @@
     known: bool = True,
     path: str = "",
     accept_fd: int | None = None,
-    members: MembersConfig | None = None,
+    members: MembershipConfig | None = None,
     state: StateConfig | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
