--- a/crowpost/lab/feed/gossip_cost.py
+++ b/crowpost/lab/feed/gossip_cost.py
@@ -1,7 +1,8 @@
-"""The way not taken: what a change would cost a node if the members passed it on among themselves.
+"""The cost of the rejected alternative: changes passed on by gossip among the members.
 
-Measured on the queue of gossip that membership has: whoever learns a claim passes it on so many times for
-each power of ten of members.  What a member sends until its queue is empty is what it receives in the mean.
+Measured on the broadcast queue of the membership: a member that learns of an update passes it on a number of
+times for each power of ten of members.  What a member sends until its queue is empty is what it receives in
+the mean.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 from crowpost.members.gossip import Gossip
 from crowpost.members.model import Claim, Phase, Profile, Tuning, Verdict
 
-BODY = 2_000  # bytes of a change
+BODY_BYTES = 2_000  # bytes of a change
 
 
 def claim(name: str, header: str) -> Claim:
-    """A member's claim with the head of a document, or how it stands to it, as a fact."""
+    """Return a member's update with the header of a document, or its apply status, as a fact."""
     profile = Profile(name, "10.20.30.40:7000", "e1", started_s=1_700_000_000.123, facts={"feed": header})
     return Claim(name, 0xFFFF_FFFF, 7, Phase.PRESENT, Verdict.NONE, name, "", profile)
 
 
 def drained(claims: int, members: int, tuning: Tuning) -> tuple[int, float]:
-    """Bytes of claims that one member sends until it has nothing left to pass on, and how often each."""
+    """Return the bytes of updates that one member sends until its queue is empty, and how often each."""
     gossip = Gossip(tuning)
     for i in range(claims):
         gossip.add(claim(f"node-{i:04}", "all 1 12 0123456789abcdef"), members)
@@ -38,24 +39,26 @@
 
 
 def cost(members: int) -> dict[str, Any]:
-    """Bytes that one node sends for one change of 2 kB by gossip, and sends or receives by the feed.
+    """Return the bytes that a node sends for a change of 2 kB by gossip, and sends or receives by the feed.
 
-    Also the seconds that the standings of all would take at gossip's budget.
+    Also the seconds that the apply statuses of all would take within the budget of gossip.
     """
     tuning = Tuning()
     header, repeats = drained(1, members, tuning)
     apply_statuses, _ = drained(members, members, tuning)
-    document = make_document("all", 1, 12, b"x" * BODY, author="ops", reason="a change", writer="p-east")
+    document = make_document(
+        "all", 1, 12, b"x" * BODY_BYTES, author="ops", reason="a change", writer="p-east"
+    )
     apply_status = ApplyStatus(document.header.key, ApplyState.APPLIED)
     return {
         "members": members,
         "repeats": repeats,
         "claim_bytes": round(header / repeats),
         "gossip_head_bytes": header,
-        "gossip_body_bytes": round(repeats * BODY),
+        "gossip_body_bytes": round(repeats * BODY_BYTES),
         "gossip_standings_bytes": apply_statuses,
         "gossip_standings_s_at_budget": round(apply_statuses / tuning.bytes_per_s),
         "feed_standing_bytes": 2 * len(encode(ApplyReport("node-0001", 2**32 - 1, 12, (apply_status,)), 0)),
         "feed_head_bytes": 2 * len(encode(DocumentHeaders((document.header,)), 0)),
-        "feed_body_bytes": BODY,
+        "feed_body_bytes": BODY_BYTES,
     }
--- a/crowpost/lab/feed/network.py
+++ b/crowpost/lab/feed/network.py
@@ -1,10 +1,10 @@
-"""Connections in simulated time, as TCP carries them: in order and whole, or late, or not at all.
+"""Simulated connections that behave as TCP does: bytes arrive in order, perhaps late, or not at all.
 
-A segment that is lost comes again after a retransmission timeout of 200 ms, doubled each time; all that was
-sent after it waits for it.  Fast retransmit and the congestion window are left out: the first makes this
-world harsher than a real one, the second milder, and a message here is seldom more than ten segments.  While
-a way is cut nothing is lost; what was sent comes once the way is whole and the timeout that grew meanwhile
-has run.
+A lost segment is sent again after a retransmission timeout of 200 ms, doubled each time; all that was sent
+after it waits for it.  Fast retransmit and the congestion window are left out: the first makes this network
+harsher than a real one, the second milder, and a message here is seldom more than ten segments.  During a
+partition nothing is lost; what was sent arrives once it has healed and the timeout that grew meanwhile is
+over.
 """
 
 from __future__ import annotations
@@ -15,31 +15,35 @@
 
 from crowpost.lab.engine import Engine
 
-SEGMENT_BYTES = 1_460  # bytes of payload
+SEGMENT_BYTES = 1_460  # payload
 PACKET_OVERHEAD_BYTES = 40  # of TCP and IP, counted for each segment; bare acknowledgements are not counted
-RTO_MS = 200.0
+RTO_MS = 200.0  # first retransmission timeout
 SYN_TIMEOUT_MS = 1_000.0  # until a lost SYN is sent again, doubled each time
 MAX_RTO_MS = 60_000.0
-MAX_UNREAD_BYTES = 262_144  # bytes under way or unread at which the sender's socket is full
+MAX_UNREAD_BYTES = 262_144  # sent and not yet read, above which the sender's socket is blocked
 
 
 @dataclass(frozen=True)
 class NetworkConditions:
-    """The network and the machines; times in ms."""
+    """The network and the machines; ranges of delays in ms."""
 
-    loss_fraction: float = 0.0  # part of the segments that is lost
+    loss_fraction: float = 0.0  # of the segments
     zone_delay_ms: tuple[float, float] = (0.1, 0.4)  # delay within a zone
-    region: tuple[float, float] = (0.4, 1.5)  # between zones of a region
+    region_delay_ms: tuple[float, float] = (0.4, 1.5)  # between zones of a region
     cross_region_delay_ms: tuple[float, float] = (30.0, 40.0)  # between regions
-    bytes_per_ms: float = 12_500.0  # that a machine sends at the most
-    starved_fraction: float = 0.0  # part of the processes that stand still again and again
+    bytes_per_ms: float = 12_500.0  # bandwidth of a machine
+    starved_fraction: float = 0.0  # of the processes, which are suspended again and again
     suspension_ms: tuple[float, float] = (100.0, 1_500.0)
     running_ms: tuple[float, float] = (300.0, 3_000.0)
 
 
 @dataclass(eq=False)
 class ConnectionEnd:
-    """One end of a connection.  hear: bytes; close: the other end is gone; full: the socket takes no more."""
+    """One end of a connection.
+
+    receive: called with bytes; close: called when the other end is closed; set_blocked: called when the
+    socket accepts no more, or does again.
+    """
 
     name: str
     region: str
@@ -48,51 +52,52 @@
     close: Callable[[], None]
     set_blocked: Callable[[bool], None]
     connection: Connection | None = None
-    sender_free_at: float = 0.0
-    last_arrival: float = 0.0  # what was sent last, at the other end
-    unread_bytes: int = 0  # of what it sent
+    sender_free_at: float = 0.0  # when the machine has sent all so far
+    last_arrival: float = 0.0  # of what was sent last, at the other end
+    unread_bytes: int = 0  # of what this end sent
     is_blocked: bool = False
-    closed: bool = False  # closed here
-    close_notified: bool = False  # that the other end is gone
+    closed: bool = False  # at this end
+    close_notified: bool = False  # `close` was called
 
 
 @dataclass(eq=False)
 class Connection:
-    """A connection between two ends; `held` is what waits for a cut to end."""
+    """A connection between two ends; `delayed` is what waits for a partition to heal."""
 
     ends: tuple[ConnectionEnd, ConnectionEnd]
     delayed: list[tuple[ConnectionEnd, bytes | None]] = field(default_factory=list)
 
     def other(self, end: ConnectionEnd) -> ConnectionEnd:
+        """Return the opposite end."""
         return self.ends[1] if end is self.ends[0] else self.ends[0]
 
 
 class Network:
-    """All connections.  damage: part of the sends in which a byte is changed, in spite of TCP's checksum."""
+    """All connections, and the faults of the network."""
 
     def __init__(self, engine: Engine, rng: random.Random, conditions: NetworkConditions) -> None:
         self.engine, self.rng, self.conditions = engine, rng, conditions
         self.partitions: dict[tuple[str, str], float] = {}  # pairs of regions, and since when
         self.unreachable: dict[str, bool] = {}  # machines that neither send nor receive
-        self.damage_fraction: dict[str, float] = {}  # by sender
+        self.damage_fraction: dict[str, float] = {}  # of the sends of a process: a bit is flipped
         self.sent_bytes: dict[str, int] = {}  # bytes with headers, by process
         self.received_bytes: dict[str, int] = {}
         self._connections: dict[Connection, None] = {}
 
-    # ------------------------------------------------------------ ways
+    # ------------------------------------------------------------ partitions
 
     def is_connected(self, a: ConnectionEnd, b: ConnectionEnd) -> bool:
-        """Whether the way from one to the other is whole."""
+        """Return whether segments get from one end to the other."""
         if self.unreachable.get(a.name) or self.unreachable.get(b.name):
             return False
         return a.region == b.region or _pair(a.region, b.region) not in self.partitions
 
     def partition(self, one: str, other: str) -> None:
-        """Two regions lose each other."""
+        """Partition two regions."""
         self.partitions[_pair(one, other)] = self.engine.now
 
     def heal(self, one: str, other: str) -> None:
-        """They are joined again: what waited comes after the rest of a timeout that had grown."""
+        """Heal a partition; what waited arrives once the retransmission timeout, grown meanwhile, is over."""
         since = self.partitions.pop(_pair(one, other))
         most = min(max(self.engine.now - since, RTO_MS), MAX_RTO_MS)
         for connection in list(self._connections):
@@ -107,11 +112,11 @@
             self._arrive(connection, end, data)
 
     def _delay(self, a: ConnectionEnd, b: ConnectionEnd) -> float:
-        w = self.conditions
+        conditions = self.conditions
         if a.region != b.region:
-            low, high = w.cross_region_delay_ms
+            low, high = conditions.cross_region_delay_ms
         else:
-            low, high = w.zone_delay_ms if a.zone == b.zone else w.region
+            low, high = conditions.zone_delay_ms if a.zone == b.zone else conditions.region_delay_ms
         return low + (high - low) * self.rng.random()
 
     # ------------------------------------------------------------ connections
@@ -119,16 +124,17 @@
     def dial(
         self, a: ConnectionEnd, find: Callable[[], ConnectionEnd | None], up: Callable[[Connection], None]
     ) -> None:
-        """Connect; find: the listening end, None where nobody listens (refused)."""
+        """Open a connection.
+
+        find: returns the listening end, None where the connection is refused; up: called once it is open.
+        """
         target = find()
-        wait, again = 0.0, SYN_TIMEOUT_MS
-        while self.rng.random() < self.conditions.loss_fraction and wait < MAX_RTO_MS:
-            wait, again = wait + again, 2 * again
+        wait = self._wait_ms(SYN_TIMEOUT_MS)
         if target is None:
             self.engine.after(1.0 + wait, a.close)
             return
         if not self.is_connected(a, target):
-            return  # no answer at all: whoever dials gives up by its own time
+            return  # no answer at all: the follower has a timeout of its own
         self.engine.after(wait + 2.0 * self._delay(a, target), self._connect, a, find, up)
 
     def _connect(
@@ -147,7 +153,7 @@
         up(connection)
 
     def send(self, end: ConnectionEnd, data: bytes) -> None:
-        """Bytes from an end to the other."""
+        """Send bytes from an end to the other."""
         connection = end.connection
         if connection is None or end.closed:
             return
@@ -155,25 +161,39 @@
         segments = -(-len(data) // SEGMENT_BYTES)
         size = len(data) + PACKET_OVERHEAD_BYTES * segments
         self.sent_bytes[end.name] = self.sent_bytes.get(end.name, 0) + size
-        part = self.damage_fraction.get(end.name, 0.0)
-        if part and self.rng.random() < part:
-            at = self.rng.randrange(len(data))
-            data = data[:at] + bytes([data[at] ^ (1 << self.rng.randrange(8))]) + data[at + 1 :]
+        data = self._damage(end, data)
         end.sender_free_at = max(now, end.sender_free_at) + size / self.conditions.bytes_per_ms
-        late = 0.0
-        if self.conditions.loss_fraction:
-            for _ in range(segments):
-                wait, rto = 0.0, RTO_MS
-                while self.rng.random() < self.conditions.loss_fraction and wait < MAX_RTO_MS:
-                    wait, rto = wait + rto, 2.0 * rto
-                late = max(late, wait)
-        end.last_arrival = max(end.last_arrival, end.sender_free_at + self._delay(end, other) + late)
+        retransmission_ms = self._retransmission_ms(segments)
+        arrival = end.sender_free_at + self._delay(end, other) + retransmission_ms
+        end.last_arrival = max(end.last_arrival, arrival)
         end.unread_bytes += len(data)
         if end.unread_bytes > MAX_UNREAD_BYTES and not end.is_blocked:
             end.is_blocked = True
             end.set_blocked(True)
         self.engine.at(end.last_arrival, self._arrive, connection, end, data)
 
+    def _damage(self, end: ConnectionEnd, data: bytes) -> bytes:
+        """Flip a bit in some of the sends, in spite of TCP's checksum."""
+        fraction = self.damage_fraction.get(end.name, 0.0)
+        if not fraction or self.rng.random() >= fraction:
+            return data
+        at = self.rng.randrange(len(data))
+        return data[:at] + bytes([data[at] ^ (1 << self.rng.randrange(8))]) + data[at + 1 :]
+
+    def _retransmission_ms(self, segments: int) -> float:
+        """Return for how long lost segments delay a send."""
+        if not self.conditions.loss_fraction:
+            return 0.0
+        return max((self._wait_ms(RTO_MS) for _ in range(segments)), default=0.0)
+
+    def _wait_ms(self, timeout_ms: float) -> float:
+        """Return the sum of the doubling timeouts until a segment is not lost."""
+        waited_ms = 0.0
+        while self.rng.random() < self.conditions.loss_fraction and waited_ms < MAX_RTO_MS:
+            waited_ms += timeout_ms
+            timeout_ms *= 2.0
+        return waited_ms
+
     def _arrive(self, connection: Connection, end: ConnectionEnd, data: bytes | None) -> None:
         other = connection.other(end)
         if connection.delayed or not self.is_connected(end, other):
@@ -195,7 +215,7 @@
         other.receive(data)
 
     def read(self, end: ConnectionEnd, size: int) -> None:
-        """The process at this end has read so many bytes."""
+        """Record that the process at this end has read bytes."""
         if end.connection is None:
             return
         other = end.connection.other(end)
@@ -205,7 +225,7 @@
             other.set_blocked(False)
 
     def close(self, end: ConnectionEnd) -> None:
-        """An end closes, or its process dies: the other learns it after all that was sent before."""
+        """Close an end; the other one is notified after all that was sent before."""
         if end.closed:
             return
         end.closed = True
--- a/crowpost/lab/feed/process.py
+++ b/crowpost/lab/feed/process.py
@@ -1,9 +1,10 @@
-"""What a simulated process of the feed is over its restarts, one life of it, and what it is owed."""
+"""A simulated process of the feed: what survives its restarts, and one instance of it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import Enum
 
 from crowpost.config_feed.distribution_server import DistributionServer
 from crowpost.config_feed.documents import Document, DocumentHeader
@@ -24,11 +25,18 @@
     service: str
     address: str
     servers: tuple[UpstreamServer, ...]
-    disk: dict[str, Document] = field(default_factory=dict)  # what it finds there after a restart
+    disk: dict[str, Document] = field(default_factory=dict)  # documents that survive a restart, by scope
+
+
+class Side(Enum):
+    """The core that a connection of a process belongs to."""
+
+    FOLLOWER = "follower"
+    SERVER = "server"
 
 
 class Process:
-    """One life of a process."""
+    """One instance of a process."""
 
     def __init__(
         self,
@@ -37,21 +45,25 @@
         distribution_server: DistributionServer | None,
         offset: float,
     ) -> None:
-        self.spec, self.name = spec, spec.name
-        self.follower, self.distribution_server = follower, distribution_server
+        self.spec = spec
+        self.name = spec.name
+        self.follower = follower
+        self.distribution_server = distribution_server
         self.offset = offset  # of its clock, in ms
-        self.up, self.suspended, self.truncates_bodies = True, False, False
-        self.inbox: list[Callable[[], None]] = []
+        self.up = True
+        self.suspended = False
+        self.truncates_bodies = False  # a fault: half of each body is sent, then nothing
+        self.inbox: list[Callable[[], None]] = []  # calls that wait while it is suspended
         self.timer: Planned | None = None
         self.timer_at = float("inf")
-        self.ends: dict[tuple[str, int], ConnectionEnd] = {}  # side ("f" or "h") and link
-        self.links = 0  # of its hub
-        self.immediate_ticks = 0
+        self.ends: dict[tuple[Side, int], ConnectionEnd] = {}  # by core and number
+        self.accepted_connections = 0
+        self.immediate_ticks = 0  # in a row that were due at once
 
 
 @dataclass(eq=False)
 class Change:
-    """A document that was acknowledged: who is to have it in force, and who had it after how many ms."""
+    """An acknowledged document: the nodes that are still to apply it, and the latency of those that did."""
 
     header: DocumentHeader
     at: float
--- a/crowpost/lab/feed/publishing.py
+++ b/crowpost/lab/feed/publishing.py
@@ -1,4 +1,4 @@
-"""How a simulated publisher keeps what it publishes: the real ledger, on a disk that takes its time."""
+"""Simulated publishers: the real publication log, on a disk that takes its time."""
 
 from __future__ import annotations
 
@@ -12,35 +12,37 @@
 from crowpost.lab.feed.process import Process
 from crowpost.lab.feed.world import World
 
-FSYNC_MS = (2.0, 10.0)
-STEPS = ("received", "appended", "synced", "announced")  # of a publish, in order
+FSYNC_MS = (2.0, 10.0)  # range
+STEPS = ("received", "appended", "synced", "announced")  # of a publication, in order
 
 
 class Publishing:
-    """The ledgers of all publishers; of what one appended a kill leaves what was synced, and no more.
+    """The publication logs of all publishers; a killed one keeps the records that were synced.
 
-    A document is acknowledged and announced only once it was synced.  The world keeps count.  writers: by
-    publisher, whom it holds to be whose writer; two that do not agree give two answers.
+    A document is acknowledged and announced only once its record is synced.  authorities: by publisher; two
+    that do not agree lead to conflicts.
     """
 
-    def __init__(self, world: World, writers: dict[str, WriteAuthority]) -> None:
-        self._world, self.writers = world, writers
+    def __init__(self, world: World, authorities: dict[str, WriteAuthority]) -> None:
+        self.authorities = authorities
+        self._world = world
         self._synced: dict[str, list[bytes]] = {}  # records on the disk, by publisher
-        self._ledgers: dict[str, PublicationLog] = {}  # of the life at hand
+        self._logs: dict[str, PublicationLog] = {}  # of the running instances
         self._synced_at: dict[str, float] = {}
         world.on_killed = self._killed
 
     def _killed(self, name: str) -> None:
-        self._ledgers.pop(name, None)
+        self._logs.pop(name, None)
 
-    def _ledger(self, name: str) -> PublicationLog:
-        if name not in self._ledgers:
+    def _log(self, name: str) -> PublicationLog:
+        if name not in self._logs:
             records = self._synced.setdefault(name, [])
-            self._ledgers[name] = PublicationLog(self.writers[name], _anything, records, self._world.tuning)
-        return self._ledgers[name]
+            authority = self.authorities[name]
+            self._logs[name] = PublicationLog(authority, _accept_any, records, self._world.tuning)
+        return self._logs[name]
 
     def publish(self, by: str, scope: str, body: bytes, crash: str = "") -> None:
-        """Publish at a publisher; crash: the step at which it is killed."""
+        """Publish at a publisher.  crash: the step at which it is killed, if any."""
         world = self._world
         process = world.processes[by]
         if process.suspended:
@@ -49,10 +51,9 @@
         if not process.up or self._crashes(process, crash, "received"):
             return
         assert process.follower is not None
-        region = process.spec.region
-        asked = PublishRequest(1, scope, body, "ops", "a change", region)
+        request = PublishRequest(1, scope, body, "ops", "a change", process.spec.region)
         try:
-            record, document = self._ledger(by).publish(asked, process.follower.table)
+            record, document = self._log(by).publish(request, process.follower.table)
         except FeedError as error:
             world.faults.append(f"{by} refuses: {error}")
             return
@@ -60,15 +61,16 @@
             return
         at = max(self._synced_at.get(by, 0.0), world.engine.now + world.rng.uniform(*FSYNC_MS))
         self._synced_at[by] = at
-        world.engine.at(at, world.call, process, partial(self._keep, process, record, document, crash))
+        world.engine.at(at, world.call, process, partial(self._acknowledge, process, record, document, crash))
 
     def _crashes(self, process: Process, crash: str, step: str) -> bool:
         if crash == step:
             self._world.kill(process.name)
         return crash == step
 
-    def _keep(self, process: Process, record: bytes, document: Document, crash: str) -> None:
-        world, header = self._world, document.header
+    def _acknowledge(self, process: Process, record: bytes, document: Document, crash: str) -> None:
+        world = self._world
+        header = document.header
         assert process.distribution_server is not None
         self._synced[process.name].append(record)
         process.spec.disk[header.scope] = document
@@ -84,5 +86,6 @@
             world.kill(process.name)
 
 
-def _anything(scope: str, body: bytes) -> None:
-    """Bodies here are no configuration: any will do."""
+def _accept_any(scope: str, body: bytes) -> None:
+    """Accept any body: bodies here are no configuration."""
+    del scope, body
--- a/crowpost/lab/feed/real_processes.py
+++ b/crowpost/lab/feed/real_processes.py
@@ -1,9 +1,9 @@
-"""The feed with real node processes on this machine, and one relay killed.
+"""The feed with real processes on this machine, one relay of which is killed.
 
 Run it with `python -m crowpost.lab.feed.real_processes`.
 
-Times are from the publish being asked for to the node's own word that the document is in force, both by the
-machine's monotonic clock.  Only processes that it started are signalled, by their number.
+Times are from the publish request to the node's own log line that the document is applied, both by the
+machine's monotonic clock.  Only processes that were started here are signalled, by their number.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass
 class Process:
-    """One process that was started here."""
+    """A process that was started here, and what its log tells."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -54,6 +54,7 @@
     taken: dict[int, float] = field(default_factory=dict)  # version and when, in ms
 
     async def read(self) -> None:
+        """Read the log of the process until its end."""
         assert self.process.stderr is not None
         while line := (await self.process.stderr.readline()).decode():
             async with self.told:
@@ -73,7 +74,7 @@
                 self.taken[event["version"]] = event["at_ms"]
 
     async def until(self, met: str, within_s: float, number: int = 0) -> bool:
-        """Wait for `listens`, `linked` or a version in force; whether it came."""
+        """Wait for `listens`, `linked` or an applied version; return whether it came in time."""
         checks = {
             "listens": lambda: bool(self.listens),
             "linked": lambda: self.links >= 2,
@@ -87,18 +88,18 @@
         return True
 
     def cpu_s(self) -> float:
-        """Processor time so far."""
+        """Return the processor time so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(") ")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory_mb(self) -> float:
-        """Resident memory."""
+        """Return the resident memory."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 class Fleet:
-    """A publisher, its relays and so many nodes; all ended by `end`."""
+    """A publisher, its relays and its nodes; `end` kills them all."""
 
     def __init__(self, folder: Path, nodes: int, seed: int) -> None:
         self.folder, self.count, self.rng = folder, nodes, Random(seed)
@@ -132,7 +133,7 @@
         return process
 
     async def start(self) -> None:
-        """All up, and each node linked to two relays."""
+        """Start all processes, and wait until each node is connected to two relays."""
         directory = str(self.folder / "ledger")
         self.publisher = await self._hub("p", [], role="publisher", directory=directory)
         for number in range(RELAYS):
@@ -183,8 +184,9 @@
         return float(sum(answer.value["counts"].get(f"bytes_{way}", 0) for way in ("in", "out")))
 
     async def node_bytes(self) -> tuple[float, float, float]:
-        """Bytes of the feed, both ways, of all nodes; and the longest that one document held a loop up and
-        the most processor time that one took, both in ms.
+        """Return the bytes of the feed, both ways, of all nodes, and two times of one document in ms.
+
+        The times are the longest that it held up an event loop, and the most processor time that it took.
         """
         total = longest = most = 0.0
         for node in self.nodes:
@@ -199,6 +201,7 @@
         return total, longest, most
 
     async def end(self) -> None:
+        """Kill all processes."""
         for process in (*self.nodes, *self.relays, self.publisher):
             if process is not None and process.process.returncode is None:
                 process.process.kill()
--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -1,6 +1,6 @@
-"""Configuration for a fleet in simulated time: how long a change takes to be in force, in calm and troubles.
+"""A simulated fleet: how long a change of configuration takes to be applied, with and without faults.
 
-The fleet stands as the operators' target does: 2 regions with 4 and 3 zones, 76 services of skewed sizes, a
+The fleet is laid out as the operators' target: 2 regions with 4 and 3 zones, 76 services of skewed sizes, a
 relay in each zone and a publisher in each region.  Equal arguments give an equal run.
 """
 
@@ -27,10 +27,10 @@
 
 ZONES = (("east", ("e1", "e2", "e3", "e4")), ("west", ("w1", "w2", "w3")))
 SERVICES = 76
-BODY = 2_000  # bytes of a change
-WARM_MS = 15_000.0
-GOSSIP = (50, 200, 790, 1_580)  # sizes for which the way not taken is worked out
-WINDOW_S = 10  # the busiest such stretch is shown beside the mean
+BODY_BYTES = 2_000  # of a change
+WARM_UP_MS = 15_000.0
+GOSSIP_MEMBERS = (50, 200, 790, 1_580)  # for which the cost of gossip is computed
+WINDOW_S = 10  # of the busiest interval, shown beside the mean
 
 
 class Fleet:
@@ -47,8 +47,8 @@
         self.world = World(seed, conditions, tuning)
         by_region = {region: f"p-{region}" for region, _ in regions}
         home_region = regions[0][0]
-        writers = {name: WriteAuthority(name, home_region, by_region) for name in by_region.values()}
-        self.ledger = Publishing(self.world, writers)
+        authorities = {name: WriteAuthority(name, home_region, by_region) for name in by_region.values()}
+        self.publishing = Publishing(self.world, authorities)
         self.rng, self.regions = random.Random(seed), regions
         self.zones = [(region, zone) for region, zones in regions for zone in zones]
         at = {f"p-{region}": f"10.0.{i}.1:7000" for i, (region, _) in enumerate(regions)}
@@ -80,19 +80,19 @@
             self.nodes.append(name)
 
     def in_zone(self, zone: str) -> list[str]:
-        """All processes of a zone."""
+        """Return the names of all processes of a zone."""
         return [name for name, spec in self.world.specs.items() if spec.zone == zone]
 
-    def body(self, size: int = BODY) -> bytes:
-        """The body of a change, no two alike."""
+    def body(self, size: int = BODY_BYTES) -> bytes:
+        """Return the body of a change, no two alike."""
         return self.rng.randbytes(size)
 
-    def publish(self, scope: str, by: str = "p-east", size: int = BODY, crash: str = "") -> None:
-        """A change, now."""
-        self.ledger.publish(by, scope, self.body(size), crash=crash)
+    def publish(self, scope: str, by: str = "p-east", size: int = BODY_BYTES, crash: str = "") -> None:
+        """Publish a change now."""
+        self.publishing.publish(by, scope, self.body(size), crash=crash)
 
     def scope(self) -> tuple[str, str]:
-        """A scope for a change of an ordinary day, and its publisher: a half concerns all nodes."""
+        """Return a scope for a change of an ordinary day, and its publisher; half of them are `all`."""
         region, _ = self.rng.choice(self.regions)
         kind = self.rng.choice(("all", "all", "all", "region", "service", "node"))
         if kind == "all":
@@ -107,7 +107,7 @@
         )
 
     def day(self, count: int, over_ms: float) -> None:
-        """So many changes of an ordinary day, spread evenly from now on."""
+        """Publish changes of an ordinary day, spread evenly from now on."""
         for i in range(count):
             scope, by = self.scope()
             self.world.engine.after(over_ms * (i + 1) / count, self.publish, scope, by)
@@ -115,23 +115,23 @@
 
 @dataclass
 class Meter:
-    """Bytes of each process second by second."""
+    """Records the bytes of each process second by second."""
 
     fleet: Fleet
     series: dict[str, list[int]] = field(default_factory=dict)
 
     def start(self) -> None:
-        """Look at each second from now on."""
-        self._look()
+        """Record each second from now on."""
+        self._sample()
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         world = self.fleet.world
         for name in world.specs:
             self.series.setdefault(name, []).append(world.traffic(name))
-        world.engine.after(1_000.0, self._look)
+        world.engine.after(1_000.0, self._sample)
 
     def rates(self, role: str) -> tuple[float, float, float]:
-        """Bytes a second of the processes of a role: mean, mean of the busiest, and its busiest stretch."""
+        """Return bytes a second of a role: mean, mean of the busiest process, and its busiest interval."""
         means, most = [], 0.0
         for name, spec in self.fleet.world.specs.items():
             if spec.role == role:
@@ -196,11 +196,11 @@
 
 
 def _publisher_killed(fleet: Fleet) -> None:
-    """Killed at each step of a publish in turn, and back after five seconds."""
+    """Kill a publisher at each step of a publication in turn, and restart it after five seconds."""
     world = fleet.world
     for i, step in enumerate(("received", "appended", "synced", "announced")):
         at = 12_000.0 * i
-        world.engine.after(at + 1_000.0, fleet.publish, "all", "p-east", BODY, step)
+        world.engine.after(at + 1_000.0, fleet.publish, "all", "p-east", BODY_BYTES, step)
         world.engine.after(at + 1_000.0, fleet.publish, "region/west", "p-west")
         world.engine.after(at + 6_000.0, world.restart_process, "p-east")
         world.engine.after(at + 8_000.0, fleet.publish, "all")
@@ -208,7 +208,7 @@
 
 
 def _zone(fleet: Fleet) -> None:
-    """The zone of the home publisher's neighbour goes dark, and comes back after half a minute."""
+    """Make a zone next to the home publisher's unreachable for half a minute."""
     world = fleet.world
 
     def lose() -> None:
@@ -227,7 +227,7 @@
 
 
 def _one_relay(fleet: Fleet) -> None:
-    """All relays but one are killed within a second, and stay away."""
+    """Kill all relays but one within a second, for good."""
     world = fleet.world
     for i, (_, zone) in enumerate(fleet.zones[1:]):
         world.engine.after(10_000.0 + 150.0 * i, world.kill, f"r-{zone}")
@@ -236,7 +236,7 @@
 
 
 def _all_back(fleet: Fleet) -> None:
-    """All nodes are killed, changes are made meanwhile, and all are back within a second."""
+    """Kill all nodes, publish changes meanwhile, and restart all within a second."""
     world = fleet.world
     for name in fleet.nodes:
         world.kill(name)
@@ -249,7 +249,7 @@
 
 
 def _cut(fleet: Fleet, for_ms: float) -> None:
-    """The regions lose each other; both change their own scopes, and the home region what concerns all."""
+    """Partition the regions; both change their own scopes, and the home region also what applies to all."""
     world = fleet.world
     world.network.partition("east", "west")
     for i in range(8):
@@ -289,7 +289,7 @@
 
 
 def play(case: str, nodes: int, seed: int, tuning: Tuning | None = None) -> dict[str, Any]:
-    """One run of a case, as docs/capacity/feed.json keeps it; FeedError for a case that there is not."""
+    """Return one run of a case, as docs/capacity/feed.json keeps it.  Raise FeedError for an unknown case."""
     if case not in CASES:
         raise FeedError(f"no case {case!r}; there are {', '.join(CASES)}")
     run, conditions = CASES[case]
@@ -298,7 +298,7 @@
     fleet.publish("all")
     fleet.publish("region/east")
     fleet.publish("region/west", "p-west")
-    world.run(WARM_MS)
+    world.run(WARM_UP_MS)
     world.start_starvation()
     first = len(world.changes)
     meter = Meter(fleet)
@@ -345,7 +345,7 @@
 
 
 def read_record(path: Path) -> dict[str, Any]:
-    """A record of runs; FeedError where the file is none."""
+    """Return a record of runs.  Raise FeedError where the file is none."""
     try:
         record: dict[str, Any] = json.loads(path.read_text())
         for run in record["runs"]:
@@ -358,12 +358,12 @@
 def put_into(path: Path, run: dict[str, Any]) -> None:
     """Put a run into a record, in place of one of the same case, size, seed and source.
 
-    FeedError where there is a file that is no record.
+    Raise FeedError where the file exists and is no record.
     """
     record = read_record(path) if path.exists() else {"schema": 1, "runs": []}
     runs = [old for old in record.pop("runs") if _key(old) != _key(run)]
     lines = ",\n".join(json.dumps(one, sort_keys=True) for one in sorted([*runs, run], key=_key))
-    record["gossip"] = [cost(members) for members in GOSSIP]
+    record["gossip"] = [cost(members) for members in GOSSIP_MEMBERS]
     start = json.dumps(record, sort_keys=True)[:-1]
     path.write_text(f'{start}, "runs": [\n{lines}\n]}}\n')
 
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -21,16 +21,19 @@
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.lab.engine import Engine
+from crowpost.lab.feed.convergence import have_converged
 from crowpost.lab.feed.network import Connection, ConnectionEnd, Network, NetworkConditions
-from crowpost.lab.feed.process import Change, Process, ProcessSpec
+from crowpost.lab.feed.process import Change, Process, ProcessSpec, Side
 
 CLUSTER = "world"
-LATE_MS = 0.001  # that a timer goes off after its time, as timers do; also covers the rounding of clocks
-APPLY_MS = (0.5, 3.0)  # until a node has a document in force
+MAX_IMMEDIATE_TICKS = 1_000  # in a row, before a core counts as looping
+TRUNCATE_ABOVE_BYTES = 600  # larger frames hold a body
+TIMER_DELAY_MS = 0.001  # of a timer after its time; also covers the rounding of clocks
+APPLY_MS = (0.5, 3.0)  # range of the time in which a node applies a document
 
 
 class World:
-    """Many processes on one simulated network."""
+    """Processes on one simulated network, and what they have applied."""
 
     def __init__(
         self, seed: int, conditions: NetworkConditions | None = None, tuning: Tuning | None = None
@@ -44,17 +47,17 @@
         self.changes: list[Change] = []
         self._open: dict[str, dict[Change, None]] = {}
         self.faults: list[str] = []  # invariants that were broken
-        self.rejection_of: Callable[[str, Document], str] = lambda name, document: ""
+        self.rejection_of: Callable[[str, Document], str] | None = None  # by name and document
         self._trace = hashlib.sha256()
         self.history: dict[str, list[Document]] = {}  # what each node took, in order
-        self.on_killed: Callable[[str], None] = lambda name: None  # a process was
+        self.on_killed: Callable[[str], None] | None = None
 
     def note(self, *values: object) -> None:
-        """Part of the trace by which two runs are compared."""
+        """Add values to the trace by which two runs are compared."""
         self._trace.update(f"{self.engine.now!r} {values!r}\n".encode())
 
     def trace(self) -> str:
-        """A digest of all that happened."""
+        """Return a digest of all that happened."""
         return self._trace.hexdigest()
 
     # ------------------------------------------------------------ processes
@@ -68,7 +71,7 @@
         servers: tuple[UpstreamServer, ...],
         service: str = "",
     ) -> Process:
-        """A new process."""
+        """Add and start a process."""
         address = f"10.{len(self.specs) >> 8}.{len(self.specs) & 255}.1:7000"
         spec = self.specs[name] = ProcessSpec(name, role, region, zone, service, address, servers)
         return self._start_instance(spec)
@@ -107,13 +110,14 @@
         return process
 
     def kill(self, name: str, unreachable: bool = False) -> None:
-        """SIGKILL; dark: the machine goes with it, so that nobody is told."""
+        """Kill a process; unreachable: with its machine, so that no peer notices a closed connection."""
         process = self.processes[name]
         if not process.up:
             return
         process.up = False
         self.note("kill", name)
-        self.on_killed(name)
+        if self.on_killed is not None:
+            self.on_killed(name)
         if unreachable:
             self.network.unreachable[name] = True
         for end in process.ends.values():
@@ -122,7 +126,7 @@
             change.pending.pop(name, None)
 
     def restart(self, name: str) -> Process:
-        """A new process with what the old one left on its disk; it owes all that is not superseded."""
+        """Start a new instance with the old one's disk; it is to apply all documents that are still valid."""
         self.kill(name)
         spec, now = self.specs[name], self.engine.now
         process = self._start_instance(spec)
@@ -135,11 +139,11 @@
         return process
 
     def restart_process(self, name: str) -> None:
-        """The same, for a timetable."""
+        """Restart a process, as a timed action without a result."""
         self.restart(name)
 
     def suspend(self, name: str, for_ms: float) -> None:
-        """SIGSTOP, and SIGCONT after so long."""
+        """Suspend a process for a time."""
         process = self.processes[name]
         process.suspended = True
         self.engine.after(for_ms, self._resume, process)
@@ -159,7 +163,7 @@
         self._tick(process)
 
     def start_starvation(self) -> None:
-        """Let a part of the processes stand still again and again."""
+        """Suspend a fraction of the processes again and again."""
         names = list(self.processes)
         for name in self.rng.sample(names, round(self.conditions.starved_fraction * len(names))):
             self.engine.after(self.rng.uniform(0.0, self.conditions.running_ms[1]), self._starve, name)
@@ -170,7 +174,7 @@
         self.engine.after(still + self.rng.uniform(*self.conditions.running_ms), self._starve, name)
 
     def jump_clock(self, name: str, by_ms: float) -> None:
-        """The clock of a process jumps, though a monotonic one never should."""
+        """Shift the clock of a process, though a monotonic one never jumps."""
         process = self.processes[name]
         process.offset += by_ms
         self._tick(process)
@@ -178,10 +182,11 @@
     # ------------------------------------------------------------ time and calls
 
     def run(self, for_ms: float) -> None:
-        """Go on for so long."""
+        """Run the simulation for a time."""
         self.engine.run(self.engine.now + for_ms)
 
     def call(self, process: Process, call: Callable[[], None]) -> None:
+        """Call a core of a process now, or once the process is resumed."""
         if not process.up:
             return
         if process.suspended:
@@ -202,6 +207,7 @@
         self.after(process)
 
     def after(self, process: Process) -> None:
+        """Do what the cores of a process ask for, and set its timer."""
         due = float("inf")
         if process.follower is not None:
             self._perform_follower_output(process, process.follower)
@@ -209,9 +215,9 @@
         if process.distribution_server is not None:
             self._perform_server_output(process, process.distribution_server)
             due = min(due, process.distribution_server.next_at())
-        due += LATE_MS - process.offset
+        due += TIMER_DELAY_MS - process.offset
         process.immediate_ticks = process.immediate_ticks + 1 if due <= self.engine.now else 0
-        if process.immediate_ticks > 1_000:
+        if process.immediate_ticks > MAX_IMMEDIATE_TICKS:
             raise RuntimeError(f"{process.name} is due again and again at {self.engine.now}")
         if due < process.timer_at:
             if process.timer is not None:
@@ -221,12 +227,12 @@
 
     def _perform_follower_output(self, process: Process, follower: Follower) -> None:
         out = follower.take()
-        for dial in out.connects:
-            self._dial(process, dial.connection_id, dial.address)
+        for request in out.connects:
+            self._connect(process, request.connection_id, request.address)
         for connection_id, data in out.sends:
-            self._write(process, "f", connection_id, data)
+            self._write(process, Side.FOLLOWER, connection_id, data)
         for connection_id in out.disconnects:
-            self._hang_up(process, "f", connection_id)
+            self._disconnect(process, Side.FOLLOWER, connection_id)
         for document in out.apply:
             if process.distribution_server is not None:
                 process.distribution_server.announce(document, self.engine.now + process.offset)
@@ -238,13 +244,13 @@
     def _perform_server_output(self, process: Process, distribution_server: DistributionServer) -> None:
         out = distribution_server.take()
         for connection_id, data in out.sends:
-            self._write(process, "h", connection_id, data)
+            self._write(process, Side.SERVER, connection_id, data)
         for connection_id in out.disconnects:
-            self._hang_up(process, "h", connection_id)
+            self._disconnect(process, Side.SERVER, connection_id)
 
     # ------------------------------------------------------------ connections
 
-    def _end(self, process: Process, side: str, connection_id: int) -> ConnectionEnd:
+    def _end(self, process: Process, side: Side, connection_id: int) -> ConnectionEnd:
         spec = process.spec
 
         def receive(data: bytes) -> None:
@@ -254,7 +260,7 @@
             self.call(process, partial(self._lost, process, side, connection_id))
 
         def full(blocked: bool) -> None:
-            if side == "h":
+            if side == Side.SERVER:
                 self.call(process, partial(self._blocked, process, connection_id, blocked))
 
         end = process.ends[side, connection_id] = ConnectionEnd(
@@ -262,8 +268,8 @@
         )
         return end
 
-    def _dial(self, process: Process, connection_id: int, address: str) -> None:
-        end = self._end(process, "f", connection_id)
+    def _connect(self, process: Process, connection_id: int, address: str) -> None:
+        end = self._end(process, Side.FOLLOWER, connection_id)
 
         def find() -> ConnectionEnd | None:
             target = self.by_address.get(address)
@@ -276,25 +282,25 @@
 
         def up(connection: Connection) -> None:
             target = self.by_address[address]
-            target.links += 1
-            taken = self._end(target, "h", target.links)
+            target.accepted_connections += 1
+            taken = self._end(target, Side.SERVER, target.accepted_connections)
             taken.connection = connection
             connection.ends = (end, taken)
-            self.call(target, partial(self._accepted, target, target.links))
+            self.call(target, partial(self._accepted, target, target.accepted_connections))
             self.call(process, partial(self._connected, process, connection_id))
 
         self.network.dial(end, find, up)
 
-    def _write(self, process: Process, side: str, connection_id: int, data: bytes) -> None:
+    def _write(self, process: Process, side: Side, connection_id: int, data: bytes) -> None:
         end = process.ends.get((side, connection_id))
         if end is None:
             return
-        if process.truncates_bodies and side == "h" and len(data) > 600:
+        if process.truncates_bodies and side == Side.SERVER and len(data) > TRUNCATE_ABOVE_BYTES:
             data = data[: len(data) // 2]  # half a body, then nothing any more
             process.ends.pop((side, connection_id))
         self.network.send(end, data)
 
-    def _hang_up(self, process: Process, side: str, connection_id: int) -> None:
+    def _disconnect(self, process: Process, side: Side, connection_id: int) -> None:
         end = process.ends.pop((side, connection_id), None)
         if end is not None:
             self.network.close(end)
@@ -311,17 +317,17 @@
         assert process.distribution_server is not None
         process.distribution_server.blocked(connection_id, blocked, self.engine.now + process.offset)
 
-    def _received(self, process: Process, side: str, connection_id: int, data: bytes) -> None:
+    def _received(self, process: Process, side: Side, connection_id: int, data: bytes) -> None:
         end = process.ends.get((side, connection_id))
         if end is not None:
             self.network.read(end, len(data))
-        core = process.follower if side == "f" else process.distribution_server
+        core = process.follower if side == Side.FOLLOWER else process.distribution_server
         assert core is not None
         core.received(connection_id, data, self.engine.now + process.offset)
 
-    def _lost(self, process: Process, side: str, connection_id: int) -> None:
+    def _lost(self, process: Process, side: Side, connection_id: int) -> None:
         process.ends.pop((side, connection_id), None)
-        core = process.follower if side == "f" else process.distribution_server
+        core = process.follower if side == Side.FOLLOWER else process.distribution_server
         assert core is not None
         core.lost(connection_id, self.engine.now + process.offset)
 
@@ -336,7 +342,7 @@
             self.faults.append(f"{process.name} was given a body that is not the head's: {header}")
         if before is not None and before.header.rank >= header.rank:
             self.faults.append(f"{process.name} went back from {before.header} to {header}")
-        why = self.rejection_of(process.name, document)
+        why = "" if self.rejection_of is None else self.rejection_of(process.name, document)
         if not why:
             process.spec.disk[header.scope] = document
             taken.append(document)
@@ -350,12 +356,13 @@
 
     @staticmethod
     def meant(spec: ProcessSpec, scope: str) -> bool:
+        """Return whether a document of a scope applies to a process."""
         return spec.role == "node" and Subscription(spec.region, spec.service, spec.name).includes(scope)
 
-    # ------------------------------------------------------------ looks
+    # ------------------------------------------------------------ results
 
     def acknowledged(self, header: DocumentHeader) -> None:
-        """A document was: it is owed to all that it is meant for and that run."""
+        """Record that a document was acknowledged; all running nodes in its scope are to apply it."""
         now = self.engine.now
         self.note("acknowledged", header.scope, header.epoch, header.version)
         pending = {
@@ -368,7 +375,7 @@
         self._open.setdefault(header.scope, {})[change] = None
 
     def unreached(self) -> dict[str, list[str]]:
-        """Scope and version, and the names that should have it in force and have not."""
+        """Return by scope and version the nodes that have not applied a document and should."""
         return {
             f"{change.header.scope} {change.header.version}": list(change.pending)
             for change in self.changes
@@ -376,27 +383,14 @@
         }
 
     def traffic(self, name: str) -> int:
-        """Bytes with headers, both ways."""
+        """Return the bytes of a process both ways, with packet headers."""
         return self.network.sent_bytes.get(name, 0) + self.network.received_bytes.get(name, 0)
 
     def converged(self) -> bool:
-        """Whether every process that runs holds the highest head of each scope that is meant for it."""
-        best: dict[str, DocumentHeader] = {}
-        for process in self.processes.values():
-            if process.up and process.follower is not None:
-                for scope, document in process.follower.table.documents.items():
-                    if scope not in best or document.header.rank > best[scope].rank:
-                        best[scope] = document.header
-        for process in self.processes.values():
-            if not process.up or process.follower is None:
-                continue
-            for scope, header in best.items():
-                if process.follower.subscription.includes(scope):
-                    held = process.follower.table.get(scope)
-                    if held is None or held.header != header:
-                        return False
-        return True
+        """Return whether every running process has the highest document of each scope that it watches."""
+        running = [process for process in self.processes.values() if process.up]
+        return have_converged([process.follower for process in running if process.follower is not None])
 
 
 def _nothing(*_: object) -> None:
-    """An end that only says where it stands."""
+    """Do nothing: the end only names its place."""
--- a/tests/config_feed/test_simulation.py
+++ b/tests/config_feed/test_simulation.py
@@ -215,8 +215,8 @@
     world.network.partition("east", "west")
     world.run(6_000.0)
     made.publish("all", "p-east")
-    made.ledger.writers["p-west"] = replace(
-        made.ledger.writers["p-west"], home_region="west"
+    made.publishing.authorities["p-west"] = replace(
+        made.publishing.authorities["p-west"], home_region="west"
     )  # configured wrongly
     made.publish("all", "p-west")
     world.run(5_000.0)
