--- a/crowpost/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -315,7 +315,7 @@
     Example: crowpost lab powerloss --seeds 1-20
     """
     from crowpost.lab import compare as tool
-    from crowpost.lab.powerloss import report
+    from crowpost.lab.crash_consistency import report
 
     try:
         numbers = tool.seeds(seeds)
@@ -361,9 +361,9 @@
 
     Example: crowpost lab disk /var/tmp/store-measure
     """
-    from crowpost.lab.powerloss import speed
+    from crowpost.lab.crash_consistency import benchmark
 
-    rows = speed.measure(directory)
+    rows = benchmark.measure(directory)
     if as_json:
         print(json.dumps(rows, sort_keys=True))
         return
@@ -387,7 +387,7 @@
 
     Example: crowpost lab swarm --members 1000 --loss 0.2
     """
-    from crowpost.lab.swim import measure_all
+    from crowpost.lab.membership.measurement import measure_all
 
     if kills >= members:
         raise typer.BadParameter(f"{kills} kills of {members} members")
--- a/crowpost/config_feed/publisher.py
+++ b/crowpost/config_feed/publisher.py
@@ -12,9 +12,10 @@
 from crowpost.config_feed.publication_log import Check, PublicationLog
 from crowpost.config_feed.transport import FeedTransport
 from crowpost.config_feed.write_authority import WriteAuthority
-from crowpost.store.carrier import Keeper, Opened, open_locked
-from crowpost.store.core import Pace
-from crowpost.store.model import Durability, StoreError
+from crowpost.storage.errors import StoreError
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import OpenedStore, StoreRunner, open_store
+from crowpost.storage.write_policy import WritePolicy
 
 SNAPSHOT_BYTES_PER_S = 4_000_000.0  # mean rate of snapshots; records of publications never wait
 MAX_REJECTION_CHARACTERS = 900  # of the reason in an answer
@@ -33,21 +34,21 @@
         opened = self._open()
         try:
             authority = WriteAuthority(config.name, config.home_region, config.publishers)
-            records = [*opened.found.snapshot, *(record.payload for record in opened.found.records)]
+            records = opened.recovered.payloads()
             self.log = PublicationLog(authority, check, records, config.tuning)
         except FeedError as error:
             opened.disk.close()
             raise FeedError(f"feed.directory: {config.directory}: {error}") from error
-        self._keeper = Keeper(opened, Pace(bytes_per_s=SNAPSHOT_BYTES_PER_S))
+        self._store_runner = StoreRunner(opened, WritePolicy(bytes_per_s=SNAPSHOT_BYTES_PER_S))
         self._logged_at_snapshot = 0  # bytes of the store's log as of the last snapshot
         self._tasks: set[asyncio.Task[None]] = set()
         self.transport = FeedTransport(config, self._document_received, on_publish=self._publish)
 
-    def _open(self) -> Opened:
+    def _open(self) -> OpenedStore:
         config = self._config
         assert config.directory is not None
         try:
-            return open_locked(config.directory, f"feed {config.cluster} {config.name}")
+            return open_store(config.directory, f"feed {config.cluster} {config.name}")
         except StoreError as error:
             raise FeedError(f"feed.directory: {error}") from error
 
@@ -85,7 +86,7 @@
         """Announce and acknowledge a document once its record is durable."""
         header = document.header
         try:
-            await self._keeper.kept(sequence)
+            await self._store_runner.wait_durable(sequence)
         except StoreError as error:
             self._mark_stopped()
             why = f"{error}; after a restart it may be published or not: ask for status"
@@ -125,7 +126,7 @@
 
     def _check_writable(self) -> None:
         """Raise StoreError before the log assigns a version that could not be made durable."""
-        failed = self._keeper.core.failed
+        failed = self._store_runner.store.failure
         if failed:
             self._mark_stopped()
             raise StoreError(f"writing has stopped: {failed}; what is in force goes on being told")
@@ -136,20 +137,20 @@
         self.transport.distribution_server.counts["stopped"] = 1
 
     def _append(self, record: bytes) -> int:
-        return self._keeper.append(record, Durability.ACKNOWLEDGED)
+        return self._store_runner.append(record, Durability.ACKNOWLEDGED)
 
     def _compact(self) -> None:
         """Replace the store's log by a snapshot once it has grown to the configured size."""
-        core = self._keeper.core
-        if core.failed:
+        store = self._store_runner.store
+        if store.failure:
             return
-        if core.written.logged - self._logged_at_snapshot >= self._config.snapshot_bytes:
-            self._logged_at_snapshot = core.written.logged
-            self._keeper.snapshot(self.log.snapshot())
+        if store.counters.log_bytes - self._logged_at_snapshot >= self._config.snapshot_bytes:
+            self._logged_at_snapshot = store.counters.log_bytes
+            self._store_runner.write_snapshot(self.log.snapshot())
 
     async def close(self) -> None:
         """Say goodbye, and let what is being written become durable."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT_S)
         await self.transport.close()
-        await self._keeper.close()
+        await self._store_runner.close()
--- a/crowpost/lab/feed/gossip_cost.py
+++ b/crowpost/lab/feed/gossip_cost.py
@@ -13,29 +13,30 @@
 from crowpost.config_feed.documents import make_document
 from crowpost.config_feed.frames import encode
 from crowpost.config_feed.messages import ApplyReport, DocumentHeaders
-from crowpost.members.gossip import Gossip
-from crowpost.members.model import Claim, Phase, Profile, Tuning, Verdict
+from crowpost.membership.broadcast_queue import BroadcastQueue
+from crowpost.membership.model import Liveness, Phase, Profile, StateUpdate
+from crowpost.membership.settings import ProtocolSettings
 
 BODY_BYTES = 2_000  # bytes of a change
 
 
-def claim(name: str, header: str) -> Claim:
+def update(name: str, header: str) -> StateUpdate:
     """Return a member's update with the header of a document, or its apply status, as a fact."""
     profile = Profile(name, "10.20.30.40:7000", "e1", started_s=1_700_000_000.123, facts={"feed": header})
-    return Claim(name, 0xFFFF_FFFF, 7, Phase.PRESENT, Verdict.NONE, name, "", profile)
+    return StateUpdate(name, 0xFFFF_FFFF, 7, Phase.PRESENT, Liveness.ALIVE, name, "", profile)
 
 
-def drained(claims: int, members: int, tuning: Tuning) -> tuple[int, float]:
+def drained(updates: int, members: int, settings: ProtocolSettings) -> tuple[int, float]:
     """Return the bytes of updates that one member sends until its queue is empty, and how often each."""
-    gossip = Gossip(tuning)
-    for i in range(claims):
-        gossip.add(claim(f"node-{i:04}", "all 1 12 0123456789abcdef"), members)
+    queue = BroadcastQueue(settings)
+    for i in range(updates):
+        queue.enqueue(update(f"node-{i:04}", "all 1 12 0123456789abcdef"), members)
     sent = rows = 0
-    while len(gossip):
-        taken = gossip.take(tuning.datagram_bytes, 0.0)
+    while len(queue):
+        taken = queue.take(settings.max_datagram_bytes, 0.0)
         sent += sum(map(len, taken))
         rows += len(taken)
-    return sent, rows / claims
+    return sent, rows / updates
 
 
 def cost(members: int) -> dict[str, Any]:
@@ -43,9 +44,9 @@
 
     Also the seconds that the apply statuses of all would take within the budget of gossip.
     """
-    tuning = Tuning()
-    header, repeats = drained(1, members, tuning)
-    apply_statuses, _ = drained(members, members, tuning)
+    settings = ProtocolSettings()
+    header, repeats = drained(1, members, settings)
+    apply_statuses, _ = drained(members, members, settings)
     document = make_document(
         "all", 1, 12, b"x" * BODY_BYTES, author="ops", reason="a change", writer="p-east"
     )
@@ -57,7 +58,7 @@
         "gossip_head_bytes": header,
         "gossip_body_bytes": round(repeats * BODY_BYTES),
         "gossip_standings_bytes": apply_statuses,
-        "gossip_standings_s_at_budget": round(apply_statuses / tuning.bytes_per_s),
+        "gossip_standings_s_at_budget": round(apply_statuses / settings.send_rate_bytes_per_s),
         "feed_standing_bytes": 2 * len(encode(ApplyReport("node-0001", 2**32 - 1, 12, (apply_status,)), 0)),
         "feed_head_bytes": 2 * len(encode(DocumentHeaders((document.header,)), 0)),
         "feed_body_bytes": BODY_BYTES,
--- a/crowpost/lab/overhead/profile.py
+++ b/crowpost/lab/overhead/profile.py
@@ -15,11 +15,17 @@
 from crowpost.lab.checkout import PACKAGES
 
 CAUSES = {  # by where a function stands in the package
+    "decision_api/": "decision",
+    "decisions/": "decision",
+    # Revisions before the decisions were split into packages.
     "decide/": "decision",
     "records.py": "decision",
     "parts.py": "decision",
     "interface.py": "decision",
-    "node/http.py": "parsing and rendering",
+    "node/http/": "parsing and rendering",
+    "node/downstream/": "callers' side",
+    "node/upstream/": "servers' side",
+    "node/http.py": "parsing and rendering",  # this and the next four: of older revisions
     "node/callers.py": "callers' side",
     "node/exchange.py": "callers' side",
     "node/servers.py": "servers' side",
--- a/crowpost/node/config_feed.py
+++ b/crowpost/node/config_feed.py
@@ -17,7 +17,7 @@
 from crowpost.config_feed.document_cache import DocumentCache
 from crowpost.config_feed.documents import Document, DocumentHeader
 from crowpost.config_feed.transport import FeedTransport
-from crowpost.node.config import ConfigError
+from crowpost.node.configuration import ConfigError
 from crowpost.node.configuration_overlays import ConfigurationOverlays, ReloadableSettings
 
 
--- a/crowpost/node/config.py
+++ b/crowpost/node/configuration.py
@@ -8,15 +8,14 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from crowpost.interface import InvalidSettingsError, Settings
-from crowpost.node.discovery import ListError, Listing, Naming
-from crowpost.settings import SettingsError, read_settings
+from crowpost.decision_api import InvalidSettingsError, Settings, SettingsError, read_settings
+from crowpost.node.discovery.endpoint_list import ListError, Listing, Naming
 
 if TYPE_CHECKING:
     from crowpost.config_feed.configuration import FeedConfig
-    from crowpost.members.config import MembersConfig
+    from crowpost.membership.configuration import MembershipConfig
     from crowpost.node.configuration_overlays import ConfigurationOverlays
-    from crowpost.store.config import StateConfig
+    from crowpost.storage.config import StateConfig
 
 _DEFAULT_CONN_IDLE_MS = 15_000.0
 # With fewer no request can be served.  A tight limit is the platform's to set, and no reason not to start:
@@ -53,7 +52,7 @@
     path: str  # of the file, which the platform may replace while the node runs
     management: tuple[str, int] | None = None
     accept_fd: int | None = None  # of the clients' listening socket, where the platform holds it
-    members: MembersConfig | None = None  # None: no membership, and nothing of it is imported
+    members: MembershipConfig | None = None  # None: no membership, and nothing of it is imported
     state: StateConfig | None = None  # None: nothing is kept, and nothing of that is imported
     feed: FeedConfig | None = None  # None: no feed of configuration, and nothing of it is imported
     overlays: ConfigurationOverlays | None = None  # the documents of the feed on the file, where there is one
@@ -167,17 +166,17 @@
     return _address(environment, raw, "NODE_MANAGEMENT", "management")
 
 
-def _members(environment: Mapping[str, str], name: str) -> MembersConfig | None:
+def _members(environment: Mapping[str, str], name: str) -> MembershipConfig | None:
     """Membership, where a file for it is named."""
     path = environment.get("NODE_MEMBERS", "")
     if not path:
         return None
-    from crowpost.members.config import load as load_members
-    from crowpost.members.model import MemberError
+    from crowpost.membership.configuration import load as load_members
+    from crowpost.membership.errors import MembershipError
 
     try:
         return load_members(path, name)
-    except MemberError as error:
+    except MembershipError as error:
         raise ConfigError(f"NODE_MEMBERS: {error}") from None
 
 
@@ -186,8 +185,8 @@
     path = environment.get("NODE_STATE", "")
     if not path:
         return None
-    from crowpost.store.config import load as load_state
-    from crowpost.store.model import StoreError
+    from crowpost.storage.config import load as load_state
+    from crowpost.storage.errors import StoreError
 
     try:
         return load_state(path, name)
--- a/crowpost/node/configuration_overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -15,7 +15,7 @@
 from crowpost.config_feed.documents import Document, DocumentHeader, make_document
 from crowpost.config_feed.errors import FeedError
 from crowpost.config_feed.scopes import order_scopes
-from crowpost.node.config import Config, ConfigError, read_config, read_file
+from crowpost.node.configuration import Config, ConfigError, read_config, read_file
 
 MAX_DOCUMENT_BYTES = 32_768  # validating it holds up the event loop, and may not for 5 ms
 MAX_KEY_CHARACTERS = 120  # of a key in an error
--- /dev/null
+++ b/crowpost/node/state/writer.py
@@ -0,0 +1,290 @@
+"""The writer of a node's state directory, which also restores what the process before has left.
+
+It is only imported where it is configured.  One process writes at a time.  A second one of the same node, as
+in an upgrade, reads what the first has written so far, and takes over once the first has released the
+directory.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections import deque
+from collections.abc import Callable, Sequence
+from contextlib import suppress
+from typing import Protocol
+
+from crowpost.decision_api import RememberedEndpoint
+from crowpost.node.state.node_state import NodeState, read_node_state
+from crowpost.node.state.records import (
+    ENDPOINTS_PER_RECORD,
+    EndpointListPart,
+    Evacuation,
+    Incarnation,
+    Instance,
+    LearnedEndpoints,
+    LearnedLimit,
+    NodeRecord,
+    split_list,
+)
+from crowpost.storage.config import REFUSE_ON_DAMAGE, StateConfig
+from crowpost.storage.errors import DirectoryLockedError, OwnerMismatchError, StoreError
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import OpenedStore, StoreRunner, inspect_store, log_event, open_store
+from crowpost.storage.write_policy import WritePolicy
+
+log = logging.getLogger(__name__)
+
+MAX_WAITING_LIST_PARTS = 400  # beyond these the list is written as a snapshot
+BURST_BYTES = 1 << 20
+POLL_INTERVAL_S = 0.1  # between checks of what is to be written, and of a locked directory
+ACKNOWLEDGE_TIMEOUT_S = 1.0  # that an operator waits for an evacuation to be durable
+
+
+class LearnedStateSource(Protocol):
+    """The part of the balancer that returns what it has learned."""
+
+    @property
+    def pool_size(self) -> int:
+        """Number of endpoints."""
+
+    @property
+    def limit_each(self) -> float:
+        """The concurrency limit for each unit of capacity."""
+
+    def remember(self, first: int, most: int) -> list[RememberedEndpoint]:
+        """Return what was learned of at most so many endpoints from a position on."""
+
+
+class NodeStateWriter:
+    """Restores the state of the node's last process, and writes that of this one.
+
+    clock: returns Unix time in ms.  on_evacuation: called with the evacuation that an operator asked of the
+    process before, while this one was starting.
+    """
+
+    def __init__(
+        self,
+        config: StateConfig,
+        source: LearnedStateSource,
+        clock: Callable[[], float],
+        on_evacuation: Callable[[bool], object],
+    ) -> None:
+        self._config = config
+        self._source = source
+        self._clock = clock
+        self._on_evacuation = on_evacuation
+        self._loop = asyncio.get_running_loop()
+        self._runner: StoreRunner | None = None  # None until this process has the directory
+        self._waiting_list_parts: deque[EndpointListPart] = deque()
+        self._timer: asyncio.TimerHandle | None = None
+        self._next_learned_at = 0.0
+        self._position = 0  # in the pool, of the endpoints that are written next
+        self._last_sequence = 0  # of the last record appended
+        self._evacuation_set = False  # an operator has set it in this process
+        self._closing: asyncio.Task[None] | None = None
+        self._take_over_task: asyncio.Task[None] | None = None
+        self._log_bytes_at_snapshot = 0
+        self.damage = ""  # why the directory is not used
+        self.state = NodeState()
+
+    # ------------------------------------------------------------ opening
+
+    def open(self) -> None:
+        """Read the directory, which blocks, and lock it, or wait until another process releases it.
+
+        Raise StoreError if the directory belongs to another owner, or if it is damaged and the configuration
+        refuses to start then.
+        """
+        config = self._config
+        try:
+            self._open_or_inspect()
+        except StoreError as error:
+            if config.on_damage == REFUSE_ON_DAMAGE or isinstance(error, OwnerMismatchError):
+                raise
+            self._continue_without_state(error)
+            return
+        self._poll()
+
+    def _open_or_inspect(self) -> None:
+        config = self._config
+        try:
+            opened, state = self._open_and_read()
+        except DirectoryLockedError:
+            self.state = read_node_state(inspect_store(config.directory, config.owner))
+            log_event("waiting", path=str(config.directory), text="another process of this node writes")
+            return
+        self._use(opened, state)
+
+    def _open_and_read(self) -> tuple[OpenedStore, NodeState]:
+        """Lock and read the directory, which blocks."""
+        opened = open_store(self._config.directory, self._config.owner)
+        try:
+            return opened, read_node_state(opened.recovered)
+        except StoreError:
+            opened.disk.close()
+            raise
+
+    def _use(self, opened: OpenedStore, state: NodeState) -> None:
+        rate = self._config.bytes_per_s
+        policy = WritePolicy(bytes_per_s=rate, burst_bytes=max(rate, BURST_BYTES))
+        self._runner = StoreRunner(opened, policy)
+        self.state = state
+
+    async def _take_over(self) -> None:
+        """Continue from the state that the process before wrote last, with what this one knows itself."""
+        try:
+            opened, state = await self._loop.run_in_executor(None, self._open_and_read)
+        except DirectoryLockedError:
+            return
+        except StoreError as error:
+            self._continue_without_state(error)
+            return
+        own = self.state
+        self._use(opened, state)
+        log_event("taken_over", path=str(self._config.directory))
+        if self._evacuation_set:
+            self._append(Evacuation(own.evacuated), Durability.ACKNOWLEDGED)
+        elif state.evacuated != own.evacuated:
+            self._on_evacuation(state.evacuated)
+        if own.incarnation > state.incarnation:
+            self._append(Incarnation(own.incarnation))
+        if own.generation > state.generation:
+            self.record_list(True, own.generation, own.decoded_instances())
+
+    def _continue_without_state(self, error: StoreError) -> None:
+        self.damage = str(error)
+        path = str(self._config.directory)
+        log_event("unusable", path=path, why=str(error), text="going on without the state")
+
+    # ------------------------------------------------------------ recording
+
+    def record_list(self, reset: bool, generation: int, instances: Sequence[Instance]) -> None:
+        """Record a list from discovery or a change of it; it is written in parts, one in each poll."""
+        if self.damage or self._closing is not None:
+            return
+        if self._runner is not None and self._runner.store.failure:
+            return
+        for part in split_list(reset, generation, instances):
+            if self._runner is None:
+                self.state.apply(part)
+            else:
+                self._waiting_list_parts.append(part)
+
+    def record_incarnation(self, number: int) -> None:
+        """Record this node's incarnation number in the membership."""
+        if number > self.state.incarnation:
+            self._append(Incarnation(number))
+
+    async def record_evacuation(self, active: bool) -> str:
+        """Record what an operator asked for; return why that is not durable, or an empty text if it is."""
+        self._evacuation_set = True
+        if self._closing is not None:
+            return "the node is ending"
+        self._append(Evacuation(active), Durability.ACKNOWLEDGED)
+        if self._runner is None:
+            return self.damage or "another process of this node has the state directory"
+        try:
+            await asyncio.wait_for(self._runner.wait_durable(self._last_sequence), ACKNOWLEDGE_TIMEOUT_S)
+        except StoreError as error:
+            return str(error)
+        except TimeoutError:
+            return f"the disk has not answered within {ACKNOWLEDGE_TIMEOUT_S:g} s"
+        return ""
+
+    def _append(self, record: NodeRecord, durability: Durability = Durability.DELAYED) -> None:
+        self.state.apply(record)
+        if self._runner is not None and self._closing is None and not self._runner.store.failure:
+            self._last_sequence = self._runner.append(record.encode(), durability)
+
+    # ------------------------------------------------------------ polling
+
+    def _poll(self) -> None:
+        self._timer = self._loop.call_later(POLL_INTERVAL_S, self._poll)
+        if self._runner is None:
+            self._try_to_take_over()
+        else:
+            self._write_next(self._runner)
+
+    def _try_to_take_over(self) -> None:
+        if self._take_over_task is None or self._take_over_task.done():
+            self._take_over_task = None if self.damage else self._loop.create_task(self._take_over())
+
+    def _write_next(self, runner: StoreRunner) -> None:
+        """Write the next part of a list, or else of what was learned; and a snapshot if one is due."""
+        store = runner.store
+        if len(self._waiting_list_parts) > MAX_WAITING_LIST_PARTS:
+            self._collapse_list_parts()
+        if store.failure or store.durable_sequence < self._last_sequence:
+            return  # the budget is used up, or the disk is slow
+        if self._waiting_list_parts:
+            self._append(self._waiting_list_parts.popleft())
+        else:
+            self._write_learned()
+        log_bytes = store.counters.log_bytes
+        is_due = log_bytes - self._log_bytes_at_snapshot >= self._config.snapshot_bytes
+        if is_due and self.state.staged is None:
+            runner.write_snapshot(self.state.snapshot_pieces())
+            # Read again: the job of the snapshot may have sealed a segment.
+            self._log_bytes_at_snapshot = store.counters.log_bytes
+
+    def _collapse_list_parts(self) -> None:
+        """Changes arrive faster than they may be written: apply them all, and make a snapshot due."""
+        while self._waiting_list_parts:
+            self.state.apply(self._waiting_list_parts.popleft())
+        self._log_bytes_at_snapshot = -self._config.snapshot_bytes
+
+    def _write_learned(self) -> None:
+        """Write what was learned of the next endpoints of the pool; and the limit, once in each round."""
+        now = self._clock()
+        if now < self._next_learned_at:
+            return
+        endpoints = self._source.remember(self._position, ENDPOINTS_PER_RECORD)
+        if endpoints:
+            self._append(LearnedEndpoints(now, endpoints))
+        self._position += ENDPOINTS_PER_RECORD
+        if self._position >= self._source.pool_size:
+            self._position = 0
+            self._next_learned_at = now + self._config.write_interval_ms
+            self._append(LearnedLimit(now, self._source.limit_each))
+
+    # ------------------------------------------------------------ closing
+
+    def close(self) -> asyncio.Task[None]:
+        """Write what was learned last, seal the log and release the directory."""
+        if self._closing is None:
+            if self._timer is not None:
+                self._timer.cancel()
+            self._closing = self._loop.create_task(self._close())
+        return self._closing
+
+    async def _close(self) -> None:
+        if self._take_over_task is not None:
+            await self._take_over_task
+        runner = self._runner
+        if runner is None:
+            return
+        with suppress(StoreError):  # that writing has stopped was logged when it did
+            while self._waiting_list_parts:
+                runner.append(self._waiting_list_parts.popleft().encode(), Durability.DELAYED)
+                await asyncio.sleep(0)
+            now = self._clock()
+            learned = LearnedEndpoints(now, self._source.remember(0, ENDPOINTS_PER_RECORD))
+            runner.append(learned.encode(), Durability.DELAYED)
+            runner.append(LearnedLimit(now, self._source.limit_each).encode(), Durability.DELAYED)
+        await runner.close()
+
+    def figures(self) -> dict[str, float]:
+        """Return metrics by name, for /api/telemetry."""
+        store = self._runner.store if self._runner is not None else None
+        counters = store.counters if store is not None else None
+        return {
+            "state_writing": int(store is not None and not store.failure and not self.damage),
+            "state_damaged": int(bool(self.damage)),
+            "state_records": counters.records if counters is not None else 0,
+            "state_bytes": counters.bytes if counters is not None else 0,
+            "state_snapshots": counters.snapshots if counters is not None else 0,
+            "state_log_bytes": store.log_bytes if store is not None else 0,
+            "state_unkept": store.pending_records if store is not None else 0,
+            "state_generation": self.state.generation,
+        }
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -20,21 +20,10 @@
 from crowpost.config_feed.request_reply import request_reply
 from crowpost.config_feed.transport import FeedTransport
 from crowpost.config_feed.upstream_server import UpstreamServer
-from crowpost.store.disk import Disk
-from crowpost.store.model import Append, Operation
+from crowpost.storage.disk import Disk
+from crowpost.storage.operations import Append, Operation
 from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
-from tests.stubs import (
-    HOST,
-    PATIENCE_S,
-    Caller,
-    StubDiscovery,
-    StubServer,
-    listing,
-    reply,
-    row,
-    run,
-    tell,
-)
+from tests.stubs import HOST, PATIENCE_S, Caller, StubDiscovery, StubServer, listing, reply, row, run, tell
 
 
 def test_changes_under_traffic_cost_no_call_and_no_connection(tmp_path: Path) -> None:
--- /dev/null
+++ b/tests/membership/test_transport.py
@@ -0,0 +1,168 @@
+"""Membership on sockets: real transports, and a real node."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from crowpost.lab.rig.processes import node_config
+from crowpost.membership.configuration import MembershipConfig
+from crowpost.membership.errors import MembershipError
+from crowpost.membership.model import Phase
+from crowpost.membership.query import query
+from crowpost.membership.settings import ProtocolSettings
+from crowpost.membership.transport import MembershipTransport
+from crowpost.membership.wire import MessageKind
+from tests.membership.files import MINIMAL_FILE
+from tests.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
+
+QUICK = ProtocolSettings(
+    probe_interval_ms=40.0, gossip_interval_ms=15.0, sync_interval_ms=500.0, dead_probe_interval_ms=200.0
+)
+
+
+def config(name: str, join: tuple[str, ...] = (), **more: Any) -> MembershipConfig:
+    return MembershipConfig("t", name, f"{HOST}:0", join=join, protocol=QUICK, **more)
+
+
+class Cluster:
+    """Members on one loop, which wait for what they are to hold by their own events."""
+
+    def __init__(self) -> None:
+        self.transports: list[MembershipTransport] = []
+        self.changed = asyncio.Event()
+
+    async def add(self, name: str, join: tuple[str, ...] = ()) -> str:
+        transport = MembershipTransport(config(name, join), lambda _: self.changed.set())
+        self.transports.append(transport)
+        address = await transport.start()
+        transport.announce_phase(Phase.PRESENT)
+        return address
+
+    async def until(self, name: str, state: str) -> None:
+        """Until all others hold this of a member."""
+
+        def told() -> bool:
+            views = [c.core.view.members for c in self.transports if c.core.local_member.name != name]
+            return all(name in v and v[name].state == state for v in views)
+
+        while not told():
+            self.changed.clear()
+            await asyncio.wait_for(self.changed.wait(), PATIENCE_S)
+
+    def close(self) -> None:
+        for transport in self.transports:
+            transport.abort()
+
+
+def test_members_on_sockets_join_see_a_death_and_a_leaving_and_answer_the_command() -> None:
+    async def main() -> None:
+        cluster = Cluster()
+        try:
+            first = await cluster.add("a")
+            for name in "bcd":
+                await cluster.add(name, (f"{HOST}:1", first))
+            for name in "abcd":
+                await cluster.until(name, "present")
+            dead = cluster.transports.pop()
+            dead.abort()
+            await cluster.until("d", "dead")
+            view = await query(first, MessageKind.VIEW, "")
+            assert {m["name"]: m["state"] for m in view["members"]}["d"] == "dead"
+            await query(cluster.transports[1].core.local_member.profile.address, MessageKind.LEAVE, "t")
+            await cluster.until("b", "left")
+            assert cluster.transports[1].leave_requested.is_set()
+        finally:
+            cluster.close()
+
+    run(main())
+
+
+def test_bytes_that_are_no_frame_end_their_connection_and_nothing_else() -> None:
+    async def main() -> None:
+        cluster = Cluster()
+        try:
+            first = await cluster.add("a")
+            host, port = first.rsplit(":", 1)
+            for junk in (b"", b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", b"\0\0\0\x04junk", b"\0\0"):
+                reader, writer = await asyncio.open_connection(host, int(port))
+                writer.write(junk)
+                writer.write_eof()
+                assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
+                writer.close()
+            with pytest.raises(MembershipError, match="closed|bytes read"):
+                await query(first, MessageKind.LEAVE, "another cluster")
+            await cluster.add("b", (first,))
+            await cluster.until("b", "present")
+        finally:
+            cluster.close()
+
+    run(main())
+
+
+def test_a_node_that_is_a_member_says_when_it_is_ready_and_when_it_drains(tmp_path: Path) -> None:
+    async def main() -> None:
+        cluster = Cluster()
+        try:
+            first = await cluster.add("a")
+            member = MembershipConfig(
+                "t", "node", f"{HOST}:0", join=(first,), protocol=QUICK, share_work=True, settle_ms=1.0
+            )
+            async with StubServer([reply("200 OK")]) as server:
+                async with world(row("s", server.address), members=member) as w:
+                    await cluster.until("node", "present")
+                    figures = (await w.manage("GET", "/api/telemetry")).body.decode()
+                    assert 'edge_node_members{state="present"} 2\n' in figures
+                    await w.manage("POST", "/api/evacuate")
+                    await cluster.until("node", "leaving")
+                    await w.manage("POST", "/api/rejoin")
+                    await cluster.until("node", "present")
+                await cluster.until("node", "left")
+        finally:
+            cluster.close()
+
+    run(main())
+
+
+def test_with_membership_off_nothing_of_it_is_imported() -> None:
+    names = ("membership", "members", "msgpack")
+    loaded = f"[m for m in sys.modules if any(name in m for name in {names})]"
+    code = f"import sys, crowpost.__main__; print({loaded})"
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert done.stdout.strip() == "[]"
+
+
+def test_a_node_whose_file_for_membership_cannot_be_used_says_so_and_ends_with_2(tmp_path: Path) -> None:
+    raw = json.dumps(node_config(0, 2))
+    (tmp_path / "c.json").write_text(raw)
+    (tmp_path / "m.toml").write_text(
+        MINIMAL_FILE.replace("127.0.0.1:0", "203.0.113.1:7946")
+    )  # no address of this machine
+    for members, said in (
+        ("none.toml", "NODE_MEMBERS: "),
+        ("m.toml", "NODE_MEMBERS: members.listen cannot be used: "),
+    ):
+        environment = {
+            **os.environ,
+            "NODE_NAME": "n",
+            "NODE_LISTEN": f"{HOST}:0",
+            "NODE_DISCOVERY": f"{HOST}:9",
+            "NODE_CONFIG": str(tmp_path / "c.json"),
+            "NODE_MEMBERS": str(tmp_path / members),
+        }
+        done = subprocess.run(
+            [sys.executable, "-m", "crowpost"],
+            env=environment,
+            capture_output=True,
+            text=True,
+            timeout=60,
+            check=False,
+        )
+        assert done.returncode == 2 and done.stderr.splitlines()[-1].startswith(f"crowpost: {said}")
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -10,17 +10,17 @@
 import pytest
 
 import crowpost.config_feed.frames as feed_wire
-import crowpost.members.wire as member_wire
+import crowpost.membership.wire as member_wire
 from crowpost.config_feed.configuration import load as load_feed
 from crowpost.config_feed.document_cache import DocumentCache
 from crowpost.config_feed.errors import FeedError
 from crowpost.config_feed.publication_log import PublicationLog
 from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.lab.scenario import load as load_scenario
-from crowpost.members.config import load as load_members
-from crowpost.node.kept import read
-from crowpost.store.carrier import look, open_locked
-from crowpost.store.config import load as load_state
+from crowpost.membership.configuration import load as load_members
+from crowpost.node.state.node_state import read_node_state
+from crowpost.storage.config import load as load_state
+from crowpost.storage.runner import inspect_store, open_store
 from tests.golden import build
 from tests.golden.build import HERE, ROOT
 
@@ -39,13 +39,13 @@
 
 
 def test_datagrams_of_members_are_read_and_written_again_as_before() -> None:
-    cluster = member_wire.tag(build.CLUSTER)
+    cluster = member_wire.cluster_tag(build.CLUSTER)
     frames = [frame for key, frame in recorded("frames-members.json").items() if key.startswith("datagram")]
     assert len(frames) == 5
     for frame in frames:
-        message = member_wire.read_datagram(frame, cluster, 2_000)
-        rows = [member_wire.pack(member_wire.claim_row(claim)) for claim in message.claims]
-        assert member_wire.datagram(message, cluster, rows) == frame
+        message = member_wire.decode_datagram(frame, cluster, 2_000)
+        rows = [member_wire.pack(member_wire.encode_update(update)) for update in message.updates]
+        assert member_wire.encode_datagram(message, cluster, rows) == frame
 
 
 def test_frames_of_the_feed_are_written_as_before() -> None:
@@ -74,18 +74,18 @@
 
 def test_a_state_directory_gives_the_snapshot_that_it_holds(tmp_path: Path) -> None:
     shutil.copytree(HERE / "state", tmp_path / "state")
-    opened = open_locked(tmp_path / "state", build.OWNER)
+    opened = open_store(tmp_path / "state", build.OWNER)
     try:
-        assert list(read(opened.found).pieces()) == opened.found.snapshot
-        assert [record.payload for record in opened.found.records] == build.node_records()
-        assert opened.found.snapshot == build.node_snapshot()
+        assert list(read_node_state(opened.recovered).snapshot_pieces()) == opened.recovered.snapshot
+        assert [record.payload for record in opened.recovered.records] == build.node_records()
+        assert opened.recovered.snapshot == build.node_snapshot()
     finally:
         opened.disk.close()
 
 
 def test_a_publishers_ledger_is_read_as_before(tmp_path: Path) -> None:
     shutil.copytree(HERE / "ledger", tmp_path / "ledger")
-    found = look(tmp_path / "ledger", "pub-n")
+    found = inspect_store(tmp_path / "ledger", "pub-n")
     records, snapshot = build.ledger_records()
     assert found.snapshot == snapshot
     assert [record.payload for record in found.records] == records
