--- a/crowpost/cli/state.py
+++ b/crowpost/cli/state.py
@@ -56,7 +56,7 @@
     servers: list[dict[str, Any]] = [
         {
             "server": name.decode(errors="replace"),
-            "share": round(memory.ratio, 3),
+            "share": round(memory.share_ratio, 3),
             "average_ms": memory.average_ms,
             "ejected": memory.ejected,
             "started_ms": memory.started_ms,
--- a/crowpost/decision_api/endpoints.py
+++ b/crowpost/decision_api/endpoints.py
@@ -44,7 +44,7 @@
 
     server: EndpointId
     started_ms: float
-    ratio: float  # its share, as a multiple of the mean share
+    share_ratio: float  # its share, as a multiple of the mean share
     average_ms: float | None = None  # None: not called yet
     ejected: bool = False
     age_ms: float = 0.0
--- a/crowpost/decision_api/events.py
+++ b/crowpost/decision_api/events.py
@@ -30,7 +30,7 @@
     cost_hint_ms: float | None = None
     is_repeat: bool = False
     is_write: bool = False
-    streamed: bool = False  # its body is too long to be held: time runs from its last byte, see BodySent
+    body_streamed: bool = False  # its body is too long to be held: time runs from its last byte, see BodySent
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,12 +104,12 @@
     It takes the place of `balancers` and `ordinal` in the settings from now on.
     """
 
-    present: int
+    node_count: int
     node_index: int
 
     def __post_init__(self) -> None:
-        if not 0 <= self.node_index < self.present:
-            raise UnexpectedEventError(f"place {self.node_index} among {self.present} nodes")
+        if not 0 <= self.node_index < self.node_count:
+            raise UnexpectedEventError(f"place {self.node_index} among {self.node_count} nodes")
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
     limit_each: calls that it would let out for each unit of capacity that is its own part; 0: not known.
     """
 
-    servers: tuple[RememberedEndpoint, ...]
+    endpoints: tuple[RememberedEndpoint, ...]
     limit_each: float = 0.0
     limit_age_ms: float = 0.0
 
--- a/crowpost/decision_api/settings.py
+++ b/crowpost/decision_api/settings.py
@@ -41,7 +41,7 @@
     priority_weight: float = 1.0
     late_value_fraction: float = 0.0
     effect: Effect = Effect.SAFE
-    group: IdempotencyScope = IdempotencyScope.ALL
+    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
     idempotency_window_ms: float = 0.0
     stream: bool = False
     objective_stretch: float = 0.0
--- a/crowpost/decision_api/settings_reader.py
+++ b/crowpost/decision_api/settings_reader.py
@@ -64,7 +64,7 @@
         raise SettingsError(f"settings: {key} is an unknown effect: {raw!r}") from None
 
 
-def _group(setup: _Setup, key: str) -> IdempotencyScope:
+def _idempotency_scope(setup: _Setup, key: str) -> IdempotencyScope:
     raw = setup.text(key, "all")
     try:
         return IdempotencyScope(raw)
@@ -82,7 +82,7 @@
         priority_weight=setup.number(f"{at}.worth", 1.0),
         late_value_fraction=setup.number(f"{at}.lateShare", 0.0),
         effect=effect,
-        group=_group(setup, f"{at}.group"),
+        idempotency_scope=_idempotency_scope(setup, f"{at}.group"),
         idempotency_window_ms=setup.number(f"{at}.windowMs", None if keyed else 0.0),
         stream=setup.flag(f"{at}.stream", False),
         objective_stretch=setup.number(f"{at}.aimStretch", 0.0),
--- a/crowpost/decisions/balancer.py
+++ b/crowpost/decisions/balancer.py
@@ -153,9 +153,9 @@
         self._limiter.follow_capacity()
 
     def _on_nodes_present(self, event: NodesPresent) -> None:
-        self._endpoints.set_nodes(event.present, event.node_index)
+        self._endpoints.set_nodes(event.node_count, event.node_index)
         self._limiter.set_nodes()
-        self._quotas.set_nodes(event.present)
+        self._quotas.set_nodes(event.node_count)
 
     def _on_state_restored(self, event: StateRestored) -> None:
         learned_state.restore(event, self._endpoints, self._outliers, self._limiter)
--- a/crowpost/decisions/dispatch.py
+++ b/crowpost/decisions/dispatch.py
@@ -133,5 +133,5 @@
 def _is_safe_to_repeat(request: Request) -> bool:
     """Return whether the client may send it again, although an attempt may have run."""
     effect = request.request_class.effect
-    scope = request.request_class.group
+    scope = request.request_class.idempotency_scope
     return effect is Effect.SAFE or (effect is Effect.KEYED and scope is IdempotencyScope.ALL)
--- a/crowpost/decisions/endpoint_selection.py
+++ b/crowpost/decisions/endpoint_selection.py
@@ -63,13 +63,16 @@
     def scope_of(self, request: Request) -> Scope | None:
         """Return the zone or cell that a further attempt must stay in; None where any endpoint will do."""
         request_class = request.request_class
-        if request_class.effect is not Effect.KEYED or request_class.group is IdempotencyScope.ALL:
+        if (
+            request_class.effect is not Effect.KEYED
+            or request_class.idempotency_scope is IdempotencyScope.ALL
+        ):
             return None
         first = request.first_risky_attempt()
         if first is None:
             return None
-        by_zone = request_class.group is IdempotencyScope.ZONE
-        return request_class.group, first.entry.zone if by_zone else first.entry.cell
+        by_zone = request_class.idempotency_scope is IdempotencyScope.ZONE
+        return request_class.idempotency_scope, first.entry.zone if by_zone else first.entry.cell
 
     def is_permitted(self, request: Request, endpoint: Endpoint) -> bool:
         """Return whether rules 2 and 3 let an attempt of this request go to this endpoint at all."""
--- a/crowpost/decisions/learned_state.py
+++ b/crowpost/decisions/learned_state.py
@@ -38,14 +38,14 @@
 ) -> None:
     """Weigh what an earlier process learned: by age, and only of endpoints that were not restarted since."""
     learned: dict[EndpointId, LearnedEndpoint] = {}
-    for memory in event.servers:
+    for memory in event.endpoints:
         endpoint = endpoints.known.get(memory.server)
         trust = _trust(memory.age_ms)
         if endpoint is None or endpoint.index < 0 or not trust:
             continue
         if endpoint.entry.started_ms != memory.started_ms:
             continue  # another process than the one that it was learned of
-        learned[memory.server] = LearnedEndpoint(memory.ratio, memory.average_ms, trust)
+        learned[memory.server] = LearnedEndpoint(memory.share_ratio, memory.average_ms, trust)
         if memory.ejected and not endpoint.ejected:
             outliers.restore_ejected(endpoint)
     endpoints.automaton.restore(learned)
--- a/crowpost/decisions/request_arrival.py
+++ b/crowpost/decisions/request_arrival.py
@@ -48,7 +48,7 @@
         if not settings.priority_by_work:
             weight = weight / units
         weight *= 1.0 if self._quotas.take(event.tenant) else settings.over_quota_weight
-        deadline = math.inf if event.streamed else context.now + event.budget_ms
+        deadline = math.inf if event.body_streamed else context.now + event.budget_ms
         request = Request(
             id=number,
             request_class=request_class,
@@ -57,7 +57,7 @@
             units=units,
             priority_weight=weight,
             sequence=context.next_number(),
-            body_streamed=event.streamed,
+            body_streamed=event.body_streamed,
         )
         request.limit_fraction = context.rng.random()
         self._table.requests[number] = request
--- a/crowpost/lab/baselines.py
+++ b/crowpost/lab/baselines.py
@@ -150,9 +150,9 @@
             if kind.effect is Effect.KEYED:
                 if self.now - sent >= kind.idempotency_window_ms - self.settings.tick_ms:
                     return False
-                if kind.group is IdempotencyScope.CELL and arm.entry.cell != first.cell:
+                if kind.idempotency_scope is IdempotencyScope.CELL and arm.entry.cell != first.cell:
                     return False
-                if kind.group is IdempotencyScope.ZONE and arm.entry.zone != first.zone:
+                if kind.idempotency_scope is IdempotencyScope.ZONE and arm.entry.zone != first.zone:
                     return False
         return self._warm_enough(arm)
 
@@ -168,7 +168,7 @@
         del self.open[number]
         kind = request.kind
         harmless = kind.effect is Effect.SAFE or (
-            kind.effect is Effect.KEYED and kind.group is IdempotencyScope.ALL
+            kind.effect is Effect.KEYED and kind.idempotency_scope is IdempotencyScope.ALL
         )
         if request.risky() and not harmless:
             return [Fail(number)]
--- a/crowpost/lab/live/processes.py
+++ b/crowpost/lab/live/processes.py
@@ -68,7 +68,7 @@
                 "deadlineMs": c.deadline_ms,
                 "worth": c.priority_weight,
                 "effect": c.effect.value,
-                "group": c.group.value,
+                "group": c.idempotency_scope.value,
                 "windowMs": c.idempotency_window_ms,
             }
             for c in settings.classes
--- a/crowpost/lab/memory.py
+++ b/crowpost/lab/memory.py
@@ -50,14 +50,14 @@
 
     def _changed(self, told: StateRestored) -> StateRestored:
         if self._variant == "+state-old":
-            rows = tuple(replace(m, age_ms=m.age_ms + HOUR_MS) for m in told.servers)
+            rows = tuple(replace(m, age_ms=m.age_ms + HOUR_MS) for m in told.endpoints)
             return StateRestored(rows, told.limit_each, told.limit_age_ms + HOUR_MS)
         if self._variant == "+state":
             return told
-        others = list(told.servers)
+        others = list(told.endpoints)
         self._rng.shuffle(others)
         rows = tuple(
-            replace(m, ratio=o.ratio, average_ms=o.average_ms, ejected=self._rng.random() < 0.3)
-            for m, o in zip(told.servers, others, strict=True)
+            replace(m, share_ratio=o.share_ratio, average_ms=o.average_ms, ejected=self._rng.random() < 0.3)
+            for m, o in zip(told.endpoints, others, strict=True)
         )
         return StateRestored(rows, told.limit_each * self._rng.choice(WRONG_LIMITS), told.limit_age_ms)
--- a/crowpost/lab/revisions.py
+++ b/crowpost/lab/revisions.py
@@ -41,8 +41,11 @@
     "Outcome.NOT_SENT": ("MOOT",),
     "Reject": ("Refuse",),
     "RememberedEndpoint": ("ServerMemory",),
+    "RememberedEndpoint.share_ratio": ("ratio",),
     "RequestAbandoned": ("RequestGone",),
     "RequestArrived": ("Arrival",),
+    "RequestArrived.body_streamed": ("streamed",),
+    "RequestClass.idempotency_scope": ("group",),
     "RequestClass.idempotency_window_ms": ("window_ms",),
     "RequestClass.late_value_fraction": ("late_share",),
     "RequestClass.latency_objective_ms": ("aim_ms",),
@@ -65,6 +68,8 @@
     "Settings.tiers": ("stages",),
     "Settings.warm_up_ms": ("cold_ms",),
     "StateRestored": ("Remembered",),
+    "StateRestored.endpoints": ("servers",),
+    "NodesPresent.node_count": ("present",),
     "NodesPresent.node_index": ("ordinal",),
 }
 
--- a/crowpost/lab/rules.py
+++ b/crowpost/lab/rules.py
@@ -109,16 +109,16 @@
                     now, 2, node, f"{now - first.sent:.0f} ms after the first, past the window", request
                 )
             for other in risky:
-                if kind.group is IdempotencyScope.ZONE and entry.zone != other.entry.zone:
+                if kind.idempotency_scope is IdempotencyScope.ZONE and entry.zone != other.entry.zone:
                     self._break(now, 2, node, "a repeat in another zone", request)
-                if kind.group is IdempotencyScope.CELL and entry.cell != other.entry.cell:
+                if kind.idempotency_scope is IdempotencyScope.CELL and entry.cell != other.entry.cell:
                     self._break(now, 2, node, "a repeat in another cell", request)
 
     def refused(self, node: SimNode, request: SimulatedRequest, now: float) -> None:
         """A refusal promises that trying again does no harm."""
         risky = any(t.may_have_run() for t in request.tried)
         harmless = request.kind.effect is Effect.SAFE or (
-            request.kind.effect is Effect.KEYED and request.kind.group is IdempotencyScope.ALL
+            request.kind.effect is Effect.KEYED and request.kind.idempotency_scope is IdempotencyScope.ALL
         )
         if risky and not harmless:
             self._break(now, 2, node, "refused, though it may have run", request)
--- a/crowpost/lab/traffic.py
+++ b/crowpost/lab/traffic.py
@@ -132,7 +132,7 @@
         return True
     return (
         kind.effect is Effect.KEYED
-        and kind.group is IdempotencyScope.ALL
+        and kind.idempotency_scope is IdempotencyScope.ALL
         and since_first < kind.idempotency_window_ms
     )
 
--- a/crowpost/node/kept.py
+++ b/crowpost/node/kept.py
@@ -42,7 +42,7 @@
     memories: Sequence[RememberedEndpoint]
 
     def pack(self) -> bytes:
-        rows = [(m.server, m.started_ms, m.ratio, m.average_ms, m.ejected) for m in self.memories]
+        rows = [(m.server, m.started_ms, m.share_ratio, m.average_ms, m.ejected) for m in self.memories]
         return _pack("servers", self.at, rows)
 
 
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -392,7 +392,7 @@
                 asked.key,
                 asked.cost_hint_ms,
                 asked.is_repeat,
-                streamed=upload is not None,
+                body_streamed=upload is not None,
             )
         )
 
--- a/tests/decisions/checker.py
+++ b/tests/decisions/checker.py
@@ -125,7 +125,9 @@
                 owed.done_at = self.now
                 if isinstance(action, Reject) and owed.risky() and owed.kind.effect is not Effect.SAFE:
                     assert owed.kind.effect is Effect.KEYED, "rule 2: refused an unsafe one that may have run"
-                    assert owed.kind.group is IdempotencyScope.ALL, "rule 2: refusal needs the group of all"
+                    assert (
+                        owed.kind.idempotency_scope is IdempotencyScope.ALL
+                    ), "rule 2: refusal needs the group of all"
             case SetTimer(token, at):
                 self.timers.append((at, token))
             case Cancel(request, number, _):
@@ -152,9 +154,9 @@
             if kind.effect is Effect.KEYED:
                 for other in risky:
                     assert self.now - other.sent < kind.idempotency_window_ms, "rule 2: outside the window"
-                    if kind.group is IdempotencyScope.CELL:
+                    if kind.idempotency_scope is IdempotencyScope.CELL:
                         assert entry.cell == other.entry.cell, "rule 2: another cell"
-                    if kind.group is IdempotencyScope.ZONE:
+                    if kind.idempotency_scope is IdempotencyScope.ZONE:
                         assert entry.zone == other.entry.zone, "rule 2: another zone"
         limit = min(owed.deadline, self.now + timeout) if timeout else owed.deadline
         owed.attempts.append(Tried(entry, self.now, limit))
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -537,7 +537,7 @@
     play.next_id += 1
     play.owed[request] = Owed(kind, math.inf)
     play.open.add(request)
-    play.feed(RequestArrived(request, 0, kind.deadline_ms, streamed=True))
+    play.feed(RequestArrived(request, 0, kind.deadline_ms, body_streamed=True))
     return request
 
 
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -32,13 +32,28 @@
     RequestClass("safe", 1000, 3000, effect=Effect.SAFE),
     RequestClass("unsafe", 1000, 3000, effect=Effect.UNSAFE),
     RequestClass(
-        "all", 1000, 3000, effect=Effect.KEYED, group=IdempotencyScope.ALL, idempotency_window_ms=1500
+        "all",
+        1000,
+        3000,
+        effect=Effect.KEYED,
+        idempotency_scope=IdempotencyScope.ALL,
+        idempotency_window_ms=1500,
     ),
     RequestClass(
-        "zone", 1000, 3000, effect=Effect.KEYED, group=IdempotencyScope.ZONE, idempotency_window_ms=1500
+        "zone",
+        1000,
+        3000,
+        effect=Effect.KEYED,
+        idempotency_scope=IdempotencyScope.ZONE,
+        idempotency_window_ms=1500,
     ),
     RequestClass(
-        "cell", 1000, 3000, effect=Effect.KEYED, group=IdempotencyScope.CELL, idempotency_window_ms=400
+        "cell",
+        1000,
+        3000,
+        effect=Effect.KEYED,
+        idempotency_scope=IdempotencyScope.CELL,
+        idempotency_window_ms=400,
     ),
 ]
 
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -214,7 +214,10 @@
 
 def test_settings_with_unknown_and_absent_keys() -> None:
     settings = parse_settings(setup(new__key="7", familyInfo__passesDeadline="", layers="a,b,c", stage="1"))
-    assert settings.classes[0].effect is Effect.SAFE and settings.classes[0].group is IdempotencyScope.ALL
+    assert (
+        settings.classes[0].effect is Effect.SAFE
+        and settings.classes[0].idempotency_scope is IdempotencyScope.ALL
+    )
     assert settings.tiers == 3 and settings.tier == 1 and settings.tenants == ()
     assert settings.max_attempts == 1 and not settings.may_hedge and not settings.may_check_health
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -64,7 +64,7 @@
 
 
 def shares(balancer: Balancer) -> list[float]:
-    return [m.ratio for m in balancer.remember(0, 100)]
+    return [m.share_ratio for m in balancer.remember(0, 100)]
 
 
 # ---------------------------------------------------------------- the module weighs
@@ -74,7 +74,7 @@
     fresh, older, old = module(), module(), module()
     told = [memory(0, 2.0, 10.0), *(memory(i, 2 / 3, 30.0) for i in (1, 2, 3))]
     for balancer, age in ((fresh, 0.0), (older, MINUTE), (old, 60 * MINUTE)):
-        rows = tuple(RememberedEndpoint(m.server, 5.0, m.ratio, m.average_ms, age_ms=age) for m in told)
+        rows = tuple(RememberedEndpoint(m.server, 5.0, m.share_ratio, m.average_ms, age_ms=age) for m in told)
         balancer.handle(StateRestored(rows, 12.0, age), 100_001.0)
     assert shares(fresh)[0] == pytest.approx(2.0) and shares(older)[0] == pytest.approx(1.5)
     assert shares(old) == pytest.approx([1.0] * 4)
@@ -172,7 +172,7 @@
     kept.apply(Limit(50_000.0, 9.0))
     kept.apply(Evacuated(True))
     told = kept.remembered(30_000.0)  # the clock has gone back by twenty seconds
-    assert [(m.server, m.age_ms) for m in told.servers] == [(b"\x01", 10_000.0)] and told.limit_each == 0.0
+    assert [(m.server, m.age_ms) for m in told.endpoints] == [(b"\x01", 10_000.0)] and told.limit_each == 0.0
     assert kept.evacuated
 
 
