--- a/crowpost/decision_api/actions.py
+++ b/crowpost/decision_api/actions.py
@@ -10,9 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the request's next attempt.  timeout_ms 0: wait until the client gives up.
+    """Start the request's next attempt.
 
-    before_ms: one whose request has not been written by then must not be sent, and ends as moot.
+    Attributes:
+        timeout_ms: 0: wait until the client gives up.
+        before_ms: an attempt that has not been written by then must not be, and ends as NOT_SENT.
     """
 
     request: RequestId
@@ -23,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not served, and trying again is harmless."""
+    """Final answer: not served, and a retry by the client is harmless."""
 
     request: RequestId
     retry_after_ms: float = 0.0
@@ -40,7 +42,8 @@
 class Cancel:
     """Stop waiting for an attempt.
 
-    answered: another copy has brought the answer, and this one may still end to free its connection.
+    Attributes:
+        answered: another copy has brought the answer, and this one may still end to free its connection.
     """
 
     request: RequestId
@@ -58,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Ask a server for a sign of life."""
+    """Check the health of an endpoint."""
 
     server: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
-    """Close the idle connections to a server."""
+    """Close the idle connections to an endpoint."""
 
     server: EndpointId
 
@@ -77,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the log."""
 
     text: str
 
--- a/crowpost/decision_api/endpoints.py
+++ b/crowpost/decision_api/endpoints.py
@@ -9,7 +9,7 @@
 
 
 class Readiness(Enum):
-    """A server's standing on the server list."""
+    """Whether an endpoint on the list takes requests."""
 
     GONE = 0
     READY = 1
@@ -17,7 +17,7 @@
 
 
 class ListKind(Enum):
-    """How a server list relates to the one before it."""
+    """How an endpoint list relates to the one before it; FAILED: discovery gave none."""
 
     FAILED = 0
     CHANGES = 1
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """A row of the server list.  started_ms 0 means long ago."""
+    """A row of the endpoint list.  started_ms 0 means long ago."""
 
     server: EndpointId
     readiness: Readiness = Readiness.READY
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RememberedEndpoint:
-    """What a process knew, age_ms ago, of a server that was started at started_ms."""
+    """What a process had learned, age_ms ago, of an endpoint that was started at started_ms."""
 
     server: EndpointId
     started_ms: float
--- a/crowpost/decision_api/errors.py
+++ b/crowpost/decision_api/errors.py
@@ -16,4 +16,12 @@
 
 
 class SettingsError(DecisionApiError):
-    """A setting that is missing or cannot be read; its text names the key."""
+    """A setting that is missing or cannot be read.
+
+    Attributes:
+        key: its path.
+    """
+
+    def __init__(self, key: str, problem: str) -> None:
+        super().__init__(f"settings: {key} {problem}")
+        self.key = key
--- a/crowpost/decision_api/events.py
+++ b/crowpost/decision_api/events.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """News of the server list; a server absent from a whole list is gone."""
+    """A whole endpoint list, or changes of it; an endpoint that a whole list lacks is gone."""
 
     kind: ListKind
     entries: tuple[EndpointEntry, ...] = ()
@@ -20,7 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request, which is owed one final answer within budget_ms."""
+    """A client's request, which is owed one final answer within budget_ms.
+
+    Attributes:
+        cost_hint_ms: its work, by what the client foretells; None where it does not.
+        is_repeat: the client has sent it before, with the same key.
+        body_streamed: its body is too long to be held; the budget runs from its last byte, see BodySent.
+    """
 
     request: RequestId
     class_index: int
@@ -30,12 +36,12 @@
     cost_hint_ms: float | None = None
     is_repeat: bool = False
     is_write: bool = False
-    body_streamed: bool = False  # its body is too long to be held: time runs from its last byte, see BodySent
+    body_streamed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class BodySent:
-    """A streamed body has reached the attempt's server to the last byte: from now on the server works."""
+    """The last byte of a streamed body has reached the attempt's endpoint, which works from now on."""
 
     request: RequestId
     attempt: int
@@ -43,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed or long answer has begun; the attempt now belongs to the client."""
+    """The response to an attempt has begun, and is passed on to the client."""
 
     request: RequestId
     attempt: int
@@ -53,7 +59,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt.  finished: the request needs no further answer."""
+    """The one outcome of an attempt.
+
+    Attributes:
+        finished: the request needs no further answer.
+        load: the endpoint's load report, by the settings' columns.
+        body_consumed: a streamed body went with it and cannot be sent again.
+    """
 
     request: RequestId
     attempt: int
@@ -62,19 +74,19 @@
     elapsed_ms: float
     finished: bool
     load: tuple[float, ...] = ()
-    body_consumed: bool = False  # a streamed body went with it and cannot be sent again
+    body_consumed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """The client left, or its time is over; no answer is owed."""
+    """The client has left, or its time is over; no answer is owed."""
 
     request: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """The result of a probe."""
+    """The result of a health check."""
 
     server: EndpointId
     outcome: Outcome
@@ -84,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer asked for by SetTimer is due."""
+    """A timer that SetTimer asked for is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another balancer of the tier; the module makes no use of these."""
+    """A message from another node of the tier; the module makes no use of these."""
 
     sender: int
     body: bytes
@@ -99,9 +111,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NodesPresent:
-    """So many nodes of the tier are present, and this one has this place among them, from 0 on.
+    """The number of present nodes of the tier, and this one's place among them, from 0 on.
 
-    It takes the place of `balancers` and `ordinal` in the settings from now on.
+    They replace `node_count` and `node_index` of the settings.  Raise UnexpectedEventError where the place is
+    not below the number.
     """
 
     node_count: int
@@ -114,9 +127,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRestored:
-    """What an earlier process of this node knew; to be told once, after the first list.
+    """What an earlier process of this node learned; to be fed once, after the first list.
 
-    limit_each: calls that it would let out for each unit of capacity that is its own part; 0: not known.
+    Attributes:
+        limit_each: its concurrency limit for each unit of capacity of its own part; 0: not known.
     """
 
     endpoints: tuple[RememberedEndpoint, ...]
--- a/crowpost/decision_api/outcomes.py
+++ b/crowpost/decision_api/outcomes.py
@@ -9,7 +9,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -19,7 +19,7 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "moot"
-    REJECTED = "rejected"  # the server calls the request itself wrong; any other would, too
+    REJECTED = "rejected"  # the endpoint calls the request itself wrong; any other would, too
 
 
 # These outcomes prove that the attempt never ran.
--- a/crowpost/decision_api/settings_reader.py
+++ b/crowpost/decision_api/settings_reader.py
@@ -1,4 +1,4 @@
-"""The settings of an instance, read from path to value pairs with errors that name the key.
+"""Read the settings of an instance from pairs of path and value.
 
 The simulator's wire and a real node's configuration hold the same object, so both are read here.
 """
@@ -11,8 +11,8 @@
 from crowpost.decision_api.settings import Effect, IdempotencyScope, RequestClass, Settings, Tenant
 
 
-class _Setup:
-    """Typed, checked look-ups in path to value pairs; errors name the key."""
+class _SettingsTable:
+    """Typed, checked look-ups in pairs of path and value."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
@@ -20,27 +20,27 @@
     def text(self, key: str, default: str | None = None) -> str:
         value = self.values.get(key, default)
         if value is None:
-            raise SettingsError(f"settings: {key} is missing")
+            raise SettingsError(key, "is missing")
         return value
 
     def number(self, key: str, default: float | None = None, low: float = 0.0) -> float:
         raw = self.values.get(key, "")
         if raw == "":
             if default is None:
-                raise SettingsError(f"settings: {key} is missing")
+                raise SettingsError(key, "is missing")
             return default
         try:
             value = float(raw)
-        except ValueError:
-            raise SettingsError(f"settings: {key} is not a number: {raw!r}") from None
+        except ValueError as error:
+            raise SettingsError(key, f"is not a number: {raw!r}") from error
         if not low <= value < float("inf"):
-            raise SettingsError(f"settings: {key} is out of range: {raw}")
+            raise SettingsError(key, f"is out of range: {raw}")
         return value
 
-    def whole(self, key: str, default: int | None = None, low: int = 0) -> int:
+    def integer(self, key: str, default: int | None = None, low: int = 0) -> int:
         value = self.number(key, default, low)
         if value != int(value):
-            raise SettingsError(f"settings: {key} is not a whole number: {value}")
+            raise SettingsError(key, f"is not a whole number: {value}")
         return int(value)
 
     def flag(self, key: str, default: bool) -> bool:
@@ -48,7 +48,7 @@
         if raw == "":
             return default
         if raw not in ("true", "false"):
-            raise SettingsError(f"settings: {key} is neither true nor false: {raw!r}")
+            raise SettingsError(key, f"is neither true nor false: {raw!r}")
         return raw == "true"
 
     def names(self, key: str) -> tuple[str, ...]:
@@ -56,83 +56,86 @@
         return tuple(raw.split(",")) if raw else ()
 
 
-def _effect(setup: _Setup, key: str) -> Effect:
-    raw = setup.text(key)
+def _effect(table: _SettingsTable, key: str) -> Effect:
+    raw = table.text(key)
     try:
         return Effect(raw)
-    except ValueError:
-        raise SettingsError(f"settings: {key} is an unknown effect: {raw!r}") from None
+    except ValueError as error:
+        raise SettingsError(key, f"is an unknown effect: {raw!r}") from error
 
 
-def _idempotency_scope(setup: _Setup, key: str) -> IdempotencyScope:
-    raw = setup.text(key, "all")
+def _idempotency_scope(table: _SettingsTable, key: str) -> IdempotencyScope:
+    raw = table.text(key, "all")
     try:
         return IdempotencyScope(raw)
-    except ValueError:
-        raise SettingsError(f"settings: {key} is an unknown group: {raw!r}") from None
+    except ValueError as error:
+        raise SettingsError(key, f"is an unknown group: {raw!r}") from error
 
 
-def _request_class(setup: _Setup, at: str) -> RequestClass:
-    effect = _effect(setup, f"{at}.effect")
+def _request_class(table: _SettingsTable, path: str) -> RequestClass:
+    effect = _effect(table, f"{path}.effect")
     keyed = effect is Effect.KEYED
     return RequestClass(
-        name=setup.text(f"{at}.name", ""),
-        latency_objective_ms=setup.number(f"{at}.aimMs", low=1e-6),
-        deadline_ms=setup.number(f"{at}.deadlineMs", low=1e-6),
-        priority_weight=setup.number(f"{at}.worth", 1.0),
-        late_value_fraction=setup.number(f"{at}.lateShare", 0.0),
+        name=table.text(f"{path}.name", ""),
+        latency_objective_ms=table.number(f"{path}.aimMs", low=1e-6),
+        deadline_ms=table.number(f"{path}.deadlineMs", low=1e-6),
+        priority_weight=table.number(f"{path}.worth", 1.0),
+        late_value_fraction=table.number(f"{path}.lateShare", 0.0),
         effect=effect,
-        idempotency_scope=_idempotency_scope(setup, f"{at}.group"),
-        idempotency_window_ms=setup.number(f"{at}.windowMs", None if keyed else 0.0),
-        stream=setup.flag(f"{at}.stream", False),
-        objective_stretch=setup.number(f"{at}.aimStretch", 0.0),
+        idempotency_scope=_idempotency_scope(table, f"{path}.group"),
+        idempotency_window_ms=table.number(f"{path}.windowMs", None if keyed else 0.0),
+        stream=table.flag(f"{path}.stream", False),
+        objective_stretch=table.number(f"{path}.aimStretch", 0.0),
     )
 
 
 def read_settings(values: Mapping[str, str]) -> Settings:
-    """Settings from path to value pairs; unknown keys are ignored."""
-    setup = _Setup(values)
-    count = setup.whole("profiles.count")
+    """Return the settings of pairs of path and value; raise SettingsError, with the key, where one is wrong.
+
+    Unknown keys are ignored.
+    """
+    table = _SettingsTable(values)
+    count = table.integer("profiles.count")
     if count < 1:
-        raise SettingsError("settings: profiles.count must be at least 1")
-    classes = tuple(_request_class(setup, f"profiles.{i}") for i in range(count))
+        raise SettingsError("profiles.count", "must be at least 1")
+    classes = tuple(_request_class(table, f"profiles.{i}") for i in range(count))
     tenants = tuple(
         Tenant(
-            name=setup.text(f"tenants.{i}.name", ""),
-            fraction=setup.number(f"tenants.{i}.fraction"),
-            quota_per_s=setup.number(f"tenants.{i}.quotaPerS", 0.0),
+            name=table.text(f"tenants.{i}.name", ""),
+            fraction=table.number(f"tenants.{i}.fraction"),
+            quota_per_s=table.number(f"tenants.{i}.quotaPerS", 0.0),
         )
-        for i in range(setup.whole("tenants.count", 0))
+        for i in range(table.integer("tenants.count", 0))
     )
     return Settings(
         classes=classes,
         tenants=tenants,
-        node_count=setup.whole("balancers", 1, 1),
-        node_index=setup.whole("ordinal", 0),
-        tier=setup.whole("stage", 0),
-        tiers=max(1, len(setup.names("layers"))),
-        zone=setup.whole("locality", 0),
-        zones=max(1, len(setup.names("azs"))),
-        max_attempts=setup.whole("policyLimits.tryLimit", 1, 1),
-        may_hedge=setup.flag("policyLimits.mayDuplicate", False),
-        may_cancel=setup.flag("policyLimits.cancel", False),
-        may_check_health=setup.flag("policyLimits.probes", False),
-        retry_after=setup.flag("policyLimits.retryAfter", False),
-        max_retry_after_ms=setup.number("policyLimits.maxRetryAfterMs", 0.0),
-        priority_by_work=setup.text("worthBy", "request") == "work",
-        over_quota_weight=setup.number("overShareWorth", 1.0),
-        poll_for_list=setup.text("registryMode", "pushed") == "on_request",
-        list_poll_ms=setup.number("guarantees.mustAskInMs", 10_000.0, 1.0),
-        capacity_hints=setup.text("weights", "off") != "off",
-        passes_deadline=setup.flag("familyInfo.passesDeadline", True),
-        answer_slack_ms=setup.number("guarantees.answerSlackMs", 0.0),
-        drain_grace_ms=setup.number("guarantees.stopSendingWithinMs", 0.0),
-        slow_start_fraction=setup.number("guarantees.startCapacity", 0.3),
-        warm_up_ms=setup.number("guarantees.coldMs", 0.0),
-        overload_factor=setup.number("guarantees.fallMultiple", 3.0),
-        overload_window_ms=setup.number("guarantees.overloadForMs", 1000.0),
-        connect_timeout_ms=setup.number("policyLimits.connectTimeoutMs", 250.0),
-        tick_ms=setup.number("tickMs", 1.0),
-        cross_zone_price=setup.number("tariffs.crossZone", 0.0),
-        load_report_columns=setup.names("loadInfo.columns"),
+        node_count=table.integer("balancers", 1, 1),
+        node_index=table.integer("ordinal", 0),
+        tier=table.integer("stage", 0),
+        tiers=max(1, len(table.names("layers"))),
+        zone=table.integer("locality", 0),
+        zones=max(1, len(table.names("azs"))),
+        max_attempts=table.integer("policyLimits.tryLimit", 1, 1),
+        may_hedge=table.flag("policyLimits.mayDuplicate", False),
+        may_cancel=table.flag("policyLimits.cancel", False),
+        may_check_health=table.flag("policyLimits.probes", False),
+        retry_after=table.flag("policyLimits.retryAfter", False),
+        max_retry_after_ms=table.number("policyLimits.maxRetryAfterMs", 0.0),
+        priority_by_work=table.text("worthBy", "request") == "work",
+        over_quota_weight=table.number("overShareWorth", 1.0),
+        poll_for_list=table.text("registryMode", "pushed") == "on_request",
+        list_poll_ms=table.number("guarantees.mustAskInMs", 10_000.0, 1.0),
+        capacity_hints=table.text("weights", "off") != "off",
+        passes_deadline=table.flag("familyInfo.passesDeadline", True),
+        answer_slack_ms=table.number("guarantees.answerSlackMs", 0.0),
+        drain_grace_ms=table.number("guarantees.stopSendingWithinMs", 0.0),
+        slow_start_fraction=table.number("guarantees.startCapacity", 0.3),
+        warm_up_ms=table.number("guarantees.coldMs", 0.0),
+        overload_factor=table.number("guarantees.fallMultiple", 3.0),
+        overload_window_ms=table.number("guarantees.overloadForMs", 1000.0),
+        connect_timeout_ms=table.number("policyLimits.connectTimeoutMs", 250.0),
+        tick_ms=table.number("tickMs", 1.0),
+        cross_zone_price=table.number("tariffs.crossZone", 0.0),
+        load_report_columns=table.names("loadInfo.columns"),
     )
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -16,7 +16,7 @@
 import pytest
 
 from crowpost.decision_api import EndpointEntry, RequestClass, Settings
-from tests.fleet import Fleet, SimServer, heaviest
+from tests.decisions.fleet import Fleet, SimServer, heaviest
 from tests.stubs import (
     HOST,
     PATIENCE_S,
