--- a/crowpost/node/state/records.py
+++ b/crowpost/node/state/records.py
@@ -70,7 +70,7 @@
 
     def encode(self) -> bytes:
         """Return the record; the age of what was learned is not written, since it follows from the time."""
-        rows = [(e.server, e.started_ms, e.ratio, e.average_ms, e.ejected) for e in self.endpoints]
+        rows = [(e.server, e.started_ms, e.share_ratio, e.average_ms, e.ejected) for e in self.endpoints]
         return _pack(_ENDPOINTS_TAG, self.at_ms, rows)
 
 
