--- a/crowpost/node/attempt.py
+++ b/crowpost/node/attempt.py
@@ -135,7 +135,7 @@
         requests = self._sender.requests
         requests.calls.pop((request, self._number), None)
         pending = requests.pending.get(request)
-        elapsed_ms = self._elapsed_ms()
+        elapsed_ms = self._sender.clock.now() - self._sent_at_ms
         if pending is not None and pending.streaming_attempt == self._number:
             elapsed_ms = pending.time_to_response_ms
             requests.close(request)
@@ -143,7 +143,11 @@
                 pending.exchange.end_body()
             else:
                 pending.exchange.abort()
-        elif outcome is Outcome.OK and response is not None and _awaits_response(pending):
+        elif (
+            outcome is Outcome.OK
+            and response is not None
+            and (pending is None or pending.streaming_attempt is None)
+        ):
             content_type = response.headers.get(CONTENT_TYPE)
             extra = b"Content-Type: %s\r\n" % content_type if content_type else b""
             requests.respond(request, 200, response.body, extra)
@@ -177,8 +181,3 @@
             self._elapsed_ms(),
             self._call.connection_note,
         )
-
-
-def _awaits_response(pending: PendingRequest | None) -> bool:
-    """Return whether no response has begun; a request that is closed is left to `RequestTable.respond`."""
-    return pending is None or pending.streaming_attempt is None
--- a/crowpost/node/dispatcher.py
+++ b/crowpost/node/dispatcher.py
@@ -93,7 +93,8 @@
         self._health_checker = health_checker
         self._subscribe = subscribe
         self._loop = asyncio.get_running_loop()
-        events.connect(self._handle, self._requests.forget_just_closed)
+        # Once all events are handled, the module knows of every closed request.
+        events.connect(self._handle, self._requests.just_closed.clear)
 
     def _handle(self, event: Event) -> None:
         try:
--- a/crowpost/node/downstream/connection.py
+++ b/crowpost/node/downstream/connection.py
@@ -5,33 +5,20 @@
 import asyncio
 import logging
 from collections import deque
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, cast
 
 from crowpost.node.downstream import pipeline, timeouts
 from crowpost.node.downstream.connection_status import ConnectionStatus
-from crowpost.node.downstream.exchange import Exchange, ExchangeListener
+from crowpost.node.downstream.exchange import Exchange
 from crowpost.node.downstream.sockets import reset_on_close
 from crowpost.node.http.body import Upload
 from crowpost.node.http.message import EXPECT, TRANSFER_ENCODING, Message, MessageError
 from crowpost.node.http.parser import MessageParser
 
-log = logging.getLogger(__name__)
-
-
-class ConnectionListener(ExchangeListener, Protocol):
-    """What a client connection needs of the listener that accepted it."""
-
-    def opened(self, connection: ClientConnection) -> None:
-        """Count a connection that has been accepted."""
-
-    def closed(self, connection: ClientConnection) -> None:
-        """Forget a connection that has ended."""
+if TYPE_CHECKING:
+    from crowpost.node.downstream.interfaces import ConnectionListener
 
-    def route(self, message: Message, exchange: Exchange) -> None:
-        """Begin the work on a request; raise MessageError if it is not taken."""
-
-    def check(self, message: Message) -> None:
-        """Raise MessageError if a request with this head would not be taken."""
+log = logging.getLogger(__name__)
 
 
 class ClientConnection(ConnectionStatus):
@@ -103,11 +90,10 @@
     def on_head(self, message: Message) -> None:
         """Check a head whose client expects 100 Continue before it sends the body."""
         self._head_complete_at = self.listener.now()
-        if self._discarding:
+        if EXPECT not in message.headers or message.version == "1.0" or self._discarding:
             return
         try:
-            if not _expects_continue(message):
-                return
+            _check_expectation(message)
             self.listener.check(message)
         except MessageError as error:
             self._respond_early(error.status)
@@ -340,11 +326,7 @@
             self._transport.resume_reading()
 
 
-def _expects_continue(message: Message) -> bool:
-    """Return whether the client waits for 100 Continue; raise MessageError for another expectation."""
-    expected = message.headers.get(EXPECT)
-    if expected is None or message.version == "1.0":
-        return False
-    if expected.lower() != b"100-continue":
+def _check_expectation(message: Message) -> None:
+    """Raise MessageError if the client expects anything but 100 Continue."""
+    if message.headers[EXPECT].lower() != b"100-continue":
         raise MessageError(417, "unknown expectation")
-    return True
--- a/crowpost/node/downstream/connection_status.py
+++ b/crowpost/node/downstream/connection_status.py
@@ -4,13 +4,17 @@
 
 import asyncio
 from collections import deque
+from typing import TYPE_CHECKING
 
 from crowpost.node.downstream import timeouts
-from crowpost.node.downstream.exchange import Exchange, ExchangeListener
+from crowpost.node.downstream.exchange import Exchange
 from crowpost.node.downstream.sockets import peer_has_closed
 from crowpost.node.http.body import Upload
 from crowpost.node.http.parser import MessageParser
 
+if TYPE_CHECKING:
+    from crowpost.node.downstream.interfaces import ExchangeListener
+
 
 class ConnectionStatus(asyncio.Protocol):
     """The state of one client connection, without what changes it.
--- a/crowpost/node/downstream/exchange.py
+++ b/crowpost/node/downstream/exchange.py
@@ -3,59 +3,19 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING
 
-from crowpost.node.http.body import ByteBudget, Upload
+from crowpost.node.http.body import Upload
 from crowpost.node.http.message import Message
 from crowpost.node.http.rendering import render_chunk, render_response, render_response_head
-from crowpost.node.metrics import Metrics
+
+if TYPE_CHECKING:
+    from crowpost.node.downstream.interfaces import ExchangeConnection
 
 # What a long body may hold here: the write buffer's high-water mark, and one read more.
 STREAM_BUFFER_BYTES = 64 * 1024 + 256 * 1024
 
 
-class ExchangeListener(Protocol):
-    """What an exchange needs of the listener that its connection belongs to."""
-
-    closing: bool
-    metrics: Metrics
-    budget: ByteBudget
-
-    def now(self) -> float:
-        """Return monotonic time in seconds."""
-
-    def release_body(self, exchange: Exchange) -> None:
-        """Return the bytes of a request's body to the budget."""
-
-
-class ExchangeConnection(Protocol):
-    """What an exchange needs of the connection that its request came on."""
-
-    reserved_bytes: int
-
-    @property
-    def listener(self) -> ExchangeListener:
-        """The listener that accepted this connection."""
-
-    def is_last(self, exchange: Exchange) -> bool:
-        """Return whether no request has come behind this one."""
-
-    def accepts_output_of(self, exchange: Exchange) -> bool:
-        """Return whether output of this exchange would be written now."""
-
-    def client_has_left(self) -> bool:
-        """Return whether the client has left while the connection is not read."""
-
-    def on_client_left(self) -> None:
-        """Close a connection whose client has left unseen."""
-
-    def flush(self) -> None:
-        """Write the output that is due."""
-
-    def abort(self, *, reset: bool = False) -> None:
-        """Close at once, with a reset if asked for."""
-
-
 class Exchange:
     """One request of a client, and its one response.
 
--- a/crowpost/node/downstream/listener.py
+++ b/crowpost/node/downstream/listener.py
@@ -181,12 +181,9 @@
             if message.method != b"GET":
                 raise MessageError(400, "method")
             exchange.respond(200 if self._ready() else 503)
-        elif is_api_path(path):
-            self._route_api(message, path, exchange)
-        else:
+            return
+        if not is_api_path(path):
             raise MessageError(404, "path")
-
-    def _route_api(self, message: Message, path: bytes, exchange: Exchange) -> None:
         # The time of a long body runs from its last byte.
         waited_s = 0.0 if message.upload is not None else self.now() - exchange.arrived_at
         request = self._request_parser.parse(message, path, waited_s)
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -89,9 +89,7 @@
             max_connections=int(ENDPOINT_SOCKET_FRACTION * sockets),
             probe_request=health_check if config.settings.may_check_health else None,
         )
-        self._requests = RequestTable(
-            config.settings, self._clock, self._events, host, lambda: self._drain.time_left_s()
-        )
+        self._requests = RequestTable(config.settings, self._clock, self._events, host)
         self._listener = Listener(
             config.settings,
             self._requests.add,
@@ -107,6 +105,7 @@
             fail_remaining=self._requests.fail_remaining,
             on_finished=self.stop,
         )
+        self._requests.time_left_s = self._drain.time_left_s
         self._admin = self._make_admin_server(sockets)
         self._discovery = self._make_discovery_client()
         self._connect_dispatcher(health_check)
--- a/crowpost/node/request_table.py
+++ b/crowpost/node/request_table.py
@@ -53,7 +53,7 @@
 class RequestTable:
     """The pending requests of a node, and the calls of all their attempts.
 
-    time_left_s: returns the seconds until the process must have sent its last response.
+    time_left_s: returns the seconds until the process must have sent its last response; set by its owner.
     """
 
     def __init__(
@@ -62,8 +62,8 @@
         clock: Clock,
         events: EventQueue,
         host: bytes,
-        time_left_s: Callable[[], float],
     ) -> None:
+        self.time_left_s: Callable[[], float] = lambda: math.inf
         self.pending: dict[RequestId, PendingRequest] = {}
         self.calls: dict[AttemptKey, Call] = {}  # also those of closed requests
         # Closed during the delivery of events: the decision module may not know yet.
@@ -72,7 +72,6 @@
         self._clock = clock
         self._events = events
         self._host = host
-        self._time_left_s = time_left_s
         self._loop = asyncio.get_running_loop()
         self._last_id = 0
 
@@ -113,7 +112,7 @@
 
     def _budget_ms(self, requested_ms: float) -> float:
         """Return the time that the module has for a request whose last byte has come."""
-        budget_ms = min(requested_ms, 1000.0 * self._time_left_s())
+        budget_ms = min(requested_ms, 1000.0 * self.time_left_s())
         return max(1.0, budget_ms - min(RESPONSE_RESERVE_MS, MAX_RESERVE_FRACTION * budget_ms))
 
     def _set_deadline(self, request: RequestId, pending: PendingRequest) -> None:
@@ -150,10 +149,6 @@
                 self.just_closed[request] = pending
         return pending
 
-    def forget_just_closed(self) -> None:
-        """Forget the requests that the module knows to be closed, as all events are handled."""
-        self.just_closed.clear()
-
     def respond(self, request: RequestId, status: int, body: bytes = b"", extra: bytes = b"") -> None:
         """Close a request with a response, if it is still pending.
 
--- a/crowpost/node/upstream/call.py
+++ b/crowpost/node/upstream/call.py
@@ -9,12 +9,15 @@
 import asyncio
 import math
 from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING
 
 from crowpost.interface import Outcome
 from crowpost.node.http.body import BodySink, Upload
 from crowpost.node.http.message import Message
 
+if TYPE_CHECKING:
+    from crowpost.node.upstream.interfaces import CallConnection
+
 # Returns whether the request may still be written; asked immediately before the write.
 MayWrite = Callable[[], bool]
 # Called once, with the outcome and the response, if there is one.
@@ -27,16 +30,6 @@
 OnResponseStart = Callable[[Message, SetReading], BodySink | None]
 
 
-class CallConnection(Protocol):
-    """What a call needs of the connection that carries it."""
-
-    def abort(self) -> None:
-        """Close at once."""
-
-    def discard_response(self, deadline: float) -> None:
-        """Read the response away until the deadline, in the loop's time."""
-
-
 class Call:
     """One request to an endpoint: an attempt or a health check.  It finishes once, with one outcome."""
 
--- a/crowpost/node/upstream/connection.py
+++ b/crowpost/node/upstream/connection.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 from collections.abc import Callable
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, cast
 
 from crowpost.interface import Outcome
 from crowpost.node.http.body import BodySink
@@ -14,7 +14,9 @@
 from crowpost.node.http.rendering import render_chunk
 from crowpost.node.upstream.call import Call
 from crowpost.node.upstream.endpoint import EndpointConnections
-from crowpost.node.upstream.keep_alive import KeepAlive
+
+if TYPE_CHECKING:
+    from crowpost.node.upstream.interfaces import ConnectionOwner
 
 log = logging.getLogger(__name__)
 
@@ -26,22 +28,6 @@
 STREAM_BUFFER_DELAY_S = 0.25
 
 
-class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that opened it."""
-
-    keep_alive: KeepAlive
-    discarding: set[UpstreamConnection]
-
-    def opened(self, connection: UpstreamConnection) -> None:
-        """Count a connection that has come up."""
-
-    def closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended."""
-
-    def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next call."""
-
-
 class UpstreamConnection(asyncio.Protocol):
     """One connection to an endpoint; carries one call at a time.
 
--- a/crowpost/node/upstream/endpoint.py
+++ b/crowpost/node/upstream/endpoint.py
@@ -5,7 +5,10 @@
 import bisect
 import math
 from dataclasses import dataclass, field
-from typing import Generic, Protocol, TypeVar
+from typing import TYPE_CHECKING, Generic, TypeVar
+
+if TYPE_CHECKING:
+    from crowpost.node.upstream.interfaces import IdleConnection
 
 # Of an endpoint's smoothed response time: a call that would wait longer for an idle connection dials beside
 # it.
@@ -13,13 +16,7 @@
 SMOOTHING_FACTOR = 0.125  # of the response time, as for TCP's smoothed round-trip time (RFC 6298, section 2)
 
 
-class IdleConnection(Protocol):
-    """A connection that can be kept idle."""
-
-    idle_since: float  # seconds, in the loop's time
-
-
-ConnectionT = TypeVar("ConnectionT", bound=IdleConnection)
+ConnectionT = TypeVar("ConnectionT", bound="IdleConnection")
 
 
 def _idle_since(connection: IdleConnection) -> float:
--- a/crowpost/node/upstream/race.py
+++ b/crowpost/node/upstream/race.py
@@ -4,11 +4,14 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING
 
 from crowpost.interface import Outcome
 from crowpost.node.upstream.call import Call
-from crowpost.node.upstream.connection import Endpoint, UpstreamConnection
+from crowpost.node.upstream.connection import UpstreamConnection
+
+if TYPE_CHECKING:
+    from crowpost.node.upstream.interfaces import RacePool
 
 # Dials beside a wait, at once to one endpoint: each costs it a handshake, and may never come up.
 MAX_EXTRA_DIALS = 4
@@ -17,32 +20,6 @@
 OnDialled = Callable[[UpstreamConnection | None], None]
 
 
-class RacePool(Protocol):
-    """What a race needs of the connection pool."""
-
-    def dial(
-        self,
-        endpoint: Endpoint,
-        on_dialled: OnDialled,
-    ) -> None:
-        """Open a connection and pass it on; None if it does not come up in time."""
-
-    def dial_for(self, endpoint: Endpoint, call: Call) -> None:
-        """Have the call carried by a new connection."""
-
-    def dispatch(self, call: Call, connection: UpstreamConnection) -> None:
-        """Have the connection carry the call, if it still may."""
-
-    def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next call."""
-
-    def return_unused(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that was taken up and carried nothing."""
-
-    def has_spare_capacity(self) -> bool:
-        """Return whether one more connection may be opened."""
-
-
 class ConnectionRace:
     """A call that waits for an idle connection to become reusable, possibly with a dial beside the wait.
 
