--- a/crowpost/cli/members.py
+++ b/crowpost/cli/members.py
@@ -206,6 +206,6 @@
 
     Example: crowpost members run members.toml
     """
-    from crowpost.membership.__main__ import main
+    from crowpost.membership.command import main
 
     raise typer.Exit(main([file]))
--- a/crowpost/membership/updates.py
+++ b/crowpost/membership/updates.py
@@ -1,4 +1,4 @@
-"""State updates: what this process announces of itself, and how it applies what others say."""
+"""State updates: the announcements of this process, and how it applies the updates of others."""
 
 from __future__ import annotations
 
