--- a/crowpost/cli/demo.py
+++ b/crowpost/cli/demo.py
@@ -14,7 +14,7 @@
 
 def demo(seed: Annotated[int, typer.Option(min=0)] = 1) -> None:
     """Start servers, discovery and nodes on loopback, send traffic, kill a server, show what nodes did."""
-    from crowpost.cli.lab import show, stories
+    from crowpost.cli.lab_output import show, stories
     from crowpost.lab.live.play import play_live
     from crowpost.lab.scenario import load
 
--- a/crowpost/cli/state.py
+++ b/crowpost/cli/state.py
@@ -128,8 +128,7 @@
 
 @app.command()
 def verify(directory: Directory, as_json: AsJson = False) -> None:
-    """Read every byte; exit code 1 if it holds no store, or one that a starting process would refuse
-    or find anything amiss in.
+    """Read every byte; exit code 1 if there is no store, or one that is refused or has anything amiss.
 
     Example: crowpost state verify /var/lib/crowpost/n3
     """
--- a/crowpost/lab/baselines.py
+++ b/crowpost/lab/baselines.py
@@ -179,6 +179,7 @@
     """Any allowed server, all alike."""
 
     def choose(self, allowed: list[Arm], request: Open) -> Arm:
+        """Return any of the allowed endpoints."""
         return allowed[int(self.rng.random() * len(allowed))]
 
 
@@ -190,6 +191,7 @@
         self.turn = int(self.rng.random() * 1000)
 
     def choose(self, allowed: list[Arm], request: Open) -> Arm:
+        """Return the next of the allowed endpoints in turn."""
         self.turn += 1
         return allowed[self.turn % len(allowed)]
 
@@ -198,6 +200,7 @@
     """The fewest calls of this node out; ties by chance."""
 
     def choose(self, allowed: list[Arm], request: Open) -> Arm:
+        """Return one with the fewest calls of this node in flight."""
         fewest = min(a.out for a in allowed)
         tied = [a for a in allowed if a.out == fewest]
         return tied[int(self.rng.random() * len(tied))]
@@ -210,6 +213,7 @@
     """
 
     def learn(self, arm: Arm, event: AttemptEnded) -> None:
+        """Take the latency of an ended attempt into the peak average."""
         if event.outcome is Outcome.CANCELLED:
             return
         latency = event.elapsed_ms
@@ -227,6 +231,7 @@
         return (cost + 1.0) * (arm.out + 1)
 
     def choose(self, allowed: list[Arm], request: Open) -> Arm:
+        """Return the one of less load of two drawn."""
         one = allowed[int(self.rng.random() * len(allowed))]
         two = allowed[int(self.rng.random() * len(allowed))]
         return min(one, two, key=self._load)
@@ -256,12 +261,14 @@
         return True  # a cold server's rate is seen as it is, and no more is sent than is soon done
 
     def admits(self, allowed: list[Arm], request: Open) -> bool:
+        """Return whether the best endpoint is expected to meet half of the latency objective."""
         if self.settings.tier:
             return True
         best = min(self._expected(a, request) for a in allowed)
         return best <= 0.5 * request.kind.latency_objective_ms
 
     def choose(self, allowed: list[Arm], request: Open) -> Arm:
+        """Return the one that is expected to be done first."""
         return min(allowed, key=lambda a: (self._expected(a, request), a.out, a.entry.server))
 
 
--- a/crowpost/lab/capacity/page.py
+++ b/crowpost/lab/capacity/page.py
@@ -66,7 +66,7 @@
         "growth": tables.growth(book, demand).markdown(),
         "placed": tables.placed(book, demand).markdown(),
         "outlast": tables.outlast(book, demand).markdown(),
-        "ranked": tables.ranked(book, demand, duties).markdown(),
+        "ranked": tables.ranked(book, duties).markdown(),
         "overhead": tables.overhead(book, demand).markdown(),
         "wiring": tables.wiring(book, demand).markdown(),
         "changes": events.changes(book, demand).markdown(),
--- a/crowpost/lab/capacity/tables.py
+++ b/crowpost/lab/capacity/tables.py
@@ -196,7 +196,7 @@
     return Table(heads, rows)
 
 
-def ranked(book: Book, demand: Demand, duties: Sequence[ranking.Duty]) -> Table:
+def ranked(book: Book, duties: Sequence[ranking.Duty]) -> Table:
     """All duties with need, what is carried, and their place among those that are open."""
     order = [d.name for d in ranking.rank(duties)]
     rows = []
--- a/crowpost/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -28,6 +28,7 @@
 
     @property
     def transport(self) -> FeedTransport:
+        """The transport of a follower that has been started."""
         assert self._transport is not None
         return self._transport
 
@@ -62,6 +63,7 @@
         """They run from their start."""
 
     def counts(self) -> dict[str, float]:
+        """Return the counters that are measured."""
         counts = self.transport.follower.counts
         return {"bytes": counts["bytes_out"], "bytes_in": counts["bytes_in"], "documents": counts["bodies"]}
 
@@ -76,4 +78,5 @@
         return 0
 
     async def end(self, in_order: bool) -> None:
+        """Close the connections; a follower ends alike in order or not."""
         await self.transport.close()
--- a/crowpost/lab/scale/hollow.py
+++ b/crowpost/lab/scale/hollow.py
@@ -148,6 +148,7 @@
 
     @property
     def transport(self) -> HollowTransport:
+        """The transport of a member that has been started."""
         assert self._member_transport is not None
         return self._member_transport
 
@@ -171,17 +172,21 @@
         return self.address
 
     def row(self) -> bytes:
+        """Return the packed state update of this member."""
         return pack(encode_update(self.transport.core.own_update))
 
     def acquaint(self, rows: list[bytes]) -> None:
+        """Take in the state updates of all members, as if long joined."""
         core, now = self.transport.core, self.transport.now()
         # Decoded anew by each: nodes in processes of their own would share nothing.
         core.preload_members([decode_update(unpack(row)) for row in rows], now)
 
     def go(self) -> None:
+        """Begin the protocol."""
         self.transport.go()
 
     def counts(self) -> dict[str, float]:
+        """Return the counters that are measured."""
         counts = self.transport.core.counts
         return {
             "messages": counts[counters.DATAGRAMS_OUT],
@@ -192,6 +197,7 @@
         }
 
     def look(self) -> str:
+        """Return the number of alive members and the digest of the view."""
         core = self.transport.core
         return f"{core.view.alive_count} {core.view.digest}"
 
@@ -200,6 +206,7 @@
         return self.transport.core.local_health_score
 
     async def end(self, in_order: bool) -> None:
+        """Leave in order, or end as a crash does."""
         transport = self.transport
         if in_order:
             await transport.close()
