--- a/crowpost/config_feed/configuration.py
+++ b/crowpost/config_feed/configuration.py
@@ -12,7 +12,7 @@
 from crowpost.config_feed.scopes import Subscription, parse_scope
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_server import UpstreamServer
-from crowpost.tables import Table, TableError, numbers, read_file
+from crowpost.tables import Table, TableError, read_file, read_numbers
 
 ROLES = (NODE_ROLE, RELAY_ROLE, PUBLISHER_ROLE)
 MAX_TIER = 9
@@ -124,10 +124,10 @@
     table = Table("feed", raw.get("feed"), FEED_KEYS)
     directory = table.text("directory")
     config = FeedConfig(
-        cluster=table.text("cluster", needed=True),
-        name=table.text("name", name, needed=True),
+        cluster=table.text("cluster", required=True),
+        name=table.text("name", name, required=True),
         role=table.choice("role", NODE_ROLE, ROLES),
-        region=table.text("region", needed=True),
+        region=table.text("region", required=True),
         zone=table.text("zone"),
         service=table.text("service"),
         listen=table.text("listen"),
@@ -137,7 +137,7 @@
         publishers=table.mapping("publishers"),
         sample_file=table.text("sample"),
         snapshot_bytes=int(table.number("snapshot_bytes", SNAPSHOT_BYTES, 10_000.0, 1e9)),
-        tuning=Tuning(**numbers("feed.tuning", table.get("tuning") or {}, Tuning, TUNING_KEYS)),
+        tuning=Tuning(**read_numbers("feed.tuning", table.get("tuning") or {}, Tuning, TUNING_KEYS)),
     )
     _check(config)
     return config
@@ -177,7 +177,7 @@
 
 def _read_upstream(name: str, raw: object) -> UpstreamServer:
     table = Table(name, raw, ("address", "region", "zone", "tier"))
-    address = table.text("address", needed=True)
+    address = table.text("address", required=True)
     _check_address(f"{name}.address", address)
     tier = int(table.number("tier", 0, 0, MAX_TIER))
     return UpstreamServer(address, table.text("region"), table.text("zone"), tier)
--- a/crowpost/lab/capacity/records.py
+++ b/crowpost/lab/capacity/records.py
@@ -180,7 +180,7 @@
         for name in raw:
             table = Table(name, raw[name], ("value", "unit", "source"))
             value = table.number("value", math.nan, -1e15, 1e15)
-            unit, source = table.text("unit"), table.text("source", needed=True)
+            unit, source = table.text("unit"), table.text("source", required=True)
             bare = Figure(value, value, value, unit, (Origin("assumed", name, source),))
             origin = Origin("assumed", f"{name.replace('_', ' ')} {bare.text()}", f"assumed: {source}")
             found[name] = Figure(value, value, value, unit, (origin,))
--- a/crowpost/membership/configuration.py
+++ b/crowpost/membership/configuration.py
@@ -9,7 +9,7 @@
 from crowpost.membership.model import Profile, split_address
 from crowpost.membership.settings import ProtocolSettings
 from crowpost.membership.work_share import DEFAULT_MIN_NODE_FRACTION, DEFAULT_SETTLE_MS
-from crowpost.tables import Table, TableError, numbers, read_file
+from crowpost.tables import Table, TableError, read_file, read_numbers
 
 DEFAULT_ROLE = "node"
 MAX_SETTLE_MS = 3_600_000.0
@@ -84,9 +84,9 @@
 def _read(raw: dict[str, Any], default_name: str) -> MembershipConfig:
     table = Table("members", raw.get("members"), TABLE_KEYS)
     config = MembershipConfig(
-        cluster=table.text("cluster", needed=True),
-        name=table.text("name", default_name, needed=True),
-        listen=table.text("listen", needed=True),
+        cluster=table.text("cluster", required=True),
+        name=table.text("name", default_name, required=True),
+        listen=table.text("listen", required=True),
         advertise=table.text("advertise"),
         join=table.texts("join", "addresses"),
         zone=table.text("zone"),
@@ -104,7 +104,7 @@
 
 
 def _read_tuning(raw: object) -> ProtocolSettings:
-    return ProtocolSettings(**numbers("members.tuning", raw or {}, ProtocolSettings, TUNING_KEYS))
+    return ProtocolSettings(**read_numbers("members.tuning", raw or {}, ProtocolSettings, TUNING_KEYS))
 
 
 def _check_addresses(config: MembershipConfig) -> None:
--- a/crowpost/storage/config.py
+++ b/crowpost/storage/config.py
@@ -45,8 +45,8 @@
 def _read(raw: dict[str, Any], name: str) -> StateConfig:
     table = Table("state", raw.get("state"), KEYS)
     return StateConfig(
-        directory=Path(table.text("directory", needed=True)),
-        owner=table.text("owner", name, needed=True),
+        directory=Path(table.text("directory", required=True)),
+        owner=table.text("owner", name, required=True),
         write_interval_ms=table.number("every_ms", DEFAULT_WRITE_INTERVAL_MS, 50.0, 3_600_000.0),
         bytes_per_s=table.number("bytes_per_s", DEFAULT_BYTES_PER_S, 1_000.0, 1e9),
         snapshot_bytes=int(table.number("snapshot_bytes", DEFAULT_SNAPSHOT_BYTES, 10_000.0, 1e9)),
--- a/crowpost/tables.py
+++ b/crowpost/tables.py
@@ -44,10 +44,10 @@
         """Return the value as it is in the file; None if there is none."""
         return self._raw.get(key)
 
-    def text(self, key: str, default: str = "", *, needed: bool = False) -> str:
-        """Return a text.  needed: there must be one, in the file or as the default, and not an empty one."""
+    def text(self, key: str, default: str = "", *, required: bool = False) -> str:
+        """Return a text.  required: raise TableError if it is empty or missing without a default."""
         value = self._raw.get(key, default)
-        if needed and not value:
+        if required and not value:
             raise TableError(f"{self.name}.{key}: is missing")
         if not isinstance(value, str):
             raise TableError(f"{self.name}.{key}: a text, not {value!r}")
@@ -89,7 +89,7 @@
         return value
 
 
-def numbers(
+def read_numbers(
     name: str, raw: object, kind: type, keys: Mapping[str, str] = MappingProxyType({})
 ) -> dict[str, Any]:
     """Return the numbers that a table sets of a dataclass, by field name.
