--- a/crowpost/storage/operations.py
+++ b/crowpost/storage/operations.py
@@ -11,7 +11,7 @@
 class Create:
     """Create a file that must not exist, with these first bytes."""
 
-    label: ClassVar[str] = "create"
+    label: ClassVar[str] = "creation"
     file: str
     data: bytes
 
@@ -29,7 +29,7 @@
 class AppendPieces:
     """Append pieces to a file, each of which is generated while it is written."""
 
-    label: ClassVar[str] = "append of pieces"
+    label: ClassVar[str] = "generated append"
     file: str
     pieces: Iterable[bytes]
 
--- a/crowpost/storage/runner.py
+++ b/crowpost/storage/runner.py
@@ -94,7 +94,7 @@
             return JobResult(_describe_failure(disk, operation, error), generated)
         except Exception as error:  # a generator may raise anything, and the store needs a result
             log.exception("fault in a job of the store")
-            return JobResult(f"{operation.label}: {error!r}", generated)
+            return JobResult(f"{describe(operation, disk.path)}: {error!r}", generated)
     return JobResult(generated_bytes=generated)
 
 
--- a/tests/storage/test_runner.py
+++ b/tests/storage/test_runner.py
@@ -4,16 +4,17 @@
 
 import asyncio
 import errno
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
 
+from crowpost.storage.core import Store
 from crowpost.storage.errors import StoreError
-from crowpost.storage.runner import StoreRunner, inspect_store, open_store
-from tests.storage.helpers import (
-    ACKNOWLEDGED,
-    payloads,
-)
+from crowpost.storage.file_format import TEMPORARY_SUFFIX, snapshot_file_name
+from crowpost.storage.operations import JobResult
+from crowpost.storage.runner import StoreRunner, execute_job, inspect_store, open_store
+from tests.storage.helpers import ACKNOWLEDGED, payloads
 
 
 def test_a_full_disk_stops_writing_with_a_reason(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -54,3 +55,40 @@
 
     asyncio.run(scenario())
     assert asked == 1
+
+
+@pytest.mark.parametrize(
+    ("call", "text"),
+    [
+        ("fsync", "fsync of .*/log-00000000000000000001.2: the disk is read-only"),
+        ("rename", "rename of .*/store.new: the disk is read-only"),
+        ("open", "the disk is read-only"),
+    ],
+)
+def test_a_failed_repair_names_operation_and_file(
+    call: str, text: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def fails(*arguments: object) -> None:
+        raise OSError(errno.EROFS, "read-only")
+
+    monkeypatch.setattr(f"crowpost.storage.disk.os.{call}", fails)
+    with pytest.raises(StoreError, match=text):
+        open_store(tmp_path / "s", "n0")
+
+
+def test_a_failing_generator_of_pieces_is_reported_as_the_result_of_the_job(tmp_path: Path) -> None:
+    def pieces() -> Iterator[bytes]:
+        yield b"first"
+        raise ValueError("no second piece")
+
+    opened = open_store(tmp_path / "s", "n0")
+    store = Store(opened.recovered, 0.0)
+    store.append(b"a", ACKNOWLEDGED, 0.0)
+    store.write_snapshot(pieces())
+    job = store.next_job(0.0)
+    assert job is not None
+    result = execute_job(opened.disk, job)
+    opened.disk.close()
+    file = f"{snapshot_file_name(1)}{TEMPORARY_SUFFIX}"
+    text = f"generated append of {tmp_path / 's' / file}: ValueError('no second piece')"
+    assert result == JobResult(text, generated_bytes=0)
