--- a/crowpost/lab/capacity/demand.py
+++ b/crowpost/lab/capacity/demand.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from importlib.util import find_spec
 
-from crowpost.feed.model import scopes_of
+from crowpost.config_feed.scopes import scopes_for_node
 from crowpost.lab.capacity.figures import Figure, Origin, total
 from crowpost.lab.capacity.lines import at, rise
 from crowpost.lab.capacity.records import FeedRun, RecordError, Records
@@ -46,8 +46,9 @@
     def __init__(self, target: Target, records: Records, built: Sequence[str] | None = None) -> None:
         """built: the packages that stand for a mechanism; None: those that this tree has."""
         self.target, self.records = target, records
-        known = ("members", "feed", "directory", "shared", "rollout", "collect")
-        found = [name for name in known if find_spec(f"crowpost.{name}") is not None]
+        known = ("directory", "shared", "rollout", "collect")
+        packages = {"members": "membership", "feed": "config_feed", **{name: name for name in known}}
+        found = [name for name, package in packages.items() if find_spec(f"crowpost.{package}") is not None]
         self.built = frozenset(found if built is None else built)
         self.used: set[str] = set()  # assumptions that a figure was made with
 
@@ -76,7 +77,7 @@
 
     def _scopes(self) -> Figure:
         """How many scopes have documents for one node."""
-        return self.coded(len(scopes_of("r", "s", "n")), "crowpost.feed.model.scopes_of")
+        return self.coded(len(scopes_for_node("r", "s", "n")), "crowpost.config_feed.scopes.scopes_for_node")
 
     # -------------------------------------------------------- sizes
 
--- a/crowpost/node/config.py
+++ b/crowpost/node/configuration.py
@@ -9,13 +9,13 @@
 from typing import TYPE_CHECKING, Any
 
 from crowpost.decision_api import InvalidSettingsError, Settings, SettingsError, read_settings
-from crowpost.node.discovery import ListError, Listing, Naming
+from crowpost.node.discovery.endpoint_list import ListError, Listing, Naming
 
 if TYPE_CHECKING:
-    from crowpost.feed.config import FeedConfig
-    from crowpost.members.config import MembersConfig
-    from crowpost.node.overlays import Overlays
-    from crowpost.store.config import StateConfig
+    from crowpost.config_feed.configuration import FeedConfig
+    from crowpost.membership.configuration import MembershipConfig
+    from crowpost.node.configuration_overlays import ConfigurationOverlays
+    from crowpost.storage.config import StateConfig
 
 _DEFAULT_CONN_IDLE_MS = 15_000.0
 # With fewer no request can be served.  A tight limit is the platform's to set, and no reason not to start:
@@ -52,10 +52,10 @@
     path: str  # of the file, which the platform may replace while the node runs
     management: tuple[str, int] | None = None
     accept_fd: int | None = None  # of the clients' listening socket, where the platform holds it
-    members: MembersConfig | None = None  # None: no membership, and nothing of it is imported
+    members: MembershipConfig | None = None  # None: no membership, and nothing of it is imported
     state: StateConfig | None = None  # None: nothing is kept, and nothing of that is imported
     feed: FeedConfig | None = None  # None: no feed of configuration, and nothing of it is imported
-    overlays: Overlays | None = None  # the documents of the feed on the file, where there is one
+    overlays: ConfigurationOverlays | None = None  # the documents of the feed on the file, where there is one
 
 
 def load(environment: Mapping[str, str]) -> Config:
@@ -67,7 +67,9 @@
     overlays = None
     if feed is not None:
         overlays = _overlays(environment, raw, path, feed)
-        environment, raw = overlays.start
+        inputs = overlays.start_inputs
+        environment = inputs.environment
+        raw = inputs.raw
     config = read_config(environment, raw, path)
     members, state = _members(environment, name), _state(environment, name)
     return replace(config, members=members, state=state, feed=feed, overlays=overlays)
@@ -164,17 +166,17 @@
     return _address(environment, raw, "NODE_MANAGEMENT", "management")
 
 
-def _members(environment: Mapping[str, str], name: str) -> MembersConfig | None:
+def _members(environment: Mapping[str, str], name: str) -> MembershipConfig | None:
     """Membership, where a file for it is named."""
     path = environment.get("NODE_MEMBERS", "")
     if not path:
         return None
-    from crowpost.members.config import load as load_members
-    from crowpost.members.model import MemberError
+    from crowpost.membership.configuration import load as load_members
+    from crowpost.membership.errors import MembershipError
 
     try:
         return load_members(path, name)
-    except MemberError as error:
+    except MembershipError as error:
         raise ConfigError(f"NODE_MEMBERS: {error}") from None
 
 
@@ -183,8 +185,8 @@
     path = environment.get("NODE_STATE", "")
     if not path:
         return None
-    from crowpost.store.config import load as load_state
-    from crowpost.store.model import StoreError
+    from crowpost.storage.config import load as load_state
+    from crowpost.storage.errors import StoreError
 
     try:
         return load_state(path, name)
@@ -197,8 +199,8 @@
     path = environment.get("NODE_FEED", "")
     if not path:
         return None
-    from crowpost.feed.config import load as load_feed
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.configuration import load as load_feed
+    from crowpost.config_feed.errors import FeedError
 
     try:
         return load_feed(path, name, roles=("node",))
@@ -206,19 +208,23 @@
         raise ConfigError(f"NODE_FEED: {error}") from None
 
 
-def _overlays(environment: Mapping[str, str], raw: dict[str, Any], path: str, feed: FeedConfig) -> Overlays:
+def _overlays(
+    environment: Mapping[str, str], raw: dict[str, Any], path: str, feed: FeedConfig
+) -> ConfigurationOverlays:
     """The file and the documents that were last in force on it."""
-    from crowpost.feed.model import FeedError
-    from crowpost.feed.shelf import Shelf
-    from crowpost.node.overlays import Overlays
+    from crowpost.config_feed.document_cache import DocumentCache
+    from crowpost.config_feed.errors import FeedError
+    from crowpost.node.configuration_overlays import ConfigurationOverlays
 
     if feed.directory is None:
-        return Overlays(environment, raw, path)
+        return ConfigurationOverlays(environment, raw, path)
     try:
-        kept, notes = Shelf(feed.directory, (feed.cluster, feed.name)).read()
+        kept, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).load()
     except FeedError as error:
         raise ConfigError(f"NODE_FEED: {error}") from None
-    overlays = Overlays(environment, raw, path, [d for d in kept if feed.interest.wants(d.head.scope)])
+    overlays = ConfigurationOverlays(
+        environment, raw, path, [d for d in kept if feed.subscription.includes(d.header.scope)]
+    )
     overlays.notes += notes
     return overlays
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -21,24 +21,36 @@
 from typing import Any
 
 import crowpost.cli.main as crowpost
-import crowpost.feed.messages as feed_messages
-import crowpost.feed.wire as feed_wire
-import crowpost.members.wire as member_wire
+import crowpost.config_feed.frames as feed_wire
+import crowpost.config_feed.messages as feed_messages
+import crowpost.membership.wire as member_wire
+from crowpost.config_feed.apply_status import ApplyState, ApplyStatus
+from crowpost.config_feed.document_cache import DocumentCache
+from crowpost.config_feed.document_table import DocumentTable
+from crowpost.config_feed.documents import Document, make_document
+from crowpost.config_feed.messages import PublishRequest
+from crowpost.config_feed.publication_log import PublicationLog
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.decision_api import RememberedEndpoint
-from crowpost.feed.ledger import Ledger, Writers
-from crowpost.feed.messages import Publish
-from crowpost.feed.model import Document, Standing, State, make_document
-from crowpost.feed.shelf import Shelf
-from crowpost.feed.table import Table
-from crowpost.members import exchange
-from crowpost.members.core import Members
-from crowpost.members.model import Claim, Phase, Profile, Verdict
-from crowpost.node.config import load as load_config
-from crowpost.node.kept import Evacuated, Fact, Incarnation, Kept, Learned, Limit, parts
+from crowpost.membership import sync
+from crowpost.membership.core import MembershipCore
+from crowpost.membership.model import Liveness, Phase, Profile, StateUpdate
+from crowpost.membership.snapshot import view_snapshot
+from crowpost.node.configuration import load as load_config
 from crowpost.node.metrics import Metrics
-from crowpost.store.carrier import do, open_locked
-from crowpost.store.core import Store
-from crowpost.store.model import Durability
+from crowpost.node.state.node_state import NodeState
+from crowpost.node.state.records import (
+    Evacuation,
+    Incarnation,
+    LearnedEndpoints,
+    LearnedLimit,
+    NodeRecord,
+    decode_record,
+    split_list,
+)
+from crowpost.storage.core import Store
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import execute_job, open_store
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent.parent
@@ -68,61 +80,63 @@
 def member_frames() -> dict[str, bytes]:
     """A frame of every message kind of the members, by a name for each."""
     profile = Profile("n1", "127.0.0.1:7001", "north", "node", 1, 12.5, {"rack": "7", "cell": "b"})
-    claims = (
-        Claim("n1", 11, 3, Phase.PRESENT, Verdict.NONE, "n1", "", profile),
-        Claim("n2", 12, 4, Phase.PRESENT, Verdict.SUSPECTED, "n1", "no answer"),
-        Claim("n4", 14, 5, Phase.LEAVING, Verdict.LEFT, "n4", "in order"),
-        Claim("n5", 15, 6, Phase.JOINING, Verdict.DEAD, "n9", "not refuted"),
+    updates = (
+        StateUpdate("n1", 11, 3, Phase.PRESENT, Liveness.ALIVE, "n1", "", profile),
+        StateUpdate("n2", 12, 4, Phase.PRESENT, Liveness.SUSPECT, "n1", "no answer"),
+        StateUpdate("n4", 14, 5, Phase.LEAVING, Liveness.LEFT, "n4", "in order"),
+        StateUpdate("n5", 15, 6, Phase.JOINING, Liveness.DEAD, "n9", "not refuted"),
     )
-    cluster = member_wire.tag(CLUSTER)
+    cluster = member_wire.cluster_tag(CLUSTER)
     sender = member_wire.Sender("n1", 11, 3, Phase.PRESENT, 77, 0xDEADBEEF)
-    rows = [member_wire.pack(member_wire.claim_row(claim)) for claim in claims]
+    rows = [member_wire.pack(member_wire.encode_update(update)) for update in updates]
     frames = {}
-    for kind in [kind for kind in member_wire.Kind if kind < 16]:
-        message = member_wire.Message(kind, sender, 9, "n2", "127.0.0.1:7001", claims)
-        frames[f"datagram-{int(kind)}"] = member_wire.datagram(message, cluster, rows)
+    for kind in [kind for kind in member_wire.MessageKind if kind < 16]:
+        message = member_wire.Message(kind, sender, 9, "n2", "127.0.0.1:7001", updates)
+        frames[f"datagram-{int(kind)}"] = member_wire.encode_datagram(message, cluster, rows)
     one, two = (
-        Members(CLUSTER, Profile(name, f"127.0.0.1:{port}", "north"), (), seed=1, birth=port, now=0.0)
+        MembershipCore(
+            CLUSTER, Profile(name, f"127.0.0.1:{port}", "north"), (), seed=1, instance_id=port, now=0.0
+        )
         for name, port in (("n1", 7001), ("n2", 7002))
     )
-    frames["exchange-hello"] = hello = exchange.hello(one)
-    frames["exchange-table"] = table = exchange.answer(two, hello, 10.0)
-    frames["exchange-rest"] = rest = exchange.settle(one, table, 20.0)
-    exchange.finish(two, rest, 30.0)
-    other = Members("other", Profile("n8", "127.0.0.1:7008"), (), seed=1, birth=8, now=0.0)
-    frames["exchange-refused"] = exchange.answer(other, hello, 10.0)
-    view = member_wire.pack(exchange.snapshot(one, 40.0))
-    kinds = member_wire.Kind
+    frames["exchange-hello"] = hello = sync.make_request(one)
+    frames["exchange-table"] = table = sync.handle_request(two, hello, 10.0)
+    frames["exchange-rest"] = rest = sync.handle_response(one, table, 20.0)
+    sync.handle_completion(two, rest, 30.0)
+    other = MembershipCore("other", Profile("n8", "127.0.0.1:7008"), (), seed=1, instance_id=8, now=0.0)
+    frames["exchange-refused"] = sync.handle_request(other, hello, 10.0)
+    view = member_wire.pack(view_snapshot(one, 40.0))
+    kinds = member_wire.MessageKind
     for kind, body in (
         (kinds(20), view),
         (kinds(21), member_wire.pack([])),
         (kinds(22), member_wire.pack(["n1"])),
     ):
-        frames[f"frame-{int(kind)}"] = member_wire.seal(kind, cluster, body)
+        frames[f"frame-{int(kind)}"] = member_wire.encode_frame(kind, cluster, body)
     return frames
 
 
 def feed_frames() -> dict[str, bytes]:
     """A frame of every message kind of the feed, by its number."""
     document = a_document("region/north", 7, b'{"discovery": "127.0.0.1:8501"}')
-    head, mark = document.head, document.head.mark
-    standings = tuple(Standing(mark, state, f"as {state}") for state in State)
+    head, key = document.header, document.header.key
+    apply_statuses = tuple(ApplyStatus(key, state, f"as {state}") for state in ApplyState)
     sent: list[feed_messages.Message] = [
-        feed_messages.Hello("n1", "node", "north", "n1", "cart", False, 99, (mark,)),
-        feed_messages.Heads((head, head)),
-        feed_messages.Fetch(mark, 100, 2_000),
-        feed_messages.Body(mark, 100, b"piece"),
-        feed_messages.Absent(mark, "busy"),
-        feed_messages.Beat(123_456),
-        feed_messages.Report("n1", 99, 5, standings),
-        feed_messages.AskStatus(3),
-        feed_messages.Status(3, {"name": "r1", "held": [1, 2]}),
-        feed_messages.Publish(4, "service/cart", b"{}", "staff", "a reason", "north", 6, True),
-        feed_messages.Published(4, head),
-        feed_messages.Refused(4, "service/cart is at version 7 and not at 6"),
-        feed_messages.Bye("in order"),
+        feed_messages.Hello("n1", "node", "north", "n1", "cart", False, 99, (key,)),
+        feed_messages.DocumentHeaders((head, head)),
+        feed_messages.FetchRequest(key, 100, 2_000),
+        feed_messages.BodyChunk(key, 100, b"piece"),
+        feed_messages.BodyUnavailable(key, "busy"),
+        feed_messages.Heartbeat(123_456),
+        feed_messages.ApplyReport("n1", 99, 5, apply_statuses),
+        feed_messages.StatusRequest(3),
+        feed_messages.StatusResponse(3, {"name": "r1", "held": [1, 2]}),
+        feed_messages.PublishRequest(4, "service/cart", b"{}", "staff", "a reason", "north", 6, True),
+        feed_messages.PublishAccepted(4, head),
+        feed_messages.PublishRejected(4, "service/cart is at version 7 and not at 6"),
+        feed_messages.Goodbye("in order"),
     ]
-    frames = [feed_wire.encode(message, feed_wire.tag(CLUSTER)) for message in sent]
+    frames = [feed_wire.encode(message, feed_wire.cluster_tag(CLUSTER)) for message in sent]
     return {f"kind-{frame[7]:02d}": frame for frame in frames}
 
 
@@ -158,22 +172,21 @@
     directory: Path, owner: str, records: list[bytes], snapshot: Iterator[bytes] | None
 ) -> None:
     """A store with records, an optional snapshot after them, the records again, and no orderly end."""
-    opened = open_locked(directory, owner)
-    store = Store(opened.found, opened.identity, 0.0)
+    opened = open_store(directory, owner)
+    store = Store(opened.recovered, 0.0)
 
     def work() -> None:
         for _ in range(20):
-            job = store.take(1e9)
+            job = store.next_job(1e9)
             if job is None:
                 return
-            error, filled = do(opened.disk, job)
-            store.done(job.number, error, filled)
+            store.complete_job(job.number, execute_job(opened.disk, job))
 
     for record in records:
         store.append(record, Durability.ACKNOWLEDGED, 0.0)
     work()
     if snapshot is not None:
-        store.snapshot(snapshot)
+        store.write_snapshot(snapshot)
         work()
         for record in records:
             store.append(record, Durability.ACKNOWLEDGED, 0.0)
@@ -202,36 +215,34 @@
         RememberedEndpoint(b"s-1", 5.0, 1.25, 18.5, False),
         RememberedEndpoint(b"s-2", 5.0, 0.5, None, True),
     ]
-    facts: list[Fact] = [
-        *parts(True, 41, listed),
-        *parts(False, 42, [instance("s-7", "DELETED"), instance("s-301", "DRAINING")]),
-        Learned(NOW_MS, memories),
-        Limit(NOW_MS + 5.0, 12.5),
-        Evacuated(True),
+    records: list[NodeRecord] = [
+        *split_list(True, 41, listed),
+        *split_list(False, 42, [instance("s-7", "DELETED"), instance("s-301", "DRAINING")]),
+        LearnedEndpoints(NOW_MS, memories),
+        LearnedLimit(NOW_MS + 5.0, 12.5),
+        Evacuation(True),
         Incarnation(9),
     ]
-    return [fact.pack() for fact in facts]
+    return [record.encode() for record in records]
 
 
 def node_snapshot() -> list[bytes]:
     """The snapshot of a node after those records."""
-    from crowpost.node.kept import unpack
-
-    kept = Kept()
+    state = NodeState()
     for record in node_records():
-        kept.apply(unpack(record))
-    return list(kept.pieces())
+        state.apply(decode_record(record))
+    return list(state.snapshot_pieces())
 
 
 def ledger_records() -> tuple[list[bytes], list[bytes]]:
     """Records of three publishes and of a restore, and the snapshot after them."""
-    ledger = Ledger(Writers("pub-n", "north", {"north": "pub-n"}), lambda scope, body: None)
-    table = Table()
+    ledger = PublicationLog(WriteAuthority("pub-n", "north", {"north": "pub-n"}), lambda scope, body: None)
+    table = DocumentTable()
     records = []
     for number, (scope, body) in enumerate([("all", b"{}"), ("all", b'{"a": 1}'), ("region/north", b"[]")]):
-        record, _ = ledger.publish(Publish(number, scope, body, "staff", "a reason"), table)
+        record, _ = ledger.publish(PublishRequest(number, scope, body, "staff", "a reason"), table)
         records.append(record)
-    records.append(ledger.restored())
+    records.append(ledger.begin_epoch())
     return records, list(ledger.snapshot())
 
 
@@ -248,10 +259,10 @@
     ):
         write_records(into / name, owner, records, iter(snapshot))
         (into / name / "lock").unlink(missing_ok=True)
-    shelf = Shelf(into / "follower", (CLUSTER, OWNER))
-    shelf.read()
+    shelf = DocumentCache(into / "follower", (CLUSTER, OWNER))
+    shelf.load()
     for document in shelf_documents():
-        shelf.write(document)
+        shelf.store(document)
 
 
 # ---------------------------------------------------------------- texts and numbers
@@ -263,7 +274,7 @@
     for index, status in ((0, 200), (0, 200), (0, 503), (0, 429), (1, 502), (1, 200)):
         metrics.answered(index, status)
     for _ in range(7):
-        metrics.tried()
+        metrics.attempt_written()
     return metrics.render(active=3, pool_size=12, pool_ejected=2, more={'members{state="alive"}': 4})
 
 
