--- a/crowpost/cli/main.py
+++ b/crowpost/cli/main.py
@@ -27,16 +27,16 @@
 
 def main() -> None:
     """Exit code 0 if all went well, 1 if a rule was broken, 2 with one plain line for what cannot be used."""
-    from crowpost.feed.model import FeedError
+    from crowpost.config_feed.errors import FeedError
     from crowpost.lab.revisions import PolicyError
     from crowpost.lab.runs import RunFolderError
     from crowpost.lab.scenario import ScenarioError
-    from crowpost.members.model import MemberError
-    from crowpost.store.model import StoreError
+    from crowpost.membership.errors import MembershipError
+    from crowpost.storage.errors import StoreError
 
     try:
         app()
-    except (ScenarioError, RunFolderError, PolicyError, MemberError, StoreError, FeedError) as error:
+    except (ScenarioError, RunFolderError, PolicyError, MembershipError, StoreError, FeedError) as error:
         print(f"crowpost: {error}", file=sys.stderr)
         sys.exit(2)
 
--- a/crowpost/decide/balancer.py
+++ b/crowpost/decisions/balancer.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import Any
 
-import crowpost.interface as api
-from crowpost.decide.admission import Admission
-from crowpost.decide.fleet import Fleet
-from crowpost.decide.health import RETURN, Health
-from crowpost.decide.outcomes import Judge
-from crowpost.decide.placing import Placing
-from crowpost.interface import ListKind, Outcome, RequestId
-from crowpost.parts import Timers
-from crowpost.records import Attempt, Request, Server
+import crowpost.decision_api as api
+from crowpost.decision_api import ListKind, Outcome, RequestId
+from crowpost.decisions.concurrency_limiter import Admission
+from crowpost.decisions.endpoint_selection import Placing
+from crowpost.decisions.endpoint_set import Fleet
+from crowpost.decisions.outcome_scoring import Judge
+from crowpost.decisions.outlier_detection import RETURN, Health
+from crowpost.decisions.request_state import Attempt, Request, Server
+from crowpost.decisions.timers import Timers
 
 HOLD = 0.1  # part of the aim that a request may wait here for a place: a refused client tries again in time
 AGAIN = 0.02  # part of the aim between looks at waiting requests
@@ -230,7 +230,7 @@
         self._requests[number] = request
         self._retry_tokens = min(RETRY_MOST, self._retry_tokens + RETRY_EARN)
         # At the front a request waits a part of its aim; further in, its work so far would be lost.
-        hold = HOLD * kind.latency_objective_ms if settings.stage == 0 else 0.5 * event.budget_ms
+        hold = HOLD * kind.latency_objective_ms if settings.tier == 0 else 0.5 * event.budget_ms
         self._wait(request, min(hold, 0.5 * event.budget_ms))
 
     def _wait(self, request: Request, hold: float) -> None:
@@ -375,7 +375,7 @@
         if request is None:
             return
         request.out -= 1
-        request.spent |= event.spent
+        request.body_consumed |= event.body_consumed
         if event.finished:
             del self._requests[request.id]
             self._leave_queue(request)
--- /dev/null
+++ b/crowpost/lab/crash_consistency/__init__.py
@@ -0,0 +1,1 @@
+"""Crash consistency of the store: every state that a power loss may leave, recovered from and checked."""
--- a/crowpost/lab/powerloss/kills.py
+++ b/crowpost/lab/crash_consistency/kills.py
@@ -1,4 +1,4 @@
-"""python -m crowpost.lab.powerloss.kills DIR: real processes at work on real directories, killed at any time.
+"""Kill real processes that write to real directories: python -m crowpost.lab.crash_consistency.kills DIR.
 
 A worker writes numbered records and takes snapshots, and tells of each record on its standard output once it
 has been acknowledged.  It is killed by SIGKILL, what it told is compared with what recovery finds, and the
@@ -21,35 +21,36 @@
 from subprocess import DEVNULL, PIPE, Popen
 from typing import Any
 
-from crowpost.lab.powerloss.play import payload, state
-from crowpost.store.carrier import Keeper, look, open_locked
-from crowpost.store.core import Pace
-from crowpost.store.model import Durability, StoreError
+from crowpost.lab.crash_consistency.checker import payload, state
+from crowpost.storage.errors import StoreError
+from crowpost.storage.model import Durability
+from crowpost.storage.runner import StoreRunner, inspect_store, open_store
+from crowpost.storage.write_policy import WritePolicy
 
 OWNER = "n0"
-PACE = Pace(segment_bytes=20_000, bytes_per_s=1e9, burst_bytes=1e9)
+POLICY = WritePolicy(segment_bytes=20_000, bytes_per_s=1e9, burst_bytes=1e9)
 LIVES_S = 0.25  # a worker is killed within so long after its first word
 
 
 async def work(path: Path, seed: int) -> None:
     """Write without end; a line for each acknowledged record."""
-    keeper = Keeper(open_locked(path, OWNER), PACE)
+    runner = StoreRunner(open_store(path, OWNER), POLICY)
     rng, waiting = Random(os.getpid()), set[asyncio.Task[None]]()
 
     async def tell(sequence: int) -> None:
-        await keeper.kept(sequence)
+        await runner.wait_durable(sequence)
         os.write(1, b"%d\n" % sequence)
 
-    os.write(1, b"%d\n" % keeper.core.kept)
+    os.write(1, b"%d\n" % runner.store.durable_sequence)
     while True:
         for _ in range(rng.choice((1, 1, 3, 20))):
-            number = keeper.core.next_sequence
-            sequence = keeper.append(payload(number, seed), Durability.ACKNOWLEDGED)
+            number = runner.store.next_sequence
+            sequence = runner.append(payload(number, seed), Durability.ACKNOWLEDGED)
             task = asyncio.ensure_future(tell(sequence))
             waiting.add(task)
             task.add_done_callback(waiting.discard)
         if rng.random() < 0.05:
-            keeper.snapshot(state(keeper.core.next_sequence - 1, seed))
+            runner.write_snapshot(state(runner.store.next_sequence - 1, seed))
         await asyncio.sleep(0.002 * rng.random())
 
 
@@ -57,7 +58,14 @@
     """One directory and one worker after another; what was found wrong is a list of lines."""
     rng, wrong, told, done = Random(f"kills {seed}"), list[str](), 0, 0
     for number in range(kills):
-        command = [sys.executable, "-m", "crowpost.lab.powerloss.kills", str(path), "--work", str(seed)]
+        command = [
+            sys.executable,
+            "-m",
+            "crowpost.lab.crash_consistency.kills",
+            str(path),
+            "--work",
+            str(seed),
+        ]
         worker = Popen(command, stdout=PIPE, stderr=DEVNULL)
         assert worker.stdout is not None
         first = worker.stdout.readline()
@@ -69,11 +77,11 @@
         worker.wait()
         told = max([told, *(int(line) for line in lines)])
         try:
-            found = look(path, OWNER)
+            found = inspect_store(path, OWNER)
         except StoreError as error:
             wrong.append(f"seed {seed}, kill {number}: {error}")
             break
-        last = found.next_sequence - 1
+        last = found.last_sequence
         base = found.snapshot_sequence
         if last < told:
             wrong.append(f"seed {seed}, kill {number}: {told} was acknowledged, {last} is there")
@@ -86,7 +94,7 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Exit code 1 if anything was found wrong."""
-    parser = argparse.ArgumentParser(prog="python -m crowpost.lab.powerloss.kills")
+    parser = argparse.ArgumentParser(prog="python -m crowpost.lab.crash_consistency.kills")
     parser.add_argument("path", type=Path)
     parser.add_argument("--kills", type=int, default=500)
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
--- a/crowpost/node/attempt.py
+++ b/crowpost/node/attempt.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Sequence
 
-from crowpost.interface import AttemptEnded, BodySent, Effect, Outcome, ResponseStarted, Send
+from crowpost.decision_api import AttemptEnded, BodySent, Effect, Outcome, ResponseStarted, Send
 from crowpost.node.clock import Clock
 from crowpost.node.event_queue import EventQueue
 from crowpost.node.http.body import BodySink
@@ -22,7 +22,7 @@
 class AttemptSender:
     """Starts attempts; holds what all of them use."""
 
-    __slots__ = ("clock", "events", "load_columns", "metrics", "pool", "requests")
+    __slots__ = ("clock", "events", "load_report_columns", "metrics", "pool", "requests")
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
         clock: Clock,
         events: EventQueue,
         metrics: Metrics,
-        load_columns: Sequence[str],
+        load_report_columns: Sequence[str],
     ) -> None:
         self.requests = requests
         self.pool = pool
         self.clock = clock
         self.events = events
         self.metrics = metrics
-        self.load_columns = load_columns
+        self.load_report_columns = load_report_columns
 
     def send(self, action: Send) -> None:
         """Start one attempt, or report at once that it was not sent."""
@@ -152,7 +152,7 @@
             extra = b"Content-Type: %s\r\n" % content_type if content_type else b""
             requests.respond(request, 200, response.body, extra)
         finished = request not in requests.pending
-        load = parse_load_report(response, self._sender.load_columns)
+        load = parse_load_report(response, self._sender.load_report_columns)
         self._sender.events.post(
             AttemptEnded(
                 request,
--- a/crowpost/node/discovery/endpoint_list.py
+++ b/crowpost/node/discovery/endpoint_list.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from crowpost.interface import EndpointEntry, EndpointId, EndpointList, ListKind, Readiness
+from crowpost.decision_api import EndpointEntry, EndpointId, EndpointList, ListKind, Readiness
 
 _LIFECYCLES = {
     "SERVING": Readiness.READY,
--- a/crowpost/node/dispatcher.py
+++ b/crowpost/node/dispatcher.py
@@ -6,8 +6,7 @@
 import logging
 from collections.abc import Callable, Sequence
 
-from crowpost.decide import Balancer
-from crowpost.interface import (
+from crowpost.decision_api import (
     Action,
     AttemptEnded,
     Cancel,
@@ -26,6 +25,7 @@
     Subscribe,
     TimerFired,
 )
+from crowpost.decisions import Balancer
 from crowpost.node.attempt import AttemptSender
 from crowpost.node.clock import Clock
 from crowpost.node.event_queue import EventQueue
@@ -49,13 +49,13 @@
         clock: Clock,
         events: EventQueue,
         request: bytes,
-        load_columns: Sequence[str],
+        load_report_columns: Sequence[str],
     ) -> None:
         self._pool = pool
         self._clock = clock
         self._events = events
         self._request = request
-        self._load_columns = load_columns
+        self._load_columns = load_report_columns
 
     def check(self, server: EndpointId) -> None:
         """Send one health check to a server."""
--- a/crowpost/node/downstream/listener.py
+++ b/crowpost/node/downstream/listener.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Callable
 
-from crowpost.interface import Settings
+from crowpost.decision_api import Settings
 from crowpost.node.downstream.connection import ClientConnection
 from crowpost.node.downstream.exchange import STREAM_BUFFER_BYTES, Exchange
 from crowpost.node.downstream.request import ClientRequest, RequestParser, is_api_path, normalize_path
--- a/crowpost/node/event_queue.py
+++ b/crowpost/node/event_queue.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from crowpost.interface import Event
+from crowpost.decision_api import Event
 
 
 class EventQueue:
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -14,8 +14,8 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from crowpost.decide import Balancer
-from crowpost.interface import EndpointList, ListKind
+from crowpost.decision_api import EndpointList, ListKind
+from crowpost.decisions import Balancer
 from crowpost.node.admin import AdminAction, AdminResponse, AdminServer
 from crowpost.node.attempt import AttemptSender
 from crowpost.node.clock import Clock
@@ -32,10 +32,10 @@
 from crowpost.node.upstream.pool import ConnectionPool
 
 if TYPE_CHECKING:
-    from crowpost.node.feeding import Feeding
-    from crowpost.node.keeping import Keeping
+    from crowpost.node.config_feed import NodeConfigFeed
+    from crowpost.node.configuration_overlays import ReloadableSettings
     from crowpost.node.membership import Membership
-    from crowpost.node.overlays import Live
+    from crowpost.node.state.writer import NodeStateWriter
 
 log = logging.getLogger(__name__)
 
@@ -71,8 +71,8 @@
         self._address = config.listen
         self._discovery_heard = False  # discovery has sent a list, or has had its time
         self._membership: Membership | None = None
-        self._keeping: Keeping | None = None
-        self._feeding: Feeding | None = None
+        self._state_writer: NodeStateWriter | None = None
+        self._config_feed: NodeConfigFeed | None = None
         self._inherited_socket: socket.socket | None = None
         if config.accept_fd is not None:
             self._inherited_socket = adopt_listening_socket(config.accept_fd)
@@ -139,7 +139,7 @@
         )
 
     def _connect_dispatcher(self, health_check: bytes) -> None:
-        columns = self._config.settings.load_columns
+        columns = self._config.settings.load_report_columns
         attempts = AttemptSender(
             self._requests, self._pool, self._clock, self._events, self._metrics, columns
         )
@@ -166,8 +166,8 @@
         if known is not None:
             self._pool.update(known)
             self._events.post(known.event(cached=True))
-        if self._keeping is not None:
-            self._events.post(self._keeping.kept.remembered(self._clock.now()))
+        if self._state_writer is not None:
+            self._events.post(self._state_writer.state.restored_event(self._clock.now()))
         self._discovery.start(known.version if known is not None else 0)
         self._start_feed()
         self._follow_replaced_file()
@@ -192,31 +192,31 @@
         """
         if self._config.state is None:
             return known
-        from crowpost.node.keeping import Keeping
-        from crowpost.store.model import StoreError
+        from crowpost.node.state.writer import NodeStateWriter
+        from crowpost.storage.errors import StoreError
 
         def drain(evacuated: bool) -> bool:
             return self._drain.evacuate() if evacuated else self._drain.rejoin()
 
-        self._keeping = Keeping(self._config.state, self._balancer, self._clock.now, drain)
+        self._state_writer = NodeStateWriter(self._config.state, self._balancer, self._clock.now, drain)
         try:
-            self._keeping.open()
-            raw = self._keeping.kept.listing()
-            kept = self._config.naming.read(raw) if raw is not None else None
+            self._state_writer.open()
+            raw = self._state_writer.state.endpoint_list()
+            state = self._config.naming.read(raw) if raw is not None else None
         except (StoreError, ListError) as error:
             raise ConfigError(f"NODE_STATE: {self._config.state.directory}: {error}") from None
-        if self._keeping.kept.evacuated:
+        if self._state_writer.state.evacuated:
             log.info("the node was evacuated and stays so until rejoin")
             self._drain.evacuate()
-        if kept is None or (known is not None and known.version > kept.version):
+        if state is None or (known is not None and known.version > state.version):
             return known
-        return kept
+        return state
 
     async def _start_membership(self) -> None:
         """Join the cluster, where membership is configured; else nothing of it is imported."""
         if self._config.members is None:
             return
-        from crowpost.members.model import Phase as MemberPhase
+        from crowpost.membership.model import Phase as MemberPhase
         from crowpost.node.membership import Membership
 
         def phase() -> MemberPhase:
@@ -224,13 +224,15 @@
                 return MemberPhase.LEAVING
             return MemberPhase.PRESENT if self.ready() else MemberPhase.JOINING
 
-        keeping = self._keeping
-        note = keeping.note_incarnation if keeping is not None else lambda _: None
+        state_writer = self._state_writer
+        note = state_writer.record_incarnation if state_writer is not None else lambda _: None
         self._membership = Membership(
             self._config.members, self._config.settings, phase, self._events.post, note
         )
         try:
-            await self._membership.start(keeping.kept.incarnation + 1 if keeping is not None else 1)
+            await self._membership.start(
+                state_writer.state.incarnation + 1 if state_writer is not None else 1
+            )
         except OSError as error:
             raise ConfigError(f"NODE_MEMBERS: members.listen cannot be used: {error}") from None
 
@@ -238,10 +240,10 @@
         """Follow the configuration feed, where there is one; else nothing of it is imported."""
         if self._config.feed is None or self._config.overlays is None:
             return
-        from crowpost.node.feeding import Feeding
+        from crowpost.node.config_feed import NodeConfigFeed
 
-        self._feeding = Feeding(self._config.feed, self._config.overlays, self._apply_live)
-        self._feeding.start()
+        self._config_feed = NodeConfigFeed(self._config.feed, self._config.overlays, self._apply_live)
+        self._config_feed.start()
 
     async def _accept(self, at: tuple[str, int] | socket.socket) -> None:
         self._address = await self._listener.listen(at)
@@ -274,12 +276,12 @@
         self._discovery.close()
         self._listener.close()
         self._pool.close()
-        if self._feeding is not None:
-            await self._feeding.close()
+        if self._config_feed is not None:
+            await self._config_feed.close()
         if self._membership is not None:
             await self._membership.close()
-        if self._keeping is not None:
-            await self._keeping.close()
+        if self._state_writer is not None:
+            await self._state_writer.close()
 
     def reconfigure(self) -> None:
         """Follow a replaced configuration file (SIGHUP): discovery may have another address."""
@@ -289,12 +291,12 @@
             text = "the new configuration cannot be used, discovery stays where it was: %s"
             log.error(text, error)  # noqa: TRY400  the error's text says all
             return
-        if self._feeding is not None:
-            address = self._feeding.rebase(address)
+        if self._config_feed is not None:
+            address = self._config_feed.rebase(address)
         log.info("discovery is at %s:%d now", *address)
         self._discovery.move(address)
 
-    def _apply_live(self, live: Live) -> None:
+    def _apply_live(self, live: ReloadableSettings) -> None:
         """Apply the values that may change while the node runs, from a document of the feed."""
         self._pool.connect_timeout_s = live.connect_timeout_ms / 1000.0
         if live.discovery != self._discovery.address:
@@ -314,8 +316,8 @@
     def _on_list(self, listing: Listing) -> None:
         self._pool.update(listing)
         self._events.post(listing.event())
-        if self._keeping is not None:
-            self._keeping.note_list(listing.complete, listing.version, listing.raw)
+        if self._state_writer is not None:
+            self._state_writer.record_list(listing.complete, listing.version, listing.raw)
         self._on_discovery_heard()
 
     def _evacuate(self) -> AdminResponse | Awaitable[AdminResponse]:
@@ -328,13 +330,13 @@
         """Return the response once the drain state is stored; 409 if the change was not possible."""
         if not done:
             return AdminResponse(409)
-        if self._keeping is None:
+        if self._state_writer is None:
             return AdminResponse(200)
-        return self._store_drain(self._keeping, evacuated)
+        return self._store_drain(self._state_writer, evacuated)
 
     @staticmethod
-    async def _store_drain(keeping: Keeping, evacuated: bool) -> AdminResponse:
-        why = await keeping.keep_drain(evacuated)
+    async def _store_drain(state_writer: NodeStateWriter, evacuated: bool) -> AdminResponse:
+        why = await state_writer.record_evacuation(evacuated)
         return AdminResponse(200, f"done, but a restart may forget it: {why}\n".encode() if why else b"")
 
     def _telemetry(self) -> AdminResponse:
@@ -345,7 +347,7 @@
             pool_ejected=balancer.pool_ejected,
             more={
                 name: value
-                for part in (self._membership, self._keeping, self._feeding)
+                for part in (self._membership, self._state_writer, self._config_feed)
                 if part is not None
                 for name, value in part.figures().items()
             },
@@ -355,5 +357,5 @@
     def terminate(self) -> None:
         """Begin the graceful shutdown (SIGTERM): no longer ready, respond to what still comes, then end."""
         self._drain.terminate()
-        if self._keeping is not None:
-            self._keeping.close()  # at once, as another process of this node may wait for the directory
+        if self._state_writer is not None:
+            self._state_writer.close()  # at once, as another process of this node may wait for the directory
--- a/crowpost/node/request_table.py
+++ b/crowpost/node/request_table.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from crowpost.interface import Effect, Outcome, RequestAbandoned, RequestArrived, RequestId, Settings
+from crowpost.decision_api import Effect, Outcome, RequestAbandoned, RequestArrived, RequestId, Settings
 from crowpost.node.clock import Clock
 from crowpost.node.downstream.exchange import Exchange
 from crowpost.node.downstream.request import ClientRequest
--- a/crowpost/node/upstream/call.py
+++ b/crowpost/node/upstream/call.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from crowpost.interface import Outcome
+from crowpost.decision_api import Outcome
 from crowpost.node.http.body import BodySink, Upload
 from crowpost.node.http.message import Message
 
--- a/crowpost/node/upstream/connection.py
+++ b/crowpost/node/upstream/connection.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, cast
 
-from crowpost.interface import Outcome
+from crowpost.decision_api import Outcome
 from crowpost.node.http.body import BodySink
 from crowpost.node.http.message import NOT_RUN, Message, MessageError
 from crowpost.node.http.parser import MessageParser
--- a/crowpost/node/upstream/pool.py
+++ b/crowpost/node/upstream/pool.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Iterable
 
-from crowpost.interface import EndpointId, Outcome, Readiness
+from crowpost.decision_api import EndpointId, Outcome, Readiness
 from crowpost.node.discovery.endpoint_list import Listing
 from crowpost.node.http.message import Message
 from crowpost.node.upstream.call import Call
--- a/crowpost/node/upstream/race.py
+++ b/crowpost/node/upstream/race.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from crowpost.interface import Outcome
+from crowpost.decision_api import Outcome
 from crowpost.node.upstream.call import Call
 from crowpost.node.upstream.connection import UpstreamConnection
 
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -11,12 +11,12 @@
 
 import uvloop
 
-from crowpost.members.config import MembersConfig
+from crowpost.decision_api import read_settings
+from crowpost.membership.configuration import MembershipConfig
 from crowpost.node.configuration import Config, Limits, flat
 from crowpost.node.discovery.endpoint_list import Naming
 from crowpost.node.node import Node
-from crowpost.settings import read_settings
-from crowpost.store.config import StateConfig
+from crowpost.storage.config import StateConfig
 
 HOST = "127.0.0.1"
 PATIENCE_S = 20.0  # for what must come; reached only by a failing test
@@ -351,7 +351,7 @@
     known: bool = True,
     path: str = "",
     accept_fd: int | None = None,
-    members: MembersConfig | None = None,
+    members: MembershipConfig | None = None,
     state: StateConfig | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crowpost.interface import Effect, ListKind, Readiness
+from crowpost.decision_api import Effect, ListKind, Readiness
 from crowpost.node.clock import Clock
 from crowpost.node.configuration import ConfigError, load
 from crowpost.node.discovery.endpoint_list import ListError, Naming
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crowpost.interface import AttemptEnded, Outcome, RequestAbandoned
+from crowpost.decision_api import AttemptEnded, Outcome, RequestAbandoned
 from crowpost.node.upstream.connection import UpstreamConnection
 from crowpost.node.upstream.endpoint import EndpointConnections
 from crowpost.node.upstream.race import MAX_EXTRA_DIALS
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crowpost.interface import Action, AttemptEnded, Event, RequestAbandoned
+from crowpost.decision_api import Action, AttemptEnded, Event, RequestAbandoned
 from crowpost.node.discovery.client import MAX_BACKOFF_S, MIN_BACKOFF_S
 from crowpost.node.downstream.connection import ClientConnection
 from crowpost.node.downstream.timeouts import FIRST_BYTE_TIMEOUT_S
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -9,17 +9,18 @@
 
 import pytest
 
-import crowpost.feed.wire as feed_wire
-import crowpost.members.wire as member_wire
-from crowpost.feed.config import load as load_feed
-from crowpost.feed.ledger import Ledger, Writers
-from crowpost.feed.model import FeedError
-from crowpost.feed.shelf import Shelf
+import crowpost.config_feed.frames as feed_wire
+import crowpost.membership.wire as member_wire
+from crowpost.config_feed.configuration import load as load_feed
+from crowpost.config_feed.document_cache import DocumentCache
+from crowpost.config_feed.errors import FeedError
+from crowpost.config_feed.publication_log import PublicationLog
+from crowpost.config_feed.write_authority import WriteAuthority
 from crowpost.lab.scenario import load as load_scenario
-from crowpost.members.config import load as load_members
-from crowpost.node.kept import read
-from crowpost.store.carrier import look, open_locked
-from crowpost.store.config import load as load_state
+from crowpost.membership.configuration import load as load_members
+from crowpost.node.state.node_state import read_node_state
+from crowpost.storage.config import load as load_state
+from crowpost.storage.runner import inspect_store, open_store
 from tests.golden import build
 from tests.golden.build import HERE, ROOT
 
@@ -38,13 +39,13 @@
 
 
 def test_datagrams_of_members_are_read_and_written_again_as_before() -> None:
-    cluster = member_wire.tag(build.CLUSTER)
+    cluster = member_wire.cluster_tag(build.CLUSTER)
     frames = [frame for key, frame in recorded("frames-members.json").items() if key.startswith("datagram")]
     assert len(frames) == 5
     for frame in frames:
-        message = member_wire.read_datagram(frame, cluster, 2_000)
-        rows = [member_wire.pack(member_wire.claim_row(claim)) for claim in message.claims]
-        assert member_wire.datagram(message, cluster, rows) == frame
+        message = member_wire.decode_datagram(frame, cluster, 2_000)
+        rows = [member_wire.pack(member_wire.encode_update(update)) for update in message.updates]
+        assert member_wire.encode_datagram(message, cluster, rows) == frame
 
 
 def test_frames_of_the_feed_are_written_as_before() -> None:
@@ -55,8 +56,8 @@
     frames = recorded("frames-feed.json")
     assert len(frames) == 13
     for frame in frames.values():
-        message = feed_wire.decode(frame[4:], feed_wire.tag(build.CLUSTER))
-        assert feed_wire.encode(message, feed_wire.tag(build.CLUSTER)) == frame
+        message = feed_wire.decode(frame[4:], feed_wire.cluster_tag(build.CLUSTER))
+        assert feed_wire.encode(message, feed_wire.cluster_tag(build.CLUSTER)) == frame
 
 
 def test_the_module_answers_the_simulator_as_before() -> None:
@@ -73,37 +74,37 @@
 
 def test_a_state_directory_gives_the_snapshot_that_it_holds(tmp_path: Path) -> None:
     shutil.copytree(HERE / "state", tmp_path / "state")
-    opened = open_locked(tmp_path / "state", build.OWNER)
+    opened = open_store(tmp_path / "state", build.OWNER)
     try:
-        assert list(read(opened.found).pieces()) == opened.found.snapshot
-        assert [record.payload for record in opened.found.records] == build.node_records()
-        assert opened.found.snapshot == build.node_snapshot()
+        assert list(read_node_state(opened.recovered).snapshot_pieces()) == opened.recovered.snapshot
+        assert [record.payload for record in opened.recovered.records] == build.node_records()
+        assert opened.recovered.snapshot == build.node_snapshot()
     finally:
         opened.disk.close()
 
 
 def test_a_publishers_ledger_is_read_as_before(tmp_path: Path) -> None:
     shutil.copytree(HERE / "ledger", tmp_path / "ledger")
-    found = look(tmp_path / "ledger", "pub-n")
+    found = inspect_store(tmp_path / "ledger", "pub-n")
     records, snapshot = build.ledger_records()
     assert found.snapshot == snapshot
     assert [record.payload for record in found.records] == records
-    writers = Writers("pub-n", "north", {"north": "pub-n"})
-    ledger = Ledger(writers, lambda scope, body: None, found.snapshot)
+    writers = WriteAuthority("pub-n", "north", {"north": "pub-n"})
+    ledger = PublicationLog(writers, lambda scope, body: None, found.snapshot)
     assert list(ledger.snapshot()) == snapshot
 
 
 def test_a_followers_cache_is_read_and_written_again_as_before(tmp_path: Path) -> None:
     shutil.copytree(HERE / "follower", tmp_path / "read")
-    documents, notes = Shelf(tmp_path / "read", (build.CLUSTER, build.OWNER)).read()
+    documents, notes = DocumentCache(tmp_path / "read", (build.CLUSTER, build.OWNER)).load()
     assert documents == build.shelf_documents() and notes == []
-    again = Shelf(tmp_path / "again", (build.CLUSTER, build.OWNER))
-    again.read()
+    again = DocumentCache(tmp_path / "again", (build.CLUSTER, build.OWNER))
+    again.load()
     for document in documents:
-        again.write(document)
+        again.store(document)
     assert tree(tmp_path / "again") == tree(HERE / "follower")
     with pytest.raises(FeedError, match="belongs to"):
-        Shelf(tmp_path / "again", (build.CLUSTER, "n4")).read()
+        DocumentCache(tmp_path / "again", (build.CLUSTER, "n4")).load()
 
 
 def test_the_telemetry_text_is_as_before() -> None:
