--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -26,7 +26,7 @@
 from tests.node.stubs import (
     HOST,
     PATIENCE_S,
-    Caller,
+    Client,
     StubDiscovery,
     StubServer,
     listing,
@@ -41,22 +41,22 @@
     async def play() -> None:
         new = StubServer([reply("200 OK", b"new")])
         async with fleet(tmp_path, 2) as (world, started), StubDiscovery() as moved, new:
-            callers = [await Caller.connect(address) for _, address in started for _ in range(3)]
+            clients = [await Client.connect(address) for _, address in started for _ in range(3)]
             processes = [process for process, _ in started]
             bodies: list[bytes] = []
             over = asyncio.Event()
 
-            async def call(caller: Caller) -> None:
+            async def call(client: Client) -> None:
                 while not over.is_set():
-                    answer = await caller.ask("look")
+                    answer = await client.ask("look")
                     assert answer.status == 200
                     bodies.append(answer.body)
                     await asyncio.sleep(0.002)
 
-            calling = [asyncio.create_task(call(caller)) for caller in callers]
+            calling = [asyncio.create_task(call(client)) for client in clients]
             for number in range(1, 10):
                 assert version(await world.publish(connect(100.0 + number), if_version=number - 1)) == number
-                answered = len(bodies) + len(callers)
+                answered = len(bodies) + len(clients)
                 while len(bodies) < answered:  # calls end between any two changes
                     assert not any(task.done() for task in calling)
                     await asyncio.sleep(0.005)
@@ -83,10 +83,10 @@
             headers = found["heads"]
             assert (headers["all"]["in_force"], headers["all"]["meant"]) == (2, 2)
             assert (headers["node/n0"]["in_force"], headers["node/n0"]["meant"]) == (0, 1)
-            answer = await callers[0].ask("look")
+            answer = await clients[0].ask("look")
             assert answer.body == b"new", "the connection still stands"
-            for caller in callers:
-                caller.close()
+            for client in clients:
+                client.close()
             await asyncio.gather(*(process.end() for process in processes))
 
     run(play())
@@ -141,13 +141,13 @@
             process, address = await world.node("n0")
             await process.event("kept", scope="region/north", version=1)
             await moved.watch()
-            caller = await Caller.connect(address)
-            assert (await caller.ask("look")).body == b"old"
+            client = await Client.connect(address)
+            assert (await client.ask("look")).body == b"old"
             for name in ("p", "r0", "r1"):
                 await world.distribution_server(name, [] if name == "p" else ["p"])
             await process.event("in force", scope="region/north", version=3)
-            assert (await caller.ask("look")).status == 200
-            caller.close()
+            assert (await client.ask("look")).status == 200
+            client.close()
             config = tmp_path / "n0.json"
             config.write_text(json.dumps({**json.loads(config.read_text()), "discovery": moved.address}))
             process.signal(signal.SIGHUP)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -20,7 +20,7 @@
 from tests.node.stubs import (
     HOST,
     PATIENCE_S,
-    Caller,
+    Client,
     Received,
     StubDiscovery,
     StubServer,
@@ -199,12 +199,12 @@
 
 async def _ask_on(address: tuple[str, int], per_s: float, rng: random.Random, burst: asyncio.Event) -> None:
     """Requests at random moments, whatever becomes of those before, on as many connections as it takes."""
-    idle: list[Caller] = []
+    idle: list[Client] = []
 
     async def ask() -> None:
-        caller = idle.pop() if idle else await Caller.connect(address)
-        assert (await caller.ask("look", deadline="1.0")).status in (200, 503)
-        idle.append(caller)
+        client = idle.pop() if idle else await Client.connect(address)
+        assert (await client.ask("look", deadline="1.0")).status in (200, 503)
+        idle.append(client)
 
     async with asyncio.TaskGroup() as asking:
         while True:
--- a/tests/node/state/test_command.py
+++ b/tests/node/state/test_command.py
@@ -21,7 +21,7 @@
             world(row("a", server.address), state=config(tmp_path)) as w,
         ):
             tell(await w.discovery.watch(), listing(3, row("a", server.address)))
-            assert (await (await w.caller()).ask("look")).status == 200
+            assert (await (await w.client()).ask("look")).status == 200
             assert w.node._state_writer is not None
             writer = w.node._state_writer
             await until(lambda: writer.state.generation == 3)
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -41,11 +41,11 @@
             async with world(known=False, registryMode="pushed", state=config(tmp_path)) as w:
                 tell(await w.discovery.watch(), listing(41, row("a", server.address)))
                 await until(w.node.ready)
-                caller = await w.caller()
-                assert (await caller.ask("look")).body == b"served"
+                client = await w.client()
+                assert (await client.ask("look")).body == b"served"
             async with world(known=False, registryMode="pushed", state=config(tmp_path)) as w:
-                caller = await w.caller()
-                assert (await caller.ask("look")).body == b"served"
+                client = await w.client()
+                assert (await client.ask("look")).body == b"served"
                 assert w.node._discovery._version == 41
                 learned = w.node._balancer.remember(0, 9)
                 assert [m.server for m in learned] == [b"a"] and learned[0].average_ms is not None
@@ -130,7 +130,7 @@
             assert answer.status == 200 and b"a restart may forget it: writing has stopped" in answer.body
             assert (await w.manage("GET", "/api/ready")).status == 503
             assert (await w.figures())["edge_node_state_writing"] == 0
-            assert (await (await w.caller()).ask("look")).status == 200
+            assert (await (await w.client()).ask("look")).status == 200
 
     run(main())
 
@@ -147,12 +147,12 @@
             StubServer([reply("200 OK")]) as server,
             world(row("a", server.address), state=config(tmp_path)) as w,
         ):
-            caller = await w.caller()
+            client = await w.client()
             monkeypatch.setattr("crowpost.storage.disk.os.fsync", hang)
             await until(hangs.is_set)
             try:
                 for _ in range(20):
-                    assert (await caller.ask("look")).status == 200
+                    assert (await client.ask("look")).status == 200
                 answer = await w.manage("POST", "/api/evacuate")
                 assert answer.status == 200 and b"has not answered within 1 s" in answer.body
             finally:
@@ -178,7 +178,7 @@
             writer._runner.append(Evacuation(False).encode(), Durability.DELAYED)
             writer._runner.write_snapshot(pieces())
             await until(lambda: not writer.figures()["state_writing"])
-            assert (await (await w.caller()).ask("look")).status == 200
+            assert (await (await w.client()).ask("look")).status == 200
             for version in range(3):
                 writer.record_list(False, version, [])
             assert not writer._waiting_list_parts
@@ -198,7 +198,7 @@
             log.write_bytes(data)
             async with world(row("a", server.address), state=config(tmp_path)) as w:
                 assert (await w.figures())["edge_node_state_damaged"] == 1
-                assert (await (await w.caller()).ask("look")).status == 200
+                assert (await (await w.client()).ask("look")).status == 200
                 answer = await w.manage("POST", "/api/evacuate")
                 assert answer.status == 200 and b"is damaged at byte" in answer.body
             assert log.read_bytes() == data
@@ -245,7 +245,7 @@
         async with StubServer([reply("200 OK")]) as server:
             async with world(row("a", server.address), state=config(tmp_path)) as w:
                 assert (await w.figures())["edge_node_state_damaged"] == 1
-                assert (await (await w.caller()).ask("look")).status == 200
+                assert (await (await w.client()).ask("look")).status == 200
             with pytest.raises(
                 ConfigError, match="NODE_STATE: .*record 2: a record that no node has written"
             ):
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback sockets for what surrounds a node: servers, discovery and callers."""
+"""Stand-ins on loopback sockets for what surrounds a node: servers, discovery and clients."""
 
 from __future__ import annotations
 
@@ -235,7 +235,7 @@
     watch.write(b"%x\r\n%s\r\n" % (len(text), text))
 
 
-# ---------------------------------------------------------------- callers
+# ---------------------------------------------------------------- clients
 
 
 @dataclass
@@ -245,14 +245,14 @@
     body: bytes
 
 
-class Caller:
+class Client:
     """One connection to a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def connect(cls, address: tuple[str, int]) -> Caller:
+    async def connect(cls, address: tuple[str, int]) -> Client:
         return cls(*await asyncio.open_connection(*address))
 
     async def answer(self) -> Answer:
@@ -293,7 +293,7 @@
     drop: tuple[str, ...] = (),
     extra: str = "",
 ) -> bytes:
-    """A caller's request; drop leaves headers out, extra adds lines."""
+    """A client's request; drop leaves headers out, extra adds lines."""
     headers = {
         "X-Request-Id": "9b1f03aa5c7e2d41",
         "X-Class": kind,
@@ -321,8 +321,8 @@
     discovery: StubDiscovery
     serving: asyncio.Task[None]
 
-    async def caller(self) -> Caller:
-        return await Caller.connect(self.address)
+    async def client(self) -> Client:
+        return await Client.connect(self.address)
 
     def age(self, seconds: float) -> None:
         """Let the idle connections to servers have been idle for longer."""
@@ -331,10 +331,10 @@
 
     async def manage(self, method: str, path: str) -> Answer:
         """One call to the second address."""
-        caller = await Caller.connect(self.node.admin_address)
-        caller.writer.write(f"{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n".encode())
-        answer = await caller.answer()
-        assert await caller.ended(), "a management call left its connection open"
+        client = await Client.connect(self.node.admin_address)
+        client.writer.write(f"{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n".encode())
+        answer = await client.answer()
+        assert await client.ended(), "a management call left its connection open"
         return answer
 
     async def figures(self) -> dict[str, int]:
--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -15,7 +15,7 @@
 from tests.node.stubs import (
     HOST,
     PATIENCE_S,
-    Caller,
+    Client,
     Received,
     StubServer,
     World,
@@ -60,23 +60,23 @@
         error = reply("500 Internal Server Error")
         behaviours = [reply("200 OK"), error, FULL, reply("200 OK"), reset, held(reply("200 OK"))]
         async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
+            client = await w.client()
             statuses = [
-                (await caller.ask("look")).status,
-                (await caller.ask("book")).status,  # failed: it may have run
-                (await caller.ask("book")).status,  # turned away once, then served
-                (await caller.ask("book")).status,  # the connection breaks
+                (await client.ask("look")).status,
+                (await client.ask("book")).status,  # failed: it may have run
+                (await client.ask("book")).status,  # turned away once, then served
+                (await client.ask("book")).status,  # the connection breaks
             ]
             assert statuses == [200, 502, 200, 502]
             server.got.clear()
-            caller.writer.write(request("look"))
+            client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             figures = await w.figures()
             assert figures["edge_node_active"] == 1
             assert figures["edge_node_tries"] == len(server.received) == 6
             assert figures[_of("look", "ok")] == 1
             assert (figures[_of("book", "ok")], figures[_of("book", "errors")]) == (1, 2)
-            caller.close()  # abandoned: no longer active
+            client.close()  # abandoned: no longer active
             while (await w.figures())["edge_node_active"]:
                 pass
             server.release.set()
@@ -109,7 +109,7 @@
             return []
 
         w.node._balancer.handle = both  # type: ignore[method-assign]
-        assert (await (await w.caller()).ask("look")).status == 200
+        assert (await (await w.client()).ask("look")).status == 200
         assert len(one.received) == len(two.received) == 1
         figures = await w.figures()
         assert (figures["edge_node_tries"], figures[_of("look", "ok")]) == (2, 1)
@@ -137,7 +137,7 @@
                     tell(await beside.discovery.watch(), listing(2, row("a", server.address)))
                     while not beside.node.ready():
                         await asyncio.sleep(0)
-                    assert (await (await beside.caller()).ask("look")).status == 200
+                    assert (await (await beside.client()).ask("look")).status == 200
 
     run(main())
 
@@ -147,7 +147,7 @@
         async with StubServer([silent]) as gone:
             address = gone.address
         async with world(row("a", address)) as w:
-            assert (await (await w.caller()).ask("book", deadline="0.5")).status == 503
+            assert (await (await w.client()).ask("book", deadline="0.5")).status == 503
             figures = await w.figures()
             assert (figures["edge_node_tries"], figures[_of("book", "shed")]) == (0, 1)
 
@@ -158,7 +158,7 @@
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             w.node._listener.budget.limit = 0
-            assert (await (await w.caller()).ask("book", body=b"x")).status == 503
+            assert (await (await w.client()).ask("book", body=b"x")).status == 503
             figures = await w.figures()
             assert (figures[_of("book", "shed")], figures["edge_node_active"]) == (1, 0)
 
@@ -184,9 +184,9 @@
 def test_malformed_and_oversized_calls_are_answered_with_400(raw: bytes) -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            caller = await Caller.connect(w.node.admin_address)
-            caller.writer.write(raw)
-            assert (await caller.answer()).status == 400
+            client = await Client.connect(w.node.admin_address)
+            client.writer.write(raw)
+            assert (await client.answer()).status == 400
 
     run(main())
 
@@ -195,7 +195,7 @@
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             begin = time.monotonic()
-            peers = [await Caller.connect(w.node.admin_address) for _ in range(60)]
+            peers = [await Client.connect(w.node.admin_address) for _ in range(60)]
             for peer in peers[::2]:
                 peer.writer.write(b"GET /api/rea")
             assert (await w.manage("GET", "/api/ready")).status == 200
@@ -220,7 +220,7 @@
             StubServer([held(reply("200 OK", b"first")), reply("200 OK", b"second")]) as server,
             world(row("a", server.address)) as w,
         ):
-            busy, kept, idle = [await w.caller() for _ in range(3)]
+            busy, kept, idle = [await w.client() for _ in range(3)]
             busy.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             assert (await idle.ask(target="/ready")).status == 200
@@ -232,12 +232,12 @@
             server.release.set()
             answer = await busy.answer()
             assert (answer.body, answer.headers["connection"]) == (b"first", "close")
-            assert (await (await w.caller()).ask(target="/ready")).status == 503
+            assert (await (await w.client()).ask(target="/ready")).status == 503
             assert [await _phase(w, "rejoin"), await _phase(w, "rejoin")] == [200, 200]
             assert (await w.manage("GET", "/api/ready")).status == 200
-            caller = await w.caller()
-            assert (await caller.ask(target="/ready")).status == 200
-            assert "connection" not in (await caller.ask("look")).headers
+            client = await w.client()
+            assert (await client.ask(target="/ready")).status == 200
+            assert "connection" not in (await client.ask("look")).headers
 
     run(main())
 
@@ -245,7 +245,7 @@
 def test_a_rejoin_in_the_midst_of_a_drain_keeps_idle_connections() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            idle = await w.caller()
+            idle = await w.client()
             assert (await idle.ask("look")).status == 200
             await _phase(w, "evacuate")
             await _phase(w, "rejoin")
@@ -258,15 +258,15 @@
 def test_a_leaving_node_refuses_to_rejoin_and_ends() -> None:
     async def main() -> None:
         async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("look"))
+            client = await w.client()
+            client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             await _phase(w, "evacuate")
             w.node.terminate()
             assert await _phase(w, "rejoin") == 409
             assert await _phase(w, "evacuate") == 200
             server.release.set()
-            assert (await caller.answer()).status == 200
+            assert (await client.answer()).status == 200
             await asyncio.wait_for(w.serving, PATIENCE_S)
 
     run(main())
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -18,7 +18,7 @@
     HOST,
     PATIENCE_S,
     Behaviour,
-    Caller,
+    Client,
     Received,
     StubServer,
     World,
@@ -169,11 +169,11 @@
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
+            client = await w.client()
             good = request("book").decode().replace("Content-Length: 0\r\n", "").removesuffix("\r\n")
-            caller.writer.write((good + rest).encode("latin-1") + request("look"))
-            assert (await caller.answer()).status == 400
-            assert await caller.ended()
+            client.writer.write((good + rest).encode("latin-1") + request("look"))
+            assert (await client.answer()).status == 400
+            assert await client.ended()
             assert not server.received
             with pytest.raises(MessageError):
                 _read((HEAD + rest).encode("latin-1"))
@@ -230,13 +230,13 @@
 def test_a_long_answer_comes_through_unchanged_and_is_counted_once(form: str, version: str) -> None:
     async def main() -> None:
         async with StubServer([FORMS[form]]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("book").replace(b"HTTP/1.1", b"HTTP/%s" % version.encode()))
-            answer = await caller.answer()
+            client = await w.client()
+            client.writer.write(request("book").replace(b"HTTP/1.1", b"HTTP/%s" % version.encode()))
+            answer = await client.answer()
             assert (answer.status, answer.body) == (200, LONG)
             assert version == "1.1" or "transfer-encoding" not in answer.headers
             if version == "1.1":
-                assert (await caller.ask("book")).body == LONG, "the connection was not kept in order"
+                assert (await client.ask("book")).body == LONG, "the connection was not kept in order"
             figures = await w.figures()
             assert figures['edge_node_responses{kind="book",result="ok"}'] == len(server.received)
             assert figures["edge_node_active"] == w.node._listener.budget.reserved == 0
@@ -248,13 +248,13 @@
 def test_the_first_bytes_of_a_long_answer_do_not_wait_for_the_rest() -> None:
     async def main() -> None:
         async with StubServer([begun]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("book", deadline="0.3"))
-            await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
-            assert await asyncio.wait_for(caller.reader.readexactly(10), PATIENCE_S) == LONG[:10]
+            client = await w.client()
+            client.writer.write(request("book", deadline="0.3"))
+            await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            assert await asyncio.wait_for(client.reader.readexactly(10), PATIENCE_S) == LONG[:10]
             await asyncio.sleep(0.35)  # its time is over, but an answer that has begun has none
             server.release.set()
-            assert await asyncio.wait_for(caller.reader.readexactly(len(LONG) - 10), PATIENCE_S) == LONG[10:]
+            assert await asyncio.wait_for(client.reader.readexactly(len(LONG) - 10), PATIENCE_S) == LONG[10:]
 
     run(main())
 
@@ -267,11 +267,11 @@
             writer.write(b"0\r\n\r\n")
 
         async with StubServer([begin]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("book"))
-            assert b"first" in await asyncio.wait_for(caller.reader.readuntil(b"first"), PATIENCE_S)
+            client = await w.client()
+            client.writer.write(request("book"))
+            assert b"first" in await asyncio.wait_for(client.reader.readuntil(b"first"), PATIENCE_S)
             server.release.set()
-            assert b"0\r\n\r\n" in await asyncio.wait_for(caller.reader.readuntil(b"0\r\n\r\n"), PATIENCE_S)
+            assert b"0\r\n\r\n" in await asyncio.wait_for(client.reader.readuntil(b"0\r\n\r\n"), PATIENCE_S)
 
     run(main())
 
@@ -284,10 +284,10 @@
     async def main() -> None:
         broken = written(OK + head + LONG[: len(LONG) // 2], close=True)
         async with StubServer([broken]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("look"))
+            client = await w.client()
+            client.writer.write(request("look"))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await caller.answer()
+                await client.answer()
             assert len(server.received) == 1, "it was asked for again after the caller had a part of it"
             figures = await w.figures()
             assert figures['edge_node_responses{kind="look",result="errors"}'] == 1
@@ -302,10 +302,10 @@
             StubServer([written(OK + b"Content-Length: %d\r\n\r\n" % 10**9 + LONG)]) as server,
             world(row("a", server.address)) as w,
         ):
-            caller = await w.caller()
-            caller.writer.write(request("look"))
-            await asyncio.wait_for(caller.reader.readexactly(1000), PATIENCE_S)
-            caller.close()
+            client = await w.client()
+            client.writer.write(request("look"))
+            await asyncio.wait_for(client.reader.readexactly(1000), PATIENCE_S)
+            client.close()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
             assert not w.node._requests.pending and not w.node._requests.calls
             assert w.node._listener.budget.reserved == 0
@@ -327,9 +327,9 @@
                 sent += 65536
 
         async with StubServer([pour]) as server, world(row("a", server.address)) as w:
-            caller = await Caller.connect(w.address)
-            caller.reader._limit = 1024  # type: ignore[attr-defined]
-            caller.writer.write(request("look"))
+            client = await Client.connect(w.address)
+            client.reader._limit = 1024  # type: ignore[attr-defined]
+            client.writer.write(request("look"))
             before = -1
             while before != sent or not sent:
                 before = sent
@@ -341,7 +341,7 @@
             assert w.node._listener.budget.reserved == exchange.STREAM_BUFFER_BYTES
             got = 0
             while got < size:
-                got += len(await asyncio.wait_for(caller.reader.read(1 << 20), PATIENCE_S))
+                got += len(await asyncio.wait_for(client.reader.read(1 << 20), PATIENCE_S))
 
     run(main())
 
@@ -356,19 +356,19 @@
         pour = written(OK + b"Content-Length: %d\r\n\r\n" % size + bytes(size))
         loop = asyncio.get_running_loop()
         async with StubServer([pour]) as server, world(row("a", server.address)) as w:
-            with socket.socket() as caller:
-                caller.setblocking(False)
-                caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
-                await loop.sock_connect(caller, w.address)
+            with socket.socket() as client:
+                client.setblocking(False)
+                client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
+                await loop.sock_connect(client, w.address)
                 while not w.node._listener._connections:
                     await asyncio.sleep(0)
                 (connection,) = w.node._listener._connections
                 assert connection._transport is not None
                 end = connection._transport.get_extra_info("socket")
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
-                await loop.sock_sendall(caller, request("look", extra="Connection: close\r\n"))
+                await loop.sock_sendall(client, request("look", extra="Connection: close\r\n"))
                 got = 0
-                while data := await loop.sock_recv(caller, 1 << 16):
+                while data := await loop.sock_recv(client, 1 << 16):
                     got += len(data)
                     if got > size - 500_000:
                         await asyncio.sleep(0.01)  # all has been written, and waits for this reader
@@ -385,16 +385,16 @@
                 server.got.clear()
                 server.release.clear()
                 server.behaviours[:] = [held(reply("200 OK", b"first")), reply("200 OK")]
-                caller = await w.caller()
-                caller.writer.write(request("look") + bad)
+                client = await w.client()
+                client.writer.write(request("look") + bad)
                 await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-                caller.writer.write(request("look"))
+                client.writer.write(request("look"))
                 while not any(len(c._exchanges) == 2 for c in w.node._listener._connections):
                     await asyncio.sleep(0)
                 server.release.set()
-                assert (await caller.answer()).body == b"first"
-                assert (await caller.answer()).status in (400, 417)
-                assert await caller.ended()
+                assert (await client.answer()).body == b"first"
+                assert (await client.answer()).status in (400, 417)
+                assert await client.ended()
                 assert len(server.received) == 1
 
     run(main())
@@ -417,13 +417,13 @@
 def test_a_body_goes_up_unchanged_in_pieces_of_any_size(form: str, step: int) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
+            client = await w.client()
             text = UPLOADS[form]()
             for _ in range(2):
                 for i in range(0, len(text), step):
-                    caller.writer.write(text[i : i + step])
-                    await caller.writer.drain()
-                assert (await caller.answer()).body == b"done"
+                    client.writer.write(text[i : i + step])
+                    await client.writer.drain()
+                assert (await client.answer()).body == b"done"
             assert [got.body for got in server.received] == [b"short" if "short" in form else LONG] * 2
             assert (await w.figures())["edge_node_tries"] == 2
             assert w.node._listener.budget.reserved == 0
@@ -440,8 +440,8 @@
 
             async def one(i: int) -> None:
                 body = LONG[i:] if i % 2 else b"%d" % i
-                caller = await w.caller()
-                assert (await caller.ask("move", body=body)).body == body
+                client = await w.client()
+                assert (await client.ask("move", body=body)).body == body
 
             await asyncio.gather(*[one(i) for i in range(12)])
 
@@ -461,7 +461,7 @@
         listeners = [await asyncio.start_server(break_off, HOST, 0) for _ in range(2)]
         names = [f"{HOST}:{one.sockets[0].getsockname()[1]}" for one in listeners]
         async with world(row("a", names[0]), row("b", names[1])) as w:
-            answer = await (await w.caller()).ask("move", body=LONG)
+            answer = await (await w.client()).ask("move", body=LONG)
             assert answer.status == 503, "its last byte was never sent: trying again is harmless"
             assert "retry-after" in answer.headers
             assert begun == 1
@@ -480,7 +480,7 @@
             world(row("a", address), row("b", server.address)) as w,
         ):
             for _ in range(4):
-                assert (await (await w.caller()).ask("book", body=LONG)).status == 200
+                assert (await (await w.client()).ask("book", body=LONG)).status == 200
             assert all(got.body == LONG for got in server.received)
 
     run(main())
@@ -489,16 +489,16 @@
 def test_the_time_of_a_long_body_runs_from_its_last_byte() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
+            client = await w.client()
             text = request("book", body=LONG, deadline="0.3")
-            caller.writer.write(text[:200_000])
+            client.writer.write(text[:200_000])
             await asyncio.sleep(0.5)
             assert w.node._requests.pending, "it was given up while its body was coming in"
             assert (await w.figures())["edge_node_active"] == 0, "it counts as taken before its last byte"
-            caller.writer.write(text[200_000:])
-            assert (await caller.answer()).body == b"done"
+            client.writer.write(text[200_000:])
+            assert (await client.answer()).body == b"done"
             server.behaviours[:] = [silent]
-            assert (await caller.ask("book", body=LONG, deadline="0.3")).status == 502
+            assert (await client.ask("book", body=LONG, deadline="0.3")).status == 502
             server.release.set()
 
     run(main())
@@ -510,9 +510,9 @@
     async def main() -> None:
         monkeypatch.setattr(timeouts, "IDLE_TIMEOUT_S", 0.3)
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("book", body=LONG)[:200_000])
-            assert (await caller.answer()).status == 408
+            client = await w.client()
+            client.writer.write(request("book", body=LONG)[:200_000])
+            assert (await client.answer()).status == 408
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
             assert not server.received and not w.node._requests.pending and not w.node._requests.calls
 
@@ -522,13 +522,13 @@
 def test_a_caller_that_leaves_within_a_long_body_leaves_nothing_behind() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("book", body=LONG)[:200_000])
+            client = await w.client()
+            client.writer.write(request("book", body=LONG)[:200_000])
             while not w.node._requests.calls:
                 await asyncio.sleep(0)
             while not server.opened:
                 await asyncio.sleep(0)
-            caller.close()
+            client.close()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
             assert not server.received and not w.node._requests.pending and not w.node._requests.calls
             assert w.node._listener.budget.reserved == 0
@@ -549,14 +549,14 @@
 
     async def _pour(deaf: socket.socket) -> None:
         async with world(row("a", f"{HOST}:{deaf.getsockname()[1]}")) as w:
-            caller = await w.caller()
+            client = await w.client()
             head, piece = request("book", body=b"x")[:-1], LONG * 4
-            caller.writer.write(head.replace(b"Content-Length: 1", b"Content-Length: %d" % 10**9))
+            client.writer.write(head.replace(b"Content-Length: 1", b"Content-Length: %d" % 10**9))
             written, stopped = 0, False
-            answer = asyncio.create_task(caller.answer())
+            answer = asyncio.create_task(client.answer())
             while not answer.done():
-                if caller.writer.transport.get_write_buffer_size() < len(piece):
-                    caller.writer.write(piece)
+                if client.writer.transport.get_write_buffer_size() < len(piece):
+                    client.writer.write(piece)
                     written += len(piece)
                 else:
                     stopped = True
@@ -572,12 +572,12 @@
         async with StubServer([silent]) as server, world(row("a", server.address), memory_mb=4) as w:
             held = w.node._listener.budget.limit // exchange.STREAM_BUFFER_BYTES
             assert held >= 1
-            going = [await w.caller() for _ in range(held)]
-            for caller in going:
-                caller.writer.write(request("book", body=LONG)[:100_000])
+            going = [await w.client() for _ in range(held)]
+            for client in going:
+                client.writer.write(request("book", body=LONG)[:100_000])
             while len(w.node._requests.pending) < held:
                 await asyncio.sleep(0)
-            answer = await (await w.caller()).ask("book", body=LONG)
+            answer = await (await w.client()).ask("book", body=LONG)
             assert answer.status == 503 and "retry-after" in answer.headers
             assert (await w.figures())['edge_node_responses{kind="book",result="shed"}'] == 1
 
@@ -590,14 +590,14 @@
 def test_a_caller_that_waits_for_the_word_to_send_its_body_gets_it() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
+            client = await w.client()
             text = request("book", body=LONG, extra="Expect: 100-continue\r\n")
             head, _, body = text.partition(b"\r\n\r\n")
-            caller.writer.write(head + b"\r\n\r\n")
-            word = await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            client.writer.write(head + b"\r\n\r\n")
+            word = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert word == b"HTTP/1.1 100 Continue\r\n\r\n"
-            caller.writer.write(body)
-            assert (await caller.answer()).body == b"done"
+            client.writer.write(body)
+            assert (await client.answer()).body == b"done"
             assert "expect" not in server.received[0].headers
 
     run(main())
@@ -609,10 +609,10 @@
 def test_a_head_that_would_be_turned_down_gets_no_word_to_go_on(extra: str, status: int) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("book", body=b"x", extra=extra)[:-1])
-            assert (await caller.answer()).status == status
-            assert await caller.ended() and not server.received
+            client = await w.client()
+            client.writer.write(request("book", body=b"x", extra=extra)[:-1])
+            assert (await client.answer()).status == status
+            assert await client.ended() and not server.received
 
     run(main())
 
@@ -620,11 +620,11 @@
 def test_a_target_may_name_the_host() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            assert (await caller.ask("look", target="http://api.internal/api/k?x=1")).status == 200
+            client = await w.client()
+            assert (await client.ask("look", target="http://api.internal/api/k?x=1")).status == 200
             assert server.received[0].target == "/api/k?x=1"
-            assert (await caller.ask(target="HTTP://api.internal/ready")).status == 200
-            assert (await caller.ask("look", target="http://api.internal")).status == 404
+            assert (await client.ask(target="HTTP://api.internal/ready")).status == 200
+            assert (await client.ask("look", target="http://api.internal")).status == 404
 
     run(main())
 
@@ -633,16 +633,16 @@
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             text = request("look", drop=("X-Class",), extra="X-Class: \t look \t\r\n")
-            caller = await w.caller()
-            caller.writer.write(text)
-            assert (await caller.answer()).status == 200
+            client = await w.client()
+            client.writer.write(text)
+            assert (await client.answer()).status == 200
 
     run(main())
 
 
 async def _connection(w: World, sent: bytes) -> ClientConnection:
-    caller = await w.caller()
-    caller.writer.write(sent)
+    client = await w.client()
+    client.writer.write(sent)
     while not (
         w.node._listener._connections and next(iter(w.node._listener._connections))._parser.in_message
     ):
@@ -684,16 +684,16 @@
 def test_a_long_answer_goes_on_after_sigterm() -> None:
     async def main() -> None:
         async with StubServer([begun]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("book"))
-            await asyncio.wait_for(caller.reader.readuntil(LONG[:10]), PATIENCE_S)
+            client = await w.client()
+            client.writer.write(request("book"))
+            await asyncio.wait_for(client.reader.readuntil(LONG[:10]), PATIENCE_S)
             w.node.terminate()
             w.node._drain._began -= 60.0  # long past the last answer
             w.node._drain._check()
             w.node._requests.fail_remaining()
             assert not w.serving.done()
             server.release.set()
-            assert await asyncio.wait_for(caller.reader.readexactly(len(LONG) - 10), PATIENCE_S) == LONG[10:]
+            assert await asyncio.wait_for(client.reader.readexactly(len(LONG) - 10), PATIENCE_S) == LONG[10:]
             await asyncio.wait_for(w.serving, PATIENCE_S)
 
     run(main())
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -15,7 +15,7 @@
 from tests.node.stubs import (
     PATIENCE_S,
     Behaviour,
-    Caller,
+    Client,
     Received,
     StubServer,
     World,
@@ -42,12 +42,12 @@
     return peer
 
 
-async def ask_first(w: World, response_time_s: float) -> Caller:
+async def ask_first(w: World, response_time_s: float) -> Client:
     """One call, whose connection has yet to rest; response_time_s: what the server then passes for."""
-    caller = await w.caller()
-    assert (await caller.ask("look", target="/api/first")).status == 200
+    client = await w.client()
+    assert (await client.ask("look", target="/api/first")).status == 200
     the_peer(w).response_time_s = response_time_s
-    return caller
+    return client
 
 
 @asynccontextmanager
@@ -85,12 +85,12 @@
 
     async def main() -> None:
         async with pair() as (server, w):
-            caller = await ask_first(w, FAST_S)
-            assert (await caller.ask("look", target="/api/second")).status == 200
-            assert (await caller.ask("book", target="/api/third")).status == 200
+            client = await ask_first(w, FAST_S)
+            assert (await client.ask("look", target="/api/second")).status == 200
+            assert (await client.ask("book", target="/api/third")).status == 200
             assert server.opened == 3
             w.age(NEVER_S)
-            assert (await caller.ask("look", target="/api/fourth")).status == 200
+            assert (await client.ask("look", target="/api/fourth")).status == 200
             assert server.opened == 3, "connections that have rested were not used"
             assert targets(server) == ["/api/first", "/api/second", "/api/third", "/api/fourth"]
 
@@ -100,8 +100,8 @@
 def test_a_call_to_a_slow_server_waits_rather_than_cost_it_a_handshake() -> None:
     async def main() -> None:
         async with pair() as (server, w):
-            caller = await ask_first(w, SLOW_S)
-            assert (await caller.ask("look", target="/api/second")).status == 200
+            client = await ask_first(w, SLOW_S)
+            assert (await client.ask("look", target="/api/second")).status == 200
             assert server.opened == 1
 
     run(main())
@@ -119,10 +119,10 @@
 
     async def main() -> None:
         async with pair(reply("500 Internal Server Error"), reply("200 OK")) as (_, w):
-            caller = await w.caller()
-            assert (await caller.ask("book")).status == 502
+            client = await w.client()
+            assert (await client.ask("book")).status == 502
             assert the_peer(w).response_time_s is None
-            assert (await caller.ask("look")).status == 200
+            assert (await client.ask("look")).status == 200
             assert the_peer(w).response_time_s is not None
 
     run(main())
@@ -136,9 +136,9 @@
 
     async def main() -> None:
         async with pair(reply("200 OK"), held(reply("200 OK")), reply("200 OK")) as (server, w):
-            caller = await ask_first(w, FAST_S)
+            client = await ask_first(w, FAST_S)
             dials = HeldDials(w)
-            caller.writer.write(request("book", target="/api/second"))
+            client.writer.write(request("book", target="/api/second"))
             await dials.begun()
             await until(lambda: len(server.received) == 2)
             assert server.opened == 1
@@ -148,12 +148,12 @@
                 step.set()
                 before = len(w.node._pool._idle_connections())
                 await until(lambda before=before: len(w.node._pool._idle_connections()) > before)
-            assert (await caller.answer()).status == 200
+            assert (await client.answer()).status == 200
             assert targets(server) == ["/api/first", "/api/second"]
             peer = the_peer(w)
             assert peer.extra_dials == 0
             peer.response_time_s = SLOW_S
-            assert (await caller.ask("book", target="/api/third")).status == 200
+            assert (await client.ask("book", target="/api/third")).status == 200
             assert server.opened == 2
 
     run(main())
@@ -165,16 +165,16 @@
 
     async def main() -> None:
         async with pair(twice, reply("200 OK", b"own")) as (server, w):
-            caller = await ask_first(w, FAST_S)
+            client = await ask_first(w, FAST_S)
             w.age(1.0)
             (resting,) = the_peer(w).idle
             since = resting.idle_since
-            assert (await caller.ask("book")).body == b"own"
+            assert (await client.ask("book")).body == b"own"
             idle = list(the_peer(w).idle)
             assert len(idle) == 2
             assert (idle[0], idle[0].idle_since) == (resting, since), "it has begun its rest anew"
-            caller.writer.write(request("book"))
-            assert (await caller.answer()).body == b"own"
+            client.writer.write(request("book"))
+            assert (await client.answer()).body == b"own"
             assert server.opened == 3
             server.release.set()
             await until(lambda: len(the_peer(w).idle) == 2)
@@ -189,16 +189,16 @@
 
     async def main() -> None:
         async with pair(twice, reply("200 OK", b"own")) as (server, w):
-            caller = await ask_first(w, FAST_S)
+            client = await ask_first(w, FAST_S)
             (resting,) = the_peer(w).idle
             dials = HeldDials(w)
-            caller.writer.write(request("book"))
+            client.writer.write(request("book"))
             await dials.begun()
             server.release.set()
             await until(lambda: not resting.usable())
             assert len(server.received) == 1
             dials.release.set()
-            assert (await caller.answer()).body == b"own"
+            assert (await client.answer()).body == b"own"
             assert server.opened == 2
 
     run(main())
@@ -211,11 +211,11 @@
 
     async def main() -> None:
         async with pair(then_break, reply("200 OK", b"own")) as (server, w):
-            caller = await ask_first(w, SLOW_S)
-            caller.writer.write(request("book"))
+            client = await ask_first(w, SLOW_S)
+            client.writer.write(request("book"))
             await until(lambda: w.node._requests.pending)
             server.release.set()
-            assert (await caller.answer()).body == b"own"
+            assert (await client.answer()).body == b"own"
             assert server.opened == 2
 
     run(main())
@@ -224,10 +224,10 @@
 def test_a_dial_that_fails_leaves_the_call_to_the_connection_that_rests() -> None:
     async def main() -> None:
         async with pair() as (server, w):
-            caller = await ask_first(w, FAST_S)
+            client = await ask_first(w, FAST_S)
             server._server.close()  # takes no new connection; those that stand stay
             told = Told(w)
-            assert (await caller.ask("book", target="/api/second")).status == 200
+            assert (await client.ask("book", target="/api/second")).status == 200
             assert targets(server) == ["/api/first", "/api/second"]
             assert [e.outcome for e in told.events if isinstance(e, AttemptEnded)] == [Outcome.OK]
 
@@ -240,10 +240,10 @@
 
     async def main() -> None:
         async with pair(then_break) as (server, w):
-            caller = await ask_first(w, FAST_S)
+            client = await ask_first(w, FAST_S)
             (resting,) = the_peer(w).idle
             dials, told = HeldDials(w), Told(w)
-            caller.writer.write(request("book"))
+            client.writer.write(request("book"))
             await dials.begun()
             server.release.set()
             await until(lambda: not resting.usable())
@@ -265,11 +265,11 @@
 
     async def main() -> None:
         async with pair(cancel=cancel) as (server, w):
-            caller = await ask_first(w, FAST_S)
+            client = await ask_first(w, FAST_S)
             dials, told = HeldDials(w), Told(w)
-            caller.writer.write(request("book", target="/api/left"))
+            client.writer.write(request("book", target="/api/left"))
             await dials.begun()
-            caller.close()
+            client.close()
             await told.first(RequestAbandoned)
             dials.release.set()
             await told.first(AttemptEnded)
@@ -284,9 +284,9 @@
 
     async def main() -> None:
         async with pair() as (server, w):
-            caller = await ask_first(w, FAST_S)
+            client = await ask_first(w, FAST_S)
             dials, told = HeldDials(w), Told(w)
-            caller.writer.write(request("book", target="/api/late"))
+            client.writer.write(request("book", target="/api/late"))
             await dials.begun()
             tell(await w.discovery.watch(), listing(2, row("a", server.address, "DRAINING"), reset=False))
             await until(lambda: w.node._discovery._version == 2)
@@ -306,22 +306,22 @@
 
     async def main() -> None:
         async with pair() as (_, w):
-            callers = [await ask_first(w, FAST_S) for _ in range(MAX_EXTRA_DIALS + 2)]
+            clients = [await ask_first(w, FAST_S) for _ in range(MAX_EXTRA_DIALS + 2)]
             the_peer(w).response_time_s = FAST_S
             dials = HeldDials(w)
-            for caller in callers:
-                caller.writer.write(request("look"))
-            await until(lambda: len(w.node._requests.calls) == len(callers))
+            for client in clients:
+                client.writer.write(request("look"))
+            await until(lambda: len(w.node._requests.calls) == len(clients))
             assert the_peer(w).extra_dials == MAX_EXTRA_DIALS
             dials.release.set()
-            await callers[0].answer()
+            await clients[0].answer()
 
     async def full() -> None:
         async with pair() as (server, w):
-            caller = await ask_first(w, FAST_S)
+            client = await ask_first(w, FAST_S)
             w.node._pool._max_connections = 1
             monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", 0.01)
-            assert (await caller.ask("look")).status == 200
+            assert (await client.ask("look")).status == 200
             assert server.opened == 1
 
     run(main())
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -40,8 +40,8 @@
 def test_a_served_request_passes_through_unchanged() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", BODY)]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            answer = await caller.ask("move", target="/api/k1?x=%20y", body=BODY, deadline="2.5")
+            client = await w.client()
+            answer = await client.ask("move", target="/api/k1?x=%20y", body=BODY, deadline="2.5")
             assert (answer.status, answer.body) == (200, BODY)
             (got,) = server.received
             assert (got.method, got.target, got.body) == ("POST", "/api/k1?x=%20y", BODY)
@@ -49,7 +49,7 @@
             assert got.headers["idempotency-key"] == "5c0f6e1a2b3d4c59"
             assert 0.0 < float(got.headers["x-deadline"]) < 2.5
             w.age(REUSE_DELAY_S)
-            assert (await caller.ask("look")).status == 200
+            assert (await client.ask("look")).status == 200
             assert server.opened == 1, "the idle connection was not used again"
 
     run(main())
@@ -59,7 +59,7 @@
     async def main() -> None:
         full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
         async with StubServer([full]) as server, world(row("a", server.address)) as w:
-            answer = await (await w.caller()).ask("book")
+            answer = await (await w.client()).ask("book")
             assert answer.status == 503
             assert 0.0 < float(answer.headers["retry-after"]) <= 2.0
 
@@ -73,7 +73,7 @@
             StubServer([full, reply("200 OK", b"b")]) as server,
             world(row("a", server.address)) as w,
         ):
-            assert (await (await w.caller()).ask("book")).status == 200
+            assert (await (await w.client()).ask("book")).status == 200
             assert len(server.received) == 2
 
     run(main())
@@ -87,7 +87,7 @@
             StubServer([behaviour]) as two,  # type: ignore[list-item]
             world(row("a", one.address), row("b", two.address)) as w,
         ):
-            answer = await (await w.caller()).ask("book", body=b"slot")
+            answer = await (await w.client()).ask("book", body=b"slot")
             assert answer.status == 502
             assert "retry-after" not in answer.headers
             assert len(one.received) + len(two.received) == 1
@@ -100,10 +100,10 @@
 
     async def main() -> None:
         async with StubServer([reply("200 OK"), reset]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            assert (await caller.ask("book")).status == 200
+            client = await w.client()
+            assert (await client.ask("book")).status == 200
             w.age(REUSE_DELAY_S)
-            assert (await caller.ask("book")).status == 502
+            assert (await client.ask("book")).status == 502
             assert (len(server.received), server.opened) == (2, 1)
 
     run(main())
@@ -113,10 +113,10 @@
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             events = _record(w.node._balancer)
-            caller = await w.caller()
-            caller.writer.write(request("look"))
+            client = await w.client()
+            client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            caller.close()
+            client.close()
             while not any(isinstance(event, RequestAbandoned) for event in events):
                 await asyncio.sleep(0)
             server.release.set()
@@ -143,9 +143,9 @@
 def test_an_answer_comes_before_the_deadline_though_the_server_is_silent(kind: str, status: int) -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
+            client = await w.client()
             begin = asyncio.get_running_loop().time()
-            answer = await caller.ask(kind, deadline="0.6")
+            answer = await client.ask(kind, deadline="0.6")
             assert asyncio.get_running_loop().time() - begin < 0.6 + 0.05, "later than the rule allows"
             assert answer.status == status
             assert len(server.received) == 1
@@ -158,10 +158,10 @@
     async def main() -> None:
         behaviours = [held(reply("200 OK", b"old")), reply("200 OK", b"new")]
         async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            assert (await caller.ask("book", deadline="0.3")).status == 502
+            client = await w.client()
+            assert (await client.ask("book", deadline="0.3")).status == 502
             server.release.set()
-            assert (await caller.ask("book")).body == b"new"
+            assert (await client.ask("book")).body == b"new"
             assert server.opened == 2
 
     run(main())
@@ -173,7 +173,7 @@
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
-            answer = await (await w.caller()).ask("look", deadline="0.3")
+            answer = await (await w.client()).ask("look", deadline="0.3")
             assert answer.status == 500
             assert "not answered in time" in caplog.text
 
@@ -190,9 +190,9 @@
                 raise RuntimeError("planted")
 
             w.node._balancer.handle = faulty  # type: ignore[method-assign]
-            caller = await w.caller()
-            assert (await caller.ask("look")).status == 500
-            assert (await caller.ask("look")).body == b"fine"
+            client = await w.client()
+            assert (await client.ask("look")).status == 500
+            assert (await client.ask("look")).body == b"fine"
 
     run(main())
 
@@ -215,7 +215,7 @@
                 return actions
 
             w.node._balancer.handle = watched  # type: ignore[method-assign]
-            assert (await (await w.caller()).ask("look")).status == 200
+            assert (await (await w.client()).ask("look")).status == 200
             assert seen >= 3, "the event that came in between was dropped"
 
     run(main())
@@ -228,12 +228,12 @@
             StubServer([reply("200 OK", b"b")]) as two,
             world(row("a", one.address)) as w,
         ):
-            caller = await w.caller()
-            assert (await caller.ask("look")).body == b"a"
+            client = await w.client()
+            assert (await client.ask("look")).body == b"a"
             watch = await w.discovery.watch()
             tell(watch, listing(2, row("a", one.address, "DRAINING"), row("b", two.address), reset=False))
             await asyncio.wait_for(one.left.wait(), PATIENCE_S)
-            assert {(await caller.ask("look")).body for _ in range(5)} == {b"b"}
+            assert {(await client.ask("look")).body for _ in range(5)} == {b"b"}
             assert len(one.received) == 1
 
     run(main())
@@ -246,12 +246,12 @@
             StubServer([reply("200 OK", b"new")]) as new,
             world(row("a", old.address)) as w,
         ):
-            caller = await w.caller()
-            assert (await caller.ask("look")).body == b"old"
+            client = await w.client()
+            assert (await client.ask("look")).body == b"old"
             watch = await w.discovery.watch()
             tell(watch, listing(2, row("a", new.address, started=1000.0)))
             await asyncio.wait_for(old.left.wait(), PATIENCE_S)
-            assert (await caller.ask("look")).body == b"new"
+            assert (await client.ask("look")).body == b"new"
 
     run(main())
 
@@ -273,7 +273,7 @@
             again = await w.discovery.watch()
             assert w.discovery.targets == ["/v1/endpoints?watch=1&from=1", "/v1/endpoints?watch=1&from=41"]
             tell(again, listing(42, reset=False))
-            assert (await (await w.caller()).ask("look")).status == 200, "the last list remains"
+            assert (await (await w.client()).ask("look")).status == 200, "the last list remains"
 
     run(main())
 
@@ -287,13 +287,13 @@
             events = _record(w.node._balancer)
             (await w.discovery.watch()).close()
             watch = await w.discovery.watch()
-            caller = await w.caller()
-            assert (await caller.ask(target="/ready")).status == 503, "no list yet"
+            client = await w.client()
+            assert (await client.ask(target="/ready")).status == 503, "no list yet"
             tell(watch, listing(5, row("a", server.address)))
             while not events:
                 await asyncio.sleep(0)
-            assert (await caller.ask(target="/ready")).status == 200
-            assert (await caller.ask("look")).status == 200
+            assert (await client.ask(target="/ready")).status == 200
+            assert (await client.ask("look")).status == 200
 
     run(main())
 
@@ -383,8 +383,8 @@
 
 
 async def _no_server(w: World) -> None:
-    caller = await w.caller()
-    while (await caller.ask(target="/ready")).status != 503:
+    client = await w.client()
+    while (await client.ask(target="/ready")).status != 503:
         pass
 
 
@@ -402,8 +402,8 @@
             watch = await w.discovery.watch()
             w.node.reconfigure()
             tell(watch, listing(7, row("a", server.address)))
-            caller = await w.caller()
-            while (await caller.ask(target="/ready")).status != 200:
+            client = await w.client()
+            while (await client.ask(target="/ready")).status != 200:
                 pass
 
     run(main())
@@ -439,11 +439,11 @@
 def test_bad_input_is_answered_at_once_and_not_sent_on(bad: bytes, status: int) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(bad)
-            assert (await caller.answer()).status == status
+            client = await w.client()
+            client.writer.write(bad)
+            assert (await client.answer()).status == status
             assert not server.received
-            assert (await (await w.caller()).ask("look")).status == 200
+            assert (await (await w.client()).ask("look")).status == 200
 
     run(main())
 
@@ -460,7 +460,7 @@
 
     async def main() -> None:
         async with world() as w:
-            peer = await w.caller()
+            peer = await w.client()
             (await _only_connection(w)).opened_at -= FIRST_BYTE_TIMEOUT_S
             assert await peer.ended()
 
@@ -470,7 +470,7 @@
 def test_a_request_that_does_not_come_in_whole_gets_an_error_soon() -> None:
     async def main() -> None:
         async with world() as w:
-            peer = await w.caller()
+            peer = await w.client()
             peer.writer.write(request("book", body=BODY)[:-1])
             connection = await _only_connection(w)
             while not connection._parser.in_message:
@@ -486,7 +486,7 @@
 def test_a_caller_that_has_sent_a_request_may_stay_idle() -> None:
     async def main() -> None:
         async with world() as w:
-            await (await w.caller()).ask(target="/ready")
+            await (await w.client()).ask(target="/ready")
             connection = await _only_connection(w)
             assert not connection.has_timed_out(connection.opened_at + 1000.0)
 
@@ -497,7 +497,7 @@
 def test_a_cost_hint_is_only_a_guess(hint: str) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            answer = await (await w.caller()).ask("look", extra=f"X-Cost-Hint: {hint}\r\n")
+            answer = await (await w.client()).ask("look", extra=f"X-Cost-Hint: {hint}\r\n")
             assert answer.status == 200
 
     run(main())
@@ -509,17 +509,17 @@
     async def main() -> None:
         async with StubServer([silent, reply("200 OK")]) as server, world(row("a", server.address)) as w:
             w.node._listener.budget.limit = 150
-            first = await w.caller()
+            first = await w.client()
             first.writer.write(request("book", body=b"x" * 100))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            answer = await (await w.caller()).ask("book", body=b"x" * 100)
+            answer = await (await w.client()).ask("book", body=b"x" * 100)
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
             assert len(server.received) == 1
             first.close()
             while w.node._requests.pending:
                 await asyncio.sleep(0)
-            assert (await (await w.caller()).ask("book", body=b"x" * 100)).status == 200
+            assert (await (await w.client()).ask("book", body=b"x" * 100)).status == 200
             server.release.set()
 
     run(main())
@@ -529,13 +529,13 @@
     async def main() -> None:
         behaviours = [held(reply("200 OK")), held(reply("200 OK"))]
         async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("look") + request("look"))
+            client = await w.client()
+            client.writer.write(request("look") + request("look"))
             while len(w.node._requests.pending) < 2:
                 await asyncio.sleep(0)
             w.node.terminate()
             server.release.set()
-            answers = [await caller.answer(), await caller.answer()]
+            answers = [await client.answer(), await client.answer()]
             assert [answer.status for answer in answers] == [200, 200]
 
     run(main())
@@ -545,9 +545,9 @@
     async def main() -> None:
         behaviours = [reply("200 OK", b"%d" % i) for i in range(8)]
         async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(b"".join(request("look", target=f"/api/{i}") for i in range(8)))
-            bodies = [(await caller.answer()).body for _ in range(8)]
+            client = await w.client()
+            client.writer.write(b"".join(request("look", target=f"/api/{i}") for i in range(8)))
+            bodies = [(await client.answer()).body for _ in range(8)]
             by_target = {got.target: b"%d" % i for i, got in enumerate(server.received)}
             assert bodies == [by_target[f"/api/{i}"] for i in range(8)]
 
@@ -560,7 +560,7 @@
             StubServer([held(reply("200 OK", b"first")), reply("200 OK", b"second")]) as server,
             world(row("a", server.address)) as w,
         ):
-            idle, busy = await w.caller(), await w.caller()
+            idle, busy = await w.client(), await w.client()
             assert (await idle.ask(target="/ready")).status == 200
             busy.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
@@ -570,9 +570,9 @@
                 answer.status == 503 and "connection" not in answer.headers
             ), "callers may go on for a while"
             assert await idle.ended(), "an idle connection stayed open"
-            answer = await (await w.caller()).ask(target="/ready")
+            answer = await (await w.client()).ask(target="/ready")
             assert (answer.status, answer.headers["connection"]) == (503, "close")
-            answer = await (await w.caller()).ask("look")
+            answer = await (await w.client()).ask("look")
             assert (answer.body, answer.headers["connection"]) == (b"second", "close")
             assert not w.serving.done(), "it ended with a request open"
             server.release.set()
@@ -586,12 +586,12 @@
 def test_what_is_still_open_when_the_time_runs_out_is_failed_not_dropped() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("book", deadline="30"))
+            client = await w.client()
+            client.writer.write(request("book", deadline="30"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             w.node.terminate()
             w.node._requests.fail_remaining()
-            assert (await caller.answer()).status == 500
+            assert (await client.answer()).status == 500
             server.release.set()
 
     run(main())
@@ -602,21 +602,21 @@
         async with StubServer([silent]) as server, world(row("a", server.address), sockets=64) as w:
             w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
             most = w.node._listener._max_connections
-            idle = await w.caller()
+            idle = await w.client()
             assert (await idle.ask(target="/ready")).status == 200
-            busy = [await w.caller() for _ in range(most)]
+            busy = [await w.client() for _ in range(most)]
             assert await idle.ended(), "the idle connection did not make way"
-            for caller in busy:
-                caller.writer.write(request("look", deadline="5"))
+            for client in busy:
+                client.writer.write(request("look", deadline="5"))
             while len(w.node._requests.pending) < most:
                 await asyncio.sleep(0)
-            answer = await (await w.caller()).ask("look")
+            answer = await (await w.client()).ask("look")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
             assert len(w.node._requests.pending) == most
             server.release.set()
-            for caller in busy:
-                caller.close()
+            for client in busy:
+                client.close()
 
     run(main())
 
@@ -626,15 +626,15 @@
 
     async def main() -> None:
         async with world(sockets=64) as w:
-            callers = w.node._listener
-            silent_peer, *used = [await w.caller() for _ in range(callers._max_connections)]
-            for caller in used:
-                await caller.ask(target="/ready")
-            newest = ClientConnection(callers)
+            clients = w.node._listener
+            silent_peer, *used = [await w.client() for _ in range(clients._max_connections)]
+            for client in used:
+                await client.ask(target="/ready")
+            newest = ClientConnection(clients)
             newest.connection_made(asyncio.Transport())
-            assert not callers.over_limit()
+            assert not clients.over_limit()
             assert await silent_peer.ended()
-            callers.closed(newest)
+            clients.closed(newest)
 
     run(main())
 
@@ -672,7 +672,7 @@
         columns = {"columns": ["outstanding", "backlog"], "how": "inline"}
         async with StubServer([behaviour]) as server, world(row("a", server.address), loadInfo=columns) as w:
             events = _record(w.node._balancer)
-            assert (await (await w.caller()).ask("look")).body == b"fine"
+            assert (await (await w.client()).ask("look")).body == b"fine"
             assert [e.load for e in events if isinstance(e, AttemptEnded)] == [load]
 
     run(main())
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -18,7 +18,7 @@
 from tests.node.stubs import (
     HOST,
     PATIENCE_S,
-    Caller,
+    Client,
     Received,
     StubDiscovery,
     StubServer,
@@ -82,14 +82,14 @@
             raw = _configuration(server)
             config.write_text(json.dumps(raw))
             process = await _start(_environment(discovery, config))
-            caller = await Caller.connect(await _told(process, "listens"))
-            assert (await caller.ask(target="/ready")).status == 200
-            assert (await caller.ask("look")).body == b"served"
+            client = await Client.connect(await _told(process, "listens"))
+            assert (await client.ask(target="/ready")).status == 200
+            assert (await client.ask("look")).body == b"served"
             async with StubDiscovery() as moved:
                 config.write_text(json.dumps({**raw, "discovery": moved.address}))
                 process.send_signal(signal.SIGHUP)
                 await moved.watch()
-                assert (await caller.ask("look")).body == b"served"
+                assert (await client.ask("look")).body == b"served"
             process.send_signal(signal.SIGTERM)
             _, log = await asyncio.wait_for(process.communicate(), PATIENCE_S)
             assert process.returncode == 0, log.decode()
@@ -182,15 +182,15 @@
                     tell(await discovery.watch(), listing(2, row("a", server.address)))
                     await _told(process, "listens")
                 (old, _), (new, managed) = started
-                kept = await Caller.connect(address)
+                kept = await Client.connect(address)
                 done, asked = asyncio.Event(), 0
 
                 async def ask_on_new_connections() -> None:
                     nonlocal asked
                     while not done.is_set():
-                        caller = await Caller.connect(address)
-                        assert (await caller.ask("look")).body == b"served"
-                        caller.close()
+                        client = await Client.connect(address)
+                        assert (await client.ask("look")).body == b"served"
+                        client.close()
                         asked += 1
 
                 load = [asyncio.create_task(ask_on_new_connections()) for _ in range(4)]
@@ -201,8 +201,8 @@
                 done.set()
                 await asyncio.gather(*load)
                 assert asked and len(server.received) == asked + 1
-                caller = await Caller.connect(managed)
-                assert (await caller.ask(target="/api/ready")).status == 200
+                client = await Client.connect(managed)
+                assert (await client.ask(target="/api/ready")).status == 200
                 new.send_signal(signal.SIGTERM)
                 await asyncio.wait_for(new.communicate(), PATIENCE_S)
                 assert new.returncode == 0
@@ -236,23 +236,23 @@
             await writer.drain()
 
     async def up(address: tuple[str, int]) -> None:
-        caller = await Caller.connect(address)
+        client = await Client.connect(address)
         head = request("book", body=b"x")[:-1].replace(b"Length: 1", b"Length: %d" % size)
-        caller.writer.write(head)
+        client.writer.write(head)
         for _ in range(size // len(block)):
-            caller.writer.write(block)
-            await caller.writer.drain()
-        assert (await caller.answer()).body == b"same"
+            client.writer.write(block)
+            await client.writer.drain()
+        assert (await client.answer()).body == b"same"
 
     async def down(address: tuple[str, int], may_read: asyncio.Event) -> None:
-        caller = await Caller.connect(address)
-        caller.writer.write(request("look"))
-        await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+        client = await Client.connect(address)
+        client.writer.write(request("look"))
+        await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
         await asyncio.wait_for(may_read.wait(), 2 * PATIENCE_S)
         got = hashlib.sha256()
         left = size
         while left:
-            piece = await asyncio.wait_for(caller.reader.read(min(left, 1 << 20)), PATIENCE_S)
+            piece = await asyncio.wait_for(client.reader.read(min(left, 1 << 20)), PATIENCE_S)
             assert piece, "the answer broke off"
             got.update(piece)
             left -= len(piece)
@@ -265,8 +265,8 @@
             config.write_text(json.dumps({**_configuration(server), "limits": limits}))
             process = await _start(_environment(discovery, config))
             address = await _told(process, "listens")
-            caller = await Caller.connect(address)
-            assert (await caller.ask("look", target="/ready")).status == 200
+            client = await Client.connect(address)
+            assert (await client.ask("look", target="/ready")).status == 200
             before = _peak_kb(process)
             may_read = asyncio.Event()
             downs = [asyncio.create_task(down(address, may_read)) for _ in range(several)]
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -119,8 +119,8 @@
             world(row("a", server.address), policyLimits=limits()) as w,
         ):
             dials, told = HeldDials(w), Told(w)
-            caller = await w.caller()
-            caller.writer.write(request("book"))
+            client = await w.client()
+            client.writer.write(request("book"))
             await dials.begun()
             now = (
                 row("a", server.address, started=1000.0)
@@ -134,7 +134,7 @@
             ended: AttemptEnded = await told.first(AttemptEnded)
             assert ended.outcome is Outcome.CONNECT_FAILED
             if not restarted:
-                assert (await caller.answer()).status == 503
+                assert (await client.answer()).status == 503
                 assert server.received == []
 
     run(main())
@@ -148,17 +148,17 @@
             world(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
         ):
             dials, told = HeldDials(w), Told(w)
-            caller = await w.caller()
-            caller.writer.write(request("look", target="/api/left"))
+            client = await w.client()
+            client.writer.write(request("look", target="/api/left"))
             await dials.begun()
-            caller.close()
+            client.close()
             await told.first(RequestAbandoned)
             dials.release.set()
             ended: AttemptEnded = await told.first(AttemptEnded)
             assert ended.outcome in (Outcome.NOT_SENT, Outcome.CANCELLED)
             while w.node._pool._dial_tasks:
                 await asyncio.sleep(0)
-            assert (await (await w.caller()).ask("look", target="/api/next")).status == 200
+            assert (await (await w.client()).ask("look", target="/api/next")).status == 200
             assert [got.target for got in server.received] == ["/api/next"]
             assert server.opened == 1, "the connection that came up was not kept"
 
@@ -185,13 +185,13 @@
 
             # A connection to the first is there; the second has to be dialled.
             assert w.node._pool.has_endpoints()
-            caller = await w.caller()
+            client = await w.client()
             while not one.received:
-                assert (await caller.ask("look")).status == 200
+                assert (await client.ask("look")).status == 200
             before = len(two.received)
             w.node._pool.close_idle(b"b")
             dials, told = HeldDials(w), Told(w, decide)
-            assert (await caller.ask("look")).body == b"first"
+            assert (await client.ask("look")).body == b"first"
             await dials.begun()
             dials.release.set()
             while sum(isinstance(event, AttemptEnded) for event in told.events) < 2:
@@ -218,8 +218,8 @@
                 return []
 
             dials, told = HeldDials(w), Told(w, decide)
-            caller = await w.caller()
-            caller.writer.write(request("move"))
+            client = await w.client()
+            client.writer.write(request("move"))
             await dials.begun()
             w.node._clock._base += 2.0
             dials.release.set()
@@ -240,22 +240,22 @@
             StubServer(behaviours) as server,
             world(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
         ):
-            caller = await w.caller()
-            assert (await caller.ask("look", target="/api/first")).status == 200
+            client = await w.client()
+            assert (await client.ask("look", target="/api/first")).status == 200
             w.age(10.0)
             w.node._pool.keep_alive.record_early_close(1.0, asyncio.get_running_loop().time())
             told = Told(w)
-            caller.writer.write(request("book", target="/api/left"))
+            client.writer.write(request("book", target="/api/left"))
             while len(server.received) < 2:
                 await asyncio.sleep(0)
-            caller.close()
+            client.close()
             await told.first(RequestAbandoned)
             server.release.set()
             await told.first(AttemptEnded)
             while not w.node._pool._idle_connections():
                 await asyncio.sleep(0)
             w.age(REUSE_DELAY_S)
-            assert (await (await w.caller()).ask("look", target="/api/next")).status == 200
+            assert (await (await w.client()).ask("look", target="/api/next")).status == 200
             assert [got.target for got in server.received] == ["/api/first", "/health", "/api/next"]
             assert server.opened == 1
 
@@ -288,21 +288,21 @@
             ) as server,
             world(row("a", server.address)) as w,
         ):
-            caller = await w.caller()
+            client = await w.client()
             if probed:
-                assert (await caller.ask("look")).status == 200
+                assert (await client.ask("look")).status == 200
                 w.age(2 * PATIENCE_S)
                 w.node._pool.keep_alive.record_early_close(0.0, asyncio.get_running_loop().time())
-                caller.writer.write(request("book"))
+                client.writer.write(request("book"))
                 while len(server.received) < 2:
                     await asyncio.sleep(0)
             else:
-                assert (await caller.ask("look")).body == b"right"
-                caller.writer.write(request("book"))
+                assert (await client.ask("look")).body == b"right"
+                client.writer.write(request("book"))
                 while not w.node._requests.pending:
                     await asyncio.sleep(0)
             server.release.set()
-            assert (await caller.answer()).body == b"own"
+            assert (await client.answer()).body == b"own"
             assert server.opened == 2
 
     run(main())
@@ -318,13 +318,13 @@
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             told = Told(w)
-            caller = await w.caller()
-            caller.writer.write(request("look"))
+            client = await w.client()
+            client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            caller.writer.write(request("look") * rows)
+            client.writer.write(request("look") * rows)
             while len(w.node._requests.pending) < MAX_CONCURRENT:
                 await asyncio.sleep(0)
-            caller.close()
+            client.close()
             while w.node._requests.pending:
                 await asyncio.sleep(0)
             taken = sum(isinstance(event, RequestArrived) for event in told.events)
@@ -337,11 +337,11 @@
 def test_what_is_behind_a_flood_of_requests_is_not_taken_and_the_connection_ends() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("look") * (3 * MAX_PIPELINED))
-            answers = [(await caller.answer()).status for _ in range(MAX_PIPELINED)]
+            client = await w.client()
+            client.writer.write(request("look") * (3 * MAX_PIPELINED))
+            answers = [(await client.answer()).status for _ in range(MAX_PIPELINED)]
             assert answers == [200] * MAX_PIPELINED
-            assert await caller.ended()
+            assert await client.ended()
             assert len(server.received) == MAX_PIPELINED
 
     run(main())
@@ -352,11 +352,11 @@
 
     async def main() -> None:
         async with world() as w:
-            caller = await w.caller()
-            caller.writer.write(request("nosuch") * 600)
-            answer = await caller.answer()
+            client = await w.client()
+            client.writer.write(request("nosuch") * 600)
+            answer = await client.answer()
             assert (answer.status, answer.headers["connection"]) == (400, "close")
-            assert await caller.ended()
+            assert await client.ended()
 
     with caplog.at_level("INFO"):
         run(main())
@@ -366,9 +366,9 @@
 def test_bodies_that_wait_behind_others_are_bounded() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("look") * MAX_CONCURRENT)
-            caller.writer.write(request("book", body=b"x" * (MAX_BODY // 2)) * 8)
+            client = await w.client()
+            client.writer.write(request("look") * MAX_CONCURRENT)
+            client.writer.write(request("book", body=b"x" * (MAX_BODY // 2)) * 8)
             while not w.node._listener._connections:
                 await asyncio.sleep(0)
             (connection,) = w.node._listener._connections
@@ -376,7 +376,7 @@
                 await asyncio.sleep(0)
             waiting = [e.message for e in connection._exchanges if e.message is not None]
             assert 0 < sum(len(message.body) for message in waiting) <= MAX_BODY
-            caller.close()
+            client.close()
             server.release.set()
 
     run(main())
@@ -387,17 +387,17 @@
 
     async def main() -> None:
         async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
+            client = await w.client()
             long = request("book", body=b"x" * (4 * MAX_BODY))
-            caller.writer.write(request("look") * MAX_CONCURRENT + long)
+            client.writer.write(request("look") * MAX_CONCURRENT + long)
             while not w.node._listener._connections:
                 await asyncio.sleep(0)
             (connection,) = w.node._listener._connections
             while not connection._malformed:
                 await asyncio.sleep(0)
             server.release.set()
-            assert [(await caller.answer()).status for _ in range(MAX_CONCURRENT)] == [200, 200]
-            assert await caller.ended()
+            assert [(await client.answer()).status for _ in range(MAX_CONCURRENT)] == [200, 200]
+            assert await client.ended()
             assert len(server.received) == MAX_CONCURRENT
 
     run(main())
@@ -407,9 +407,9 @@
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             told = Told(w)
-            caller = await w.caller()
-            caller.writer.write(request("look", deadline="0.4") * (MAX_CONCURRENT + 1))
-            answers = [(await caller.answer()).status for _ in range(MAX_CONCURRENT + 1)]
+            client = await w.client()
+            client.writer.write(request("look", deadline="0.4") * (MAX_CONCURRENT + 1))
+            answers = [(await client.answer()).status for _ in range(MAX_CONCURRENT + 1)]
             assert set(answers) == {503}
             arrivals = [event for event in told.events if isinstance(event, RequestArrived)]
             assert arrivals[0].budget_ms > 300.0
@@ -429,14 +429,14 @@
             world(row("a", server.address), policyLimits=limits()) as w,
         ):
             dials, told = HeldDials(w), Told(w)
-            caller = await w.caller()
+            client = await w.client()
             whole = request("book", body=b"x" * (8 * MAX_BODY))
-            caller.writer.write(whole[: 2 * MAX_BODY])
+            client.writer.write(whole[: 2 * MAX_BODY])
             await dials.begun()
             if ends == "abort":
-                caller.close()
+                client.close()
             else:
-                caller.writer.close()
+                client.writer.close()
             await told.first(RequestAbandoned)
             dials.release.set()
             while w.node._pool._dial_tasks:
@@ -558,8 +558,8 @@
             ):
                 watch = await w.discovery.watch()
                 tell(watch, listing(2, row("a", server.address)))
-                caller = await w.caller()
-                assert (await caller.ask("look")).status == 200
+                client = await w.client()
+                assert (await client.ask("look")).status == 200
                 (accepted,) = w.node._listener._connections
                 (dialled,) = w.node._pool._connections
                 assert w.node._discovery._watch is not None
@@ -584,14 +584,14 @@
 
     async def main() -> None:
         async with StubServer([broken]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
-            caller.writer.write(request("look").replace(b"HTTP/1.1", b"HTTP/1.0"))
-            head = await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            client = await w.client()
+            client.writer.write(request("look").replace(b"HTTP/1.1", b"HTTP/1.0"))
+            head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert b"content-length" not in head.lower()
-            await caller.reader.readexactly(2 * MAX_BODY)
+            await client.reader.readexactly(2 * MAX_BODY)
             server.release.set()
             with pytest.raises(ConnectionResetError):
-                await asyncio.wait_for(caller.reader.read(), PATIENCE_S)
+                await asyncio.wait_for(client.reader.read(), PATIENCE_S)
 
     run(main())
 
@@ -611,13 +611,13 @@
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             told = Told(w)
-            caller = await w.caller()
-            assert (await caller.ask(target="/ready")).status == 200
+            client = await w.client()
+            assert (await client.ask(target="/ready")).status == 200
             (connection,) = w.node._listener._connections
             close(w)
             connection.data_received(request("look"))
             assert not told.events and not w.node._requests.pending
-            assert await caller.ended()
+            assert await client.ended()
 
     run(main())
 
@@ -634,20 +634,20 @@
             StubServer([reply("200 OK", b"served")]) as server,
             world(row("a", server.address), sockets=64) as w,
         ):
-            callers = w.node._listener
+            clients = w.node._listener
             crowd = []
-            for _ in range(callers._max_connections + 5):
-                peer = await w.caller()
+            for _ in range(clients._max_connections + 5):
+                peer = await w.client()
                 crowd.append(peer)
                 peer.writer.write(sent)
                 if sent == request("nosuch"):
                     assert (await peer.answer()).status == 400
-            while sum(c._parser.in_message or c._discarding for c in callers._connections) < (
-                callers._max_connections if sent else 0
+            while sum(c._parser.in_message or c._discarding for c in clients._connections) < (
+                clients._max_connections if sent else 0
             ):
                 await asyncio.sleep(0)
-            assert len(callers._connections) <= callers._max_connections
-            assert (await (await w.caller()).ask("look")).body == b"served"
+            assert len(clients._connections) <= clients._max_connections
+            assert (await (await w.client()).ask("look")).body == b"served"
             for peer in crowd:
                 peer.close()
 
@@ -672,15 +672,15 @@
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            caller = await w.caller()
+            client = await w.client()
             w.node.terminate()
             began = w.node._drain._began
             w.node.terminate()
             w.node.reconfigure()
             assert w.node._drain._began == began, "the second signal put the end off"
-            assert (await caller.ask(target="/ready")).status == 503
-            assert (await caller.ask("look")).status == 200
-            assert await caller.ended()
+            assert (await client.ask(target="/ready")).status == 503
+            assert (await client.ask("look")).status == 200
+            assert await client.ended()
             await asyncio.wait_for(w.serving, PATIENCE_S)
 
     run(main())
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -33,7 +33,7 @@
     HOST,
     PATIENCE_S,
     Answer,
-    Caller,
+    Client,
     Received,
     StubServer,
     held,
@@ -189,16 +189,16 @@
 
             w.node._listener._sweeper.cancel()
             dials, told = HeldDials(w), Told(w, decide)
-            caller = await w.caller()
-            caller.writer.write(request("book", body=b"x" * (8 * MAX_BODY))[: 2 * MAX_BODY])
+            client = await w.client()
+            client.writer.write(request("book", body=b"x" * (8 * MAX_BODY))[: 2 * MAX_BODY])
             await told.first(RequestArrived)
             (connection,) = w.node._listener._connections
             while connection._transport is None or connection._transport.is_reading():
                 await asyncio.sleep(0)
             if ends == "abort":
-                caller.close()
+                client.close()
             else:
-                caller.writer.close()
+                client.writer.close()
             while not connection.client_has_left():
                 await asyncio.sleep(0)
             w.node._events.post(NodesPresent(1, 0))
@@ -226,17 +226,17 @@
             world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=cancel)) as w,
         ):
             servers = (one, two)
-            caller = await w.caller()
+            client = await w.client()
             for _ in range(40):
-                assert (await caller.ask("look")).status == 200
+                assert (await client.ask("look")).status == 200
             for server in servers:
                 server.behaviours = [silent]
             before = sum(len(server.received) for server in servers)
-            caller.writer.write(request("look"))
+            client.writer.write(request("look"))
             while sum(len(server.received) for server in servers) == before:
                 await asyncio.sleep(0)
             if leaves:
-                caller.close()
+                client.close()
             await asyncio.sleep(2.0)
             assert sum(len(server.received) for server in servers) - before == (1 if leaves else 2)
             for server in servers:
@@ -252,21 +252,21 @@
     async def main() -> None:
         async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
             queue, told = w.node._balancer._queue, Told(w)
-            callers: list[Caller] = []
+            clients: list[Client] = []
             while not queue:
-                caller = await w.caller()
-                caller.writer.write(request("look", target=f"/api/{len(callers)}"))
-                callers.append(caller)
-                while len(w.node._requests.pending) < len(callers):
+                client = await w.client()
+                client.writer.write(request("look", target=f"/api/{len(clients)}"))
+                clients.append(client)
+                while len(w.node._requests.pending) < len(clients):
                     await asyncio.sleep(0)
             if leaves:
-                callers[-1].close()
+                clients[-1].close()
                 await told.first(RequestAbandoned)
                 assert not queue
             server.release.set()
-            for caller in callers[: -1 if leaves else None]:
-                assert (await caller.answer()).status == 200
-            last = f"/api/{len(callers) - 1}"
+            for client in clients[: -1 if leaves else None]:
+                assert (await client.answer()).status == 200
+            last = f"/api/{len(clients) - 1}"
             assert (last in [got.target for got in server.received]) is not leaves
 
     run(main())
@@ -284,15 +284,15 @@
             StubServer([reply("200 OK")]) as two,
             world(row("a", one.address), row("b", two.address), registryMode="pushed") as w,
         ):
-            caller = await w.caller()
+            client = await w.client()
             while not one.received:
-                assert (await caller.ask("look")).status == 200
+                assert (await client.ask("look")).status == 200
             before = len(one.received)
             tell(await w.discovery.watch(), listing(2, row("b", two.address)))
             while w.node._discovery._version != 2:
                 await asyncio.sleep(0)
             for _ in range(20):
-                assert (await caller.ask("look")).status == 200
+                assert (await client.ask("look")).status == 200
             assert len(one.received) == before
             await asyncio.wait_for(one.left.wait(), 5.0)  # its idle time would be three times as long
 
@@ -309,8 +309,8 @@
         async with servers[0] as one, servers[1] as two:
             limited = settings()["policyLimits"] | {"mayDuplicate": False, "tryLimit": 2}
             async with world(row("a", one.address), row("b", two.address), policyLimits=limited) as w:
-                caller = await w.caller()
-                await caller.ask("look", deadline="3.0")
+                client = await w.client()
+                await client.ask("look", deadline="3.0")
             told = [float(got.headers["x-deadline"]) for server in servers for got in server.received]
             assert len(told) == 2
             assert min(told) <= max(told) - 1.0 and max(told) <= 3.0
@@ -369,12 +369,12 @@
     """An idle client: asks once, rests until the node ends it, and comes again."""
     while True:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            caller = await Caller.connect(address)
+            client = await Client.connect(address)
             try:
-                await caller.ask(target="/ready")
-                await caller.reader.read()
+                await client.ask(target="/ready")
+                await client.reader.read()
             finally:
-                caller.close()
+                client.close()
         await asyncio.sleep(1.0)
 
 
@@ -406,9 +406,9 @@
                     await asyncio.sleep(0.01)
                 while not new.received:  # callers may be shut out for a moment, and come again
                     with contextlib.suppress(OSError):
-                        caller = await Caller.connect(address)
-                        caller.writer.write(request("look"))
-                        taken.append(asyncio.create_task(caller.answer()))
+                        client = await Client.connect(address)
+                        client.writer.write(request("look"))
+                        taken.append(asyncio.create_task(client.answer()))
                         await asyncio.wait(taken[-1:], timeout=0.2)
             process.terminate()
             new.release.set()
@@ -430,23 +430,23 @@
     async def asking(address: tuple[str, int], stop: asyncio.Event) -> None:
         while not stop.is_set():
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                caller = await Caller.connect(address)
+                client = await Client.connect(address)
                 try:
                     while not stop.is_set():
-                        await caller.ask("look")
+                        await client.ask("look")
                 finally:
-                    caller.close()
+                    client.close()
             await asyncio.sleep(0.01)
 
     async def ready(address: tuple[str, int]) -> None:
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                caller = await Caller.connect(address)
+                client = await Client.connect(address)
                 try:
-                    if (await caller.ask(target="/ready")).status == 200:
+                    if (await client.ask(target="/ready")).status == 200:
                         return
                 finally:
-                    caller.close()
+                    client.close()
             await asyncio.sleep(0.02)
 
     async def restarted(name: str, server: StubServer, discovery: str) -> float:
