--- a/crowpost/node/attempt.py
+++ b/crowpost/node/attempt.py
@@ -113,7 +113,7 @@
             self._sender.events.post(BodySent(self._action.request, self._number))
 
     def _on_response_start(self, response: Message, set_reading: SetReading) -> BodySink | None:
-        """Give a long response to the client; from now on no other attempt may be."""
+        """Begin to stream this attempt's response to the client, unless another attempt's has begun."""
         request = self._action.request
         elapsed_ms = self._elapsed_ms()
         pending = self._sender.requests.pending.get(request)
--- a/crowpost/node/configuration.py
+++ b/crowpost/node/configuration.py
@@ -12,6 +12,7 @@
 
 from crowpost.decision_api import InvalidSettingsError, Settings, SettingsError, read_settings
 from crowpost.node.discovery.endpoint_list import ListError, Listing, Naming
+from crowpost.node.errors import NodeError
 
 if TYPE_CHECKING:
     from crowpost.config_feed.configuration import FeedConfig
@@ -26,7 +27,7 @@
 _SEED_MASK = 2**64 - 1
 
 
-class ConfigError(Exception):
+class ConfigError(NodeError):
     """A configuration that cannot be used; its text names the field."""
 
 
@@ -92,7 +93,7 @@
     try:
         settings = read_settings(values)
     except (SettingsError, InvalidSettingsError) as error:
-        raise ConfigError(str(error)) from None
+        raise ConfigError(str(error)) from error
     naming = Naming(_names(settings_raw, "azs"), _names(settings_raw, "models"))
     limits = _member(raw, "limits", dict)
     return Config(
@@ -132,7 +133,7 @@
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
     except (OSError, ValueError) as error:
-        raise ConfigError(f"NODE_CONFIG: {path} cannot be read: {error}") from None
+        raise ConfigError(f"NODE_CONFIG: {path} cannot be read: {error}") from error
     if not isinstance(raw, dict):
         raise ConfigError(f"NODE_CONFIG: {path} holds no object")
     return raw
@@ -155,8 +156,8 @@
 def _seed(text: str) -> int:
     try:
         return int(text, 16) & _SEED_MASK
-    except ValueError:
-        raise ConfigError(f"seed is not a hexadecimal number: {text!r}") from None
+    except ValueError as error:
+        raise ConfigError(f"seed is not a hexadecimal number: {text!r}") from error
 
 
 def _address(
@@ -165,8 +166,8 @@
     text = environment.get(variable) or _member(raw, member, str)
     try:
         return parse_address(text)
-    except ValueError:
-        raise ConfigError(f"{variable} is not an address and a port: {text!r}") from None
+    except ValueError as error:
+        raise ConfigError(f"{variable} is not an address and a port: {text!r}") from error
 
 
 def _management(environment: Mapping[str, str], raw: Mapping[str, Any]) -> tuple[str, int] | None:
@@ -187,7 +188,7 @@
     try:
         return load_members(path, name)
     except MembershipError as error:
-        raise ConfigError(f"NODE_MEMBERS: {error}") from None
+        raise ConfigError(f"NODE_MEMBERS: {error}") from error
 
 
 def _state(environment: Mapping[str, str], name: str) -> StateConfig | None:
@@ -201,7 +202,7 @@
     try:
         return load_state(path, name)
     except StoreError as error:
-        raise ConfigError(f"NODE_STATE: {error}") from None
+        raise ConfigError(f"NODE_STATE: {error}") from error
 
 
 def _feed(environment: Mapping[str, str], name: str) -> FeedConfig | None:
@@ -215,7 +216,7 @@
     try:
         return load_feed(path, name, roles=("node",))
     except FeedError as error:
-        raise ConfigError(f"NODE_FEED: {error}") from None
+        raise ConfigError(f"NODE_FEED: {error}") from error
 
 
 def _overlays(
@@ -231,7 +232,7 @@
     try:
         kept, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).load()
     except FeedError as error:
-        raise ConfigError(f"NODE_FEED: {error}") from None
+        raise ConfigError(f"NODE_FEED: {error}") from error
     overlays = ConfigurationOverlays(
         environment, raw, path, [d for d in kept if feed.subscription.includes(d.header.scope)]
     )
@@ -262,7 +263,7 @@
     try:
         return naming.read(raw)
     except ListError as error:
-        raise ConfigError(f"known: {error}") from None
+        raise ConfigError(f"known: {error}") from error
 
 
 def _conn_idle(values: Mapping[str, str]) -> float:
--- a/crowpost/node/discovery/endpoint_list.py
+++ b/crowpost/node/discovery/endpoint_list.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from crowpost.decision_api import EndpointEntry, EndpointId, EndpointList, ListKind, Readiness
+from crowpost.node.errors import NodeError
 
 _LIFECYCLES = {
     "SERVING": Readiness.READY,
@@ -14,7 +15,7 @@
 }
 
 
-class ListError(Exception):
+class ListError(NodeError):
     """An endpoint list that cannot be read; its text names the field."""
 
 
@@ -55,9 +56,9 @@
                 addresses[entry.server] = (host, int(port))
             return Listing(int(raw["generation"]), bool(raw["reset"]), tuple(entries), addresses)
         except KeyError as error:
-            raise ListError(f"{error} is missing or unknown") from None
+            raise ListError(f"{error} is missing or unknown") from error
         except (TypeError, ValueError, AttributeError) as error:
-            raise ListError(f"not a list of servers: {error}") from None
+            raise ListError(f"not a list of servers: {error}") from error
 
     def _entry(self, item: dict[str, Any]) -> EndpointEntry:
         return EndpointEntry(
--- a/crowpost/node/downstream/sockets.py
+++ b/crowpost/node/downstream/sockets.py
@@ -21,7 +21,7 @@
             socket.SOL_SOCKET, socket.SO_ACCEPTCONN
         )
     except OSError as error:
-        raise ConfigError(f"NODE_ACCEPT_FD: descriptor {descriptor} is no socket: {error}") from None
+        raise ConfigError(f"NODE_ACCEPT_FD: descriptor {descriptor} is no socket: {error}") from error
     if not listening:
         listener.detach()
         raise ConfigError(f"NODE_ACCEPT_FD: descriptor {descriptor} is no listening TCP socket")
--- a/crowpost/node/http/message.py
+++ b/crowpost/node/http/message.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass, field
 
+from crowpost.node.errors import NodeError
 from crowpost.node.http.body import Upload
 
 # Sizes in bytes.
@@ -26,7 +27,7 @@
 LOAD = b"x-load"
 
 
-class MessageError(Exception):
+class MessageError(NodeError):
     """A message that cannot be accepted.
 
     status: what a request of this form is answered with.
--- a/crowpost/node/http/parser.py
+++ b/crowpost/node/http/parser.py
@@ -108,7 +108,7 @@
             if self._stopped:
                 return
             if self._failure is None:
-                raise MessageError(400, f"malformed message: {error}") from None
+                raise MessageError(400, f"malformed message: {error}") from error
         if self._failure is not None:
             raise self._failure
         if not self._in_body and self._head_bytes_left < 0:
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -175,7 +175,7 @@
             try:
                 self.admin_address = await self._admin.listen(self._config.management)
             except OSError as error:
-                raise ConfigError(f"NODE_MANAGEMENT cannot be used: {error}") from None
+                raise ConfigError(f"NODE_MANAGEMENT cannot be used: {error}") from error
             log.info("node %s is managed on %s:%d", self._config.name, *self.admin_address)
         await self._start_membership()
         if self._config.accept_fd is None:
@@ -204,7 +204,7 @@
             raw = self._state_writer.state.endpoint_list()
             state = self._config.naming.read(raw) if raw is not None else None
         except (StoreError, ListError) as error:
-            raise ConfigError(f"NODE_STATE: {self._config.state.directory}: {error}") from None
+            raise ConfigError(f"NODE_STATE: {self._config.state.directory}: {error}") from error
         if self._state_writer.state.evacuated:
             log.info("the node was evacuated and stays so until rejoin")
             self._drain.evacuate()
@@ -234,7 +234,7 @@
                 state_writer.state.incarnation + 1 if state_writer is not None else 1
             )
         except OSError as error:
-            raise ConfigError(f"NODE_MEMBERS: members.listen cannot be used: {error}") from None
+            raise ConfigError(f"NODE_MEMBERS: members.listen cannot be used: {error}") from error
 
     def _start_feed(self) -> None:
         """Follow the configuration feed, where there is one; else nothing of it is imported."""
@@ -259,10 +259,9 @@
             self._accept_task = self._loop.create_task(self._accept(inherited))
 
     def ready(self) -> bool:
-        """Whether clients may be sent here."""
-        return (
-            self._drain.phase is Phase.SERVING and self._listener.listening() and self._pool.has_endpoints()
-        )
+        """Return whether clients may be sent here."""
+        serving = self._drain.phase is Phase.SERVING
+        return serving and self._listener.listening() and self._pool.has_endpoints()
 
     def stop(self) -> None:
         """End now, whatever is open; nothing more is read from clients, as nobody would answer it."""
