--- a/tests/test_overhead.py
+++ b/tests/test_overhead.py
@@ -309,6 +309,8 @@
         cause("/x/crowpost/decide/placing.py", "draw") == cause("/x/crowpost/records.py", "add") == "decision"
     )
     assert cause("/x/uvloop/__init__.py", "run") == "event loop and kernel"
+    assert cause("/x/crowpost/node/upstream/pool.py", "start") == "servers' side"
+    assert cause("/x/crowpost/node/servers.py", "call") == "servers' side", "of an older revision"
     assert cause("<frozen importlib._bootstrap>", "_load") is None
     assert cause("~", "<built-in method builtins.len>") == "built-in functions"
     file = tmp_path / "a.profile"
