--- a/crowpost/lab/feed/real_processes.py
+++ b/crowpost/lab/feed/real_processes.py
@@ -11,6 +11,7 @@
 import argparse
 import asyncio
 import json
+import math
 import os
 import re
 import sys
@@ -31,6 +32,7 @@
 RELAYS = 4  # one a zone
 SETTLE_S = 6.0  # a silent relay is given up after 4.5
 START_S, WAIT_S = 30.0, 13.0  # for a process to be up, and for a change to be in force
+CASE_S = 10.0  # a case lasts at least so long
 SIZE = 2_000  # bytes of a document, about
 LINE = re.compile(r'feed (\{"event": .*\})')
 SETTINGS = {
@@ -47,7 +49,7 @@
 
     name: str
     process: asyncio.subprocess.Process
-    told: asyncio.Condition = field(default_factory=asyncio.Condition)
+    changed: asyncio.Condition = field(default_factory=asyncio.Condition)
     listens: str = ""
     managed: str = ""
     links: int = 0
@@ -57,9 +59,9 @@
         """Read the log of the process until its end."""
         assert self.process.stderr is not None
         while line := (await self.process.stderr.readline()).decode():
-            async with self.told:
+            async with self.changed:
                 self._line(line)
-                self.told.notify_all()
+                self.changed.notify_all()
 
     def _line(self, line: str) -> None:
         if found := re.search(r"is managed on ([\d.]+:\d+)", line):
@@ -81,8 +83,8 @@
             "in force": lambda: any(version >= number for version in self.taken),
         }
         try:
-            async with asyncio.timeout(within_s), self.told:
-                await self.told.wait_for(checks[met])
+            async with asyncio.timeout(within_s), self.changed:
+                await self.changed.wait_for(checks[met])
         except TimeoutError:
             return False
         return True
@@ -209,77 +211,119 @@
         await asyncio.gather(*self._reading)
 
 
+@dataclass(frozen=True)
+class Case:
+    """A number of changes, with a mean gap between them; one relay may be killed after the first."""
+
+    name: str
+    changes: int
+    gap_s: float
+    kills_relay: bool = False
+
+
+CASES = (
+    Case("calm", 10, 1.0),
+    Case("burst", 100, 0.0),
+    Case("relay-dies", 3, 1.0, kills_relay=True),
+    Case("idle", 0, 10.0),
+)
+
+
+@dataclass
+class Usage:
+    """Bytes and processor time so far, at one moment."""
+
+    at: float  # s of the event loop's clock
+    cpu_s: list[float]  # of each node
+    server_bytes: dict[str, float]  # by name
+    node_bytes: float
+
+
 async def play(folder: Path, nodes: int, seed: int) -> list[dict[str, Any]]:
-    """One fleet, and the cases calm, burst, relay-dies and idle played on it in turn."""
+    """Start one fleet, play the cases on it in turn, and return a run for each."""
     fleet = Fleet(folder, nodes, seed)
-    loop = asyncio.get_running_loop()
     try:
         await fleet.start()
         await asyncio.sleep(SETTLE_S)
-        assert fleet.publisher is not None
-        found = []
-        for case, changes, gap_s in (
-            ("calm", 10, 1.0),
-            ("burst", 100, 0.0),
-            ("relay-dies", 3, 1.0),
-            ("idle", 0, 10.0),
-        ):
-            hubs = [fleet.publisher, *(r for r in fleet.relays if r.process.returncode is None)]
-            began, cpu = loop.time(), [n.cpu_s() for n in fleet.nodes]
-            before, node_bytes = (
-                {h.name: await fleet.bytes_of(h) for h in hubs},
-                (await fleet.node_bytes())[0],
-            )
-            asked: dict[int, float] = {}
-            for number in range(changes):
-                at = 1000.0 * loop.time()
-                if case == "relay-dies" and number == 1:
-                    victim = fleet.rng.choice(fleet.relays)
-                    victim.process.kill()
-                asked[await fleet.publish()] = at
-                await asyncio.sleep(gap_s * (0.5 + fleet.rng.random()))
-            last = max(asked, default=0)
-            reached = [await node.until("in force", WAIT_S, last) for node in fleet.nodes]
-            await asyncio.sleep(max(0.0, 10.0 - (loop.time() - began)))
-            spent_s = loop.time() - began
-            live = [h for h in hubs if h.process.returncode is None]
-            by_hub = {h.name: (await fleet.bytes_of(h) - before[h.name]) / spent_s for h in live}
-            took = [_first(node, version) - at for version, at in asked.items() for node in fleet.nodes]
-            seconds = sorted(t / 1000.0 for t in took if t < 1e12)
-            bytes_now, longest_ms, most_cpu_ms = await fleet.node_bytes()
-            used = [100.0 * (n.cpu_s() - c) / spent_s for n, c in zip(fleet.nodes, cpu, strict=True)]
-            found.append(
-                {
-                    "case": case,
-                    "nodes": nodes,
-                    "seed": seed,
-                    "source": "real",
-                    "changes": changes,
-                    "seconds": round(spent_s, 1),
-                    "in_force_s": {
-                        "p50": _figure(seconds, 0.5),
-                        "p99": _figure(seconds, 0.99),
-                        "worst": _figure(seconds, 1.0),
-                    },
-                    "unreached": reached.count(False),
-                    "node_bytes_per_s": round((bytes_now - node_bytes) / spent_s / nodes, 1),
-                    "node_held_up_ms": round(longest_ms, 2),  # by one document, since its start
-                    "node_document_cpu_ms": round(most_cpu_ms, 2),
-                    "node_core_percent": round(sum(used) / nodes, 3),
-                    "node_memory_mb": round(sum(n.memory_mb() for n in fleet.nodes) / nodes, 1),
-                    "relay_bytes_per_s": round(max(v for k, v in by_hub.items() if k != "p"), 1),
-                    "publisher_bytes_per_s": round(by_hub["p"], 1),
-                    "faults": [],
-                }
-            )
-        return found
+        return [await _play_case(fleet, case, nodes, seed) for case in CASES]
     finally:
         await fleet.end()
 
 
+async def _play_case(fleet: Fleet, case: Case, nodes: int, seed: int) -> dict[str, Any]:
+    before = await _usage(fleet)
+    requested_at = await _publish_changes(fleet, case)
+    last = max(requested_at, default=0)
+    reached = [await node.until("in force", WAIT_S, last) for node in fleet.nodes]
+    loop = asyncio.get_running_loop()
+    await asyncio.sleep(max(0.0, CASE_S - (loop.time() - before.at)))
+    elapsed_s = loop.time() - before.at
+    server_rates = {
+        server.name: (await fleet.bytes_of(server) - before.server_bytes[server.name]) / elapsed_s
+        for server in _running_servers(fleet)
+    }
+    latencies = [_first(node, version) - at for version, at in requested_at.items() for node in fleet.nodes]
+    seconds = sorted(latency / 1000.0 for latency in latencies if math.isfinite(latency))
+    node_bytes, longest_ms, longest_cpu_ms = await fleet.node_bytes()
+    cpu_percent = [
+        100.0 * (node.cpu_s() - cpu_s) / elapsed_s
+        for node, cpu_s in zip(fleet.nodes, before.cpu_s, strict=True)
+    ]
+    return {
+        "case": case.name,
+        "nodes": nodes,
+        "seed": seed,
+        "source": "real",
+        "changes": case.changes,
+        "seconds": round(elapsed_s, 1),
+        "in_force_s": {
+            "p50": _figure(seconds, 0.5),
+            "p99": _figure(seconds, 0.99),
+            "worst": _figure(seconds, 1.0),
+        },
+        "unreached": reached.count(False),
+        "node_bytes_per_s": round((node_bytes - before.node_bytes) / elapsed_s / nodes, 1),
+        "node_held_up_ms": round(longest_ms, 2),  # by one document, since its start
+        "node_document_cpu_ms": round(longest_cpu_ms, 2),
+        "node_core_percent": round(sum(cpu_percent) / nodes, 3),
+        "node_memory_mb": round(sum(node.memory_mb() for node in fleet.nodes) / nodes, 1),
+        "relay_bytes_per_s": round(max(rate for name, rate in server_rates.items() if name != "p"), 1),
+        "publisher_bytes_per_s": round(server_rates["p"], 1),
+        "faults": [],
+    }
+
+
+async def _publish_changes(fleet: Fleet, case: Case) -> dict[int, float]:
+    """Publish the changes of a case; return by version when each was requested, in ms."""
+    loop = asyncio.get_running_loop()
+    requested_at: dict[int, float] = {}
+    for number in range(case.changes):
+        at = 1000.0 * loop.time()
+        if case.kills_relay and number == 1:
+            fleet.rng.choice(fleet.relays).process.kill()
+        requested_at[await fleet.publish()] = at
+        await asyncio.sleep(case.gap_s * (0.5 + fleet.rng.random()))
+    return requested_at
+
+
+async def _usage(fleet: Fleet) -> Usage:
+    at = asyncio.get_running_loop().time()
+    cpu_s = [node.cpu_s() for node in fleet.nodes]
+    server_bytes = {server.name: await fleet.bytes_of(server) for server in _running_servers(fleet)}
+    node_bytes, _, _ = await fleet.node_bytes()
+    return Usage(at, cpu_s, server_bytes, node_bytes)
+
+
+def _running_servers(fleet: Fleet) -> list[Process]:
+    """Return the publisher and the relays that were not killed."""
+    assert fleet.publisher is not None
+    relays = [relay for relay in fleet.relays if relay.process.returncode is None]
+    return [fleet.publisher, *relays]
+
+
 def _first(node: Process, version: int) -> float:
-    """When a node had this version or a newer one in force, in ms."""
-    return min((at for v, at in node.taken.items() if v >= version), default=1e15)
+    """Return when a node had applied this version or a newer one, in ms; infinity if it has not."""
+    return min((at for v, at in node.taken.items() if v >= version), default=math.inf)
 
 
 def _figure(seconds: list[float], part: float) -> float | None:
@@ -292,13 +336,13 @@
     parser.add_argument("--nodes", type=int, default=60, choices=range(1, 151), metavar="1..150")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--into", type=Path, help="put the runs into this record")
-    told = parser.parse_args()
+    arguments = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        runs = uvloop.run(play(Path(folder), told.nodes, told.seed))
+        runs = uvloop.run(play(Path(folder), arguments.nodes, arguments.seed))
     for run in runs:
         print(json.dumps(run))
-        if told.into is not None:
-            put_into(told.into, run)
+        if arguments.into is not None:
+            put_into(arguments.into, run)
     return int(any(run["unreached"] for run in runs))
 
 
