--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -9,8 +9,9 @@
 import gc
 import json
 import random
+from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any
 
@@ -49,34 +50,44 @@
         home_region = regions[0][0]
         authorities = {name: WriteAuthority(name, home_region, by_region) for name in by_region.values()}
         self.publishing = Publishing(self.world, authorities)
-        self.rng, self.regions = random.Random(seed), regions
+        self.rng = random.Random(seed)
+        self.regions = regions
         self.zones = [(region, zone) for region, zones in regions for zone in zones]
-        at = {f"p-{region}": f"10.0.{i}.1:7000" for i, (region, _) in enumerate(regions)}
-        at |= {f"r-{zone}": f"10.0.{len(regions) + i}.1:7000" for i, (_, zone) in enumerate(self.zones)}
-        home = {region: zones[0] for region, zones in regions}
-        relays = {zone: UpstreamServer(at[f"r-{zone}"], region, zone) for region, zone in self.zones}
+        self.nodes: list[str] = []
+        relays = self._add_servers()
+        self._add_nodes(nodes, relays)
+
+    def _add_servers(self) -> tuple[UpstreamServer, ...]:
+        """Add publishers and relays; return the relays."""
+        addresses = {f"p-{region}": f"10.0.{i}.1:7000" for i, (region, _) in enumerate(self.regions)}
+        addresses |= {
+            f"r-{zone}": f"10.0.{len(self.regions) + i}.1:7000" for i, (_, zone) in enumerate(self.zones)
+        }
+        first_zones = {region: zones[0] for region, zones in self.regions}
+        relays = {zone: UpstreamServer(addresses[f"r-{zone}"], region, zone) for region, zone in self.zones}
         publishers = {
-            region: UpstreamServer(at[f"p-{region}"], region, home[region]) for region, _ in regions
+            region: UpstreamServer(addresses[f"p-{region}"], region, zone)
+            for region, zone in first_zones.items()
         }
-        for region, _ in regions:
+        for region, zone in first_zones.items():
             others = tuple(server for name, server in publishers.items() if name != region)
-            self.world.add(f"p-{region}", "publisher", region, home[region], others)
+            self.world.add(f"p-{region}", "publisher", region, zone, others)
         for region, zone in self.zones:
-            above = [publishers[region]]
-            above += [
-                UpstreamServer(p.address, p.region, p.zone, 1) for r, p in publishers.items() if r != region
-            ]
-            above += [UpstreamServer(r.address, r.region, r.zone, 2) for z, r in relays.items() if z != zone]
-            self.world.add(f"r-{zone}", "relay", region, zone, tuple(above))
-        for name, address in at.items():
+            upstreams = [publishers[region]]
+            upstreams += [replace(server, tier=1) for name, server in publishers.items() if name != region]
+            upstreams += [replace(server, tier=2) for name, server in relays.items() if name != zone]
+            self.world.add(f"r-{zone}", "relay", region, zone, tuple(upstreams))
+        for name, address in addresses.items():
             assert self.world.specs[name].address == address
-        sizes = [1.0 / (k + 1) for k in range(SERVICES)]
-        self.nodes: list[str] = []
-        for i in range(nodes):
+        return tuple(relays.values())
+
+    def _add_nodes(self, count: int, relays: tuple[UpstreamServer, ...]) -> None:
+        weights = [1.0 / (rank + 1) for rank in range(SERVICES)]
+        for i in range(count):
             region, zone = self.zones[i % len(self.zones)]
-            service = f"s{self.rng.choices(range(SERVICES), sizes)[0]}"
+            service = f"s{self.rng.choices(range(SERVICES), weights)[0]}"
             name = f"n{i}"
-            self.world.add(name, "node", region, zone, tuple(relays.values()), service)
+            self.world.add(name, "node", region, zone, relays, service)
             self.nodes.append(name)
 
     def in_zone(self, zone: str) -> list[str]:
@@ -292,7 +303,7 @@
     """Return one run of a case, as docs/capacity/feed.json keeps it.  Raise FeedError for an unknown case."""
     if case not in CASES:
         raise FeedError(f"no case {case!r}; there are {', '.join(CASES)}")
-    run, conditions = CASES[case]
+    run_case, conditions = CASES[case]
     fleet = Fleet(nodes, seed, conditions, tuning)
     world = fleet.world
     fleet.publish("all")
@@ -305,17 +316,9 @@
     meter.start()
     began = world.engine.now
     gc.collect()
-    gc.freeze()  # nothing of the fleet goes before the run is over: it need not be looked through
-    run(fleet)
+    gc.freeze()  # nothing of the fleet is freed before the run is over
+    run_case(fleet)
     gc.unfreeze()
-    latencies_s = sorted(ms / 1000.0 for change in world.changes[first:] for ms in change.latency_ms.values())
-    counts: dict[str, int] = {}
-    for process in world.processes.values():
-        for core in (process.follower, process.distribution_server):
-            if core is not None:
-                for key, count in core.counts.items():
-                    counts[f"{process.spec.role} {key}"] = counts.get(f"{process.spec.role} {key}", 0) + count
-    node, relay, publisher = (meter.rates(role) for role in ("node", "relay", "publisher"))
     return {
         "case": case,
         "nodes": nodes,
@@ -323,6 +326,16 @@
         "source": "simulated",
         "command": f"crowpost lab feed {case} --nodes {nodes} --seed {seed}",
         "simulated_s": round((world.engine.now - began) / 1000.0, 1),
+        **_results(fleet, meter, first),
+    }
+
+
+def _results(fleet: Fleet, meter: Meter, first: int) -> dict[str, Any]:
+    """Return what a run showed of the changes from a first one on."""
+    world = fleet.world
+    latencies_s = sorted(ms / 1000.0 for change in world.changes[first:] for ms in change.latency_ms.values())
+    node, relay, publisher = (meter.rates(role) for role in ("node", "relay", "publisher"))
+    return {
         "changes": len(world.changes) - first,
         "taken": len(latencies_s),
         "in_force_s": {
@@ -339,11 +352,22 @@
         "unreached": sum(len(names) for names in world.unreached().values()),
         "faults": world.faults[:5],
         "converged": world.converged(),
-        "counts": dict(sorted(counts.items())),
+        "counts": _counts(world),
         "trace": world.trace()[:16],
     }
 
 
+def _counts(world: World) -> dict[str, int]:
+    """Return the counters of all processes, summed up by role."""
+    counts: Counter[str] = Counter()
+    for process in world.processes.values():
+        for core in (process.follower, process.distribution_server):
+            if core is not None:
+                for key, count in core.counts.items():
+                    counts[f"{process.spec.role} {key}"] += count
+    return dict(sorted(counts.items()))
+
+
 def read_record(path: Path) -> dict[str, Any]:
     """Return a record of runs.  Raise FeedError where the file is none."""
     try:
