--- a/tests/config_feed/fleet.py
+++ b/tests/config_feed/fleet.py
@@ -62,17 +62,17 @@
                         return found
                 await self._came.wait()
 
-    async def told(self, pattern: str, after: int = 0) -> re.Match[str]:
-        """A line of the log, of those after so many."""
+    async def wait_for_line(self, pattern: str, after: int = 0) -> re.Match[str]:
+        """Wait for a line of the log, after the first `after` lines."""
         try:
             return await asyncio.wait_for(self._find(pattern, after), PATIENCE_S)
         except TimeoutError:
             raise AssertionError(f"no line with {pattern}:\n{''.join(self.lines)}") from None
 
     async def event(self, kind: str, after: int = 0, **values: object) -> dict[str, Any]:
-        """An event of the feed with these values."""
+        """Wait for an event of the feed with these values."""
         applies_to_node = "".join(rf"(?=.*{re.escape(json.dumps({k: v})[1:-1])})" for k, v in values.items())
-        found = await self.told(rf'feed (\{{"event": "{kind}",{applies_to_node}.*\}})', after)
+        found = await self.wait_for_line(rf'feed (\{{"event": "{kind}",{applies_to_node}.*\}})', after)
         event: dict[str, Any] = json.loads(found[1])
         return event
 
@@ -86,7 +86,7 @@
         await self._reading
 
     async def end(self) -> None:
-        """In order, with exit code 0."""
+        """End the process in order, with exit code 0."""
         self.signal(signal.SIGTERM)
         assert await asyncio.wait_for(self.process.wait(), PATIENCE_S) == 0, "".join(self.lines)
 
@@ -96,36 +96,38 @@
 
     def __init__(self, path: Path, discovery: StubDiscovery, server: StubServer) -> None:
         self.path, self.discovery, self.server = path, discovery, server
-        self.at: dict[str, str] = {}  # addresses of publisher and relays
+        self.addresses: dict[str, str] = {}  # of publisher and relays
         self.processes: dict[str, Process] = {}
 
     def _toml(self, name: str, upstreams: list[str], **values: object) -> str:
         values = {"cluster": CLUSTER, "name": name, "region": "north", **values}
         text = "[feed]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items())
         text += 'publishers = {north = "p", south = "q"}\nhome = "north"\n'
-        text += "".join(f'[[feed.upstreams]]\naddress = "{self.at[up]}"\nzone = "{up}"\n' for up in upstreams)
+        text += "".join(
+            f'[[feed.upstreams]]\naddress = "{self.addresses[up]}"\nzone = "{up}"\n' for up in upstreams
+        )
         file = self.path / f"{name}.toml"
         file.write_text(text)
         return str(file)
 
-    async def distribution_server(self, name: str, upstreams: list[str]) -> Process:
-        """Start a publisher or relay, or start it again where it was."""
+    async def start_server(self, name: str, upstreams: list[str]) -> Process:
+        """Start a publisher or relay, or restart it at its address."""
         role = "publisher" if name == "p" else "relay"
         more = {"directory": str(self.path / "ledger")} if role == "publisher" else {}
         file = self._toml(
-            name, upstreams, role=role, zone=name, listen=self.at.get(name, f"{HOST}:0"), **more
+            name, upstreams, role=role, zone=name, listen=self.addresses.get(name, f"{HOST}:0"), **more
         )
         self.processes[name] = process = await Process.start("-m", "crowpost.feed", file)
-        self.at[name] = (await process.event("start"))["listens"]
+        self.addresses[name] = (await process.event("start"))["listens"]
         return process
 
-    async def node(self, name: str, zone: str = "r0") -> tuple[Process, tuple[str, int]]:
-        """Start a node, or start it again; and its clients' address."""
+    async def start_node(self, name: str, zone: str = "r0") -> tuple[Process, tuple[str, int]]:
+        """Start or restart a node; return it and the address for clients."""
         config = self.path / f"{name}.json"
         raw = {"seed": "1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}}
         known = listing(1, row("a", self.server.address))
         config.write_text(json.dumps({**raw, "known": known, "settings": settings(registryMode="pushed")}))
-        relays = [distribution_server for distribution_server in self.at if distribution_server != "p"]
+        relays = [distribution_server for distribution_server in self.addresses if distribution_server != "p"]
         folder = str(self.path / f"{name}-feed")
         environment = {
             "NODE_NAME": name,
@@ -135,19 +137,19 @@
             "NODE_FEED": self._toml(name, relays, zone=zone, service="cart", directory=folder),
         }
         self.processes[name] = process = await Process.start("-m", "crowpost", **environment)
-        found = await process.told(r"listens on ([\d.]+):(\d+)")
+        found = await process.wait_for_line(r"listens on ([\d.]+):(\d+)")
         return process, (found[1], int(found[2]))
 
     async def publish(self, body: object, scope: str = "all", **more: Any) -> Message:
         asked = PublishRequest(1, scope, json.dumps(body).encode(), "ann", "why not", **more)
-        return await request_reply(self.at["p"], asked, CLUSTER, PATIENCE_S)
+        return await request_reply(self.addresses["p"], asked, CLUSTER, PATIENCE_S)
 
     async def status(self, met: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """The first status that meets a condition: standings are on their way for a moment."""
+        """Wait for a status that meets a condition, as reports take a moment."""
         loop = asyncio.get_running_loop()
         end = loop.time() + PATIENCE_S
         while loop.time() < end:
-            found = summarize(await collect_statuses(list(self.at.values()), CLUSTER, PATIENCE_S))
+            found = summarize(await collect_statuses(list(self.addresses.values()), CLUSTER, PATIENCE_S))
             if met(found):
                 return found
             await asyncio.sleep(0.02)
@@ -160,11 +162,9 @@
     async with StubServer([reply("200 OK", b"old")]) as server, StubDiscovery() as discovery:
         world = Fleet(path, discovery, server)
         try:
-            await world.distribution_server("p", [])
-            await asyncio.gather(
-                world.distribution_server("r0", ["p"]), world.distribution_server("r1", ["p"])
-            )
-            started = await asyncio.gather(*(world.node(f"n{i}") for i in range(nodes)))
+            await world.start_server("p", [])
+            await asyncio.gather(world.start_server("r0", ["p"]), world.start_server("r1", ["p"]))
+            started = await asyncio.gather(*(world.start_node(f"n{i}") for i in range(nodes)))
             for process, _ in started:
                 for relay in ("r0", "r1"):
                     await process.event("linked", server=relay)
--- a/tests/config_feed/test_command.py
+++ b/tests/config_feed/test_command.py
@@ -35,13 +35,13 @@
             asked = [f"{HOST}:{server.sockets[0].getsockname()[1]}" for server in servers]
             loop = asyncio.get_running_loop()
             began = loop.time()
-            answers = await collect_statuses([*asked, *world.at.values()], CLUSTER, 0.5)
+            answers = await collect_statuses([*asked, *world.addresses.values()], CLUSTER, 0.5)
             assert loop.time() - began < 2.0 and STATUS_TIMEOUT_S <= 1.5
             assert sorted(answers.errors) == sorted(asked)
             assert answers.errors[asked[0]].endswith("no answer within 0.5 s")
             found = summarize(answers)
             assert sorted(found["answered"]) == ["p", "r0", "r1"] and found["heads"]["all"]["in_force"] == 1
-            at = ["--at", ",".join(world.at.values()), "--cluster", CLUSTER]
+            at = ["--at", ",".join(world.addresses.values()), "--cluster", CLUSTER]
             await commands(at, tmp_path)
             for server in servers:
                 server.close()
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -90,7 +90,7 @@
             await world.processes["p"].kill()
             with pytest.raises(FeedError):
                 await world.publish(connect(102.0))
-            await world.distribution_server("p", [])
+            await world.start_server("p", [])
             answer = await world.publish(connect(102.0), if_version=0)
             assert isinstance(answer, PublishRejected) and answer.why == "all is at version 1 and not at 0"
             assert version(await world.publish(connect(102.0), if_version=1)) == 2
@@ -106,7 +106,7 @@
             assert version(await world.publish({}, rollback=True)) == 5
             await in_force(processes, 5)
             found = await world.status(lambda f: f["heads"]["all"]["in_force"] == 2)
-            assert list(found["silent"]) == [world.at["r0"]] and not found["whole"]
+            assert list(found["silent"]) == [world.addresses["r0"]] and not found["whole"]
             assert found["heads"]["all"]["version"] == 5
 
     run(play())
@@ -127,13 +127,13 @@
                 world.processes[name].signal(signal.SIGSTOP)
             assert version(await world.publish(connect(105.0), "region/north")) == 3
             await asyncio.gather(*(p.kill() for p in world.processes.values()))
-            process, address = await world.node("n0")
+            process, address = await world.start_node("n0")
             await process.event("kept", scope="region/north", version=1)
             await moved.watch()
             caller = await Caller.connect(address)
             assert (await caller.ask("look")).body == b"old"
             for name in ("p", "r0", "r1"):
-                await world.distribution_server(name, [] if name == "p" else ["p"])
+                await world.start_server(name, [] if name == "p" else ["p"])
             await process.event("in force", scope="region/north", version=3)
             assert (await caller.ask("look")).status == 200
             caller.close()
@@ -156,7 +156,7 @@
             await in_force([started[0][0]], 3)
             await world.processes["p"].kill()
             (tmp_path / "ledger").rename(tmp_path / "lost")
-            publisher = await world.distribution_server("p", ["r0", "r1"])
+            publisher = await world.start_server("p", ["r0", "r1"])
             await publisher.event("set_back", scope="all", version=3, era=2)
             answer = await world.publish(connect(200.0), if_version=3)
             assert isinstance(answer, PublishAccepted) and (answer.header.epoch, answer.header.version) == (
@@ -165,7 +165,7 @@
             )
             await in_force([started[0][0]], 4)
             await publisher.kill()
-            publisher = await world.distribution_server("p", ["r0", "r1"])
+            publisher = await world.start_server("p", ["r0", "r1"])
             assert version(await world.publish({}, rollback=True)) == 5, "both are in the new directory"
 
     run(play())
