--- a/crowpost/cli/feed_simulation.py
+++ b/crowpost/cli/feed_simulation.py
@@ -1,8 +1,9 @@
-"""`crowpost lab feed`: how long a change of configuration takes through a simulated fleet, and its bytes."""
+"""`crowpost lab feed`: how long a change of configuration takes in a simulated fleet, and its bytes."""
 
 from __future__ import annotations
 
 import json
+from collections.abc import Iterable
 from pathlib import Path
 from typing import Annotated, Any
 
@@ -41,41 +42,73 @@
         raise FeedError(f"no case {unknown[0]!r}; there are {', '.join(CASES)}")
     runs: list[dict[str, Any]] = []
     for case in cases:
-        found = play(case, nodes, seed)
-        runs.append(found)
+        run = play(case, nodes, seed)
+        runs.append(run)
         if into is not None:
-            put_into(into, found)
+            put_into(into, run)
         if not as_json:
-            _show(found)
+            _show(run)
     if as_json:
         print(json.dumps({"schema": 1, "runs": runs}, sort_keys=True))
     if any(run["unreached"] or run["faults"] for run in runs):
         raise typer.Exit(1)
 
 
+COLUMNS = (
+    "case",
+    "nodes",
+    "seed",
+    "changes",
+    "p50 s",
+    "p99 s",
+    "worst s",
+    "unreached",
+    "node B/s",
+    "busiest 10 s",
+    "relay B/s",
+    "publisher B/s",
+)
+
+
 def _table(path: Path) -> str:
-    """The runs of a record, a row each; bytes are of the busiest process of a role."""
+    """Return the runs of a record as a table, a row each; bytes are of the busiest process of a role."""
     from crowpost.lab.feed.simulation import read_record
 
-    runs = read_record(path)["runs"]
-    heads = ["case", "nodes", "seed", "changes", "p50 s", "p99 s", "worst s", "unreached"]
-    heads += ["node B/s", "busiest 10 s", "relay B/s", "publisher B/s"]
-    lines = [f"| {' | '.join(heads)} |", "|---" * len(heads) + "|"]
-    for run in runs:
-        took = run["in_force_s"]
-        row = [run["case"], run["nodes"], run["seed"], run.get("changes", ""), took["p50"], took["p99"]]
-        row += [took["worst"], run["unreached"], run["node_bytes_per_s"]]
-        row += [run.get("node_bytes_per_s_busiest_10s", ""), run["relay_bytes_per_s"]]
-        lines.append("| " + " | ".join(str(cell) for cell in [*row, run["publisher_bytes_per_s"]]) + " |")
+    lines = [_row(COLUMNS), "|---" * len(COLUMNS) + "|"]
+    lines += [_row(_cells(run)) for run in read_record(path)["runs"]]
     return "\n".join(lines)
 
 
+def _row(cells: Iterable[object]) -> str:
+    return "| " + " | ".join(str(cell) for cell in cells) + " |"
+
+
+def _cells(run: dict[str, Any]) -> list[object]:
+    latency = run["in_force_s"]
+    return [
+        run["case"],
+        run["nodes"],
+        run["seed"],
+        run.get("changes", ""),
+        latency["p50"],
+        latency["p99"],
+        latency["worst"],
+        run["unreached"],
+        run["node_bytes_per_s"],
+        run.get("node_bytes_per_s_busiest_10s", ""),
+        run["relay_bytes_per_s"],
+        run["publisher_bytes_per_s"],
+    ]
+
+
 def _show(run: dict[str, Any]) -> None:
-    took = run["in_force_s"]
+    """Print a run for people."""
+    latency = run["in_force_s"]
     out = console()
     out.print(
         f"{run['case']}: {run['nodes']} nodes, seed {run['seed']}, changes {run['changes']}; in force after "
-        f"p50 {took['p50']} s, p99 {took['p99']} s, worst {took['worst']} s; unreached {run['unreached']}"
+        f"p50 {latency['p50']} s, p99 {latency['p99']} s, worst {latency['worst']} s; "
+        f"unreached {run['unreached']}"
     )
     bytes_per_s = {role: run[f"{role}_bytes_per_s"] for role in ("node", "relay", "publisher")}
     busiest = run.get("node_bytes_per_s_busiest_10s", "-")
--- a/tests/config_feed/harness.py
+++ b/tests/config_feed/harness.py
@@ -38,7 +38,7 @@
 
 
 class PlayedFollower:
-    """A follower of two servers, each word of which the test says itself."""
+    """A follower whose servers the test plays; it sends each of their messages itself."""
 
     def __init__(
         self, tuning: Tuning | None = None, subscription: Subscription | None = None, **more: object
@@ -109,7 +109,7 @@
         ]
 
     def give(self, server: str, document: Document) -> None:
-        """Told of by a server, and given by it."""
+        """Let a server offer a document and send its body."""
         self.say(server, DocumentHeaders((document.header,)))
         self.to(self.now + Tuning().prefer_nearest_ms + 1.0)
         self.say(server, BodyChunk(document.header.key, 0, document.body))
@@ -119,7 +119,7 @@
 
 
 class PlayedServer:
-    """A hub whose links the test plays."""
+    """A distribution server whose followers the test plays."""
 
     def __init__(self, tuning: Tuning | None = None, accepts_publishes: bool = False) -> None:
         self.now = 0.0
