--- a/crowpost/cli/feed_simulation.py
+++ b/crowpost/cli/feed_simulation.py
@@ -35,7 +35,8 @@
         print(_table(table))
         return
     from crowpost.config_feed.errors import FeedError
-    from crowpost.lab.feed.simulation import CASES, play, put_into
+    from crowpost.lab.feed.records import put_into
+    from crowpost.lab.feed.simulation import CASES, play
 
     cases = cases or ["calm"]
     if unknown := [case for case in cases if case not in CASES]:
@@ -72,7 +73,7 @@
 
 def _table(path: Path) -> str:
     """Return the runs of a record as a table, a row each; bytes are of the busiest process of a role."""
-    from crowpost.lab.feed.simulation import read_record
+    from crowpost.lab.feed.records import read_record
 
     lines = [_row(COLUMNS), "|---" * len(COLUMNS) + "|"]
     lines += [_row(_cells(run)) for run in read_record(path)["runs"]]
--- a/crowpost/lab/feed/network.py
+++ b/crowpost/lab/feed/network.py
@@ -107,7 +107,8 @@
     def _release(self, connection: Connection) -> None:
         if not self.is_connected(*connection.ends):
             return
-        delayed, connection.delayed = connection.delayed, []
+        delayed = connection.delayed
+        connection.delayed = []
         for end, data in delayed:
             self._arrive(connection, end, data)
 
--- a/crowpost/lab/feed/real_processes.py
+++ b/crowpost/lab/feed/real_processes.py
@@ -25,7 +25,7 @@
 
 from crowpost.config_feed.messages import PublishAccepted, PublishRequest, StatusRequest, StatusResponse
 from crowpost.config_feed.request_reply import request_reply
-from crowpost.lab.feed.simulation import put_into
+from crowpost.lab.feed.records import put_into
 
 HOST, CLUSTER = "127.0.0.1", "real"
 STARTS_AT_ONCE = 2
--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -7,12 +7,10 @@
 from __future__ import annotations
 
 import gc
-import json
 import random
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
-from pathlib import Path
 from typing import Any
 
 import numpy as np
@@ -21,7 +19,6 @@
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.config_feed.write_authority import WriteAuthority
-from crowpost.lab.feed.gossip_cost import cost
 from crowpost.lab.feed.network import NetworkConditions
 from crowpost.lab.feed.publishing import Publishing
 from crowpost.lab.feed.world import World
@@ -30,7 +27,6 @@
 SERVICES = 76
 BODY_BYTES = 2_000  # of a change
 WARM_UP_MS = 15_000.0
-GOSSIP_MEMBERS = (50, 200, 790, 1_580)  # for which the cost of gossip is computed
 WINDOW_S = 10  # of the busiest interval, shown beside the mean
 
 
@@ -143,7 +139,8 @@
 
     def rates(self, role: str) -> tuple[float, float, float]:
         """Return bytes a second of a role: mean, mean of the busiest process, and its busiest interval."""
-        means, most = [], 0.0
+        means: list[float] = []
+        most = 0.0
         for name, spec in self.fleet.world.specs.items():
             if spec.role == role:
                 seen = self.series[name]
@@ -368,33 +365,5 @@
     return dict(sorted(counts.items()))
 
 
-def read_record(path: Path) -> dict[str, Any]:
-    """Return a record of runs.  Raise FeedError where the file is none."""
-    try:
-        record: dict[str, Any] = json.loads(path.read_text())
-        for run in record["runs"]:
-            _key(run)
-    except (OSError, ValueError, KeyError, TypeError) as error:
-        raise FeedError(f"{path}: no record of runs: {error!r}") from None
-    return record
-
-
-def put_into(path: Path, run: dict[str, Any]) -> None:
-    """Put a run into a record, in place of one of the same case, size, seed and source.
-
-    Raise FeedError where the file exists and is no record.
-    """
-    record = read_record(path) if path.exists() else {"schema": 1, "runs": []}
-    runs = [old for old in record.pop("runs") if _key(old) != _key(run)]
-    lines = ",\n".join(json.dumps(one, sort_keys=True) for one in sorted([*runs, run], key=_key))
-    record["gossip"] = [cost(members) for members in GOSSIP_MEMBERS]
-    start = json.dumps(record, sort_keys=True)[:-1]
-    path.write_text(f'{start}, "runs": [\n{lines}\n]}}\n')
-
-
-def _key(run: dict[str, Any]) -> tuple[str, str, int, int]:
-    return str(run["source"]), str(run["case"]), int(run["nodes"]), int(run["seed"])
-
-
 def _figure(seconds: list[float], percent: int) -> float | None:
     return round(float(np.percentile(seconds, percent)), 3) if seconds else None
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -13,17 +13,15 @@
 from functools import partial
 
 from crowpost.config_feed.distribution_server import DistributionServer
-from crowpost.config_feed.document_table import DocumentTable
 from crowpost.config_feed.documents import Document, DocumentHeader
 from crowpost.config_feed.follower import Follower
-from crowpost.config_feed.identity import PUBLISHER_ROLE, ProcessIdentity
 from crowpost.config_feed.scopes import Subscription
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.lab.engine import Engine
 from crowpost.lab.feed.convergence import have_converged
 from crowpost.lab.feed.network import Connection, ConnectionEnd, Network, NetworkConditions
-from crowpost.lab.feed.process import Change, Process, ProcessSpec, Side
+from crowpost.lab.feed.process import Change, Process, ProcessSpec, Side, new_instance
 
 CLUSTER = "world"
 MAX_IMMEDIATE_TICKS = 1_000  # in a row, before a core counts as looping
@@ -38,18 +36,20 @@
     def __init__(
         self, seed: int, conditions: NetworkConditions | None = None, tuning: Tuning | None = None
     ) -> None:
-        self.engine, self.rng = Engine(), random.Random(seed)
-        self.conditions, self.tuning = conditions or NetworkConditions(), tuning or Tuning()
+        self.engine = Engine()
+        self.rng = random.Random(seed)
+        self.conditions = conditions or NetworkConditions()
+        self.tuning = tuning or Tuning()
         self.network = Network(self.engine, random.Random(self.rng.getrandbits(64)), self.conditions)
         self.specs: dict[str, ProcessSpec] = {}
         self.processes: dict[str, Process] = {}
         self.by_address: dict[str, Process] = {}
         self.changes: list[Change] = []
-        self._open: dict[str, dict[Change, None]] = {}
+        self._open: dict[str, dict[Change, None]] = {}  # by scope, those not applied by all
         self.faults: list[str] = []  # invariants that were broken
         self.rejection_of: Callable[[str, Document], str] | None = None  # by name and document
         self._trace = hashlib.sha256()
-        self.history: dict[str, list[Document]] = {}  # what each node took, in order
+        self.history: dict[str, list[Document]] = {}  # what each node applied, in order
         self.on_killed: Callable[[str], None] | None = None
 
     def note(self, *values: object) -> None:
@@ -78,32 +78,9 @@
 
     def _start_instance(self, spec: ProcessSpec) -> Process:
         rng = random.Random(self.rng.getrandbits(64))
-        offset = rng.uniform(0.0, 1e6)
-        now, instance_id = self.engine.now + offset, rng.getrandbits(32)
-        all_scopes = spec.role != "node"
-        table, distribution_server = DocumentTable(self.tuning), None
-        subscription = Subscription(spec.region, spec.service, "" if all_scopes else spec.name, all_scopes)
-        identity = ProcessIdentity(CLUSTER, spec.name, spec.role, spec.region, spec.zone, instance_id)
-        follower = Follower(
-            identity,
-            spec.servers,
-            subscription,
-            rng=rng,
-            now=now,
-            tuning=self.tuning,
-            table=table,
-            cached_documents=list(spec.disk.values()),
-        )
-        if all_scopes:
-            distribution_server = DistributionServer(
-                identity,
-                table,
-                accepts_publishes=spec.role == PUBLISHER_ROLE,
-                now=now,
-                tuning=self.tuning,
-            )
-        process = Process(spec, follower, distribution_server, offset)
-        self.processes[spec.name] = self.by_address[spec.address] = process
+        process = new_instance(CLUSTER, spec, rng, self.engine.now, self.tuning)
+        self.processes[spec.name] = process
+        self.by_address[spec.address] = process
         self.network.unreachable.pop(spec.name, None)
         self.note("live", spec.name)
         self.after(process)
@@ -128,7 +105,8 @@
     def restart(self, name: str) -> Process:
         """Start a new instance with the old one's disk; it is to apply all documents that are still valid."""
         self.kill(name)
-        spec, now = self.specs[name], self.engine.now
+        spec = self.specs[name]
+        now = self.engine.now
         process = self._start_instance(spec)
         latest = {change.header.scope: change for change in self.changes}
         for scope, change in latest.items():
@@ -150,7 +128,8 @@
 
     def _resume(self, process: Process) -> None:
         process.suspended = False
-        waiting, process.inbox = process.inbox, []
+        waiting = process.inbox
+        process.inbox = []
         # Which comes first, the timer or the socket, is the operating system's choice.
         if self.rng.random() < 0.5:
             self._tick(process)
@@ -196,7 +175,8 @@
         self.after(process)
 
     def _tick(self, process: Process) -> None:
-        process.timer, process.timer_at = None, float("inf")
+        process.timer = None
+        process.timer_at = float("inf")
         if not process.up or process.suspended:
             return
         now = self.engine.now + process.offset
@@ -334,7 +314,8 @@
     # ------------------------------------------------------------ documents
 
     def _apply(self, process: Process, document: Document) -> None:
-        follower, header = process.follower, document.header
+        follower = process.follower
+        header = document.header
         assert follower is not None
         taken = self.history.setdefault(process.name, [])
         before = process.spec.disk.get(header.scope)
--- a/tests/config_feed/test_simulation.py
+++ b/tests/config_feed/test_simulation.py
@@ -18,7 +18,8 @@
 from crowpost.config_feed.tuning import Tuning
 from crowpost.lab.feed.network import NetworkConditions
 from crowpost.lab.feed.publishing import STEPS
-from crowpost.lab.feed.simulation import CASES, Fleet, play, put_into
+from crowpost.lab.feed.records import put_into
+from crowpost.lab.feed.simulation import CASES, Fleet, play
 
 RATE, SAVED = Tuning().bytes_per_s, Tuning().burst_bytes
 
