--- a/crowpost/cli/state.py
+++ b/crowpost/cli/state.py
@@ -72,7 +72,7 @@
     return [
         {
             "server": name.decode(errors="replace"),
-            "share": round(dated.endpoint.ratio, 3),
+            "share": round(dated.endpoint.share_ratio, 3),
             "average_ms": dated.endpoint.average_ms,
             "ejected": dated.endpoint.ejected,
             "started_ms": dated.endpoint.started_ms,
--- a/crowpost/lab/restored_state.py
+++ b/crowpost/lab/restored_state.py
@@ -63,21 +63,21 @@
         return event
 
     def _mixed_up(self, event: StateRestored) -> StateRestored:
-        others = list(event.servers)
+        others = list(event.endpoints)
         self._rng.shuffle(others)
         endpoints = tuple(
             replace(
                 endpoint,
-                ratio=other.ratio,
+                share_ratio=other.share_ratio,
                 average_ms=other.average_ms,
                 ejected=self._rng.random() < WRONG_EJECTION_PROBABILITY,
             )
-            for endpoint, other in zip(event.servers, others, strict=True)
+            for endpoint, other in zip(event.endpoints, others, strict=True)
         )
         limit = event.limit_each * self._rng.choice(WRONG_LIMIT_FACTORS)
         return StateRestored(endpoints, limit, event.limit_age_ms)
 
 
 def _aged(event: StateRestored) -> StateRestored:
-    endpoints = tuple(replace(endpoint, age_ms=endpoint.age_ms + HOUR_MS) for endpoint in event.servers)
+    endpoints = tuple(replace(endpoint, age_ms=endpoint.age_ms + HOUR_MS) for endpoint in event.endpoints)
     return StateRestored(endpoints, event.limit_each, event.limit_age_ms + HOUR_MS)
--- a/crowpost/simulator/decoding.py
+++ b/crowpost/simulator/decoding.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: frames, records and settings, turned into the module's own types and back.
+"""Read frames, records and settings of the simulator's wire as the decision module's own types.
 
 No decision is taken here.  Layouts follow the operators' wire description.
 """
@@ -6,8 +6,9 @@
 from __future__ import annotations
 
 import struct
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from enum import IntEnum, IntFlag
 
 from crowpost.decision_api import (
     AttemptEnded,
@@ -27,24 +28,22 @@
     TimerFired,
     read_settings,
 )
+from crowpost.simulator.framing import RECORD_HEADER, WireError
 
-BATCH_HEADER = struct.Struct("<IdI")
-_RECORD = struct.Struct("<BI")
 _NODE = struct.Struct("<I")
-_ENTRY = struct.Struct("<fH6sBHBd")
-_ENLIST = struct.Struct("<IQI")
+_START = struct.Struct("<IQI")
 _TABLE = struct.Struct("<II")
-_SYNC = struct.Struct("<IIIB")
-_ARRIVAL = struct.Struct("<IIHHQddH")
-_FIRST = struct.Struct("<IIHd6s")
-_SETTLED = struct.Struct("<IIH6sHdBB")
-_GONE = struct.Struct("<II")
-_FIRED = struct.Struct("<IQ")
-_PING = struct.Struct("<I6sHdB")
-_DATAGRAM = struct.Struct("<IHH")
-
-_HINT_VALID, _REPEAT, _WRITE = 1, 2, 4
-_TABLES = 16
+_TABLE_ROW = struct.Struct("<fH6sBHBd")
+_ENDPOINT_LIST = struct.Struct("<IIIB")
+_REQUEST_ARRIVED = struct.Struct("<IIHHQddH")
+_RESPONSE_STARTED = struct.Struct("<IIHd6s")
+_ATTEMPT_ENDED = struct.Struct("<IIH6sHdBB")
+_REQUEST_ABANDONED = struct.Struct("<II")
+_TIMER_FIRED = struct.Struct("<IQ")
+_HEALTH_CHECK_ENDED = struct.Struct("<I6sHdB")
+_PEER_MESSAGE = struct.Struct("<IHH")
+
+_MAX_TABLES = 16
 
 _OUTCOMES = {
     200: Outcome.OK,
@@ -58,8 +57,28 @@
 }
 
 
-class WireError(Exception):
-    """A frame or a setting that cannot be read; its text names what is wrong."""
+class RecordCode(IntEnum):
+    """The kinds of records that a batch holds."""
+
+    START = 1
+    ENDPOINT_LIST = 2
+    REQUEST_ARRIVED = 3
+    RESPONSE_STARTED = 4
+    ATTEMPT_ENDED = 5
+    REQUEST_ABANDONED = 6
+    TIMER_FIRED = 7
+    HEALTH_CHECK_ENDED = 8
+    PEER_MESSAGE = 9
+    STOP = 10
+    TABLE = 11
+
+
+class RequestFlag(IntFlag):
+    """Marks of a request that arrives."""
+
+    HAS_COST_HINT = 1
+    IS_REPEAT = 2
+    IS_WRITE = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,14 +94,11 @@
     """An instance was killed."""
 
 
-Record = tuple[int, Event | Start | Stop]
-
-
-# ---------------------------------------------------------------- settings
+Record = tuple[int, Event | Start | Stop]  # the instance's number, and what happened to it
 
 
 def parse_settings(text: str) -> Settings:
-    """Settings from the wire's path=value lines."""
+    """Return the settings that the wire's path=value lines hold; raise WireError where they do not."""
     values: dict[str, str] = {}
     for line in text.splitlines():
         path, found, value = line.partition("=")
@@ -91,30 +107,7 @@
     try:
         return read_settings(values)
     except SettingsError as error:
-        raise WireError(str(error)) from None
-
-
-# ---------------------------------------------------------------- events
-
-
-def _floats(body: bytes, at: int, count: int) -> tuple[float, ...]:
-    if not count:
-        return ()
-    values: tuple[float, ...] = struct.unpack_from(f"<{count}f", body, at)
-    return values
-
-
-def _entries(body: bytes) -> tuple[EndpointEntry, ...]:
-    count = _TABLE.unpack_from(body)[1]
-    if len(body) < _TABLE.size + count * _ENTRY.size:
-        raise WireError("a table is shorter than its number of entries")
-    rows = []
-    for i in range(count):
-        hint, kind, server, zone, cell, readiness, started = _ENTRY.unpack_from(
-            body, _TABLE.size + i * _ENTRY.size
-        )
-        rows.append(EndpointEntry(server, Readiness(readiness), hint, kind, zone, cell, started))
-    return tuple(rows)
+        raise WireError(str(error)) from error
 
 
 class Decoder:
@@ -122,74 +115,142 @@
 
     def __init__(self) -> None:
         self._tables: dict[int, tuple[EndpointEntry, ...]] = {}
-        self._settings: dict[bytes, Settings] = {}
+        self._readers: dict[int, Callable[[bytes], Record]] = {
+            RecordCode.ATTEMPT_ENDED: _read_attempt_ended,
+            RecordCode.REQUEST_ARRIVED: _read_request_arrived,
+            RecordCode.TIMER_FIRED: _read_timer_fired,
+            RecordCode.ENDPOINT_LIST: self._read_endpoint_list,
+            RecordCode.REQUEST_ABANDONED: _read_request_abandoned,
+            RecordCode.HEALTH_CHECK_ENDED: _read_health_check_ended,
+            RecordCode.RESPONSE_STARTED: _read_response_started,
+            RecordCode.PEER_MESSAGE: _read_peer_message,
+            RecordCode.STOP: _read_stop,
+            RecordCode.START: _read_start,
+        }
 
     def records(self, body: bytes, count: int) -> Iterator[Record]:
-        """The records of one batch, one at a time, so that a reused table number is read in order."""
+        """Yield the records of one batch, one at a time, so that a reused table number is read in order."""
         at = 0
         for _ in range(count):
-            if at + _RECORD.size > len(body):
+            if at + RECORD_HEADER.size > len(body):
                 raise WireError("a batch ends before its last record")
-            code, length = _RECORD.unpack_from(body, at)
-            at += _RECORD.size
+            code, length = RECORD_HEADER.unpack_from(body, at)
+            at += RECORD_HEADER.size
             if at + length > len(body):
                 raise WireError(f"record {code} is cut short")
             fields = body[at : at + length]
             at += length
             try:
-                record = self._record(code, fields)
-            except (struct.error, ValueError, KeyError, UnicodeDecodeError) as error:
+                record = self._read(code, fields)
+            except (struct.error, ValueError, KeyError) as error:
                 raise WireError(f"record {code} cannot be read: {error}") from error
             if record is not None:
                 yield record
         if at != len(body):
             raise WireError("a batch holds more bytes than its records")
 
-    def _record(self, code: int, body: bytes) -> Record | None:
-        if code == 5:
-            node, request, attempt, server, how, elapsed, done, n = _SETTLED.unpack_from(body)
-            load = _floats(body, _SETTLED.size, n)
-            return node, AttemptEnded(request, attempt, server, _OUTCOMES[how], elapsed, bool(done), load)
-        if code == 3:
-            node, request, service, tenant, key, budget, cost, marks = _ARRIVAL.unpack_from(body)
-            hint = cost if marks & _HINT_VALID else None
-            return node, RequestArrived(
-                request, service, budget, tenant, key, hint, bool(marks & _REPEAT), bool(marks & _WRITE)
-            )
-        if code == 7:
-            node, token = _FIRED.unpack_from(body)
-            return node, TimerFired(token)
-        if code == 2:
-            node, version, number, mode = _SYNC.unpack_from(body)
-            kind = ListKind(mode)
-            entries = () if kind is ListKind.FAILED else self._tables[number]
-            return node, EndpointList(kind, entries, version)
-        if code == 11:
-            number = _TABLE.unpack_from(body)[0]
-            if number >= _TABLES:
-                raise WireError(f"table number {number} is out of range")
-            self._tables[number] = _entries(body)
+    def _read(self, code: int, body: bytes) -> Record | None:
+        """Return a record; None for a table, which is kept."""
+        if code == RecordCode.TABLE:
+            self._read_table(body)
             return None
-        if code == 6:
-            node, request = _GONE.unpack_from(body)
-            return node, RequestAbandoned(request)
-        if code == 8:
-            node, server, how, elapsed, n = _PING.unpack_from(body)
-            return node, HealthCheckEnded(server, _OUTCOMES[how], elapsed, _floats(body, _PING.size, n))
-        if code == 4:
-            node, request, attempt, elapsed, server = _FIRST.unpack_from(body)
-            return node, ResponseStarted(request, attempt, server, elapsed)
-        if code == 9:
-            node, sender, n = _DATAGRAM.unpack_from(body)
-            if len(body) < _DATAGRAM.size + n:
-                raise WireError("a message is cut short")
-            return node, PeerMessage(sender, body[_DATAGRAM.size : _DATAGRAM.size + n])
-        if code == 10:
-            return _NODE.unpack_from(body)[0], Stop()
-        if code == 1:
-            node, seed, n = _ENLIST.unpack_from(body)
-            raw = body[_ENLIST.size : _ENLIST.size + n]
-            if len(raw) < n:
-                raise WireError("settings are cut short")
-            return node, Start(seed, parse_settings(raw.decode()))
-        raise WireError(f"record code {code} is unknown")
+        reader = self._readers.get(code)
+        if reader is None:
+            raise WireError(f"record code {code} is unknown")
+        return reader(body)
+
+    def _read_table(self, body: bytes) -> None:
+        number = _TABLE.unpack_from(body)[0]
+        if number >= _MAX_TABLES:
+            raise WireError(f"table number {number} is out of range")
+        self._tables[number] = _read_entries(body)
+
+    def _read_endpoint_list(self, body: bytes) -> Record:
+        node, version, table, kind_code = _ENDPOINT_LIST.unpack_from(body)
+        kind = ListKind(kind_code)
+        entries = () if kind is ListKind.FAILED else self._tables[table]
+        return node, EndpointList(kind, entries, version)
+
+
+# ---------------------------------------------------------------- single records
+
+
+def _read_floats(body: bytes, at: int, count: int) -> tuple[float, ...]:
+    if not count:
+        return ()
+    values: tuple[float, ...] = struct.unpack_from(f"<{count}f", body, at)
+    return values
+
+
+def _read_entries(body: bytes) -> tuple[EndpointEntry, ...]:
+    count = _TABLE.unpack_from(body)[1]
+    if len(body) < _TABLE.size + count * _TABLE_ROW.size:
+        raise WireError("a table is shorter than its number of entries")
+    entries = []
+    for row in range(count):
+        at = _TABLE.size + row * _TABLE_ROW.size
+        hint, kind, endpoint, zone, cell, readiness, started = _TABLE_ROW.unpack_from(body, at)
+        entries.append(EndpointEntry(endpoint, Readiness(readiness), hint, kind, zone, cell, started))
+    return tuple(entries)
+
+
+def _read_attempt_ended(body: bytes) -> Record:
+    node, request, attempt, endpoint, outcome, elapsed, finished, columns = _ATTEMPT_ENDED.unpack_from(body)
+    load = _read_floats(body, _ATTEMPT_ENDED.size, columns)
+    ended = AttemptEnded(request, attempt, endpoint, _OUTCOMES[outcome], elapsed, bool(finished), load)
+    return node, ended
+
+
+def _read_request_arrived(body: bytes) -> Record:
+    node, request, class_index, tenant, key, budget, cost, flags = _REQUEST_ARRIVED.unpack_from(body)
+    arrived = RequestArrived(
+        request,
+        class_index,
+        budget,
+        tenant,
+        key,
+        cost_hint_ms=cost if flags & RequestFlag.HAS_COST_HINT else None,
+        is_repeat=bool(flags & RequestFlag.IS_REPEAT),
+        is_write=bool(flags & RequestFlag.IS_WRITE),
+    )
+    return node, arrived
+
+
+def _read_timer_fired(body: bytes) -> Record:
+    node, token = _TIMER_FIRED.unpack_from(body)
+    return node, TimerFired(token)
+
+
+def _read_request_abandoned(body: bytes) -> Record:
+    node, request = _REQUEST_ABANDONED.unpack_from(body)
+    return node, RequestAbandoned(request)
+
+
+def _read_health_check_ended(body: bytes) -> Record:
+    node, endpoint, outcome, elapsed, columns = _HEALTH_CHECK_ENDED.unpack_from(body)
+    load = _read_floats(body, _HEALTH_CHECK_ENDED.size, columns)
+    return node, HealthCheckEnded(endpoint, _OUTCOMES[outcome], elapsed, load)
+
+
+def _read_response_started(body: bytes) -> Record:
+    node, request, attempt, elapsed, endpoint = _RESPONSE_STARTED.unpack_from(body)
+    return node, ResponseStarted(request, attempt, endpoint, elapsed)
+
+
+def _read_peer_message(body: bytes) -> Record:
+    node, sender, length = _PEER_MESSAGE.unpack_from(body)
+    if len(body) < _PEER_MESSAGE.size + length:
+        raise WireError("a message is cut short")
+    return node, PeerMessage(sender, body[_PEER_MESSAGE.size : _PEER_MESSAGE.size + length])
+
+
+def _read_stop(body: bytes) -> Record:
+    return _NODE.unpack_from(body)[0], Stop()
+
+
+def _read_start(body: bytes) -> Record:
+    node, seed, length = _START.unpack_from(body)
+    text = body[_START.size : _START.size + length]
+    if len(text) < length:
+        raise WireError("settings are cut short")
+    return node, Start(seed, parse_settings(text.decode()))
--- a/tests/config_feed/fleet.py
+++ b/tests/config_feed/fleet.py
@@ -16,16 +16,7 @@
 from crowpost.cli.feed_status import collect_statuses, summarize
 from crowpost.config_feed.messages import Message, PublishAccepted, PublishRequest
 from crowpost.config_feed.request_reply import request_reply
-from tests.stubs import (
-    HOST,
-    PATIENCE_S,
-    StubDiscovery,
-    StubServer,
-    listing,
-    reply,
-    row,
-    settings,
-)
+from tests.node.stubs import HOST, PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, settings
 
 CLUSTER = "c"
 
--- a/tests/config_feed/test_publication_log.py
+++ b/tests/config_feed/test_publication_log.py
@@ -17,8 +17,8 @@
 from crowpost.config_feed.publication_log import PublicationLog
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.write_authority import WriteAuthority
-from crowpost.lab.crash_consistency.checker import do_jobs
 from crowpost.lab.crash_consistency.simulated_disk import SimulatedDisk
+from crowpost.lab.crash_consistency.workload import run_jobs
 from crowpost.node.configuration_overlays import make_check
 from crowpost.storage.core import Store
 from crowpost.storage.model import Durability, RecoveredState
@@ -284,7 +284,7 @@
                         self.acknowledged[document.header.scope] = document
                         self.table.put(document)
 
-            yield from do_jobs(disk, store, kept)
+            yield from run_jobs(disk, store, kept)
 
     def check(self, disk: SimulatedDisk) -> None:
         """What a new process finds: all that was acknowledged, nothing half, and no version free again."""
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -16,8 +16,8 @@
 import pytest
 
 from crowpost.decision_api import EndpointEntry, RequestClass, Settings
-from tests.fleet import Fleet, SimServer, heaviest
-from tests.stubs import (
+from tests.decisions.fleet import Fleet, SimServer, heaviest
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Caller,
--- a/tests/node/state/test_records.py
+++ b/tests/node/state/test_records.py
@@ -88,7 +88,9 @@
     state.apply(LearnedLimit(50_000.0, 9.0))
     state.apply(Evacuation(True))
     event = state.restored_event(30_000.0)  # the clock has gone back by twenty seconds
-    assert [(m.server, m.age_ms) for m in event.servers] == [(b"\x01", 10_000.0)] and event.limit_each == 0.0
+    assert [(m.server, m.age_ms) for m in event.endpoints] == [
+        (b"\x01", 10_000.0)
+    ] and event.limit_each == 0.0
     assert state.evacuated
 
 
