--- a/crowpost/decision_api/settings_reader.py
+++ b/crowpost/decision_api/settings_reader.py
@@ -8,7 +8,14 @@
 from collections.abc import Mapping
 
 from crowpost.decision_api.errors import SettingsError
-from crowpost.decision_api.settings import Effect, IdempotencyScope, RequestClass, Settings, Tenant
+from crowpost.decision_api.settings import (
+    MIN_DURATION_MS,
+    Effect,
+    IdempotencyScope,
+    RequestClass,
+    Settings,
+    Tenant,
+)
 
 
 class _SettingsTable:
@@ -18,12 +25,14 @@
         self.values = values
 
     def text(self, key: str, default: str | None = None) -> str:
+        """Return the text of a key; raise SettingsError where it is missing without a default."""
         value = self.values.get(key, default)
         if value is None:
             raise SettingsError(key, "is missing")
         return value
 
     def number(self, key: str, default: float | None = None, low: float = 0.0) -> float:
+        """Return a finite number of at least `low`."""
         raw = self.values.get(key, "")
         if raw == "":
             if default is None:
@@ -38,12 +47,14 @@
         return value
 
     def integer(self, key: str, default: int | None = None, low: int = 0) -> int:
+        """Return a whole number of at least `low`."""
         value = self.number(key, default, low)
         if value != int(value):
             raise SettingsError(key, f"is not a whole number: {value}")
         return int(value)
 
     def flag(self, key: str, default: bool) -> bool:
+        """Return whether a key is true."""
         raw = self.values.get(key, "")
         if raw == "":
             return default
@@ -52,6 +63,7 @@
         return raw == "true"
 
     def names(self, key: str) -> tuple[str, ...]:
+        """Return the names of a key that holds them with commas between."""
         raw = self.values.get(key, "")
         return tuple(raw.split(",")) if raw else ()
 
@@ -77,8 +89,8 @@
     keyed = effect is Effect.KEYED
     return RequestClass(
         name=table.text(f"{path}.name", ""),
-        latency_objective_ms=table.number(f"{path}.aimMs", low=1e-6),
-        deadline_ms=table.number(f"{path}.deadlineMs", low=1e-6),
+        latency_objective_ms=table.number(f"{path}.aimMs", low=MIN_DURATION_MS),
+        deadline_ms=table.number(f"{path}.deadlineMs", low=MIN_DURATION_MS),
         priority_weight=table.number(f"{path}.worth", 1.0),
         late_value_fraction=table.number(f"{path}.lateShare", 0.0),
         effect=effect,
@@ -89,6 +101,14 @@
     )
 
 
+def _tenant(table: _SettingsTable, path: str) -> Tenant:
+    return Tenant(
+        name=table.text(f"{path}.name", ""),
+        fraction=table.number(f"{path}.fraction"),
+        quota_per_s=table.number(f"{path}.quotaPerS", 0.0),
+    )
+
+
 def read_settings(values: Mapping[str, str]) -> Settings:
     """Return the settings of pairs of path and value; raise SettingsError, with the key, where one is wrong.
 
@@ -99,17 +119,9 @@
     if count < 1:
         raise SettingsError("profiles.count", "must be at least 1")
     classes = tuple(_request_class(table, f"profiles.{i}") for i in range(count))
-    tenants = tuple(
-        Tenant(
-            name=table.text(f"tenants.{i}.name", ""),
-            fraction=table.number(f"tenants.{i}.fraction"),
-            quota_per_s=table.number(f"tenants.{i}.quotaPerS", 0.0),
-        )
-        for i in range(table.integer("tenants.count", 0))
-    )
     return Settings(
         classes=classes,
-        tenants=tenants,
+        tenants=tuple(_tenant(table, f"tenants.{i}") for i in range(table.integer("tenants.count", 0))),
         node_count=table.integer("balancers", 1, 1),
         node_index=table.integer("ordinal", 0),
         tier=table.integer("stage", 0),
