--- a/crowpost/decisions/concurrency_limiter.py
+++ b/crowpost/decisions/concurrency_limiter.py
@@ -116,7 +116,8 @@
             self._decrease(least)
         elif in_flight + 1 >= MIN_USED_FRACTION * self.limit and load.is_baseline_known():
             self._increase(least)
-        self._log_change()
+        if (load.load_ratio > 1.0) is not self._is_shedding:
+            self._log_change()
 
     def _decrease(self, least: float) -> None:
         load = self.load
@@ -142,13 +143,10 @@
 
     def _log_change(self) -> None:
         load = self.load
-        is_shedding = load.load_ratio > 1.0
-        if is_shedding == self._is_shedding:
-            return
-        self._is_shedding = is_shedding
+        self._is_shedding = not self._is_shedding
         # The words of this line are part of recorded runs.
         text = (
-            f"admission limit {'on' if is_shedding else 'off'}: {self.limit:.1f} calls"
+            f"admission limit {'on' if self._is_shedding else 'off'}: {self.limit:.1f} calls"
             f", strain {load.load_ratio:.2f}, mean latency {load.mean_latency:.0f} ms"
             f", calmest {load.baseline_latency:.0f} ms"
         )
--- a/crowpost/decisions/dispatch.py
+++ b/crowpost/decisions/dispatch.py
@@ -43,15 +43,16 @@
 
     def drain_queue(self) -> None:
         """Place what is queued, the greatest priority weight first."""
-        queue = self._queue
+        entries = self._queue.entries
         position = 0
-        while position < len(queue) and position < MAX_UNPLACED:
-            request = queue[position]
+        while position < len(entries) and position < MAX_UNPLACED:
+            request = entries[position][2]
             if not self._limiter.admits(len(self._table.waiting), request.limit_fraction):
                 break  # and none of less weight by the luck of its fraction
             if not self.place(request, last_resort=False):
                 position += 1
-        queue.plan_recheck()
+        if entries:
+            self._queue.plan_recheck()
 
     def expire(self, request: Request) -> None:
         """Give a request that has waited its time a last attempt anywhere the rules allow, or an answer."""
--- a/crowpost/decisions/endpoint_selection.py
+++ b/crowpost/decisions/endpoint_selection.py
@@ -179,12 +179,13 @@
 
     def _is_allowed(self, request: Request, endpoint: Endpoint) -> bool:
         """Return whether rules 3 and 4 allow an attempt; rule 2 is the request's own."""
-        endpoints = self._endpoints
-        if not endpoint.listed or not endpoints.is_warming_up(endpoint):
+        slow_start = self._endpoints.slow_start
+        now = self._context.now
+        if not endpoint.listed or not slow_start.is_warming_up(endpoint, now):
             return endpoint.listed
         if self._warm_rate is None:
-            self._warm_rate = endpoints.rate_of_warm_endpoint()
-        return endpoints.slow_start.permits(endpoint, request.units, self._warm_rate, self._context.now)
+            self._warm_rate = self._endpoints.rate_of_warm_endpoint()
+        return slow_start.permits(endpoint, request.units, self._warm_rate, now)
 
     def _is_fit(self, request: Request, endpoint: Endpoint) -> bool:
         """Return whether it is healthy, not paused, and within what it should hold."""
--- a/crowpost/decisions/load_estimation.py
+++ b/crowpost/decisions/load_estimation.py
@@ -31,6 +31,8 @@
     def __init__(self, context: Context, send_rate: Rate) -> None:
         self._context = context
         self._send_rate = send_rate
+        settings = context.settings
+        self._tier_target = TARGET_RATIO * (settings.tiers - settings.tier) / settings.tiers
         self.load_ratio = 0.0  # of latencies against their target: above 1 is overload
         self.baseline_latency = math.inf
         self.mean_latency = 0.0  # over the span that load is averaged on
@@ -92,12 +94,8 @@
         factor = BASELINE_FACTOR + sparse * (BASELINE_FACTOR_SPARSE - BASELINE_FACTOR)
         max_latency = factor * self.baseline_latency
         by_baseline = self.mean_latency / max_latency if max_latency > 0 else 0.0
-        self.load_ratio = max(self._latency_ratio / self._target_ratio(), by_baseline)
-
-    def _target_ratio(self) -> float:
-        settings = self._context.settings
-        target = TARGET_RATIO * (settings.tiers - settings.tier) / settings.tiers
+        target = self._tier_target
         if self.baseline_latency < math.inf:
             # Where even the least latencies are near the target, holding to it would shed without end.
             target = max(target, TARGET_FACTOR * self._baseline_latency_ratio)
-        return target
+        self.load_ratio = max(self._latency_ratio / target, by_baseline)
--- a/crowpost/decisions/request_queue.py
+++ b/crowpost/decisions/request_queue.py
@@ -20,38 +20,34 @@
     def __init__(self, context: Context) -> None:
         self._context = context
         self._recheck_at = math.inf
-        self._entries: list[tuple[float, int, Request]] = []
+        # Negative priority weight, sequence and request: in the order in which they are to be placed.
+        self.entries: list[tuple[float, int, Request]] = []
 
     def __len__(self) -> int:
-        return len(self._entries)
-
-    def __getitem__(self, position: int) -> Request:
-        return self._entries[position][2]
+        return len(self.entries)
 
     def push(self, request: Request, max_wait_ms: float) -> None:
         """Queue a request for so long at the most."""
         request.queue_until = self._context.now + max_wait_ms
         request.queued = True
-        insort(self._entries, (-request.priority_weight, request.sequence, request))
+        insort(self.entries, (-request.priority_weight, request.sequence, request))
 
     def remove(self, request: Request) -> None:
         """Take a request out, if it is queued."""
         if request.queued:
             request.queued = False
-            self._entries.remove((-request.priority_weight, request.sequence, request))
+            self.entries.remove((-request.priority_weight, request.sequence, request))
 
     def take_recheck(self) -> list[Request]:
         """Note that the timer is due, and return the requests that have waited their time."""
         self._recheck_at = math.inf
         now = self._context.now
-        return [request for _, _, request in self._entries if request.queue_until <= now]
+        return [request for _, _, request in self.entries if request.queue_until <= now]
 
     def plan_recheck(self) -> None:
-        """Set the timer for the next look, if any request is queued and none is set for as early."""
-        if not self._entries:
-            return
+        """Set the timer for the next look at the queued requests, if none is set for as early."""
         regular = self._context.now + RECHECK_FRACTION * self._context.latency_objective_ms
-        at = min(regular, min(request.queue_until for _, _, request in self._entries))
+        at = min(regular, min(request.queue_until for _, _, request in self.entries))
         if at < self._recheck_at:
             self._recheck_at = at
             self._context.timers.at(at, TimerKind.RECHECK_QUEUE)
