--- a/crowpost/decision_api/__init__.py
+++ b/crowpost/decision_api/__init__.py
@@ -60,6 +60,7 @@
 )
 
 __all__ = [
+    "NEVER_RAN",
     "Action",
     "AttemptEnded",
     "BodySent",
@@ -78,7 +79,6 @@
     "InvalidSettingsError",
     "ListKind",
     "Log",
-    "NEVER_RAN",
     "NodesPresent",
     "Outcome",
     "PeerMessage",
--- a/crowpost/node/configuration.py
+++ b/crowpost/node/configuration.py
@@ -230,11 +230,11 @@
     if feed.directory is None:
         return ConfigurationOverlays(environment, raw, path)
     try:
-        kept, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).load()
+        documents, notes = DocumentCache(feed.directory, (feed.cluster, feed.name)).load()
     except FeedError as error:
         raise ConfigError(f"NODE_FEED: {error}") from error
     overlays = ConfigurationOverlays(
-        environment, raw, path, [d for d in kept if feed.subscription.includes(d.header.scope)]
+        environment, raw, path, [d for d in documents if feed.subscription.includes(d.header.scope)]
     )
     overlays.notes += notes
     return overlays
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -202,15 +202,15 @@
         try:
             self._state_writer.open()
             raw = self._state_writer.state.endpoint_list()
-            state = self._config.naming.read(raw) if raw is not None else None
+            stored = self._config.naming.read(raw) if raw is not None else None
         except (StoreError, ListError) as error:
             raise ConfigError(f"NODE_STATE: {self._config.state.directory}: {error}") from error
         if self._state_writer.state.evacuated:
             log.info("the node was evacuated and stays so until rejoin")
             self._drain.evacuate()
-        if state is None or (known is not None and known.version > state.version):
+        if stored is None or (known is not None and known.version > stored.version):
             return known
-        return state
+        return stored
 
     async def _start_membership(self) -> None:
         """Join the cluster, where membership is configured; else nothing of it is imported."""
--- a/crowpost/node/request_table.py
+++ b/crowpost/node/request_table.py
@@ -106,7 +106,7 @@
                 request.key,
                 request.cost_hint_ms,
                 request.is_repeat,
-                streamed=upload is not None,
+                body_streamed=upload is not None,
             )
         )
 
