--- a/crowpost/node/dispatcher.py
+++ b/crowpost/node/dispatcher.py
@@ -55,14 +55,14 @@
         self._clock = clock
         self._events = events
         self._request = request
-        self._load_columns = load_report_columns
+        self._load_report_columns = load_report_columns
 
     def check(self, server: EndpointId) -> None:
         """Send one health check to a server."""
         sent_at_ms = self._clock.now()
 
         def on_finished(outcome: Outcome, response: Message | None) -> None:
-            load = parse_load_report(response, self._load_columns)
+            load = parse_load_report(response, self._load_report_columns)
             self._events.post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at_ms, load))
 
         call = Call(lambda _: self._request, HEALTH_CHECK_TIMEOUT_MS / 1000.0, on_finished)
@@ -93,12 +93,13 @@
         self._health_checker = health_checker
         self._subscribe = subscribe
         self._loop = asyncio.get_running_loop()
-        events.connect(self._handle, self._requests.forget_just_closed)
+        # Once all events are handled, the module knows of every closed request.
+        events.connect(self._handle, self._requests.just_closed.clear)
 
     def _handle(self, event: Event) -> None:
         try:
             actions = self._balancer.handle(event, self._clock.now())
-        except Exception:  # noqa: BLE001  a fault of the module on one event must cost one request alone
+        except Exception:  # a fault of the module on one event must cost one request alone
             log.exception("the decision module failed on %s", type(event).__name__)
             if isinstance(event, RequestArrived | AttemptEnded):
                 self._requests.respond_internal_error(event.request)
@@ -106,7 +107,7 @@
         for action in actions:
             try:
                 self._perform(action)
-            except Exception:  # noqa: BLE001  a fault in one action must cost one request alone
+            except Exception:  # a fault in one action must cost one request alone
                 log.exception("fault while carrying out %s", type(action).__name__)
                 if isinstance(action, Send | Reject | Fail):
                     self._requests.respond_internal_error(action.request)
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -23,7 +23,8 @@
 from crowpost.node.discovery.client import DiscoveryClient
 from crowpost.node.discovery.endpoint_list import ListError, Listing
 from crowpost.node.dispatcher import Dispatcher, HealthChecker
-from crowpost.node.downstream.listener import Listener, adopt_listening_socket
+from crowpost.node.downstream.listener import Listener
+from crowpost.node.downstream.sockets import adopt_listening_socket
 from crowpost.node.drain import Drain, Phase
 from crowpost.node.event_queue import EventQueue
 from crowpost.node.metrics import Metrics
@@ -88,9 +89,7 @@
             max_connections=int(ENDPOINT_SOCKET_FRACTION * sockets),
             probe_request=health_check if config.settings.may_check_health else None,
         )
-        self._requests = RequestTable(
-            config.settings, self._clock, self._events, host, lambda: self._drain.time_left_s()
-        )
+        self._requests = RequestTable(config.settings, self._clock, self._events, host)
         self._listener = Listener(
             config.settings,
             self._requests.add,
@@ -106,6 +105,7 @@
             fail_remaining=self._requests.fail_remaining,
             on_finished=self.stop,
         )
+        self._requests.time_left_s = self._drain.time_left_s
         self._admin = self._make_admin_server(sockets)
         self._discovery = self._make_discovery_client()
         self._connect_dispatcher(health_check)
@@ -202,15 +202,15 @@
         try:
             self._state_writer.open()
             raw = self._state_writer.state.endpoint_list()
-            state = self._config.naming.read(raw) if raw is not None else None
+            stored = self._config.naming.read(raw) if raw is not None else None
         except (StoreError, ListError) as error:
             raise ConfigError(f"NODE_STATE: {self._config.state.directory}: {error}") from None
         if self._state_writer.state.evacuated:
             log.info("the node was evacuated and stays so until rejoin")
             self._drain.evacuate()
-        if state is None or (known is not None and known.version > state.version):
+        if stored is None or (known is not None and known.version > stored.version):
             return known
-        return state
+        return stored
 
     async def _start_membership(self) -> None:
         """Join the cluster, where membership is configured; else nothing of it is imported."""
@@ -225,7 +225,7 @@
             return MemberPhase.PRESENT if self.ready() else MemberPhase.JOINING
 
         state_writer = self._state_writer
-        note = state_writer.record_incarnation if state_writer is not None else lambda incarnation: None
+        note = state_writer.record_incarnation if state_writer is not None else lambda _: None
         self._membership = Membership(
             self._config.members, self._config.settings, phase, self._events.post, note
         )
@@ -252,7 +252,7 @@
     def _on_discovery_heard(self) -> None:
         """Accept from an inherited socket, as what discovery knows at the start is here."""
         self._discovery_heard = True
-        leaving = self._drain.phase is Phase.LEAVING
+        leaving = self._drain.phase is Phase.TERMINATING
         if self._inherited_socket is not None and self._pool.has_endpoints() and not leaving:
             inherited = self._inherited_socket
             self._inherited_socket = None
@@ -288,7 +288,8 @@
         try:
             address = read_discovery(self._config.path)
         except ConfigError as error:
-            log.error("the new configuration cannot be used, discovery stays where it was: %s", error)
+            text = "the new configuration cannot be used, discovery stays where it was: %s"
+            log.error(text, error)  # noqa: TRY400  the error's text says all
             return
         if self._config_feed is not None:
             address = self._config_feed.rebase(address)
@@ -316,7 +317,7 @@
         self._pool.update(listing)
         self._events.post(listing.event())
         if self._state_writer is not None:
-            self._state_writer.record_list(listing.whole, listing.version, listing.raw)
+            self._state_writer.record_list(listing.complete, listing.version, listing.raw)
         self._on_discovery_heard()
 
     def _evacuate(self) -> AdminResponse | Awaitable[AdminResponse]:
@@ -355,6 +356,6 @@
 
     def terminate(self) -> None:
         """Begin the graceful shutdown (SIGTERM): no longer ready, respond to what still comes, then end."""
-        self._drain.leave()
+        self._drain.terminate()
         if self._state_writer is not None:
             self._state_writer.close()  # at once, as another process of this node may wait for the directory
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from crowpost.cli.feed import ask_all, picture
+from crowpost.cli.feed_status import collect_statuses, summarize
 from crowpost.config_feed.configuration import FeedConfig
 from crowpost.config_feed.documents import Document
 from crowpost.config_feed.errors import FeedError
@@ -23,7 +23,18 @@
 from crowpost.storage.disk import Disk
 from crowpost.storage.operations import Append, Operation
 from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
-from tests.stubs import HOST, PATIENCE_S, Caller, StubDiscovery, StubServer, listing, reply, row, run, tell
+from tests.node.stubs import (
+    HOST,
+    PATIENCE_S,
+    Caller,
+    StubDiscovery,
+    StubServer,
+    listing,
+    reply,
+    row,
+    run,
+    tell,
+)
 
 
 def test_changes_under_traffic_cost_no_call_and_no_connection(tmp_path: Path) -> None:
@@ -146,7 +157,9 @@
     run(play())
 
 
-def test_a_publisher_that_lost_its_directory_learns_from_its_relays_and_begins_an_era(tmp_path: Path) -> None:
+def test_a_publisher_that_lost_its_directory_learns_from_its_relays_and_begins_an_epoch(
+    tmp_path: Path,
+) -> None:
     async def play() -> None:
         async with fleet(tmp_path, 1) as (world, started):
             for number in range(1, 4):
@@ -206,7 +219,7 @@
         watcher = FeedTransport(config("w", "watch", upstreams=(UpstreamServer(at),)), came.put_nowait)
         watcher.start()
         assert (await asyncio.wait_for(came.get(), PATIENCE_S)).body == b"1"
-        found = picture(*await ask_all([at], CLUSTER, PATIENCE_S))
+        found = summarize(await collect_statuses([at], CLUSTER, PATIENCE_S))
         assert found["stopped"] == {"p": 1} and not found["whole"] and found["heads"]["all"]["version"] == 1
         await watcher.close()
         await publisher.close()
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -17,7 +17,7 @@
 
 from crowpost.decision_api import EndpointEntry, RequestClass, Settings
 from tests.decisions.fleet import Fleet, SimServer, heaviest
-from tests.stubs import (
+from tests.node.stubs import (
     HOST,
     PATIENCE_S,
     Caller,
--- a/tests/node/state/helpers.py
+++ b/tests/node/state/helpers.py
@@ -14,7 +14,7 @@
 from crowpost.storage.disk import Disk
 from crowpost.storage.model import Durability
 from crowpost.storage.runner import execute_job, recover_disk
-from tests.stubs import PATIENCE_S
+from tests.node.stubs import PATIENCE_S
 
 
 def remembered(i: int, ratio: float, average: float = 20.0, **more: Any) -> RememberedEndpoint:
