--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -219,10 +219,16 @@
 @pytest.mark.parametrize("leaves", [False, True])
 @pytest.mark.parametrize("cancel", [False, True])
 def test_a_caller_that_has_left_gets_no_second_copy(leaves: bool, cancel: bool) -> None:
+    """Responses take 50 ms here, so that a pause of the process lets no request pass for overdue."""
+
+    async def after_50_ms(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
+        await asyncio.sleep(0.05)
+        await reply("200 OK")(server, received, writer)
+
     async def main() -> None:
         async with (
-            StubServer([reply("200 OK")]) as one,
-            StubServer([reply("200 OK")]) as two,
+            StubServer([after_50_ms]) as one,
+            StubServer([after_50_ms]) as two,
             world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=cancel)) as w,
         ):
             servers = (one, two)
@@ -232,6 +238,7 @@
             for server in servers:
                 server.behaviours = [silent]
             before = sum(len(server.received) for server in servers)
+            assert before == 40
             client.writer.write(request("look"))
             while sum(len(server.received) for server in servers) == before:
                 await asyncio.sleep(0)
