--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -171,7 +171,7 @@
     async with StubDiscovery() as discovery:
         started, paths = [], [tmp_path / f"{i}.log" for i in range(NODES)]
         for i in range(NODES):
-            told = settings(registryMode="pushed", node_count=NODES, node_index=i, guarantees=guarantees)
+            told = settings(registryMode="pushed", balancers=NODES, ordinal=i, guarantees=guarantees)
             raw = {"seed": str(i), "limits": {"memory_mb": 96, "sockets": 256}, "settings": told}
             config = tmp_path / f"{i}.json"
             config.write_text(json.dumps({**raw, "known": listing(1, *rows)}))
