--- a/crowpost/lab/capacity/tables.py
+++ b/crowpost/lab/capacity/tables.py
@@ -335,8 +335,3 @@
         affordable.times(100.0, "%"),
         calls,
     )
-
-
-def cost_of(costs: Sequence[Cost], duty: str) -> Cost:
-    """One duty of a node."""
-    return next(cost for cost in costs if cost.duty == duty)
