--- a/crowpost/__main__.py
+++ b/crowpost/__main__.py
@@ -1,4 +1,4 @@
-"""python -m crowpost: one real node; its environment says where it listens and whom it serves."""
+"""python -m crowpost: run one node, configured by environment variables."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 async def _serve(config: Config) -> None:
     node = Node(config)
-    # What exists now lives as long as the node: leave it out of every later collection.
+    # Objects that exist now live as long as the node: exclude them from garbage collection.
     gc.freeze()
     await node.start()
     await node.wait()
 
 
 def main() -> int:
-    """Exit code 0 after SIGTERM, 2 with one plain line on standard error for a bad configuration."""
+    """Run the node; return 0 after SIGTERM, and 2 with one line on standard error for a bad configuration."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
         config = load(os.environ)
--- a/crowpost/node/admin.py
+++ b/crowpost/node/admin.py
@@ -1,4 +1,4 @@
-"""The admin server, on the second address: what operators and their tools ask of this process."""
+"""The admin server, which listens on the management address for operators and their tools."""
 
 from __future__ import annotations
 
@@ -14,8 +14,11 @@
 
 log = logging.getLogger(__name__)
 
-CALL_TIMEOUT_S = 2.0  # after connecting, for the whole call: silent peers hold descriptors
-LINGER_S = 0.5  # in which input is read away, else a reset could overtake the response
+# The time for a whole call, from connecting on: peers that send nothing hold descriptors.
+CALL_TIMEOUT_S = 2.0
+# How long input is discarded after the response: a close with unread input sends a reset, which could reach
+# the client before the response.
+LINGER_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminAction:
-    """What is run for a path."""
+    """The handler of a path and its HTTP method."""
 
     method: bytes
-    # An awaitable must be done within a second or two.
+    # A returned awaitable must complete within a second or two.
     run: Callable[[], AdminResponse | Awaitable[AdminResponse]]
 
 
 class _AdminConnection(asyncio.Protocol):
-    """One connection: one call, one response."""
+    """A connection that carries one call and its response."""
 
     def __init__(self, server: AdminServer) -> None:
         self._admin = server
@@ -47,13 +50,14 @@
         self._work: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the new connection."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        """Register the new connection and start its timeout."""
+        # uvloop's transports are not subclasses of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._on_timeout)
         self._admin.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what comes in."""
+        """Parse received bytes."""
         if self._responded:
             return
         try:
@@ -62,20 +66,20 @@
             self._respond(AdminResponse(400))
 
     def on_head(self, message: Message) -> None:
-        """Ignore a head without its body."""
+        """Ignore the head: a call is handled once it is complete."""
 
-    def on_stream_start(self, message: Message) -> None:  # noqa: ARG002  the parser passes it
-        """Refuse a long body."""
+    def on_stream_start(self, message: Message) -> None:  # noqa: ARG002  MessageReceiver's signature
+        """Reject a long body."""
         self._respond(AdminResponse(400))
 
     def on_stream_data(self, data: bytes) -> None:
-        """Ignore the body of a call that has had its response."""
+        """Ignore the body of a rejected call."""
 
     def on_stream_end(self, message: Message) -> None:
-        """Ignore the end of a call that has had its response."""
+        """Ignore the end of a rejected call."""
 
     def on_message(self, message: Message) -> None:
-        """Run the action that is called."""
+        """Run the action of a complete call."""
         try:
             response = self._admin.handle(message)
         except Exception:
@@ -105,19 +109,19 @@
         self._responded = True
         if self._timer is not None:
             self._timer.cancel()
-        kind = b"Content-Type: text/plain; charset=utf-8\r\n" if response.body else b""
-        self._transport.write(render_response(response.status, response.body, kind, close=True))
+        content_type = b"Content-Type: text/plain; charset=utf-8\r\n" if response.body else b""
+        self._transport.write(render_response(response.status, response.body, content_type, close=True))
         if self._transport.can_write_eof():
             self._transport.write_eof()
         self._timer = asyncio.get_running_loop().call_later(LINGER_S, self.abort)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         if self._transport is not None:
             self._transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio passes it
-        """Forget the connection, and end what was under way on it."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio's signature
+        """Cancel the timer and remove the connection from the server."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
@@ -125,12 +129,13 @@
 
 
 class AdminServer:
-    """The second listening socket and its actions, by path."""
+    """The listening socket for admin calls, with the actions by path."""
 
     def __init__(self, actions: Mapping[bytes, AdminAction], max_connections: int) -> None:
         self._actions = actions
         self._max_connections = max_connections
-        self._connections: dict[_AdminConnection, None] = {}  # oldest first
+        # The open connections, oldest first.
+        self._connections: dict[_AdminConnection, None] = {}
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -143,21 +148,22 @@
         return bound
 
     def handle(self, message: Message) -> AdminResponse | Awaitable[AdminResponse]:
-        """Run the action for a call, and return its response."""
+        """Run the action of a call and return its response."""
         action = self._actions.get(message.target.partition(b"?")[0])
         if action is None:
             return AdminResponse(404)
         return action.run() if message.method == action.method else AdminResponse(405)
 
     def opened(self, connection: _AdminConnection) -> None:
-        """Count a new connection, closing the oldest if there are too many."""
+        """Register a new connection, and close the oldest if there are too many."""
         self._connections[connection] = None
         if len(self._connections) > self._max_connections:
-            # A call comes with its connection: the oldest connection is silent, or has its response.
+            # A client sends its call as soon as it connects, so the oldest connection has either sent nothing
+            # or already has its response.
             next(iter(self._connections)).abort()
 
     def closed(self, connection: _AdminConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self._connections.pop(connection, None)
 
     def close(self) -> None:
--- a/crowpost/node/clock.py
+++ b/crowpost/node/clock.py
@@ -8,8 +8,8 @@
 class Clock:
     """Unix time in milliseconds, advanced by the monotonic clock.
 
-    It never goes backwards, and is comparable with the start times of servers, whatever is done to the
-    system's clock.
+    It never goes backwards, and stays comparable with the start times of servers, even if the system's clock
+    is set.
     """
 
     def __init__(self) -> None:
--- a/crowpost/node/discovery/__init__.py
+++ b/crowpost/node/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the endpoint list, watched."""
+"""Discovery: watching the endpoint list."""
--- a/crowpost/node/discovery/client.py
+++ b/crowpost/node/discovery/client.py
@@ -1,4 +1,4 @@
-"""The discovery client: keeps at most one watch and reports each list and each failure."""
+"""The discovery client: keeps at most one watch, and reports each list and each failure."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 
 log = logging.getLogger(__name__)
 
-# A watch sends an empty line every 2 s: after two missing ones its machine is cut off, or discovery is down.
-# A change of the list must be known after 6 s, so that a new watch must bring it before that.
-SILENCE_TIMEOUT_S = 4.5
-# A new watch brings its first line at once, or an empty one after 2 s.  After a start beside another process,
-# and after SIGHUP, a change must be known sooner than otherwise; and a pause may follow a call that is given
-# up, before the next call brings the change within the 6 s.
+# Discovery sends an empty line every 2 s on a watch: if two are missing, its machine is partitioned from the
+# node or discovery is down.  A change of the list must be known within 6 s, so the remaining time is left for
+# a new watch to deliver it.
+IDLE_TIMEOUT_S = 4.5
+# A new watch receives its first line immediately, or an empty one after 2 s.  After a start beside another
+# process and after SIGHUP, a change must be known sooner than otherwise.  A pause may also follow a call that
+# timed out, and the next call must still deliver the change within the 6 s.
 FIRST_LINE_TIMEOUT_S = 2.5
-# The backoff before the agent is watched again: doubled while it fails, with jitter, as all nodes lose it at
-# once.
+# The backoff before the local agent is watched again is doubled with each failure, with jitter because all
+# nodes lose the agent at the same time.
 MIN_BACKOFF_S = 0.25
-MAX_BACKOFF_S = 1.0  # behind a silence this still brings a change in time
+# After IDLE_TIMEOUT_S, a backoff of this length still delivers a change of the list in time.
+MAX_BACKOFF_S = 1.0
 
 
 class DiscoveryClient:
-    """Keeps at most one watch; reports each list, and once each call or watch that failed.
+    """Keeps at most one watch; reports each list, and each failed call or watch once.
 
-    Where lists are pushed, the watch is on the machine's own agent: it costs nothing, is kept open without
-    `subscribe`, and its failures are not reported, as they say nothing of the list.
+    If lists are pushed, the watch is on the machine's own agent: it costs nothing, is kept open without
+    `subscribe`, and its failures are not reported, as they say nothing about the list.
 
-    call_timeout_s: for the first line of a watch.
+    call_timeout_s: the timeout for the first line of a watch.
     """
 
     def __init__(
@@ -54,31 +56,32 @@
         self._on_failed = on_failed
         self._loop = asyncio.get_running_loop()
         self._random = random.Random(seed)
-        self._failures = 0  # since the last line of a watch
+        # Failures since a watch last sent a complete list or an empty line.
+        self._failures = 0
         self._version = 0
         self._watch: Watch | None = None
         self._call: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int) -> None:
-        """Start from the version of the known list."""
+        """Start with the version of the list that is already known."""
         self._version = version
         if self._pushed:
             self.subscribe()
 
     def subscribe(self) -> None:
-        """Watch from the last version on, in place of a watch that is still open."""
+        """Open a watch from the last known version on, replacing any open watch."""
         self.close()
         self._call = self._loop.create_task(self._open_watch())
 
     def move(self, address: tuple[str, int]) -> None:
-        """Follow discovery to another address, from the last version on, if the old address was watched."""
+        """Use another address; reopen the watch there, from the last known version on, if one was open."""
         self.address = address
         if self._pushed or self._watch is not None:
             self.subscribe()
 
     def close(self) -> None:
-        """Close the watch without a report."""
+        """Close the watch without reporting a failure."""
         watch = self._watch
         self._watch = None
         if self._call is not None:
@@ -105,24 +108,24 @@
             self._on_closed(watch)
 
     def _set_timeout(self, seconds: float | None) -> None:
-        """Let the watch fail unless something complete comes in this time: a cut link says nothing."""
+        """Fail the watch unless a complete list or empty line arrives in time: a partition sends no close."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None if seconds is None else self._loop.call_later(seconds, self._fail)
 
     def _on_line(self, watch: Watch, line: bytes) -> None:
         if watch is not self._watch:
-            return  # a late line of an earlier watch
+            return  # a late line of a watch that has been replaced
         if not line.strip():
             self._on_empty_line(watch)
             return
         try:
             raw = watch.objects.take(line)
             if raw is None:
-                return  # the timeout goes on: a part of a list is no better than silence
+                return  # the timeout keeps running: a part of a list does not count as progress
             listing = replace(self._naming.read(raw), raw=raw["instances"])
         except (ValueError, ListError) as error:
-            log.warning("discovery: bad line: %s", error)
+            log.warning("discovery: invalid line in a watch: %s", error)
             self._fail()
             return
         self._on_progress()
@@ -135,14 +138,15 @@
             return
         self._on_progress()
         if not (watch.answered or self._pushed):
-            # Nothing has changed, which answers the call; unanswered it would soon be made again.
+            # The empty line means that nothing has changed.  It is reported as the answer to the call, which
+            # would otherwise soon be repeated.
             watch.answered = True
             self._on_list(Listing(self._version, False, (), {}))
 
     def _on_progress(self) -> None:
-        """Note that the watch has sent something complete."""
+        """Reset failures and timeout after a complete list or an empty line."""
         self._failures = 0
-        self._set_timeout(SILENCE_TIMEOUT_S)
+        self._set_timeout(IDLE_TIMEOUT_S)
 
     def _on_closed(self, watch: Watch) -> None:
         if watch is self._watch:
--- a/crowpost/node/discovery/endpoint_list.py
+++ b/crowpost/node/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery sends them, translated into the terms of the balancer."""
+"""Translation of discovery's endpoint lists into the balancer's terms."""
 
 from __future__ import annotations
 
@@ -16,18 +16,20 @@
 
 
 class ListError(NodeError):
-    """An endpoint list that cannot be read; its text names the field."""
+    """An invalid endpoint list; the message names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """An endpoint list or a change of it, in the balancer's terms, with the endpoints' addresses."""
+    """An endpoint list, or changes to one, in the balancer's terms, with the endpoints' addresses."""
 
     version: int
-    complete: bool  # else only changes
+    # Whether this is the full list; otherwise only changes.
+    complete: bool
     entries: tuple[EndpointEntry, ...]
     addresses: dict[EndpointId, tuple[str, int]]
-    raw: list[dict[str, Any]] = field(default_factory=list)  # as discovery sent it; not of a cached list
+    # The entries as discovery sent them; empty for a cached list.
+    raw: list[dict[str, Any]] = field(default_factory=list)
 
     def event(self, *, cached: bool = False) -> EndpointList:
         """Return the event for the decision module."""
@@ -37,14 +39,14 @@
 
 @dataclass(slots=True)
 class Naming:
-    """Translates discovery's names of zones, machine types and cells into the balancer's numbers."""
+    """Maps discovery's names of zones, machine types and cells to the balancer's indices."""
 
     zones: tuple[str, ...]
     models: tuple[str, ...]
     _others: dict[tuple[str, str], int] = field(default_factory=dict)
 
     def read(self, raw: Any) -> Listing:
-        """Return the list that a JSON object of discovery holds; raise ListError if it holds none."""
+        """Return the list in a JSON object from discovery; raise ListError if it is invalid."""
         try:
             instances = raw["instances"]
             entries = []
@@ -65,16 +67,16 @@
             server=item["instanceId"].encode(),
             readiness=_LIFECYCLES[item["lifecycle"]],
             capacity_hint=float(item.get("weight", 1.0)),
-            kind=self._number("kind", self.models, item.get("machineType", "")),
-            zone=self._number("zone", self.zones, item.get("zone", "")),
-            cell=self._number("cell", (), item.get("cell", 0)),
+            kind=self._index_of("kind", self.models, item.get("machineType", "")),
+            zone=self._index_of("zone", self.zones, item.get("zone", "")),
+            cell=self._index_of("cell", (), item.get("cell", 0)),
             started_ms=float(item.get("startedAtMs", 0)),
         )
 
-    def _number(self, category: str, names: tuple[str, ...], name: Any) -> int:
+    def _index_of(self, category: str, names: tuple[str, ...], name: Any) -> int:
         if isinstance(name, int):
             return name
         if name in names:
             return names.index(name)
-        # A name that the settings do not list still tells its endpoints from the others.
+        # A name that the settings do not list gets an index of its own, so that its endpoints stay distinct.
         return self._others.setdefault((category, str(name)), len(names) + len(self._others))
--- a/crowpost/node/discovery/watch.py
+++ b/crowpost/node/discovery/watch.py
@@ -1,4 +1,4 @@
-"""One watch of the endpoint list: a streamed HTTP response, cut into lines and JSON objects."""
+"""One watch of the endpoint list: a streamed HTTP response, split into lines and JSON objects."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LIST_BYTES = 4 * 1024 * 1024  # some ten thousand endpoints, over one line or several
+# Enough for about ten thousand endpoints, over one line or several.
+MAX_LIST_BYTES = 4 * 1024 * 1024
 
 
 class ObjectAssembler:
-    """Assembles JSON objects from lines: an object may come indented, over several lines."""
+    """Assembles JSON objects from lines: an object may be indented and span several lines."""
 
     def __init__(self) -> None:
         self._lines: list[bytes] = []
@@ -27,15 +28,15 @@
         return bool(self._lines)
 
     def take(self, line: bytes) -> Any:
-        """Return the object that ends with this line, None if none does.
+        """Return the object that ends with this line; None if it is still incomplete.
 
-        Raise ValueError if no object can.  Only the first line and those that may be the last are parsed, so
-        that many lines cost no more than one.
+        Raise ValueError if the lines cannot form an object.  Only the first line and those that may end an
+        object are parsed, so that an object over many lines costs no more than one on a single line.
         """
         self._lines.append(line)
         self._size += len(line)
         if self._size > MAX_LIST_BYTES:
-            raise ValueError(f"a list of more than {MAX_LIST_BYTES} bytes")
+            raise ValueError(f"the list is longer than {MAX_LIST_BYTES} bytes")
         if len(self._lines) > 1 and not line.rstrip().endswith(b"}"):
             return None
         text = b"\n".join(self._lines).decode()
@@ -65,38 +66,40 @@
         self._parser = httptools.HttpResponseParser(self)
         self._partial_line = b""
         self.objects = ObjectAssembler()
-        self.answered = False  # it has sent a list, or said that nothing has changed
+        # Whether the watch has delivered a list, or an empty line that means no change.
+        self.answered = False
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        # uvloop's transports are not subclasses of asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
         self.transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what comes in."""
+        """Parse received bytes."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             log.warning("discovery: the response cannot be read: %s", error)
             self.close()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio passes it
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio's signature
         """Report the end of the watch."""
         self._on_closed()
 
     def on_headers_complete(self) -> None:
-        """Close the watch if it was refused; called by httptools, as are the two methods below."""
+        """Close the watch unless the status is 200; httptools calls this and the next two methods."""
         if self._parser.get_status_code() != 200:
             self.close()
 
     def on_body(self, part: bytes) -> None:
-        """Cut the body into lines."""
+        """Split the body into lines."""
         *lines, self._partial_line = (self._partial_line + part).split(b"\n")
         for line in lines:
             self._on_line(line)
         if len(self._partial_line) > MAX_LIST_BYTES:
-            log.warning("discovery: a line of more than %d bytes", MAX_LIST_BYTES)
+            log.warning("discovery: a line is longer than %d bytes", MAX_LIST_BYTES)
             self.close()
 
     def on_message_complete(self) -> None:
@@ -104,6 +107,6 @@
         self.close()
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         if self.transport is not None:
             self.transport.abort()
--- a/crowpost/node/downstream/__init__.py
+++ b/crowpost/node/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The client side of a node: listener, connections and exchanges."""
+"""The downstream side of a node: the listener, client connections and exchanges."""
--- a/crowpost/node/downstream/connection.py
+++ b/crowpost/node/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: requests in, exactly one response out for each, in their order."""
+"""One client connection: exactly one response for each request, in the order of the requests."""
 
 from __future__ import annotations
 
@@ -22,20 +22,22 @@
 
 
 class ClientConnection(ConnectionStatus):
-    """One connection of a client; responses go out in the order of the requests."""
+    """A client connection, which writes responses in the order of the requests."""
 
     listener: ConnectionListener
 
     def __init__(self, listener: ConnectionListener) -> None:
         super().__init__(listener)
         self._parser = MessageParser(self, requests=True)
-        self._continue_pending = False  # the client waits for 100 Continue
+        # Whether the client waits for 100 Continue.
+        self._continue_pending = False
         self._linger_until = 0.0
         self._routing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the new connection."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        """Register the new connection."""
+        # uvloop's transports are not subclasses of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         now = self.listener.now()
         self.opened_at = now
         self.state_since = now
@@ -43,8 +45,9 @@
         self.listener.opened(self)
 
     def time_out(self) -> None:
-        """End a connection that has timed out: with an error for a part of a request, else by closing it."""
-        if self._parser.in_message or self._write_paused:  # silent peers may be hundreds a second
+        """End a connection that has timed out: respond 408 to an incomplete request, otherwise close."""
+        # Peers that send nothing are not logged: there may be hundreds of them a second.
+        if self._parser.in_message or self._write_paused:
             now = self.listener.now()
             log.info(
                 "client timed out %.1f s after connecting, last bytes %.1f s ago, %d bytes of a body%s",
@@ -61,7 +64,7 @@
             self.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what comes in."""
+        """Parse received bytes."""
         self._received_at = self.listener.now()
         if self._discarding or self._malformed:
             return
@@ -77,7 +80,7 @@
             self._reject_input(500)
 
     def _reject_input(self, status: int) -> None:
-        """Respond with an error to input that is not a request, or no longer one."""
+        """Respond with an error to malformed input, also within the body of a request already accepted."""
         if self._discarding:
             return
         upload = self._upload
@@ -88,7 +91,7 @@
             self._exchanges[-1].fail(status)
 
     def on_head(self, message: Message) -> None:
-        """Check a head whose client expects 100 Continue before it sends the body."""
+        """Check the head of a request whose client waits for 100 Continue before it sends the body."""
         self._head_complete_at = self.listener.now()
         if EXPECT not in message.headers or message.version == "1.0" or self._discarding:
             return
@@ -102,7 +105,7 @@
         self._send_continue()
 
     def _send_continue(self) -> None:
-        """Send 100 Continue, once all earlier requests have their responses."""
+        """Send 100 Continue once all earlier requests of the connection have their responses."""
         if self._continue_pending and not self._exchanges and self._transport is not None:
             self._continue_pending = False
             if self._parser.in_body:
@@ -114,7 +117,7 @@
         self._accept_request(message)
 
     def on_stream_start(self, message: Message) -> None:
-        """Accept a request with a long body."""
+        """Accept a request whose body is streamed."""
         if self._discarding or self._malformed:
             return
         upload = Upload(message.body, message.content_length, self._set_upload_reading)
@@ -124,12 +127,12 @@
         self._accept_request(message)
 
     def on_stream_data(self, data: bytes) -> None:
-        """Pass a part of a long body on."""
+        """Forward a part of a streamed body."""
         if self._upload is not None:
             self._upload.feed(data)
 
-    def on_stream_end(self, message: Message) -> None:  # noqa: ARG002  the parser passes it
-        """End a long body."""
+    def on_stream_end(self, message: Message) -> None:  # noqa: ARG002  MessageReceiver's signature
+        """Complete a streamed body."""
         upload = self._upload
         self._upload = None
         if upload is not None:
@@ -147,7 +150,7 @@
         if self._exchanges and (
             self._exchanges[-1].close_after or pipeline.exceeds_limits(self._exchanges, message)
         ):
-            self._refuse_further_requests()
+            self._reject_further_requests()
             return
         self.had_request = True
         exchange = Exchange(self, not message.keep_alive, message.version)
@@ -161,11 +164,11 @@
             return True
         return not self._exchanges[-1].close_after and not pipeline.exceeds_limits(self._exchanges, message)
 
-    def _refuse_further_requests(self) -> None:
-        """Close after the last accepted request, and read away what comes behind it.
+    def _reject_further_requests(self) -> None:
+        """Close after the response to the last accepted request, and discard all further input.
 
-        Nothing follows a response that closes: the client sends those requests again.  A flood of requests is
-        read away, so that it shows when its sender leaves.
+        The client sends the requests that follow again, as no response can follow one that closes the
+        connection.  Further input is still read, since only reading shows that the client has disconnected.
         """
         self._exchanges[-1].close_after = True
         self._malformed = True
@@ -175,9 +178,9 @@
         self._update_reading()
 
     def _route(self) -> None:
-        """Begin the work on the first requests, as far as the client reads its responses."""
+        """Start handling the first waiting requests, as long as the client reads its responses."""
         if self._routing:
-            return  # called again by an immediate response
+            return  # re-entered from a response that was complete immediately
         self._routing = True
         while not self._write_paused and (exchange := pipeline.next_waiting(self._exchanges)) is not None:
             message = exchange.message
@@ -186,25 +189,25 @@
             try:
                 self.listener.route(message, exchange)
             except MessageError as error:
-                # A client may send thousands of these at once, each with its response: close after the first.
+                # A client may send thousands of invalid requests at once: close after the first response.
                 log.info("client sent a request that is not served: %s", error)
                 exchange.close_after = True
                 exchange.respond(error.status)
             except Exception:
-                # A fault in one request must cost that request alone, and still bring a response.
+                # An exception must affect only its own request, which still gets a response.
                 log.exception("fault in a request")
                 exchange.respond(500)
         self._routing = False
 
     def _respond_early(self, status: int) -> None:
-        """Respond to input that never became a request, then close."""
+        """Respond to input that is not a valid request, then close."""
         self._malformed = True
         exchange = Exchange(self, True)
         self._exchanges.append(exchange)
         exchange.respond(status)
 
     def flush(self) -> None:
-        """Write the responses in order, up to the first that is not complete yet."""
+        """Write responses in the order of the requests, up to and including the first incomplete one."""
         transport = self._transport
         while self._exchanges and transport is not None:
             exchange = self._exchanges[0]
@@ -225,7 +228,7 @@
         self._route()
 
     def _release_reserved(self) -> None:
-        """Return the bytes reserved for long responses, once little of them is left to send."""
+        """Release the bytes reserved for streamed responses once little of them is left to send."""
         if not self.reserved_bytes:
             return
         if self._transport is None or (not self._write_paused and not self.is_streaming()):
@@ -233,11 +236,11 @@
             self.reserved_bytes = 0
 
     def _finish(self) -> None:
-        """Close after the last response, once the client has had the time to read it."""
+        """Shut down the write side after the last response, and close once the client could read it."""
         assert self._transport is not None
         self._discarding = True
         self._parser.stop()
-        self._notify_gone()
+        self._notify_client_gone()
         self._release_reserved()
         self._update_reading()
         if self._transport.can_write_eof():
@@ -248,7 +251,7 @@
         asyncio.get_running_loop().call_later(timeouts.LINGER_S, self._linger)
 
     def _linger(self) -> None:
-        """Read away what still comes in, and close once nothing does and all is sent."""
+        """Discard input, and close once nothing more arrives and all output is sent."""
         now = self.listener.now()
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
         still_receiving = now - self._received_at < timeouts.LINGER_S and now < self._linger_until
@@ -258,40 +261,41 @@
             self.abort()
 
     def on_client_left(self) -> None:
-        """Close a connection whose client has left unseen, and abandon its requests."""
+        """Close a connection whose client has closed its end, and abandon its requests."""
         log.info("a client has left while its long body waited")
         self._discarding = True
-        self._notify_gone()
+        self._notify_client_gone()
         self.abort()
 
     def abort(self, *, reset: bool = False) -> None:
-        """Close at once; a reset also drops what has been written and is not sent yet."""
+        """Close immediately; with `reset`, also drop output that is written but not sent yet."""
         if self._transport is None:
             return
-        self._discarding = True  # what may still be delivered is not read
+        # Bytes that the event loop may still deliver are ignored.
+        self._discarding = True
         if reset and not self._transport.is_closing():
             reset_on_close(self._transport)
         self._transport.abort()
 
     def close(self) -> None:
-        """Close once all that was written has been sent."""
+        """Close once all written output has been sent."""
         self._discarding = True
         if self._transport is not None:
             self._transport.close()
 
     def eof_received(self) -> bool:
-        """Close, as the peer has ended its side; return False."""
+        """Return False, so that the transport closes when the peer has closed its end."""
         return False
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio passes it
-        """Forget the connection, and end what was under way on it."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio's signature
+        """Remove the connection from the listener and abandon its unanswered requests."""
         self._transport = None
         self.listener.closed(self)
-        self._notify_gone()
+        self._notify_client_gone()
         self._release_reserved()
 
-    def _notify_gone(self) -> None:
-        """Tell the remaining exchanges that nobody waits for them."""
+    def _notify_client_gone(self) -> None:
+        """Notify the remaining exchanges that their client has disconnected."""
         exchanges = self._exchanges
         self._exchanges = deque()
         for exchange in exchanges:
@@ -301,11 +305,11 @@
                 exchange.on_client_gone()
 
     def pause_writing(self) -> None:
-        """Note that the peer does not read."""
+        """Pause output: the write buffer is full because the client does not read."""
         self._set_write_paused(True)
 
     def resume_writing(self) -> None:
-        """Note that the peer reads again."""
+        """Resume output: the client reads again."""
         self._set_write_paused(False)
 
     def _set_write_paused(self, paused: bool) -> None:
@@ -317,7 +321,7 @@
         self._route()
 
     def _update_reading(self) -> None:
-        """Read unless a long body has to wait: only reading shows that a client has left."""
+        """Pause reading only while a streamed body has to wait: only reading shows a client's disconnect."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._upload_paused and not self._discarding and not self._malformed:
@@ -327,6 +331,6 @@
 
 
 def _check_expectation(message: Message) -> None:
-    """Raise MessageError if the client expects anything but 100 Continue."""
+    """Raise MessageError unless the Expect header asks for 100 Continue."""
     if message.headers[EXPECT].lower() != b"100-continue":
         raise MessageError(417, "unknown expectation")
--- a/crowpost/node/downstream/connection_status.py
+++ b/crowpost/node/downstream/connection_status.py
@@ -1,4 +1,4 @@
-"""The state of a client connection, and what its listener and its exchanges ask of it."""
+"""The state of a client connection, with the queries of its listener and its exchanges."""
 
 from __future__ import annotations
 
@@ -17,46 +17,59 @@
 
 
 class ConnectionStatus(asyncio.Protocol):
-    """The state of one client connection, without what changes it.
+    """The state of one client connection, with queries only: ClientConnection changes it.
 
     Times are in seconds, of the listener's clock.
     """
 
-    _parser: MessageParser  # made by the subclass, which receives its messages
+    # Created by the subclass, which receives the parsed messages.
+    _parser: MessageParser
 
     def __init__(self, listener: ExchangeListener) -> None:
         self.listener = listener
         self.opened_at = 0.0
-        self.had_request = False  # complete, or the beginning of a long one
-        self.state_since = 0.0  # last became idle, began a request, was paused or took data
-        self.reserved_bytes = 0  # of the budget, for long responses, until they have been sent
+        # Whether a complete request, or the start of one with a streamed body, has been accepted.
+        self.had_request = False
+        # When the connection last became idle, began to receive a request, changed between paused and
+        # resumed output, or had output written.
+        self.state_since = 0.0
+        # Bytes of the budget that are reserved for streamed responses until they have been sent.
+        self.reserved_bytes = 0
         self._transport: asyncio.Transport | None = None
         self._exchanges: deque[Exchange] = deque()
-        self._discarding = False  # the last response is written; input is read away
-        self._malformed = False  # what came is not a request, so nothing behind it is one
-        self._write_paused = False  # the client does not read its responses
-        self._upload: Upload | None = None  # a long body that is coming in
-        self._upload_paused = False  # and is not read for now
-        self._received_at = 0.0  # when bytes last came, or reading was resumed
-        self._head_complete_at = 0.0  # of the current request
+        # Whether input is discarded because the last response has been written.
+        self._discarding = False
+        # Whether further input is ignored because some input was malformed or rejected: the bytes after it
+        # cannot be taken for a request.
+        self._malformed = False
+        # Whether the write buffer is full because the client does not read its responses.
+        self._write_paused = False
+        # The streamed body that is being received.
+        self._upload: Upload | None = None
+        # Whether reading is paused until the streamed body can be forwarded.
+        self._upload_paused = False
+        # When bytes last arrived, or reading of a streamed body was paused or resumed.
+        self._received_at = 0.0
+        # When the head of the current request was complete.
+        self._head_complete_at = 0.0
 
     def is_idle(self) -> bool:
-        """Return whether it is between requests.
+        """Return whether the connection is between requests.
 
-        It may be closed then, as a client sends a request that crosses the close again.
+        It may be closed then: a client retries a request that it sent just before it saw the close.
         """
         return not self._exchanges and not self._parser.in_message and not self._discarding
 
     def is_finished(self) -> bool:
-        """Return whether its last response has been sent, as far as can be seen."""
+        """Return whether the last response has left the node's write buffer."""
         return self._discarding and not self.has_pending_output()
 
     def is_idle_and_flushed(self) -> bool:
-        """Return whether it is between requests, with nothing left to send."""
+        """Return whether the connection is between requests and has no output left to send."""
         return self.is_idle() and not self.has_pending_output()
 
     def is_in_first_head(self) -> bool:
-        """Return whether only a part of its first head has come."""
+        """Return whether only a part of the first request's head has been received."""
         return (
             not self.had_request
             and self._parser.in_message
@@ -65,26 +78,26 @@
         )
 
     def is_last(self, exchange: Exchange) -> bool:
-        """Return whether no request has come behind this one."""
+        """Return whether this is the last request received on the connection so far."""
         return bool(self._exchanges) and self._exchanges[-1] is exchange
 
     def has_pending_output(self) -> bool:
-        """Return whether a response is still to be sent, or a request is coming in."""
+        """Return whether a response is still to be sent, or a request is being received."""
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
         return unsent or bool(self._exchanges) or (self._parser.in_message and not self._discarding)
 
     def is_streaming(self) -> bool:
-        """Return whether a long response is being sent."""
+        """Return whether a streamed response is being sent."""
         return any(
             exchange.response_started and not exchange.response_complete for exchange in self._exchanges
         )
 
     def accepts_output_of(self, exchange: Exchange) -> bool:
-        """Return whether output of this exchange would be written now."""
+        """Return whether output of this exchange can be written to the client now."""
         return not self._write_paused and bool(self._exchanges) and self._exchanges[0] is exchange
 
     def has_timed_out(self, now: float) -> bool:
-        """Return whether a request, or the reading of a response, has taken too long."""
+        """Return whether the client has taken too long to send a request or to read a response."""
         if self._discarding:
             return False
         if self._write_paused:
@@ -94,7 +107,7 @@
         if not self._parser.in_message:
             return not self.had_request and now - self.opened_at > timeouts.FIRST_BYTE_TIMEOUT_S
         if self._exchanges and self._upload is None:
-            return False  # the part of a request that came behind another may wait as long as that
+            return False  # a partial pipelined request may wait as long as the requests before it
         if not self._parser.in_body:
             return self._head_has_timed_out(now)
         return self._body_has_timed_out(now)
@@ -110,16 +123,16 @@
         if self._upload is not None or self.had_request:
             return now - max(self.state_since, self._received_at) > timeouts.IDLE_TIMEOUT_S
         return timeouts.is_first_body_too_slow(
-            silent_s=now - self._received_at,
-            connected_s=now - self.opened_at,
-            body_s=now - self._head_complete_at,
+            since_last_byte_s=now - self._received_at,
+            since_connect_s=now - self.opened_at,
+            since_head_s=now - self._head_complete_at,
             body_bytes=self._parser.body_size,
         )
 
     def client_has_left(self) -> bool:
-        """Return whether the client has left while the connection is not read.
+        """Return whether the client has closed the connection while the node does not read from it.
 
-        Its end of the stream lies behind what it has sent.
+        The transport reports the end of the stream only after the bytes before it have been read.
         """
         if self._transport is None or self._transport.is_reading() or self._transport.is_closing():
             return False
--- a/crowpost/node/downstream/exchange.py
+++ b/crowpost/node/downstream/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client and its one response."""
+"""One request of a client and its single response."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from crowpost.node.downstream.interfaces import ExchangeConnection
 
-# What a long body may hold here: the write buffer's high-water mark, and one read more.
+# The most bytes that a streamed body holds in memory: the write buffer's high-water mark, and one more read.
 STREAM_BUFFER_BYTES = 64 * 1024 + 256 * 1024
 
 
 class Exchange:
-    """One request of a client, and its one response.
+    """One request of a client and its single response.
 
-    It is the sink of a long response body.
+    It is also the sink of a streamed response body.
     """
 
     __slots__ = (
         "_chunked",
         "_connection",
         "_ends_with_connection",
-        "_has_grant",
+        "_has_buffer",
         "_set_reading",
         "arrived_at",
         "class_index",
@@ -45,27 +45,35 @@
         self._connection = connection
         self.close_after = close
         self.version = version
-        self.message: Message | None = None  # a request that waits behind others of its connection
+        # The request, while it waits for earlier requests of its connection.
+        self.message: Message | None = None
         self.arrived_at = connection.listener.now()
         self.client_gone = False
-        self.class_index: int | None = None  # of a valid request
+        # The index of the request class; None unless the request is valid.
+        self.class_index: int | None = None
         self.upload: Upload | None = None
-        self.reserved_body_bytes = 0  # of the budget, for its body, while it is pending
-        self.output: list[bytes] = []  # not written yet
-        self.response_complete = False  # no more output will come
+        # Bytes of the budget that are reserved for the request's body until the response begins.
+        self.reserved_body_bytes = 0
+        # Output that is not written to the connection yet.
+        self.output: list[bytes] = []
+        # Whether all output of the response has been produced.
+        self.response_complete = False
         self.on_client_gone: Callable[[], None] | None = None
-        self._set_reading: Callable[[bool], None] | None = None  # once a long response has begun
-        self._has_grant = False  # the budget has reserved its buffer
+        # Pauses or resumes reading from the source of a streamed response; None until one has begun.
+        self._set_reading: Callable[[bool], None] | None = None
+        # Whether the byte budget has reserved the buffer of a streamed response.
+        self._has_buffer = False
         self._chunked = False
-        self._ends_with_connection = False  # only the connection's end ends the response
+        # Whether only the close of the connection marks the end of the response.
+        self._ends_with_connection = False
 
     @property
     def response_started(self) -> bool:
-        """Whether a long response has begun."""
+        """Whether a streamed response has begun."""
         return self._set_reading is not None
 
     def respond(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
-        """Send the response, unless the client has left or has its response already.
+        """Send the response, unless the client has disconnected or already has its response.
 
         extra: complete header lines.
         """
@@ -82,7 +90,7 @@
         self._connection.flush()
 
     def start_response(self, message: Message, set_reading: Callable[[bool], None]) -> None:
-        """Begin a long response, whose source is read as fast as the client reads and the budget allows."""
+        """Begin a streamed response; its source is read as fast as the client and the byte budget allow."""
         self._decide_close()
         self._ends_with_connection = message.content_length is None and self.version == "1.0"
         self.close_after = self.close_after or self._ends_with_connection
@@ -90,36 +98,36 @@
         self.output = [head]
         self._set_reading = set_reading
         set_reading(False)
-        self._connection.listener.budget.reserve_when_free(STREAM_BUFFER_BYTES, self._on_grant)
+        self._connection.listener.budget.reserve_when_free(STREAM_BUFFER_BYTES, self._on_buffer_reserved)
         self._connection.flush()
 
-    def _on_grant(self) -> None:
-        """Begin to read a long response, as its buffer is reserved now."""
+    def _on_buffer_reserved(self) -> None:
+        """Start reading the source of a streamed response, as its buffer is reserved now."""
         if self.client_gone or self.response_complete:
             self._connection.listener.budget.release(STREAM_BUFFER_BYTES)
             return
-        self._has_grant = True
+        self._has_buffer = True
         self._connection.reserved_bytes += STREAM_BUFFER_BYTES
         self.update_flow()
 
     def update_flow(self) -> None:
-        """Read the source of a long response only while the client reads."""
+        """Read the source of a streamed response only while the client reads."""
         if self._set_reading is not None and not self.response_complete:
-            self._set_reading(self._has_grant and self._connection.accepts_output_of(self))
+            self._set_reading(self._has_buffer and self._connection.accepts_output_of(self))
 
     def check_client(self) -> None:
-        """Look whether the client has left unseen; called before an attempt, which would be for nobody."""
+        """Close the connection if the client has left; called before each attempt, useless in that case."""
         if not self.client_gone and self._connection.client_has_left():
             self._connection.on_client_left()
 
     def write_body(self, data: bytes) -> None:
-        """Send a part of a long response."""
+        """Send a part of a streamed response."""
         if not self.client_gone:
             self.output.append(render_chunk(data) if self._chunked else data)
             self._connection.flush()
 
     def end_body(self) -> None:
-        """Complete a long response."""
+        """Complete a streamed response."""
         if self.client_gone or self.response_complete:
             return
         if self._chunked:
@@ -129,7 +137,7 @@
         self._connection.flush()
 
     def fail(self, status: int) -> None:
-        """Respond with an error, as the request's body will not be complete, and abandon the request."""
+        """Respond with an error because the request's body will stay incomplete, and abandon the request."""
         on_client_gone = self.on_client_gone
         self.on_client_gone = None
         self.respond(status)
@@ -137,18 +145,18 @@
             on_client_gone()
 
     def abort(self) -> None:
-        """Break a long response off; the end of the connection tells the client so."""
+        """Abort a streamed response; the close of the connection shows the client that it is incomplete."""
         if not self.client_gone and not self.response_complete:
             self._count_response(502)
-            # Where the connection's end completes a response, only a reset tells that it was broken off.
+            # Where the close of the connection completes a response, only a reset marks it as incomplete.
             self._connection.abort(reset=self._ends_with_connection)
 
     def _decide_close(self) -> None:
-        """Decide whether the connection closes behind the response, and release the request's body."""
+        """Decide whether the connection closes after the response, and release the request's body."""
         connection = self._connection
-        # Nothing may follow a response that closes: with more requests behind it, this one does not.
+        # No response can follow one that closes the connection, so only the last request's response does.
         self.close_after = self.close_after or (connection.listener.closing and connection.is_last(self))
-        # The rest of a body that is not read must not be taken for a request.
+        # The unread rest of a body must not be parsed as the next request.
         self.close_after = self.close_after or (self.upload is not None and not self.upload.received)
         connection.listener.release_body(self)
 
--- a/crowpost/node/downstream/interfaces.py
+++ b/crowpost/node/downstream/interfaces.py
@@ -1,6 +1,6 @@
-"""What exchanges, connections and the listener need of each other.
+"""Protocols between exchanges, client connections and the listener.
 
-For type checkers only: nothing here is imported while a node runs.
+They serve type checkers only: nothing here is imported while a node runs.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ExchangeListener(Protocol):
-    """What an exchange needs of the listener that its connection belongs to."""
+    """The part of the listener that an exchange uses."""
 
     closing: bool
     metrics: Metrics
@@ -29,7 +29,7 @@
 
 
 class ExchangeConnection(Protocol):
-    """What an exchange needs of the connection that its request came on."""
+    """The part of its client connection that an exchange uses."""
 
     reserved_bytes: int
 
@@ -38,35 +38,35 @@
         """The listener that accepted this connection."""
 
     def is_last(self, exchange: Exchange) -> bool:
-        """Return whether no request has come behind this one."""
+        """Return whether this is the last request received on the connection so far."""
 
     def accepts_output_of(self, exchange: Exchange) -> bool:
-        """Return whether output of this exchange would be written now."""
+        """Return whether output of this exchange can be written to the client now."""
 
     def client_has_left(self) -> bool:
-        """Return whether the client has left while the connection is not read."""
+        """Return whether the client has closed the connection while the node does not read from it."""
 
     def on_client_left(self) -> None:
-        """Close a connection whose client has left unseen."""
+        """Close the connection after `client_has_left` has found that the client closed its end."""
 
     def flush(self) -> None:
-        """Write the output that is due."""
+        """Write the output that can be sent now."""
 
     def abort(self, *, reset: bool = False) -> None:
-        """Close at once, with a reset if asked for."""
+        """Close immediately; with `reset`, send a TCP reset."""
 
 
 class ConnectionListener(ExchangeListener, Protocol):
-    """What a client connection needs of the listener that accepted it."""
+    """The part of the listener that a client connection uses."""
 
     def opened(self, connection: ClientConnection) -> None:
-        """Count a connection that has been accepted."""
+        """Register an accepted connection."""
 
     def closed(self, connection: ClientConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
 
     def route(self, message: Message, exchange: Exchange) -> None:
-        """Begin the work on a request; raise MessageError if it is not taken."""
+        """Start handling a request; raise MessageError if the node does not serve it."""
 
     def check(self, message: Message) -> None:
-        """Raise MessageError if a request with this head would not be taken."""
+        """Raise MessageError if the node would not serve a request with this head."""
--- a/crowpost/node/downstream/listener.py
+++ b/crowpost/node/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The listener: accepts client connections, limits them, and routes their requests."""
+"""The listener: accepts client connections, limits their number and routes their requests."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 class Listener:
     """The listening socket and all client connections.
 
-    on_request: begins the work on a valid request; ready: returns whether clients may be sent here.
+    on_request: starts handling a valid request; ready: returns whether the node accepts new clients.
     """
 
     def __init__(
@@ -38,22 +38,25 @@
         max_connections: int,
         max_body_bytes: int,
     ) -> None:
-        self.closing = False  # whether every response closes its connection
+        # Whether every response closes its connection.
+        self.closing = False
         self.metrics = metrics
-        self._last_activity = 0.0  # when a connection or a request last came
+        # When a connection or a request last arrived.
+        self._last_activity = 0.0
         self._request_parser = RequestParser(settings)
         self._on_request = on_request
         self._ready = ready
         self._max_connections = max_connections
         self.budget = ByteBudget(max(max_body_bytes, STREAM_BUFFER_BYTES))
-        self._rejected = 0  # requests, since the last sweep, for want of connections or memory
+        # Requests rejected since the last sweep because the connection or memory limit was reached.
+        self._rejected = 0
         self._loop = asyncio.get_running_loop()
         self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
         self._sweeper = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def listen(self, at: tuple[str, int] | socket.socket) -> tuple[str, int]:
-        """Accept on this address only, or on a socket that listens already; return the address."""
+        """Accept on this address only, or on a socket that already listens; return the bound address."""
         if isinstance(at, socket.socket):
             self._server = await self._loop.create_server(
                 lambda: ClientConnection(self), sock=at, backlog=BACKLOG
@@ -66,7 +69,7 @@
         return bound
 
     def stop_accepting(self) -> None:
-        """Leave new connections to the other processes that hold the same listening socket."""
+        """Stop accepting connections: other processes that share the listening socket take them."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -75,27 +78,27 @@
     def now() -> float:
         """Return monotonic time in seconds.
 
-        The loop's own time is too coarse to tell which connection has been idle longest.
+        The event loop's time is too coarse to find the connection that has been idle longest.
         """
         return time.monotonic()
 
     def listening(self) -> bool:
-        """Return whether connections are accepted."""
+        """Return whether the listener accepts connections."""
         return self._server is not None and self._server.is_serving()
 
     def opened(self, connection: ClientConnection) -> None:
-        """Count an accepted connection, closing another if there are too many."""
+        """Register an accepted connection, and close another one if there are too many."""
         self._connections.add(connection)
         self._last_activity = self.now()
         if len(self._connections) > self._max_connections:
             self._evict_one(connection)
 
     def closed(self, connection: ClientConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self._connections.discard(connection)
 
     def over_limit(self) -> bool:
-        """Return whether there are more connections than the limit, as none could be closed for a new one."""
+        """Return whether the connection limit is exceeded because no connection could be evicted."""
         return len(self._connections) > self._max_connections
 
     def release_body(self, exchange: Exchange) -> None:
@@ -105,7 +108,7 @@
         self.budget.release(size)
 
     def _evict_one(self, newest: ClientConnection) -> None:
-        """Close the least useful connection that may be closed: no crowd may take every descriptor."""
+        """Close the least useful connection that may be closed: clients must not use up all descriptors."""
         for may_close in (
             ClientConnection.is_finished,
             ClientConnection.is_idle_and_flushed,
@@ -117,7 +120,7 @@
                 default=None,
             )
             if victim is not None:
-                # It no longer counts: requests on others must not be rejected until it has closed.
+                # Removed before it has closed: requests on other connections must not be rejected meanwhile.
                 self._connections.discard(victim)
                 victim.close()
                 return
@@ -155,26 +158,26 @@
         return not self._connections
 
     def inactive_s(self) -> float:
-        """Return for how many seconds neither a connection nor a request has come."""
+        """Return the seconds since a connection or a request last arrived."""
         return self.now() - self._last_activity
 
     def is_streaming(self) -> bool:
-        """Return whether a long response is being sent: it has no deadline."""
+        """Return whether a streamed response, which has no deadline, is being sent."""
         return any(c.is_streaming() for c in self._connections)
 
     def has_pending_output(self) -> bool:
-        """Return whether a response is still to be sent, or a request is coming in."""
+        """Return whether a response is still to be sent, or a request is being received."""
         return any(c.has_pending_output() for c in self._connections)
 
     def close(self) -> None:
-        """Stop accepting and close all connections at once."""
+        """Stop accepting and close all connections immediately."""
         self._sweeper.cancel()
         self.stop_accepting()
         for connection in list(self._connections):
             connection.abort()
 
     def route(self, message: Message, exchange: Exchange) -> None:
-        """Begin the work on a request; raise MessageError if it is none that a node serves."""
+        """Start handling a request; raise MessageError if the node does not serve it."""
         self._last_activity = self.now()
         path = normalize_path(message)
         if path == b"/ready":
@@ -184,7 +187,7 @@
             return
         if not is_api_path(path):
             raise MessageError(404, "path")
-        # The time of a long body runs from its last byte.
+        # The deadline of a request with a streamed body starts at the last byte of the body.
         waited_s = 0.0 if message.upload is not None else self.now() - exchange.arrived_at
         request = self._request_parser.parse(message, path, waited_s)
         exchange.class_index = request.class_index
@@ -198,7 +201,7 @@
             self._on_request(request, exchange)
 
     def check(self, message: Message) -> None:
-        """Raise MessageError if a request with this head would not be served."""
+        """Raise MessageError if the node would not serve a request with this head."""
         path = normalize_path(message)
         if is_api_path(path):
             self._request_parser.parse(message, path)
--- a/crowpost/node/downstream/pipeline.py
+++ b/crowpost/node/downstream/pipeline.py
@@ -1,4 +1,4 @@
-"""Pipelined requests: which of one connection's requests are worked on, and how many may wait."""
+"""Limits on pipelined requests: how many of one connection are in flight, and how many may wait."""
 
 from __future__ import annotations
 
@@ -8,19 +8,21 @@
 from crowpost.node.downstream.exchange import Exchange
 from crowpost.node.http.message import MAX_BODY, Message
 
-MAX_CONCURRENT = 2  # requests of one connection that are worked on at once; later ones wait
-MAX_PIPELINED = 32  # requests of one connection in all; later ones are not accepted
+# The most requests of one connection that are in flight at once; later ones wait.
+MAX_CONCURRENT = 2
+# The most requests of one connection, in flight and waiting; later ones are not accepted.
+MAX_PIPELINED = 32
 
 
 def next_waiting(exchanges: Iterable[Exchange]) -> Exchange | None:
-    """Return the first exchange whose request waits behind others, if few enough are worked on."""
+    """Return the first exchange whose request waits, if fewer than MAX_CONCURRENT are in flight."""
     first = list(islice(exchanges, MAX_CONCURRENT))
     return next((exchange for exchange in first if exchange.message is not None), None)
 
 
 def exceeds_limits(exchanges: Sequence[Exchange], message: Message) -> bool:
-    """Return whether with this request too many requests, or bytes of their bodies, would wait."""
-    # The buffer of a long body is counted only once it is worked on.
+    """Return whether this request would bring its connection over the limit of requests or body bytes."""
+    # A streamed body is counted against the byte budget only once its request is in flight, so none may wait.
     max_requests = MAX_PIPELINED if message.upload is None else MAX_CONCURRENT
     if len(exchanges) >= max_requests:
         return True
--- a/crowpost/node/downstream/request.py
+++ b/crowpost/node/downstream/request.py
@@ -1,4 +1,4 @@
-"""Requests of clients, checked and translated into the terms of the settings."""
+"""Validation of client requests, and their translation into the terms of the settings."""
 
 from __future__ import annotations
 
@@ -29,14 +29,15 @@
     message: Message
     class_index: int
     tenant: int
-    key: int  # a hash of the item that its path names; 0 where it names none
+    # A hash of the item that the path names; 0 if it names none.
+    key: int
     budget_ms: float
     cost_hint_ms: float | None
     is_repeat: bool
 
 
 class RequestParser:
-    """Reads the headers that tell a request's class, tenant, deadline and cost."""
+    """Reads a request's class, tenant, deadline and cost hint from its headers."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -46,7 +47,7 @@
     def parse(self, message: Message, path: bytes, waited_s: float = 0.0) -> ClientRequest:
         """Return the request; raise MessageError if a header is missing, repeated or out of range.
 
-        waited_s: the part of its time that has passed since it came in.
+        waited_s: the seconds of its deadline that have passed since the request arrived.
         """
         headers = message.headers
         required = [REQUEST_ID, CLASS, DEADLINE, *([TENANT] if self._tenants else [])]
@@ -72,7 +73,7 @@
 
 
 def normalize_path(message: Message) -> bytes:
-    """Return the path of a request, without its query.
+    """Return the path of a request without its query.
 
     A target in absolute form (RFC 9112, section 3.2.2) is replaced in the message by its origin form.
     """
@@ -89,9 +90,9 @@
 
 
 def _check_method(message: Message, effect: Effect) -> None:
-    """Raise MessageError unless method and idempotency key agree with the class on the request's effect.
+    """Raise MessageError unless method, idempotency key and body fit the effect of the request class.
 
-    Whether a request may be retried rests on it.
+    Whether a request may be retried depends on its effect.
     """
     keyed = IDEMPOTENCY_KEY in message.headers
     safe = effect is Effect.SAFE
@@ -105,7 +106,7 @@
 
 
 def _parse_cost_hint_ms(text: bytes | None) -> float | None:
-    """Return a cost hint; None for one that cannot be read, as a hint is no reason to reject a request."""
+    """Return a cost hint, or None for an invalid one: a bad hint is no reason to reject a request."""
     try:
         return None if text is None else _parse_number(text, "cost hint", MAX_COST_HINT_US) / 1000.0
     except MessageError:
@@ -113,9 +114,10 @@
 
 
 def _parse_number(text: bytes, name: str, maximum: float) -> float:
-    """Return a positive number; raise MessageError if the text is none, or one beyond the maximum."""
+    """Return a positive number; raise MessageError if the text is not one or exceeds the maximum."""
     try:
-        value = float(text) if b"_" not in text else -1.0  # Python's digit grouping is not HTTP's
+        # float() accepts underscores between digits, which are not valid in these headers.
+        value = float(text) if b"_" not in text else -1.0
     except ValueError:
         value = -1.0
     if not 0.0 < value <= maximum or value == float("inf"):
--- a/crowpost/node/downstream/sockets.py
+++ b/crowpost/node/downstream/sockets.py
@@ -1,4 +1,4 @@
-"""What the client side asks of sockets beyond asyncio's transports."""
+"""Socket operations of the downstream side that asyncio's transports do not offer."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def adopt_listening_socket(descriptor: int) -> socket.socket:
-    """Return the listening socket that this process was started with.
+    """Return the listening socket that this process inherited.
 
-    Raise ConfigError if the descriptor is none.
+    Raise ConfigError if the descriptor is not a listening TCP socket.
     """
     try:
         listener = socket.socket(fileno=descriptor)
@@ -29,13 +29,13 @@
 
 
 def peer_has_closed(transport: asyncio.Transport) -> bool:
-    """Return whether the peer has closed its end, also while the transport is not read."""
+    """Return whether the peer has closed its end, even while reading from the transport is paused."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def reset_on_close(transport: asyncio.Transport) -> None:
-    """Have the close of this transport send a reset and drop what is not sent yet."""
-    end = transport.get_extra_info("socket")
-    end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    """Make the close of this transport send a TCP reset and drop unsent output."""
+    sock = transport.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/crowpost/node/drain.py
+++ b/crowpost/node/drain.py
@@ -1,4 +1,4 @@
-"""Draining: one sequence for evacuate, rejoin and the graceful shutdown on SIGTERM."""
+"""Draining of client connections: evacuate, rejoin and the graceful shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,32 +12,41 @@
 
 log = logging.getLogger(__name__)
 
-MIN_ACCEPT_S = 0.6  # after SIGTERM: new connections come for up to 0.4 s
-QUIET_S = 0.25  # none may have come for this long before the process ends
-# An evacuated node closes idle connections from then on: new ones come for 0.3 s after it is no longer ready.
+# The least time between SIGTERM and the end of the process: new connections arrive for up to 0.4 s.
+MIN_ACCEPT_S = 0.6
+# The process ends only after this long without a new connection or request.
+QUIET_S = 0.25
+# An evacuated node closes idle connections only after this time: new ones arrive for 0.3 s after it is no
+# longer ready.
 EVACUATION_KEEP_S = 1.0
-# The clients of a terminating node may go on with the connections they have: with another node also
-# restarting, there may be no other to go to.  What comes last must still be answered in time.
+# The longest time that clients of a terminating node may go on using their connections: while another node
+# also restarts, there may be no other node for them.  The last requests must still be answered in time.
 MAX_SERVE_S = 2.0
-SERVE_RESERVE_S = 1.0  # of the longest deadline
-KILL_DEADLINE_S = 3.0  # SIGKILL comes 0.7 s after the longest deadline, or after this where it is longer
-LAST_RESPONSE_S = 0.4  # after that deadline every request has its response
+# The part of the longest deadline that is reserved for answering the last requests.
+SERVE_RESERVE_S = 1.0
+# SIGKILL comes 0.7 s after the longest deadline, or 0.7 s after this time if the deadline is longer.
+KILL_DEADLINE_S = 3.0
+# Every request has its response within this time after that deadline.
+LAST_RESPONSE_S = 0.4
 CHECK_INTERVAL_S = 0.05
 
 
 class Phase(Enum):
-    """What a node does with clients."""
+    """Whether a node serves clients."""
 
     SERVING = "serving"
-    EVACUATED = "evacuated"  # until it rejoins
-    TERMINATING = "terminating"  # for good
+    # No new clients until the node rejoins.
+    EVACUATED = "evacuated"
+    # The node shuts down; no other phase follows.
+    TERMINATING = "terminating"
 
 
 class Drain:
-    """The phase that a node is in, and what it means for the clients' connections.
+    """The phase of a node, and the handling of client connections in it.
 
-    longest_s: the longest deadline; handed_over: whether another process accepts from the same listening
-    socket; fail_remaining: responds to what is still pending; on_finished: ends the process.
+    longest_s: the longest deadline in seconds; handed_over: whether another process accepts connections from
+    the same listening socket; fail_remaining: responds to all pending requests with an error; on_finished:
+    ends the process.
     """
 
     def __init__(
@@ -61,25 +70,25 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def time_left_s(self) -> float:
-        """Return the seconds until the last response must be sent; infinite while the process stays."""
+        """Return the seconds until the last response must be sent; infinite unless the node terminates."""
         if self.phase is not Phase.TERMINATING:
             return float("inf")
         return self._began + self._last_s - time.monotonic()
 
     def evacuate(self) -> bool:
-        """Evacuate the node: new clients go elsewhere, present ones get their responses and a close."""
+        """Evacuate the node: it is no longer ready, and closes each connection after its responses."""
         if self.phase is Phase.SERVING:
             self._enter(Phase.EVACUATED)
         return True
 
     def rejoin(self) -> bool:
-        """Serve again, and return True; return False once the process terminates."""
+        """Serve again and return True; return False if the node is terminating."""
         if self.phase is Phase.EVACUATED:
             self._enter(Phase.SERVING)
         return self.phase is Phase.SERVING
 
     def terminate(self) -> None:
-        """Respond to what is here and what still comes, then end the process."""
+        """Respond to pending and late requests, then end the process."""
         if self.phase is not Phase.TERMINATING:
             self._enter(Phase.TERMINATING)
 
@@ -90,9 +99,10 @@
         self._began = time.monotonic()
         if phase is Phase.TERMINATING and self._handed_over:
             self._listener.stop_accepting()
-        # Where the listener stays and all nodes may be terminating, clients keep what they have for a while.
-        at_once = phase is Phase.EVACUATED or self._handed_over or previous is Phase.EVACUATED
-        self._listener.closing = phase is not Phase.SERVING and at_once
+        # If no other process took over the listening socket, all nodes may be terminating: clients may then
+        # use their connections for a while longer.
+        close_now = phase is Phase.EVACUATED or self._handed_over or previous is Phase.EVACUATED
+        self._listener.closing = phase is not Phase.SERVING and close_now
         if self._timer is not None:
             self._timer.cancel()
         if phase is not Phase.SERVING:
@@ -110,7 +120,7 @@
         if elapsed_s >= self._last_s:
             self._fail_remaining()
         if self._handed_over:
-            # No connection comes any more; a request may still come on any that is open.
+            # No new connection can arrive, but a request may still arrive on any open one.
             finished = listener.is_empty()
         else:
             finished = (
@@ -118,7 +128,7 @@
                 and not listener.has_pending_output()
                 and listener.inactive_s() >= QUIET_S
             )
-        # A long response has no deadline: it goes on until it is complete, or SIGKILL comes.
+        # A streamed response has no deadline: it continues until it is complete or SIGKILL comes.
         if finished or (elapsed_s >= self._last_s + QUIET_S and not listener.is_streaming()):
             self._timer.cancel()
             self._on_finished()
--- a/crowpost/node/errors.py
+++ b/crowpost/node/errors.py
@@ -4,4 +4,4 @@
 
 
 class NodeError(Exception):
-    """What a node's configuration, its clients, its endpoints or discovery got wrong."""
+    """A fault in a node's configuration, or in input from its clients, endpoints or discovery."""
--- a/crowpost/node/event_queue.py
+++ b/crowpost/node/event_queue.py
@@ -11,8 +11,8 @@
 class EventQueue:
     """Delivers events one at a time, in the order in which they were posted.
 
-    Carrying out an action may post the next event.  That waits its turn, because the module's own state is
-    consistent only when it has returned.
+    Executing an action may post the next event.  It is queued until the decision module has returned, as the
+    module's state is consistent only then.
     """
 
     def __init__(self) -> None:
@@ -22,12 +22,12 @@
         self._on_empty: Callable[[], None] | None = None
 
     def connect(self, handle: Callable[[Event], None], on_empty: Callable[[], None]) -> None:
-        """Deliver events to `handle`, and call `on_empty` whenever all of them are handled."""
+        """Deliver events to `handle`, and call `on_empty` whenever the queue has become empty."""
         self._handle = handle
         self._on_empty = on_empty
 
     def post(self, event: Event) -> None:
-        """Deliver an event now, or after those that are being delivered."""
+        """Deliver an event now, or after the events that are being delivered."""
         self._events.append(event)
         if self.delivering:
             return
--- a/crowpost/node/http/body.py
+++ b/crowpost/node/http/body.py
@@ -1,4 +1,4 @@
-"""Bodies that are too long to be buffered, on their way from one socket to another."""
+"""Streaming of bodies that are too long to be buffered, and the byte budget of a node."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BodySink(Protocol):
-    """Where a long body goes."""
+    """The destination of a streamed body."""
 
     def write_body(self, data: bytes) -> None:
         """Write a part of the body."""
@@ -18,17 +18,20 @@
 
 
 class Upload:
-    """A request's body that is too long to be buffered: it goes to the one attempt that carries it.
+    """A request's body that is too long to be buffered, and is streamed to a single attempt.
 
-    Until there is one, and while that one cannot write, the client's connection is not read.
+    Reading from the client's connection is paused until an attempt is attached, and while it cannot write.
 
-    first: the bytes that have come with the head; set_reading: pauses or resumes the client's connection.
+    first: the bytes of the body that arrived with the head; set_reading: pauses or resumes reading from the
+    client's connection.
     """
 
     def __init__(self, first: bytes, length: int | None, set_reading: Callable[[bool], None]) -> None:
         self.length = length
-        self.received = False  # its last byte has come
-        self.consumed = False  # it has begun to go to an endpoint, and is buffered no longer
+        # Whether the last byte has been received.
+        self.received = False
+        # Whether an attempt was attached: the first bytes are no longer buffered, so no other can send them.
+        self.consumed = False
         self.on_received: Callable[[], None] | None = None
         self._buffered = [first]
         self._set_reading = set_reading
@@ -36,14 +39,14 @@
         set_reading(False)
 
     def feed(self, data: bytes) -> None:
-        """Pass on, or buffer, a part that has come."""
+        """Forward a received part to the sink, or buffer it until there is one."""
         if self._sink is not None:
             self._sink.write_body(data)
         elif not self.consumed:
             self._buffered.append(data)
 
     def finish(self) -> None:
-        """Note that the body is complete."""
+        """Mark the body as completely received."""
         self.received = True
         if self.on_received is not None:
             self.on_received()
@@ -51,7 +54,7 @@
             self._sink.end_body()
 
     def attach(self, sink: BodySink) -> None:
-        """Give the sink every part of the body, once."""
+        """Send the buffered and all later parts of the body to this sink."""
         self.consumed = True
         self._sink = sink
         buffered = self._buffered
@@ -63,18 +66,18 @@
         self._set_reading(True)
 
     def detach(self) -> None:
-        """Drop the rest of the body."""
+        """Discard the rest of the body."""
         self._sink = None
         self._set_reading(True)
 
     def set_sink_ready(self, ready: bool) -> None:
-        """Note whether the sink can write more."""
+        """Read from the client only while the sink can write more."""
         if self._sink is not None and not self.received:
             self._set_reading(ready)
 
 
 class ByteBudget:
-    """The bytes that the bodies of pending requests may take in a node at once."""
+    """The limit on the bytes that all bodies in flight may occupy in a node at once."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -82,21 +85,21 @@
         self._waiting: deque[tuple[int, Callable[[], None]]] = deque()
 
     def try_reserve(self, size: int) -> bool:
-        """Reserve so many bytes, and return whether they were free."""
+        """Reserve the bytes if they are free; return whether they were."""
         if self.reserved + size > self.limit:
             return False
         self.reserved += size
         return True
 
-    def reserve_when_free(self, size: int, then: Callable[[], None]) -> None:
-        """Reserve so many bytes as soon as they are free, in the order of the calls, and then call `then`."""
+    def reserve_when_free(self, size: int, on_reserved: Callable[[], None]) -> None:
+        """Reserve the bytes once they are free, in the order of the calls, and then call `on_reserved`."""
         if not self._waiting and self.try_reserve(size):
-            then()
+            on_reserved()
         else:
-            self._waiting.append((size, then))
+            self._waiting.append((size, on_reserved))
 
     def release(self, size: int) -> None:
-        """Return so many bytes, and grant the reservations that wait for them."""
+        """Return the bytes to the budget, and make the reservations that wait for them."""
         self.reserved -= size
         while self._waiting and self.try_reserve(self._waiting[0][0]):
             self._waiting.popleft()[1]()
--- a/crowpost/node/http/load_report.py
+++ b/crowpost/node/http/load_report.py
@@ -1,4 +1,4 @@
-"""The load report that a server puts into a header of its responses."""
+"""Parsing of the load report that an endpoint sends in a header of its responses."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 def parse_load_report(message: Message | None, columns: Sequence[str]) -> tuple[float, ...]:
     """Return the values of a response's load report in the order of the columns.
 
-    Return an empty tuple if there is no report, or a malformed one: a report only advises, so that a
-    malformed one costs neither its response nor the connection.
+    Return an empty tuple if there is no report or a malformed one: a report is only advice, so that a
+    malformed one fails neither its response nor the connection.
     """
     raw = message.headers.get(LOAD) if message is not None else None
     if raw is None or not columns:
--- a/crowpost/node/http/message.py
+++ b/crowpost/node/http/message.py
@@ -7,8 +7,8 @@
 from crowpost.node.errors import NodeError
 from crowpost.node.http.body import Upload
 
-# Sizes in bytes.
-MAX_BODY = 64 * 1024  # of a body that is buffered; a longer one is streamed
+# Sizes in bytes.  A body longer than MAX_BODY is streamed, a shorter one is buffered.
+MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
 
 REQUEST_ID = b"x-request-id"
@@ -30,7 +30,7 @@
 class MessageError(NodeError):
     """A message that cannot be accepted.
 
-    status: what a request of this form is answered with.
+    status: the HTTP status of the response to such a request.
     """
 
     def __init__(self, status: int, text: str) -> None:
@@ -40,9 +40,10 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request or response: complete, or the head of a long one and the first bytes of its body."""
+    """A request or response: complete, or with only the first bytes of a streamed body."""
 
-    target: bytes = b""  # of a request
+    # The request target; empty in a response.
+    target: bytes = b""
     method: bytes = b""
     status: int = 0
     version: str = "1.1"
@@ -50,10 +51,11 @@
     repeated_headers: set[bytes] = field(default_factory=set)
     body: bytes = b""
     keep_alive: bool = False
-    upload: Upload | None = None  # the body of a request too long to be buffered
+    # The body of a request that is too long to be buffered.
+    upload: Upload | None = None
 
     @property
     def content_length(self) -> int | None:
-        """The length of the body in bytes, None if the head does not tell it."""
+        """The length of the body in bytes; None without a Content-Length header."""
         text = self.headers.get(CONTENT_LENGTH)
         return None if text is None else int(text)
--- a/crowpost/node/http/parser.py
+++ b/crowpost/node/http/parser.py
@@ -1,6 +1,6 @@
 """Incremental parsing of HTTP/1.1 messages.
 
-The grammar is httptools'; this adds the size limits and the state that tells a complete message from a part.
+httptools parses the grammar; this module adds the size limits and tracks whether a message is complete.
 """
 
 from __future__ import annotations
@@ -21,20 +21,19 @@
 
 
 class MessageReceiver(Protocol):
-    """What a parser calls.
+    """The callbacks of a parser.
 
-    A message with a short body comes as a whole.  One with a long body comes as a stream: start, data and
-    end.
+    A message with a short body is delivered as a whole, one with a long body as a stream: start, data, end.
     """
 
     def on_head(self, message: Message) -> None:
-        """Handle a head whose body has not come yet."""
+        """Handle a complete head, before its body."""
 
     def on_message(self, message: Message) -> None:
         """Handle a complete message."""
 
     def on_stream_start(self, message: Message) -> None:
-        """Handle the beginning of a message with a long body."""
+        """Handle the head and the first bytes of a message with a long body."""
 
     def on_stream_data(self, data: bytes) -> None:
         """Handle a part of a long body."""
@@ -46,9 +45,9 @@
 class MessageParser:
     """Parses messages within the size limits, with httptools.
 
-    The limits are kept here because httptools would collect a header without end.
+    httptools itself would buffer a header of any length.
 
-    requests: whether requests are parsed, or responses.
+    requests: whether to parse requests; otherwise responses.
     """
 
     __slots__ = (
@@ -75,12 +74,14 @@
         self._head_bytes_left = MAX_HEAD
         self._head_bytes = 0
         self._in_body = False
-        # A response that is known to be long is streamed from its first byte, a request from MAX_BODY on.
+        # Whether the message is a response with a long Content-Length, which is streamed from its first byte.
+        # All other bodies are streamed once they exceed MAX_BODY.
         self._stream_immediately = False
         self._streaming = False
         self._message: Message | None = None
         self._body: list[bytes] = []
-        self.body_size = 0  # bytes of the current message, as far as it has come
+        # Bytes of the current body that have been received.
+        self.body_size = 0
 
     @property
     def in_message(self) -> bool:
@@ -89,17 +90,17 @@
 
     @property
     def in_body(self) -> bool:
-        """Whether the head is complete, and the body is not."""
+        """Whether the head is complete and the body is not."""
         return self._message is not None and self._in_body
 
     @property
     def awaits_unsized_body(self) -> bool:
-        """Whether a body of unknown length is coming in and is buffered."""
+        """Whether a body of unknown length is being received and buffered."""
         message = self._message
         return self.in_body and not self._streaming and message is not None and message.content_length is None
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes; raise MessageError if they cannot belong to a message that is accepted."""
+        """Parse bytes; raise MessageError if the message is malformed, too large or unsupported."""
         if not self._in_body:
             self._head_bytes_left -= len(data)
         try:
@@ -115,11 +116,11 @@
             raise MessageError(400, "the head is too large")
 
     def stop(self) -> None:
-        """Parse no further message, not even of the bytes at hand: a flood may hold thousands."""
+        """Parse no further message, not even from bytes already received: they may hold thousands."""
         self._stopped = True
 
     def feed_eof(self) -> None:
-        """Note the end of the stream: a response without a length is complete now (RFC 9112, section 6.3)."""
+        """Handle the end of the stream: it completes a response without a length (RFC 9112, section 6.3)."""
         message = self._message
         if message is None or not self._in_body or self._failure is not None:
             return
@@ -127,7 +128,7 @@
             self.on_message_complete()
 
     def start_streaming(self) -> None:
-        """Stop buffering the body: what has come of it starts a stream."""
+        """Stop buffering the body, and deliver the part received so far as the start of a stream."""
         if self._message is not None and not self._streaming:
             self._message.body = b"".join(self._body)
             self._body.clear()
@@ -135,9 +136,10 @@
             self._receiver.on_stream_start(self._message)
 
     def on_message_begin(self) -> None:
-        """Begin a message; called by httptools, as are the methods below."""
+        """Begin a message; this and the following `on_` methods are called by httptools."""
         if self._stopped:
-            raise MessageError(400, "no further message is read")  # ends the parser; `feed` knows why
+            # The exception ends httptools' parsing; `feed` ignores it after `stop`.
+            raise MessageError(400, "no further message is parsed")
         self._message = Message()
         self._body.clear()
         self.body_size = 0
@@ -156,14 +158,15 @@
             return
         self._count_head_bytes(len(name) + len(value))
         if self._in_body:
-            return  # a trailer: what it says was not known when the head was acted on
+            return  # a trailer arrives after the head has been handled, so it is ignored
         name = name.lower()
         if name in self._message.headers:
             self._message.repeated_headers.add(name)
-        self._message.headers[name] = value.strip(b" \t")  # httptools leaves white space behind a value
+        # httptools keeps trailing white space of a value.
+        self._message.headers[name] = value.strip(b" \t")
 
     def on_headers_complete(self) -> None:
-        """Check a complete head and pass it on."""
+        """Check a complete head and deliver it."""
         message = self._message
         if message is None:
             return
@@ -171,14 +174,14 @@
         parser = self._parser
         message.version = parser.get_http_version()
         if parser.should_upgrade():
-            self._fail(400, "no other protocol is spoken here")
+            self._fail(400, "protocol upgrades are not supported")
         if message.version not in ("1.0", "1.1"):
-            self._fail(400, "unknown version")
+            self._fail(400, "unsupported HTTP version")
         coding = message.headers.get(TRANSFER_ENCODING)
         if coding is not None and (coding.lower() != b"chunked" or message.version == "1.0"):
             self._fail(400, f"transfer coding {coding!r} in HTTP/{message.version}")
         if HOST in message.repeated_headers:
-            self._fail(400, "two hosts")
+            self._fail(400, "more than one Host header")
         if isinstance(parser, httptools.HttpRequestParser):
             message.method = parser.get_method()
         else:
@@ -189,7 +192,7 @@
             self._receiver.on_head(message)
 
     def on_body(self, part: bytes) -> None:
-        """Buffer a part of a body, or pass it on."""
+        """Buffer a part of a body, or deliver it if the body is streamed."""
         if self._failure is not None:
             return
         self.body_size += len(part)
@@ -201,7 +204,7 @@
             self.start_streaming()
 
     def on_message_complete(self) -> None:
-        """End a message and pass it on."""
+        """End a message and deliver it."""
         message = self._message
         if message is None or self._failure is not None:
             return
@@ -214,11 +217,12 @@
             return
         message.body = b"".join(self._body)
         self._body.clear()
-        if not 100 <= message.status < 200:  # interim responses are skipped
+        # Interim responses are skipped.
+        if not 100 <= message.status < 200:
             self._receiver.on_message(message)
 
     def _count_head_bytes(self, size: int) -> None:
-        """Measure a head before it is passed on, also one that came in a single read."""
+        """Limit the size of a head before it is delivered, even if it arrives in a single read."""
         self._head_bytes += size
         if self._head_bytes > MAX_HEAD:
             self._fail(400, "the head is too large")
--- a/crowpost/node/http/rendering.py
+++ b/crowpost/node/http/rendering.py
@@ -20,7 +20,7 @@
 
 
 def render_chunk(data: bytes) -> bytes:
-    """Return a part of a body in chunked coding; without data, the end of the body."""
+    """Return one chunk in chunked transfer coding; empty data gives the last chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -40,7 +40,7 @@
 
 
 def render_response_head(message: Message, *, version: str, close: bool) -> tuple[bytes, bool]:
-    """Return the head of a long response for its client, and whether its body is sent in chunked coding.
+    """Return the head of a streamed response, and whether its body uses chunked transfer coding.
 
     message: the endpoint's response; version: the client's HTTP version.
     """
@@ -56,9 +56,9 @@
 
 
 def render_request_head(message: Message, host: bytes) -> bytes:
-    """Return what the heads of all attempts of a request have in common: all but the deadline.
+    """Return the head that all attempts of a request share: everything but the deadline.
 
-    host: of the node, as host and port.
+    host: the node's own address, as host and port.
     """
     lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (message.method, message.target, host)]
     lines.append(b"X-Request-Id: %s\r\n" % message.headers[REQUEST_ID])
--- a/crowpost/node/metrics.py
+++ b/crowpost/node/metrics.py
@@ -1,4 +1,4 @@
-"""The figures that operators and their tools read: plain counters."""
+"""The metrics of a node in text form, for operators and their tools."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Metrics:
-    """Counts since the start of the process.
+    """Counters since the start of the process.
 
     classes: the names of the request classes, in the order of their indices.
     """
@@ -25,15 +25,15 @@
         self._responses[class_index][result] += 1
 
     def attempt_written(self) -> None:
-        """Count an attempt that was written to its last byte."""
+        """Count an attempt whose request was written completely."""
         self._attempts += 1
 
     def render(
         self, *, active: int, pool_size: int, pool_ejected: int, more: Mapping[str, float] | None = None
     ) -> bytes:
-        """Return all figures, one a line.
+        """Return all metrics, one per line.
 
-        more: the figures of optional parts, by name and labels.
+        more: the metrics of optional components, by name and labels.
         """
         lines = [
             f'{_PREFIX}_responses{{kind="{name}",result="{result}"}} {counts[result]}'
