--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback sockets for what surrounds a node: servers, discovery and clients."""
+"""Stub servers, discovery and clients on loopback sockets, and a node among them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 from crowpost.storage.config import StateConfig
 
 HOST = "127.0.0.1"
-PATIENCE_S = 20.0  # for what must come; reached only by a failing test
+# The timeout for events that must happen; only a failing test reaches it.
+PATIENCE_S = 20.0
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the node runs on."""
+    """Run a test on uvloop, the event loop of a node."""
 
     async def bounded() -> None:
         await asyncio.wait_for(main, 3 * PATIENCE_S)
@@ -32,7 +33,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings of a small site, nested as in a node's configuration."""
+    """Return the settings of a small site, nested as in a node's configuration."""
     return {
         "azs": ["hall"],
         "balancers": 1,
@@ -72,7 +73,7 @@
 
 @dataclass
 class Received:
-    """A request as it came in."""
+    """A request as the stub server received it."""
 
     method: str
     target: str
@@ -81,7 +82,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    """First line and headers, the names in lower case."""
+    """Return the first line and the headers, with their names in lower case."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.rstrip("\r\n").split("\r\n")
     pairs = (line.split(":", 1) for line in lines)
@@ -89,23 +90,23 @@
 
 
 async def read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
-    """A body in whatever coding the head tells; IncompleteReadError if it breaks off."""
+    """Return a body in the transfer coding of its head; raise IncompleteReadError if it is cut short."""
     if headers.get("transfer-encoding", "").lower() != "chunked":
         return await reader.readexactly(int(headers.get("content-length", 0)))
-    pieces = []
+    parts = []
     while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
-        pieces.append(await reader.readexactly(size))
+        parts.append(await reader.readexactly(size))
         await reader.readexactly(2)
     while await reader.readuntil(b"\r\n") != b"\r\n":
-        pass  # trailers
-    return b"".join(pieces)
+        pass  # skip the trailers
+    return b"".join(parts)
 
 
 Behaviour = Callable[["StubServer", Received, asyncio.StreamWriter], Awaitable[None]]
 
 
 def reply(status: str, body: bytes = b"", extra: str = "") -> Behaviour:
-    """Answer with this."""
+    """Return a behaviour that sends this response."""
 
     async def behave(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
         head = f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
@@ -115,7 +116,7 @@
 
 
 def raw(text: bytes, *, close: bool = False) -> Behaviour:
-    """Write these bytes, whatever they are."""
+    """Return a behaviour that writes these bytes unchanged."""
 
     async def behave(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
         writer.write(text)
@@ -126,7 +127,7 @@
 
 
 def held(behaviour: Behaviour) -> Behaviour:
-    """Do that, but only when the server's release is set."""
+    """Return a behaviour that waits for the server's `release` first."""
 
     async def behave(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
         await server.release.wait()
@@ -136,25 +137,29 @@
 
 
 async def reset(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
-    """Break the connection."""
+    """Reset the connection."""
     writer.transport.abort()
 
 
 async def silent(server: StubServer, _: Received, __: asyncio.StreamWriter) -> None:
-    """Say nothing until told to."""
+    """Send nothing until the server's `release` is set."""
     await server.release.wait()
 
 
 @dataclass
 class StubServer:
-    """A server that does as told, in order; the last behaviour stays."""
+    """A server that handles each request with the next behaviour, and repeats the last one.
+
+    got: set when a request has been received; left: set when a connection has ended; opened: the number of
+    connections so far.
+    """
 
     behaviours: list[Behaviour]
     address: str = ""
     received: list[Received] = field(default_factory=list)
     release: asyncio.Event = field(default_factory=asyncio.Event)
-    got: asyncio.Event = field(default_factory=asyncio.Event)  # a request has come
-    left: asyncio.Event = field(default_factory=asyncio.Event)  # a connection has ended
+    got: asyncio.Event = field(default_factory=asyncio.Event)
+    left: asyncio.Event = field(default_factory=asyncio.Event)
     opened: int = 0
 
     async def __aenter__(self) -> StubServer:
@@ -182,7 +187,7 @@
 
 
 def row(name: str, address: str, lifecycle: str = "SERVING", started: float = 0) -> dict[str, Any]:
-    """A server as discovery lists it."""
+    """Return the entry of a server in an endpoint list from discovery."""
     return {
         "instanceId": name,
         "hostPort": address,
@@ -204,7 +209,7 @@
 
 @dataclass
 class StubDiscovery:
-    """Discovery's watch: every one that is opened is handed out in turn."""
+    """A discovery stub: `watch` returns the watches in the order in which they were opened."""
 
     address: str = ""
     targets: list[str] = field(default_factory=list)
@@ -225,12 +230,12 @@
         self.watches.put_nowait(writer)
 
     async def watch(self) -> asyncio.StreamWriter:
-        """The next watch that a node opens."""
+        """Return the next watch that a node opens."""
         return await asyncio.wait_for(self.watches.get(), PATIENCE_S)
 
 
 def tell(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
-    """Write one line of a watch."""
+    """Send one line on a watch."""
     text = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
     watch.write(b"%x\r\n%s\r\n" % (len(text), text))
 
@@ -271,7 +276,7 @@
         return await self.answer()
 
     async def ended(self) -> bool:
-        """Wait for the node's end of the connection."""
+        """Return whether the node closes the connection without sending more."""
         with contextlib.suppress(ConnectionError):
             return await asyncio.wait_for(self.reader.read(), PATIENCE_S) == b""
         return True
@@ -293,7 +298,7 @@
     drop: tuple[str, ...] = (),
     extra: str = "",
 ) -> bytes:
-    """A client's request; drop leaves headers out, extra adds lines."""
+    """Return a client's request; `drop` leaves headers out, `extra` adds header lines."""
     headers = {
         "X-Request-Id": "9b1f03aa5c7e2d41",
         "X-Class": kind,
@@ -314,7 +319,7 @@
 
 @dataclass
 class World:
-    """A node and what surrounds it."""
+    """A running node with its address and its discovery."""
 
     node: Node
     address: tuple[str, int]
@@ -325,20 +330,20 @@
         return await Client.connect(self.address)
 
     def age(self, seconds: float) -> None:
-        """Let the idle connections to servers have been idle for longer."""
+        """Make the idle connections to servers look idle for this much longer."""
         for connection in self.node._pool._idle_connections():
             connection.idle_since -= seconds
 
     async def manage(self, method: str, path: str) -> Answer:
-        """One call to the second address."""
+        """Send one call to the admin address."""
         client = await Client.connect(self.node.admin_address)
         client.writer.write(f"{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n".encode())
         answer = await client.answer()
-        assert await client.ended(), "a management call left its connection open"
+        assert await client.ended(), "an admin call left its connection open"
         return answer
 
     async def figures(self) -> dict[str, int]:
-        """The node's figures, by their names with labels."""
+        """Return the node's metrics by name and labels."""
         text = (await self.manage("GET", "/api/telemetry")).body.decode()
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in text.splitlines())}
 
@@ -355,7 +360,7 @@
     state: StateConfig | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
-    """A node that knows these servers; changes go into its settings."""
+    """Run a node that knows these servers; `changes` go into its settings."""
     naming = Naming(("hall",), ("std",))
     async with StubDiscovery() as discovery:
         host, _, port = discovery.address.rpartition(":")
--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -1,4 +1,4 @@
-"""The second address: its calls, the figures, and the drain."""
+"""Tests of the admin address: its calls, the metrics and the drain."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
     world,
 )
 
-FULL = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
+NOT_RUN = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
 
 
-def _of(kind: str, result: str) -> str:
+def _responses(kind: str, result: str) -> str:
     return f'edge_node_responses{{kind="{kind}",result="{result}"}}'
 
 
@@ -43,11 +43,11 @@
     assert text.splitlines()[0] == 'edge_node_responses{kind="a\\"b\\\\c\\nd",result="ok"} 0'
 
 
-def test_every_figure_is_there_from_the_start() -> None:
+def test_every_metric_is_rendered_from_the_start() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             kinds = ("look", "move", "book")
-            expected = {_of(kind, result): 0 for kind in kinds for result in ("ok", "shed", "errors")}
+            expected = {_responses(kind, result): 0 for kind in kinds for result in ("ok", "shed", "errors")}
             expected |= {"edge_node_tries": 0, "edge_node_active": 0}
             expected |= {"edge_node_pool_size": 1, "edge_node_pool_ejected": 0}
             assert await w.figures() == expected
@@ -55,17 +55,17 @@
     run(main())
 
 
-def test_figures_agree_with_what_callers_and_servers_saw() -> None:
+def test_metrics_agree_with_clients_and_servers() -> None:
     async def main() -> None:
         error = reply("500 Internal Server Error")
-        behaviours = [reply("200 OK"), error, FULL, reply("200 OK"), reset, held(reply("200 OK"))]
+        behaviours = [reply("200 OK"), error, NOT_RUN, reply("200 OK"), reset, held(reply("200 OK"))]
         async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
             client = await w.client()
             statuses = [
                 (await client.ask("look")).status,
-                (await client.ask("book")).status,  # failed: it may have run
-                (await client.ask("book")).status,  # turned away once, then served
-                (await client.ask("book")).status,  # the connection breaks
+                (await client.ask("book")).status,  # a 500 is not retried: the request may have run
+                (await client.ask("book")).status,  # rejected once, then served
+                (await client.ask("book")).status,  # the server resets the connection
             ]
             assert statuses == [200, 502, 200, 502]
             server.got.clear()
@@ -74,9 +74,9 @@
             figures = await w.figures()
             assert figures["edge_node_active"] == 1
             assert figures["edge_node_tries"] == len(server.received) == 6
-            assert figures[_of("look", "ok")] == 1
-            assert (figures[_of("book", "ok")], figures[_of("book", "errors")]) == (1, 2)
-            client.close()  # abandoned: no longer active
+            assert figures[_responses("look", "ok")] == 1
+            assert (figures[_responses("book", "ok")], figures[_responses("book", "errors")]) == (1, 2)
+            client.close()  # an abandoned request is no longer active
             while (await w.figures())["edge_node_active"]:
                 pass
             server.release.set()
@@ -84,83 +84,83 @@
     run(main())
 
 
-def test_a_request_with_a_second_copy_is_one_answer_and_two_tries() -> None:
+def test_a_hedged_request_counts_one_response_and_two_attempts() -> None:
     async def main() -> None:
         async with StubServer([silent]) as one:
 
-            async def after_the_first(
+            async def respond_after_the_first(
                 server: StubServer, got: Received, writer: asyncio.StreamWriter
             ) -> None:
                 await one.got.wait()
                 await reply("200 OK")(server, got, writer)
 
             async with (
-                StubServer([after_the_first]) as two,
+                StubServer([respond_after_the_first]) as two,
                 world(row("a", one.address), row("b", two.address)) as w,
             ):
                 await _ask_both(w, one, two)
 
     async def _ask_both(w: World, one: StubServer, two: StubServer) -> None:
-        def both(event: Event, now: float) -> list[Action]:
+        def send_to_both(event: Event, now: float) -> list[Action]:
             if isinstance(event, RequestArrived):
                 return [Send(event.request, b"a"), Send(event.request, b"b")]
             if isinstance(event, AttemptEnded) and event.outcome is Outcome.OK:
                 return [Cancel(event.request, 0, answered=True)]
             return []
 
-        w.node._balancer.handle = both  # type: ignore[method-assign]
+        w.node._balancer.handle = send_to_both  # type: ignore[method-assign]
         assert (await (await w.client()).ask("look")).status == 200
         assert len(one.received) == len(two.received) == 1
         figures = await w.figures()
-        assert (figures["edge_node_tries"], figures[_of("look", "ok")]) == (2, 1)
+        assert (figures["edge_node_tries"], figures[_responses("look", "ok")]) == (2, 1)
         one.release.set()
 
     run(main())
 
 
-def test_two_processes_of_one_node_plan_for_both() -> None:
+def test_two_processes_of_one_node_share_its_limits() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as alone:
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as single:
             with socket.socket() as listener:
                 listener.bind((HOST, 0))
                 listener.listen()
-                async with world(row("a", server.address), accept_fd=os.dup(listener.fileno())) as beside:
-                    for w, part in ((alone, 1.0), (beside, 0.5)):
+                async with world(row("a", server.address), accept_fd=os.dup(listener.fileno())) as shared:
+                    for w, fraction in ((single, 1.0), (shared, 0.5)):
                         node = w.node
                         sockets = (
                             node._listener._max_connections
                             + node._pool._max_connections
                             + node._admin._max_connections
                         )
-                        assert 0.8 * part * 256 < sockets < 0.95 * part * 256
-                    assert 2 * beside.node._listener.budget.limit <= alone.node._listener.budget.limit
-                    tell(await beside.discovery.watch(), listing(2, row("a", server.address)))
-                    while not beside.node.ready():
+                        assert 0.8 * fraction * 256 < sockets < 0.95 * fraction * 256
+                    assert 2 * shared.node._listener.budget.limit <= single.node._listener.budget.limit
+                    tell(await shared.discovery.watch(), listing(2, row("a", server.address)))
+                    while not shared.node.ready():
                         await asyncio.sleep(0)
-                    assert (await (await beside.client()).ask("look")).status == 200
+                    assert (await (await shared.client()).ask("look")).status == 200
 
     run(main())
 
 
-def test_an_attempt_that_never_got_a_connection_is_no_try_and_a_refusal_is_counted() -> None:
+def test_an_attempt_without_a_connection_is_not_counted_but_its_rejection_is() -> None:
     async def main() -> None:
         async with StubServer([silent]) as gone:
             address = gone.address
         async with world(row("a", address)) as w:
             assert (await (await w.client()).ask("book", deadline="0.5")).status == 503
             figures = await w.figures()
-            assert (figures["edge_node_tries"], figures[_of("book", "shed")]) == (0, 1)
+            assert (figures["edge_node_tries"], figures[_responses("book", "shed")]) == (0, 1)
 
     run(main())
 
 
-def test_what_is_refused_before_the_module_sees_it_is_counted() -> None:
+def test_a_rejection_before_the_decision_module_is_counted() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             w.node._listener.budget.limit = 0
             assert (await (await w.client()).ask("book", body=b"x")).status == 503
             figures = await w.figures()
-            assert (figures[_of("book", "shed")], figures["edge_node_active"]) == (1, 0)
+            assert (figures[_responses("book", "shed")], figures["edge_node_active"]) == (1, 0)
 
     run(main())
 
@@ -169,7 +169,7 @@
     ("method", "path", "status"),
     [("GET", "/", 404), ("GET", "/ready", 404), ("POST", "/api/ready", 405), ("GET", "/api/evacuate", 405)],
 )
-def test_wrong_paths_and_methods_are_told(method: str, path: str, status: int) -> None:
+def test_unknown_paths_and_wrong_methods_are_rejected(method: str, path: str, status: int) -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             assert (await w.manage(method, path)).status == status
@@ -191,15 +191,15 @@
     run(main())
 
 
-def test_silent_and_half_sent_peers_delay_nobody_and_are_closed() -> None:
+def test_unresponsive_peers_delay_no_call_and_are_closed() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            begin = time.monotonic()
+            begun_at = time.monotonic()
             peers = [await Client.connect(w.node.admin_address) for _ in range(60)]
             for peer in peers[::2]:
                 peer.writer.write(b"GET /api/rea")
             assert (await w.manage("GET", "/api/ready")).status == 200
-            assert time.monotonic() - begin < CALL_TIMEOUT_S, "it waited for the silent ones"
+            assert time.monotonic() - begun_at < CALL_TIMEOUT_S, "a call waited for unresponsive peers"
             assert len(w.node._admin._connections) <= w.node._admin._max_connections
             for peer in peers[1::2]:
                 assert await peer.ended()
@@ -207,14 +207,14 @@
     run(main())
 
 
-# The drain.
+# The drain
 
 
 async def _phase(w: World, call: str) -> int:
     return (await w.manage("POST", f"/api/{call}")).status
 
 
-def test_an_emptying_node_answers_what_comes_and_sends_callers_away_until_it_rejoins() -> None:
+def test_an_evacuated_node_answers_requests_and_closes_connections_until_it_rejoins() -> None:
     async def main() -> None:
         async with (
             StubServer([held(reply("200 OK", b"first")), reply("200 OK", b"second")]) as server,
@@ -228,7 +228,7 @@
             assert (await w.manage("GET", "/api/ready")).status == 503
             answer = await kept.ask("look")
             assert (answer.body, answer.headers["connection"]) == (b"second", "close")
-            assert await idle.ended(), "a connection stayed idle"
+            assert await idle.ended(), "an idle connection was not closed"
             server.release.set()
             answer = await busy.answer()
             assert (answer.body, answer.headers["connection"]) == (b"first", "close")
@@ -242,7 +242,7 @@
     run(main())
 
 
-def test_a_rejoin_in_the_midst_of_a_drain_keeps_idle_connections() -> None:
+def test_a_rejoin_during_a_drain_keeps_idle_connections() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             idle = await w.client()
@@ -255,7 +255,7 @@
     run(main())
 
 
-def test_a_leaving_node_refuses_to_rejoin_and_ends() -> None:
+def test_a_terminating_node_rejects_a_rejoin_and_ends() -> None:
     async def main() -> None:
         async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
             client = await w.client()
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies, slow peers, and every form of HTTP/1.1, through a node."""
+"""Tests of long bodies, slow peers and HTTP/1.1 message framing through a node."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
     world,
 )
 
-LONG = bytes(range(251)) * 4000  # about a megabyte, in no step with any buffer
+# About a megabyte; its period of 251 bytes does not divide any buffer size.
+LONG = bytes(range(251)) * 4000
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
 
@@ -46,7 +47,7 @@
 
 
 class Recorder:
-    """Puts together what a reader hands on."""
+    """Collects the messages that a parser delivers."""
 
     def __init__(self) -> None:
         self.messages: list[tuple[bytes, bytes]] = []
@@ -68,12 +69,12 @@
         self.messages.append((message.target, b"".join(self._pieces)))
 
 
-def _read(*pieces: bytes, requests: bool = True) -> list[tuple[bytes, bytes]]:
+def _parse(*pieces: bytes, requests: bool = True) -> list[tuple[bytes, bytes]]:
     recorder = Recorder()
-    reader = MessageParser(recorder, requests=requests)
+    parser = MessageParser(recorder, requests=requests)
     for piece in pieces:
-        reader.feed(piece)
-    reader.feed_eof()
+        parser.feed(piece)
+    parser.feed_eof()
     return recorder.messages
 
 
@@ -83,7 +84,7 @@
     + b"GET /two HTTP/1.1\r\nHost: a\r\n\r\n"
     + b"\r\nPOST /three HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nlast"
 )
-ANSWERS = (
+RESPONSES = (
     b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
     + OK
     + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -94,38 +95,38 @@
 
 
 @pytest.mark.parametrize("at", range(1, len(REQUESTS)))
-def test_requests_are_the_same_at_any_split_of_their_bytes(at: int) -> None:
+def test_requests_parse_the_same_at_any_split(at: int) -> None:
     expected = [(b"/one", b"first body"), (b"/two", b""), (b"/three", b"last")]
-    assert _read(REQUESTS[:at], REQUESTS[at:]) == expected
+    assert _parse(REQUESTS[:at], REQUESTS[at:]) == expected
 
 
-@pytest.mark.parametrize("at", range(1, len(ANSWERS)))
-def test_answers_are_the_same_at_any_split_of_their_bytes(at: int) -> None:
+@pytest.mark.parametrize("at", range(1, len(RESPONSES)))
+def test_responses_parse_the_same_at_any_split(at: int) -> None:
     expected = [(b"", b"first body"), (b"", b"until the end")]
-    assert _read(ANSWERS[:at], ANSWERS[at:], requests=False) == expected
+    assert _parse(RESPONSES[:at], RESPONSES[at:], requests=False) == expected
 
 
-def test_bytes_may_come_one_by_one() -> None:
-    assert _read(*[REQUESTS[i : i + 1] for i in range(len(REQUESTS))])[2] == (b"/three", b"last")
+def test_requests_parse_byte_by_byte() -> None:
+    assert _parse(*[REQUESTS[i : i + 1] for i in range(len(REQUESTS))])[2] == (b"/three", b"last")
 
 
 @pytest.mark.parametrize("size", [1, MAX_BODY - 1, MAX_BODY, MAX_BODY + 1, len(LONG)])
 @pytest.mark.parametrize("step", [1000, 300_000])
-def test_a_body_of_any_size_is_handed_on_unchanged(size: int, step: int) -> None:
+def test_a_body_of_any_size_is_delivered_unchanged(size: int, step: int) -> None:
     text = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s" % (size, LONG[:size])
     pieces = [text[i : i + step] for i in range(0, len(text), step)]
-    assert _read(*pieces) == [(b"/", LONG[:size])]
+    assert _parse(*pieces) == [(b"/", LONG[:size])]
 
 
-def test_a_trailer_changes_no_field_of_the_head() -> None:
-    seen: list[Message] = []
+def test_a_trailer_changes_no_header() -> None:
+    messages: list[Message] = []
 
-    class Keeper(Recorder):
+    class MessageRecorder(Recorder):
         def on_message(self, message: Message) -> None:
-            seen.append(message)
+            messages.append(message)
 
-    MessageParser(Keeper(), requests=True).feed(REQUESTS)
-    assert b"x-class" not in seen[0].headers and not seen[0].repeated_headers
+    MessageParser(MessageRecorder(), requests=True).feed(REQUESTS)
+    assert b"x-class" not in messages[0].headers and not messages[0].repeated_headers
 
 
 HEAD = "POST /api HTTP/1.1\r\nHost: a\r\n"
@@ -164,8 +165,8 @@
 
 
 @pytest.mark.parametrize("rest", SMUGGLING)
-def test_what_two_readers_could_take_for_different_requests_is_refused(rest: str) -> None:
-    """With 400 and a close, and nothing of it reaches a server; what follows it is no request either."""
+def test_ambiguous_framing_is_rejected(rest: str) -> None:
+    """Guards against request smuggling: the node responds 400 and closes, and forwards none of the input."""
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
@@ -176,7 +177,7 @@
             assert await client.ended()
             assert not server.received
             with pytest.raises(MessageError):
-                _read((HEAD + rest).encode("latin-1"))
+                _parse((HEAD + rest).encode("latin-1"))
 
     run(main())
 
@@ -184,16 +185,16 @@
 @pytest.mark.parametrize(
     "head", [b"GET / HTTP/2.0\r\n\r\n", b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"]
 )
-def test_other_versions_and_codings_they_do_not_have_are_refused(head: bytes) -> None:
+def test_unsupported_versions_and_transfer_codings_are_rejected(head: bytes) -> None:
     with pytest.raises(MessageError):
-        _read(head)
+        _parse(head)
 
 
-# ------------------------------------------------------------ answers
+# ------------------------------------------------------------ responses
 
 
-def written(text: bytes, *, step: int = 50_000, close: bool = False) -> Behaviour:
-    """Write this in pieces, as fast as it is taken."""
+def streamed(text: bytes, *, step: int = 50_000, close: bool = False) -> Behaviour:
+    """Return a behaviour that writes this in pieces, as fast as the node reads."""
 
     async def behave(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
         for i in range(0, len(text), step):
@@ -205,21 +206,21 @@
     return behave
 
 
-async def begun(server: StubServer, _: Received, writer: asyncio.StreamWriter) -> None:
-    """The first bytes of a long answer, and the rest when the server is told to."""
+async def begin_long_response(server: StubServer, _: Received, writer: asyncio.StreamWriter) -> None:
+    """Write the first bytes of a long response, and the rest once the server's `release` is set."""
     writer.write(OK + b"Content-Length: %d\r\n\r\n%s" % (len(LONG), LONG[:10]))
     await server.release.wait()
     writer.write(LONG[10:])
 
 
 FORMS = {
-    "length": written(OK + b"Content-Length: %d\r\n\r\n%s" % (len(LONG), LONG)),
-    "chunked": written(
+    "length": streamed(OK + b"Content-Length: %d\r\n\r\n%s" % (len(LONG), LONG)),
+    "chunked": streamed(
         OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 70_001, b";e=1", b"T: x\r\n")
     ),
-    "small chunks": written(OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 977)),
-    "close": written(OK + b"Connection: close\r\n\r\n" + LONG, close=True),
-    "interim": written(
+    "small chunks": streamed(OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 977)),
+    "close": streamed(OK + b"Connection: close\r\n\r\n" + LONG, close=True),
+    "interim": streamed(
         b"HTTP/1.1 103 Early Hints\r\n\r\n" + OK + b"Content-Length: %d\r\n\r\n%s" % (len(LONG), LONG)
     ),
 }
@@ -227,7 +228,7 @@
 
 @pytest.mark.parametrize("form", FORMS)
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_long_answer_comes_through_unchanged_and_is_counted_once(form: str, version: str) -> None:
+def test_a_streamed_response_is_forwarded_unchanged_and_counted_once(form: str, version: str) -> None:
     async def main() -> None:
         async with StubServer([FORMS[form]]) as server, world(row("a", server.address)) as w:
             client = await w.client()
@@ -236,7 +237,7 @@
             assert (answer.status, answer.body) == (200, LONG)
             assert version == "1.1" or "transfer-encoding" not in answer.headers
             if version == "1.1":
-                assert (await client.ask("book")).body == LONG, "the connection was not kept in order"
+                assert (await client.ask("book")).body == LONG, "the connection was not reusable"
             figures = await w.figures()
             assert figures['edge_node_responses{kind="book",result="ok"}'] == len(server.received)
             assert figures["edge_node_active"] == w.node._listener.budget.reserved == 0
@@ -245,28 +246,29 @@
     run(main())
 
 
-def test_the_first_bytes_of_a_long_answer_do_not_wait_for_the_rest() -> None:
+def test_the_first_bytes_of_a_streamed_response_do_not_wait_for_the_rest() -> None:
     async def main() -> None:
-        async with StubServer([begun]) as server, world(row("a", server.address)) as w:
+        async with StubServer([begin_long_response]) as server, world(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(request("book", deadline="0.3"))
             await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert await asyncio.wait_for(client.reader.readexactly(10), PATIENCE_S) == LONG[:10]
-            await asyncio.sleep(0.35)  # its time is over, but an answer that has begun has none
+            # Past the deadline, which no longer applies once the response has begun.
+            await asyncio.sleep(0.35)
             server.release.set()
             assert await asyncio.wait_for(client.reader.readexactly(len(LONG) - 10), PATIENCE_S) == LONG[10:]
 
     run(main())
 
 
-def test_an_answer_of_unknown_length_is_not_held_for_long() -> None:
+def test_a_response_of_unknown_length_is_not_buffered_for_long() -> None:
     async def main() -> None:
-        async def begin(server: StubServer, _: Received, writer: asyncio.StreamWriter) -> None:
+        async def respond_in_two_parts(server: StubServer, _: Received, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
             await server.release.wait()
             writer.write(b"0\r\n\r\n")
 
-        async with StubServer([begin]) as server, world(row("a", server.address)) as w:
+        async with StubServer([respond_in_two_parts]) as server, world(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(request("book"))
             assert b"first" in await asyncio.wait_for(client.reader.readuntil(b"first"), PATIENCE_S)
@@ -280,15 +282,15 @@
     "head",
     [b"Content-Length: %d\r\n\r\n" % len(LONG), CHUNKED + b"%x\r\n" % len(LONG)],
 )
-def test_a_long_answer_that_breaks_is_recognisably_broken(head: bytes) -> None:
+def test_an_aborted_streamed_response_shows_as_incomplete(head: bytes) -> None:
     async def main() -> None:
-        broken = written(OK + head + LONG[: len(LONG) // 2], close=True)
+        broken = streamed(OK + head + LONG[: len(LONG) // 2], close=True)
         async with StubServer([broken]) as server, world(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(request("look"))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await client.answer()
-            assert len(server.received) == 1, "it was asked for again after the caller had a part of it"
+            assert len(server.received) == 1, "a request with a partly sent response was retried"
             figures = await w.figures()
             assert figures['edge_node_responses{kind="look",result="errors"}'] == 1
             assert not w.node._requests.pending and not w.node._requests.calls
@@ -296,10 +298,10 @@
     run(main())
 
 
-def test_a_caller_that_leaves_in_a_long_answer_ends_it_at_the_server() -> None:
+def test_a_client_disconnect_aborts_a_streamed_response_at_the_server() -> None:
     async def main() -> None:
         async with (
-            StubServer([written(OK + b"Content-Length: %d\r\n\r\n" % 10**9 + LONG)]) as server,
+            StubServer([streamed(OK + b"Content-Length: %d\r\n\r\n" % 10**9 + LONG)]) as server,
             world(row("a", server.address)) as w,
         ):
             client = await w.client()
@@ -313,12 +315,12 @@
     run(main())
 
 
-def test_a_caller_that_does_not_read_stops_its_server_and_memory_stays_bounded() -> None:
+def test_a_client_that_does_not_read_pauses_its_server_and_memory_stays_bounded() -> None:
     async def main() -> None:
         size = 64 * 1024 * 1024
         sent = 0
 
-        async def pour(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
+        async def stream(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
             nonlocal sent
             writer.write(OK + b"Content-Length: %d\r\n\r\n" % size)
             while sent < size:
@@ -326,7 +328,7 @@
                 await writer.drain()
                 sent += 65536
 
-        async with StubServer([pour]) as server, world(row("a", server.address)) as w:
+        async with StubServer([stream]) as server, world(row("a", server.address)) as w:
             client = await Client.connect(w.address)
             client.reader._limit = 1024  # type: ignore[attr-defined]
             client.writer.write(request("look"))
@@ -334,28 +336,28 @@
             while before != sent or not sent:
                 before = sent
                 await asyncio.sleep(0.2)
-            assert sent < size, "the whole answer was taken in, though nobody reads it"
+            assert sent < size, "the node read the whole response although the client reads nothing"
             (connection,) = w.node._listener._connections
             assert connection._transport is not None
             assert connection._transport.get_write_buffer_size() <= exchange.STREAM_BUFFER_BYTES
             assert w.node._listener.budget.reserved == exchange.STREAM_BUFFER_BYTES
-            got = 0
-            while got < size:
-                got += len(await asyncio.wait_for(client.reader.read(1 << 20), PATIENCE_S))
+            received = 0
+            while received < size:
+                received += len(await asyncio.wait_for(client.reader.read(1 << 20), PATIENCE_S))
 
     run(main())
 
 
-def test_a_slow_reader_gets_the_end_of_an_answer_that_closes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its connection was ended a second after the last piece, with up to 64 KiB not sent yet."""
+def test_a_slow_client_gets_all_of_a_response_that_closes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a close a second after the last write, with up to 64 KiB still unsent."""
 
     async def main() -> None:
         monkeypatch.setattr(timeouts, "LINGER_S", 0.02)
         monkeypatch.setattr(timeouts, "MAX_LINGER_S", 0.04)
         size = 4 * 1024 * 1024
-        pour = written(OK + b"Content-Length: %d\r\n\r\n" % size + bytes(size))
+        stream = streamed(OK + b"Content-Length: %d\r\n\r\n" % size + bytes(size))
         loop = asyncio.get_running_loop()
-        async with StubServer([pour]) as server, world(row("a", server.address)) as w:
+        async with StubServer([stream]) as server, world(row("a", server.address)) as w:
             with socket.socket() as client:
                 client.setblocking(False)
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
@@ -364,20 +366,20 @@
                     await asyncio.sleep(0)
                 (connection,) = w.node._listener._connections
                 assert connection._transport is not None
-                end = connection._transport.get_extra_info("socket")
-                end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
+                sock = connection._transport.get_extra_info("socket")
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
                 await loop.sock_sendall(client, request("look", extra="Connection: close\r\n"))
-                got = 0
+                received = 0
                 while data := await loop.sock_recv(client, 1 << 16):
-                    got += len(data)
-                    if got > size - 500_000:
-                        await asyncio.sleep(0.01)  # all has been written, and waits for this reader
-            assert got > size
+                    received += len(data)
+                    if received > size - 500_000:
+                        await asyncio.sleep(0.01)  # all output is written and waits for this client
+            assert received > size
 
     run(main())
 
 
-def test_nothing_behind_what_is_no_request_is_one() -> None:
+def test_input_after_a_malformed_request_is_ignored() -> None:
     async def main() -> None:
         async with StubServer([silent, reply("200 OK")]) as server, world(row("a", server.address)) as w:
             for bad in (request("book", body=b"x", extra="Expect: more\r\n"), b"nonsense\r\n\r\n"):
@@ -414,7 +416,7 @@
 
 @pytest.mark.parametrize("form", UPLOADS)
 @pytest.mark.parametrize("step", [1400, 100_000, 10**7])
-def test_a_body_goes_up_unchanged_in_pieces_of_any_size(form: str, step: int) -> None:
+def test_a_request_body_is_forwarded_unchanged_in_pieces_of_any_size(form: str, step: int) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
             client = await w.client()
@@ -431,30 +433,30 @@
     run(main())
 
 
-def test_long_bodies_go_both_ways_at_once_while_others_are_served() -> None:
+def test_concurrent_long_bodies_are_forwarded_in_both_directions() -> None:
     async def main() -> None:
-        async def back(_: StubServer, got: Received, writer: asyncio.StreamWriter) -> None:
+        async def echo_body(_: StubServer, got: Received, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Content-Length: %d\r\n\r\n" % len(got.body) + got.body)
 
-        async with StubServer([back]) as server, world(row("a", server.address)) as w:
+        async with StubServer([echo_body]) as server, world(row("a", server.address)) as w:
 
-            async def one(i: int) -> None:
+            async def echo(i: int) -> None:
                 body = LONG[i:] if i % 2 else b"%d" % i
                 client = await w.client()
                 assert (await client.ask("move", body=body)).body == body
 
-            await asyncio.gather(*[one(i) for i in range(12)])
+            await asyncio.gather(*[echo(i) for i in range(12)])
 
     run(main())
 
 
-def test_a_body_that_a_server_has_begun_to_take_is_never_sent_again() -> None:
+def test_a_body_that_a_server_began_to_read_is_not_retried() -> None:
     async def main() -> None:
-        begun = 0
+        connections = 0
 
         async def break_off(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal begun
-            begun += 1
+            nonlocal connections
+            connections += 1
             await reader.readexactly(100_000)
             writer.transport.abort()
 
@@ -462,16 +464,16 @@
         names = [f"{HOST}:{one.sockets[0].getsockname()[1]}" for one in listeners]
         async with world(row("a", names[0]), row("b", names[1])) as w:
             answer = await (await w.client()).ask("move", body=LONG)
-            assert answer.status == 503, "its last byte was never sent: trying again is harmless"
+            assert answer.status == 503, "the last byte was never sent, so the client may retry"
             assert "retry-after" in answer.headers
-            assert begun == 1
+            assert connections == 1
         for one in listeners:
             one.close()
 
     run(main())
 
 
-def test_a_body_that_no_server_has_seen_goes_to_the_next() -> None:
+def test_a_body_that_no_server_received_is_sent_to_another() -> None:
     async def main() -> None:
         async with StubServer([silent]) as gone:
             address = gone.address
@@ -486,15 +488,15 @@
     run(main())
 
 
-def test_the_time_of_a_long_body_runs_from_its_last_byte() -> None:
+def test_the_deadline_of_a_streamed_body_starts_at_its_last_byte() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
             client = await w.client()
             text = request("book", body=LONG, deadline="0.3")
             client.writer.write(text[:200_000])
             await asyncio.sleep(0.5)
-            assert w.node._requests.pending, "it was given up while its body was coming in"
-            assert (await w.figures())["edge_node_active"] == 0, "it counts as taken before its last byte"
+            assert w.node._requests.pending, "abandoned before its body was received"
+            assert (await w.figures())["edge_node_active"] == 0, "counted as active before its last byte"
             client.writer.write(text[200_000:])
             assert (await client.answer()).body == b"done"
             server.behaviours[:] = [silent]
@@ -504,7 +506,7 @@
     run(main())
 
 
-def test_a_caller_that_stops_within_a_long_body_is_told_and_nothing_runs(
+def test_a_client_that_stalls_within_a_long_body_gets_408_and_nothing_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
@@ -519,7 +521,7 @@
     run(main())
 
 
-def test_a_caller_that_leaves_within_a_long_body_leaves_nothing_behind() -> None:
+def test_a_client_disconnect_within_a_long_body_releases_everything() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             client = await w.client()
@@ -537,45 +539,45 @@
     run(main())
 
 
-def test_a_server_that_takes_nothing_stops_the_caller_and_is_given_up(
+def test_a_server_that_reads_nothing_pauses_the_client_and_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
         monkeypatch.setattr(upstream_connection, "STREAM_STALL_TIMEOUT_S", 0.5)
-        with socket.socket() as deaf:
-            deaf.bind((HOST, 0))
-            deaf.listen()  # connections come up, and nobody reads from them
-            await _pour(deaf)
+        with socket.socket() as idle_listener:
+            idle_listener.bind((HOST, 0))
+            idle_listener.listen()  # the kernel accepts connections, but nothing reads from them
+            await _upload(idle_listener)
 
-    async def _pour(deaf: socket.socket) -> None:
-        async with world(row("a", f"{HOST}:{deaf.getsockname()[1]}")) as w:
+    async def _upload(idle_listener: socket.socket) -> None:
+        async with world(row("a", f"{HOST}:{idle_listener.getsockname()[1]}")) as w:
             client = await w.client()
             head, piece = request("book", body=b"x")[:-1], LONG * 4
             client.writer.write(head.replace(b"Content-Length: 1", b"Content-Length: %d" % 10**9))
-            written, stopped = 0, False
+            sent, paused = 0, False
             answer = asyncio.create_task(client.answer())
             while not answer.done():
                 if client.writer.transport.get_write_buffer_size() < len(piece):
                     client.writer.write(piece)
-                    written += len(piece)
+                    sent += len(piece)
                 else:
-                    stopped = True
+                    paused = True
                 await asyncio.sleep(0.01)
-            assert stopped and written < 10**8, "the node took in what its server did not"
+            assert paused and sent < 10**8, "the node buffered what its server did not read"
             assert answer.result().status == 503
 
     run(main())
 
 
-def test_more_long_bodies_than_memory_has_room_for_are_refused_at_once() -> None:
+def test_long_bodies_beyond_the_memory_limit_are_rejected_immediately() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address), memory_mb=4) as w:
-            held = w.node._listener.budget.limit // exchange.STREAM_BUFFER_BYTES
-            assert held >= 1
-            going = [await w.client() for _ in range(held)]
-            for client in going:
+            capacity = w.node._listener.budget.limit // exchange.STREAM_BUFFER_BYTES
+            assert capacity >= 1
+            uploading = [await w.client() for _ in range(capacity)]
+            for client in uploading:
                 client.writer.write(request("book", body=LONG)[:100_000])
-            while len(w.node._requests.pending) < held:
+            while len(w.node._requests.pending) < capacity:
                 await asyncio.sleep(0)
             answer = await (await w.client()).ask("book", body=LONG)
             assert answer.status == 503 and "retry-after" in answer.headers
@@ -584,18 +586,18 @@
     run(main())
 
 
-# ------------------------------------------------------------ other forms, and slow callers
+# ------------------------------------------------------------ other message forms, and slow clients
 
 
-def test_a_caller_that_waits_for_the_word_to_send_its_body_gets_it() -> None:
+def test_a_client_that_expects_100_continue_gets_it() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
             client = await w.client()
             text = request("book", body=LONG, extra="Expect: 100-continue\r\n")
             head, _, body = text.partition(b"\r\n\r\n")
             client.writer.write(head + b"\r\n\r\n")
-            word = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
-            assert word == b"HTTP/1.1 100 Continue\r\n\r\n"
+            interim = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            assert interim == b"HTTP/1.1 100 Continue\r\n\r\n"
             client.writer.write(body)
             assert (await client.answer()).body == b"done"
             assert "expect" not in server.received[0].headers
@@ -606,7 +608,7 @@
 @pytest.mark.parametrize(
     ("extra", "status"), [("Expect: 200-ok\r\n", 417), ("Expect: 100-continue\r\nX-Class: look\r\n", 400)]
 )
-def test_a_head_that_would_be_turned_down_gets_no_word_to_go_on(extra: str, status: int) -> None:
+def test_a_head_that_would_be_rejected_gets_no_100_continue(extra: str, status: int) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             client = await w.client()
@@ -617,7 +619,7 @@
     run(main())
 
 
-def test_a_target_may_name_the_host() -> None:
+def test_an_absolute_form_target_is_accepted() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             client = await w.client()
@@ -629,7 +631,7 @@
     run(main())
 
 
-def test_white_space_around_a_value_is_no_part_of_it() -> None:
+def test_white_space_around_a_header_value_is_ignored() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             text = request("look", drop=("X-Class",), extra="X-Class: \t look \t\r\n")
@@ -650,7 +652,7 @@
     return next(iter(w.node._listener._connections))
 
 
-def test_slow_callers_are_waited_for_and_silent_ones_are_gone_by_3_s() -> None:
+def test_slow_clients_are_waited_for_and_unresponsive_ones_are_closed_within_3_s() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             head = await _connection(w, b"POST /api HTTP/1.1\r\nX-Cl")
@@ -665,30 +667,30 @@
                 await asyncio.sleep(0)
             assert body.has_timed_out(
                 body._received_at + FIRST_BODY_PAUSE_S + 0.01
-            ), "a body that stands still is given up"
-            begin = body._head_complete_at
+            ), "a stalled body must time out"
+            head_complete_at = body._head_complete_at
             body._head_complete_at = body._received_at = body.opened_at + 0.5
             assert body.has_timed_out(
                 body.opened_at + FIRST_HEAD_TIMEOUT_S + 0.01
-            ), "half a body, then nothing"
-            body._head_complete_at = begin
-            for second in (1, 2, 3, 4, 8):  # 64 kB a second
-                body._parser.body_size, body._received_at = 64_000 * second, begin + second
-                assert not body.has_timed_out(begin + second + 0.5)
-            body._parser.body_size, body._received_at = 1000, begin + 2.7
-            assert body.has_timed_out(begin + 2.7), "what trickles is given up too"
+            ), "half a body and then nothing must time out"
+            body._head_complete_at = head_complete_at
+            for second in (1, 2, 3, 4, 8):  # at 64 kB/s
+                body._parser.body_size, body._received_at = 64_000 * second, head_complete_at + second
+                assert not body.has_timed_out(head_complete_at + second + 0.5)
+            body._parser.body_size, body._received_at = 1000, head_complete_at + 2.7
+            assert body.has_timed_out(head_complete_at + 2.7), "a body below the minimum rate must time out"
 
     run(main())
 
 
-def test_a_long_answer_goes_on_after_sigterm() -> None:
+def test_a_streamed_response_continues_after_sigterm() -> None:
     async def main() -> None:
-        async with StubServer([begun]) as server, world(row("a", server.address)) as w:
+        async with StubServer([begin_long_response]) as server, world(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(request("book"))
             await asyncio.wait_for(client.reader.readuntil(LONG[:10]), PATIENCE_S)
             w.node.terminate()
-            w.node._drain._began -= 60.0  # long past the last answer
+            w.node._drain._began -= 60.0  # long past the time of the last response
             w.node._drain._check()
             w.node._requests.fail_remaining()
             assert not w.serving.done()
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -1,6 +1,6 @@
-"""What comes between two lines: requests, answers, signals, timers and ends of streams that cross.
+"""Tests of races between requests, responses, signals, timers and the ends of connections.
 
-Each crossing is forced by hand-made peers and by dials that wait to be let through: docs/crossings.md.
+Each race is forced by stub peers and by dials that are held until the test releases them: docs/crossings.md.
 """
 
 from __future__ import annotations
@@ -55,16 +55,17 @@
 
 
 def limits(**changes: Any) -> dict[str, Any]:
-    """What the settings allow, with dials that may take long."""
+    """Return the settings' policy limits, with a connect timeout that no test reaches."""
     return {**settings()["policyLimits"], "connectTimeoutMs": LONG_DIAL_MS, **changes}
 
 
 class HeldDials:
-    """The loop of a node's server side, with dials that go on only once released."""
+    """Replaces the event loop of a node's upstream side, and holds dials until `release` is set."""
 
     def __init__(self, w: World) -> None:
         self._loop = asyncio.get_running_loop()
-        self.waiting = asyncio.Semaphore(0)  # counts the dials that have begun
+        # Counts the dials that have begun.
+        self.waiting = asyncio.Semaphore(0)
         self.release = asyncio.Event()
         w.node._pool._loop = self  # type: ignore[assignment]
 
@@ -81,7 +82,7 @@
 
 
 class Told:
-    """The events that a node hands its module, and what a stand-in for the module decides."""
+    """Records the events that a node delivers to its decision module, which `decide` may replace."""
 
     def __init__(self, w: World, decide: Callable[[Event, float], list[Action]] | None = None) -> None:
         self.events: list[Event] = []
@@ -94,7 +95,7 @@
         w.node._balancer.handle = recording  # type: ignore[method-assign]
 
     async def first(self, kind: type[Event]) -> Any:
-        """The first event of this kind, once it has come."""
+        """Return the first event of this kind, once it has been delivered."""
 
         async def wait() -> Event:
             while True:
@@ -111,7 +112,7 @@
 
 @pytest.mark.parametrize("restarted", [False, True])
 def test_a_server_that_drains_or_restarts_during_a_dial_is_sent_nothing(restarted: bool) -> None:
-    """Guards against a send as long after the drain as a dial may take."""
+    """A dial may end long after its server began to drain; nothing may be sent on its connection."""
 
     async def main() -> None:
         async with (
@@ -122,12 +123,12 @@
             client = await w.client()
             client.writer.write(request("book"))
             await dials.begun()
-            now = (
+            updated = (
                 row("a", server.address, started=1000.0)
                 if restarted
                 else row("a", server.address, "DRAINING")
             )
-            tell(await w.discovery.watch(), listing(2, now, reset=False))
+            tell(await w.discovery.watch(), listing(2, updated, reset=False))
             while w.node._discovery._version != 2:
                 await asyncio.sleep(0)
             dials.release.set()
@@ -141,7 +142,7 @@
 
 
 @pytest.mark.parametrize("cancel", [False, True])
-def test_a_request_whose_caller_leaves_during_a_dial_is_not_sent(cancel: bool) -> None:
+def test_a_request_whose_client_disconnects_during_a_dial_is_not_sent(cancel: bool) -> None:
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
@@ -160,13 +161,13 @@
                 await asyncio.sleep(0)
             assert (await (await w.client()).ask("look", target="/api/next")).status == 200
             assert [got.target for got in server.received] == ["/api/next"]
-            assert server.opened == 1, "the connection that came up was not kept"
+            assert server.opened == 1, "the connection that was established was not kept"
 
     run(main())
 
 
-def test_a_request_that_has_its_answer_is_not_sent_again_by_a_dial_that_ends_later() -> None:
-    """Where attempts may not be cancelled, a copy that waits for its dial is still no copy to be sent."""
+def test_an_answered_request_is_not_sent_by_a_dial_that_ends_later() -> None:
+    """Even if attempts may not be cancelled, a hedged request that waits for its dial must not be sent."""
 
     async def main() -> None:
         async with (
@@ -176,14 +177,14 @@
         ):
 
             def decide(event: Event, now: float) -> list[Action]:
-                both = (
+                hedged = (
                     [Send(event.request, b"a"), Send(event.request, b"b")]
                     if isinstance(event, RequestArrived)
                     else []
                 )
-                return list(both)
+                return list(hedged)
 
-            # A connection to the first is there; the second has to be dialled.
+            # A connection to the first server is open; the second has to be dialled.
             assert w.node._pool.has_endpoints()
             client = await w.client()
             while not one.received:
@@ -203,8 +204,8 @@
     run(main())
 
 
-def test_a_repeat_whose_window_closes_during_its_dial_is_not_sent() -> None:
-    """Rule 2 counts the write, and the module decides a whole dial before it."""
+def test_a_retry_whose_idempotency_window_ends_during_its_dial_is_not_sent() -> None:
+    """Rule 2 limits the time of the write, which may be a whole dial after the module's decision."""
 
     async def main() -> None:
         async with (
@@ -231,8 +232,8 @@
 
 
 @pytest.mark.parametrize("cancel", [False, True])
-def test_a_request_whose_caller_leaves_during_a_probe_is_not_sent(cancel: bool) -> None:
-    """The idle connection that is being probed is kept for the next."""
+def test_a_request_whose_client_disconnects_during_a_health_check_is_not_sent(cancel: bool) -> None:
+    """The idle connection whose health check is in flight is kept for the next request."""
 
     async def main() -> None:
         behaviours = [reply("200 OK"), held(reply("200 OK")), reply("200 OK")]
@@ -262,34 +263,34 @@
     run(main())
 
 
-# ---------------------------------------------------------------- what follows an answer
+# ---------------------------------------------------------------- input after a response
 
 
 async def twice(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
-    """Answer, and answer again once told to, whatever has been asked meanwhile."""
+    """Respond, and send a second response once the server's `release` is set."""
     await reply("200 OK", b"right")(server, received, writer)
     await server.release.wait()
     await reply("200 OK", b"stray")(server, received, writer)
 
 
-@pytest.mark.parametrize("probed", [False, True])
-def test_a_second_answer_that_comes_late_meets_no_other_request(
-    probed: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("health_checked", [False, True])
+def test_a_late_second_response_is_not_given_to_another_request(
+    health_checked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against the next call on that connection being answered by it, after a probe as well."""
+    """Guards against the next request on that connection getting it, also after a health check."""
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", PATIENCE_S)
 
     async def main() -> None:
         async with (
             StubServer(
                 [reply("200 OK"), twice, reply("200 OK", b"own")]
-                if probed
+                if health_checked
                 else [twice, reply("200 OK", b"own")]
             ) as server,
             world(row("a", server.address)) as w,
         ):
             client = await w.client()
-            if probed:
+            if health_checked:
                 assert (await client.ask("look")).status == 200
                 w.age(2 * PATIENCE_S)
                 w.node._pool.keep_alive.record_early_close(0.0, asyncio.get_running_loop().time())
@@ -308,12 +309,12 @@
     run(main())
 
 
-# ---------------------------------------------------------------- callers that leave unseen
+# ---------------------------------------------------------------- clients that disconnect, and limits
 
 
-@pytest.mark.parametrize("rows", [2, MAX_PIPELINED, 500])
-def test_a_caller_that_sends_many_requests_at_once_and_leaves_is_seen_to_leave(rows: int) -> None:
-    """Guards against requests sent on long after, since a connection with two of them was read no further."""
+@pytest.mark.parametrize("count", [2, MAX_PIPELINED, 500])
+def test_the_disconnect_of_a_client_with_many_requests_is_detected(count: int) -> None:
+    """A connection with two requests was no longer read, so requests were forwarded long after its end."""
 
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
@@ -321,20 +322,20 @@
             client = await w.client()
             client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            client.writer.write(request("look") * rows)
+            client.writer.write(request("look") * count)
             while len(w.node._requests.pending) < MAX_CONCURRENT:
                 await asyncio.sleep(0)
             client.close()
             while w.node._requests.pending:
                 await asyncio.sleep(0)
-            taken = sum(isinstance(event, RequestArrived) for event in told.events)
-            assert taken == MAX_CONCURRENT, "what waits behind others was handed on"
+            accepted = sum(isinstance(event, RequestArrived) for event in told.events)
+            assert accepted == MAX_CONCURRENT, "a waiting request was forwarded"
             server.release.set()
 
     run(main())
 
 
-def test_what_is_behind_a_flood_of_requests_is_not_taken_and_the_connection_ends() -> None:
+def test_requests_beyond_the_pipelining_limit_are_not_accepted_and_the_connection_closes() -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
             client = await w.client()
@@ -347,8 +348,8 @@
     run(main())
 
 
-def test_of_a_flood_of_wrong_requests_only_the_first_is_looked_at(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against a tenth of a second of a node's core for each piece that a bad caller sends."""
+def test_only_the_first_of_many_invalid_requests_is_handled(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a tenth of a second of CPU time for each read from a client that sends only these."""
 
     async def main() -> None:
         async with world() as w:
@@ -363,7 +364,7 @@
     assert caplog.text.count("is not served") == 1
 
 
-def test_bodies_that_wait_behind_others_are_bounded() -> None:
+def test_the_bodies_of_waiting_requests_are_bounded() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             client = await w.client()
@@ -382,8 +383,8 @@
     run(main())
 
 
-def test_a_long_body_that_would_wait_behind_others_is_not_taken_and_the_connection_ends() -> None:
-    """What it holds is counted only once it is worked on; uncounted, a few hundred would fill the memory."""
+def test_a_long_body_that_would_wait_is_not_accepted_and_the_connection_closes() -> None:
+    """Its buffer is counted only once it is in flight; uncounted, a few hundred would fill the memory."""
 
     async def main() -> None:
         async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
@@ -403,7 +404,7 @@
     run(main())
 
 
-def test_time_spent_behind_another_request_counts() -> None:
+def test_time_spent_waiting_for_earlier_requests_counts_towards_the_deadline() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
             told = Told(w)
@@ -419,9 +420,9 @@
     run(main())
 
 
-@pytest.mark.parametrize("ends", ["abort", "close"])
-def test_a_caller_that_leaves_while_its_long_body_waits_is_seen_to_leave(ends: str) -> None:
-    """Its connection is not read then: what it has sent may fill memory."""
+@pytest.mark.parametrize("disconnect", ["abort", "close"])
+def test_a_client_disconnect_is_detected_while_its_long_body_waits(disconnect: str) -> None:
+    """The connection is not read meanwhile, since the body could fill the memory."""
 
     async def main() -> None:
         async with (
@@ -430,10 +431,10 @@
         ):
             dials, told = HeldDials(w), Told(w)
             client = await w.client()
-            whole = request("book", body=b"x" * (8 * MAX_BODY))
-            client.writer.write(whole[: 2 * MAX_BODY])
+            upload = request("book", body=b"x" * (8 * MAX_BODY))
+            client.writer.write(upload[: 2 * MAX_BODY])
             await dials.begun()
-            if ends == "abort":
+            if disconnect == "abort":
                 client.close()
             else:
                 client.writer.close()
@@ -446,7 +447,7 @@
     run(main())
 
 
-# ---------------------------------------------------------------- watches on the list
+# ---------------------------------------------------------------- watches of the endpoint list
 
 
 @pytest.mark.parametrize("indent", [1, 4, "\t"])
@@ -469,7 +470,7 @@
     run(main())
 
 
-def test_a_watch_that_trickles_within_a_list_is_as_good_as_silent() -> None:
+def test_an_incomplete_list_does_not_extend_the_timeout_of_its_watch() -> None:
     async def main() -> None:
         async with world(known=False, registryMode="pushed") as w:
             watch = await w.discovery.watch()
@@ -487,7 +488,7 @@
     run(main())
 
 
-def test_a_line_that_belongs_to_no_list_ends_a_watch_within_one() -> None:
+def test_an_invalid_line_within_a_list_closes_its_watch() -> None:
     async def main() -> None:
         async with world(known=False, registryMode="pushed") as w:
             watch = await w.discovery.watch()
@@ -497,8 +498,8 @@
     run(main())
 
 
-def test_a_late_line_of_a_watch_that_was_given_up_says_nothing() -> None:
-    """Two watches may be alive for a moment: only the last one's word counts."""
+def test_a_late_line_of_a_replaced_watch_is_ignored() -> None:
+    """Two watches may be open for a moment; only the lines of the newer one count."""
 
     async def main() -> None:
         async with world(known=False, registryMode="pushed") as w:
@@ -517,8 +518,8 @@
     run(main())
 
 
-@pytest.mark.parametrize("state", ["waiting to watch again", "a call is out", "a watch is silent"])
-def test_sighup_leaves_one_watch_whatever_goes_on(state: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("state", ["waiting for the backoff", "a call is in flight", "a watch is idle"])
+def test_sighup_leaves_one_watch_in_every_state(state: str, tmp_path: Path) -> None:
     async def main() -> None:
         path = tmp_path / "config.json"
         async with (
@@ -527,9 +528,9 @@
         ):
             discovery = w.node._discovery
             path.write_text(json.dumps({"discovery": moved.address}))
-            if state != "a call is out":
+            if state != "a call is in flight":
                 await w.discovery.watch()
-            if state == "waiting to watch again":
+            if state == "waiting for the backoff":
                 discovery._fail()
             w.node.reconfigure()
             tell(await moved.watch(), listing(3))
@@ -542,16 +543,16 @@
     run(main())
 
 
-# ---------------------------------------------------------------- ends
+# ---------------------------------------------------------------- connection ends
 
 
-@pytest.mark.parametrize("way", ["accepted", "dialled", "adopted", "watch"])
-def test_small_writes_are_not_held_back(way: str) -> None:
-    """A close over unread bytes would take with it what the system has not sent yet."""
+@pytest.mark.parametrize("origin", ["accepted", "dialled", "adopted", "watch"])
+def test_small_writes_are_not_delayed(origin: str) -> None:
+    """A close with unread input would discard output that the kernel has delayed."""
 
     async def main() -> None:
         with socket.create_server((HOST, 0)) as listener:
-            descriptor = os.dup(listener.fileno()) if way == "adopted" else None
+            descriptor = os.dup(listener.fileno()) if origin == "adopted" else None
             async with (
                 StubServer([reply("200 OK")]) as server,
                 world(row("a", server.address), accept_fd=descriptor, registryMode="pushed") as w,
@@ -563,23 +564,23 @@
                 (accepted,) = w.node._listener._connections
                 (dialled,) = w.node._pool._connections
                 assert w.node._discovery._watch is not None
-                ends = {"dialled": dialled._transport, "watch": w.node._discovery._watch.transport}
-                transport = ends.get(way, accepted._transport)
+                transports = {"dialled": dialled._transport, "watch": w.node._discovery._watch.transport}
+                transport = transports.get(origin, accepted._transport)
                 assert transport is not None
-                end = transport.get_extra_info("socket")
-                assert end.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
+                sock = transport.get_extra_info("socket")
+                assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
 
     run(main())
 
 
-def test_a_long_answer_without_length_that_breaks_shows_so_to_an_old_caller() -> None:
-    """To HTTP/1.0 the end of such an answer is the end of its connection: a reset is no end."""
+def test_an_aborted_response_without_length_resets_an_http_1_0_connection() -> None:
+    """For HTTP/1.0 a close completes such a response, and only a reset shows that it is incomplete."""
 
     async def broken(server: StubServer, _: Received, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (2 * MAX_BODY))
         await server.release.wait()
-        end = writer.get_extra_info("socket")
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock = writer.get_extra_info("socket")
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
     async def main() -> None:
@@ -596,7 +597,7 @@
     run(main())
 
 
-def _end(w: World) -> None:
+def _stop(w: World) -> None:
     w.node.stop()
 
 
@@ -604,9 +605,9 @@
     w.node._listener.close_idle(0.0)
 
 
-@pytest.mark.parametrize("close", [_end, _close_idle])
-def test_what_comes_as_a_connection_is_closed_is_not_taken(close: Callable[[World], None]) -> None:
-    """Guards against a request read in the turn between the last look and the end: it would be lost."""
+@pytest.mark.parametrize("close", [_stop, _close_idle])
+def test_a_request_read_while_its_connection_closes_is_not_accepted(close: Callable[[World], None]) -> None:
+    """Guards against losing a request that is read between the check for pending work and the close."""
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
@@ -622,33 +623,33 @@
     run(main())
 
 
-# ---------------------------------------------------------------- crowds
+# ---------------------------------------------------------------- many peers
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /api", request("nosuch")])
-def test_a_crowd_of_peers_that_are_no_callers_shuts_nobody_out(sent: bytes) -> None:
-    """Whatever it has sent: nothing, a part of a head, or what was answered and closed from this side."""
+def test_many_peers_without_a_valid_request_exclude_no_client(sent: bytes) -> None:
+    """They send nothing, a part of a head, or a request that the node answers with an error and a close."""
 
     async def main() -> None:
         async with (
             StubServer([reply("200 OK", b"served")]) as server,
             world(row("a", server.address), sockets=64) as w,
         ):
-            clients = w.node._listener
-            crowd = []
-            for _ in range(clients._max_connections + 5):
+            listener = w.node._listener
+            peers = []
+            for _ in range(listener._max_connections + 5):
                 peer = await w.client()
-                crowd.append(peer)
+                peers.append(peer)
                 peer.writer.write(sent)
                 if sent == request("nosuch"):
                     assert (await peer.answer()).status == 400
-            while sum(c._parser.in_message or c._discarding for c in clients._connections) < (
-                clients._max_connections if sent else 0
+            while sum(c._parser.in_message or c._discarding for c in listener._connections) < (
+                listener._max_connections if sent else 0
             ):
                 await asyncio.sleep(0)
-            assert len(clients._connections) <= clients._max_connections
+            assert len(listener._connections) <= listener._max_connections
             assert (await (await w.client()).ask("look")).body == b"served"
-            for peer in crowd:
+            for peer in peers:
                 peer.close()
 
     run(main())
@@ -658,17 +659,17 @@
 
 
 @pytest.mark.parametrize("before_start", [False, True])
-def test_sigterm_twice_beside_sighup_and_before_the_start_is_done_ends_in_order(
+def test_repeated_sigterm_with_sighup_or_before_the_start_ends_the_node_cleanly(
     before_start: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if before_start:
         start = Node.start
 
-        async def told_to_end_first(node: Node) -> tuple[str, int]:
+        async def terminate_then_start(node: Node) -> tuple[str, int]:
             node.terminate()
             return await start(node)
 
-        monkeypatch.setattr(Node, "start", told_to_end_first)
+        monkeypatch.setattr(Node, "start", terminate_then_start)
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
@@ -677,7 +678,7 @@
             began = w.node._drain._began
             w.node.terminate()
             w.node.reconfigure()
-            assert w.node._drain._began == began, "the second signal put the end off"
+            assert w.node._drain._began == began, "the second signal postponed the end"
             assert (await client.ask(target="/ready")).status == 503
             assert (await client.ask("look")).status == 200
             assert await client.ended()
