--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -45,12 +45,12 @@
 
 def test_every_metric_is_rendered_from_the_start() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
             kinds = ("look", "move", "book")
             expected = {_responses(kind, result): 0 for kind in kinds for result in ("ok", "shed", "errors")}
             expected |= {"edge_node_tries": 0, "edge_node_active": 0}
             expected |= {"edge_node_pool_size": 1, "edge_node_pool_ejected": 0}
-            assert await w.figures() == expected
+            assert await running.figures() == expected
 
     run(main())
 
@@ -59,8 +59,8 @@
     async def main() -> None:
         error = reply("500 Internal Server Error")
         behaviours = [reply("200 OK"), error, NOT_RUN, reply("200 OK"), reset, held(reply("200 OK"))]
-        async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer(behaviours) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             statuses = [
                 (await client.ask("look")).status,
                 (await client.ask("book")).status,  # a 500 is not retried: the request may have run
@@ -71,13 +71,13 @@
             server.got.clear()
             client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            figures = await w.figures()
+            figures = await running.figures()
             assert figures["edge_node_active"] == 1
             assert figures["edge_node_tries"] == len(server.received) == 6
             assert figures[_responses("look", "ok")] == 1
             assert (figures[_responses("book", "ok")], figures[_responses("book", "errors")]) == (1, 2)
             client.close()  # an abandoned request is no longer active
-            while (await w.figures())["edge_node_active"]:
+            while (await running.figures())["edge_node_active"]:
                 pass
             server.release.set()
 
@@ -96,11 +96,11 @@
 
             async with (
                 StubServer([respond_after_the_first]) as two,
-                world(row("a", one.address), row("b", two.address)) as w,
+                world(row("a", one.address), row("b", two.address)) as running,
             ):
-                await _ask_both(w, one, two)
+                await _ask_both(running, one, two)
 
-    async def _ask_both(w: World, one: StubServer, two: StubServer) -> None:
+    async def _ask_both(running: World, one: StubServer, two: StubServer) -> None:
         def send_to_both(event: Event, now: float) -> list[Action]:
             if isinstance(event, RequestArrived):
                 return [Send(event.request, b"a"), Send(event.request, b"b")]
@@ -108,10 +108,10 @@
                 return [Cancel(event.request, 0, answered=True)]
             return []
 
-        w.node._balancer.handle = send_to_both  # type: ignore[method-assign]
-        assert (await (await w.client()).ask("look")).status == 200
+        running.node._balancer.handle = send_to_both  # type: ignore[method-assign]
+        assert (await (await running.client()).ask("look")).status == 200
         assert len(one.received) == len(two.received) == 1
-        figures = await w.figures()
+        figures = await running.figures()
         assert (figures["edge_node_tries"], figures[_responses("look", "ok")]) == (2, 1)
         one.release.set()
 
@@ -125,8 +125,8 @@
                 listener.bind((HOST, 0))
                 listener.listen()
                 async with world(row("a", server.address), accept_fd=os.dup(listener.fileno())) as shared:
-                    for w, fraction in ((single, 1.0), (shared, 0.5)):
-                        node = w.node
+                    for running, fraction in ((single, 1.0), (shared, 0.5)):
+                        node = running.node
                         sockets = (
                             node._listener._max_connections
                             + node._pool._max_connections
@@ -146,9 +146,9 @@
     async def main() -> None:
         async with StubServer([silent]) as gone:
             address = gone.address
-        async with world(row("a", address)) as w:
-            assert (await (await w.client()).ask("book", deadline="0.5")).status == 503
-            figures = await w.figures()
+        async with world(row("a", address)) as running:
+            assert (await (await running.client()).ask("book", deadline="0.5")).status == 503
+            figures = await running.figures()
             assert (figures["edge_node_tries"], figures[_responses("book", "shed")]) == (0, 1)
 
     run(main())
@@ -156,10 +156,10 @@
 
 def test_a_rejection_before_the_decision_module_is_counted() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            w.node._listener.budget.limit = 0
-            assert (await (await w.client()).ask("book", body=b"x")).status == 503
-            figures = await w.figures()
+        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+            running.node._listener.budget.limit = 0
+            assert (await (await running.client()).ask("book", body=b"x")).status == 503
+            figures = await running.figures()
             assert (figures[_responses("book", "shed")], figures["edge_node_active"]) == (1, 0)
 
     run(main())
@@ -171,9 +171,9 @@
 )
 def test_unknown_paths_and_wrong_methods_are_rejected(method: str, path: str, status: int) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            assert (await w.manage(method, path)).status == status
-            assert (await w.manage("GET", "/api/ready")).status == 200
+        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+            assert (await running.manage(method, path)).status == status
+            assert (await running.manage("GET", "/api/ready")).status == 200
 
     run(main())
 
@@ -183,8 +183,8 @@
 )
 def test_malformed_and_oversized_calls_are_answered_with_400(raw: bytes) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            client = await Client.connect(w.node.admin_address)
+        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+            client = await Client.connect(running.node.admin_address)
             client.writer.write(raw)
             assert (await client.answer()).status == 400
 
@@ -193,14 +193,14 @@
 
 def test_unresponsive_peers_delay_no_call_and_are_closed() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
+        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
             begun_at = time.monotonic()
-            peers = [await Client.connect(w.node.admin_address) for _ in range(60)]
+            peers = [await Client.connect(running.node.admin_address) for _ in range(60)]
             for peer in peers[::2]:
                 peer.writer.write(b"GET /api/rea")
-            assert (await w.manage("GET", "/api/ready")).status == 200
+            assert (await running.manage("GET", "/api/ready")).status == 200
             assert time.monotonic() - begun_at < CALL_TIMEOUT_S, "a call waited for unresponsive peers"
-            assert len(w.node._admin._connections) <= w.node._admin._max_connections
+            assert len(running.node._admin._connections) <= running.node._admin._max_connections
             for peer in peers[1::2]:
                 assert await peer.ended()
 
@@ -210,32 +210,32 @@
 # The drain
 
 
-async def _phase(w: World, call: str) -> int:
-    return (await w.manage("POST", f"/api/{call}")).status
+async def _phase(running: World, call: str) -> int:
+    return (await running.manage("POST", f"/api/{call}")).status
 
 
 def test_an_evacuated_node_answers_requests_and_closes_connections_until_it_rejoins() -> None:
     async def main() -> None:
         async with (
             StubServer([held(reply("200 OK", b"first")), reply("200 OK", b"second")]) as server,
-            world(row("a", server.address)) as w,
+            world(row("a", server.address)) as running,
         ):
-            busy, kept, idle = [await w.client() for _ in range(3)]
+            busy, kept, idle = [await running.client() for _ in range(3)]
             busy.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             assert (await idle.ask(target="/ready")).status == 200
-            assert [await _phase(w, "evacuate"), await _phase(w, "evacuate")] == [200, 200]
-            assert (await w.manage("GET", "/api/ready")).status == 503
+            assert [await _phase(running, "evacuate"), await _phase(running, "evacuate")] == [200, 200]
+            assert (await running.manage("GET", "/api/ready")).status == 503
             answer = await kept.ask("look")
             assert (answer.body, answer.headers["connection"]) == (b"second", "close")
             assert await idle.ended(), "an idle connection was not closed"
             server.release.set()
             answer = await busy.answer()
             assert (answer.body, answer.headers["connection"]) == (b"first", "close")
-            assert (await (await w.client()).ask(target="/ready")).status == 503
-            assert [await _phase(w, "rejoin"), await _phase(w, "rejoin")] == [200, 200]
-            assert (await w.manage("GET", "/api/ready")).status == 200
-            client = await w.client()
+            assert (await (await running.client()).ask(target="/ready")).status == 503
+            assert [await _phase(running, "rejoin"), await _phase(running, "rejoin")] == [200, 200]
+            assert (await running.manage("GET", "/api/ready")).status == 200
+            client = await running.client()
             assert (await client.ask(target="/ready")).status == 200
             assert "connection" not in (await client.ask("look")).headers
 
@@ -244,12 +244,12 @@
 
 def test_a_rejoin_during_a_drain_keeps_idle_connections() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            idle = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            idle = await running.client()
             assert (await idle.ask("look")).status == 200
-            await _phase(w, "evacuate")
-            await _phase(w, "rejoin")
-            assert w.node._drain._timer is not None and w.node._drain._timer.cancelled()
+            await _phase(running, "evacuate")
+            await _phase(running, "rejoin")
+            assert running.node._drain._timer is not None and running.node._drain._timer.cancelled()
             assert (await idle.ask("look")).status == 200
 
     run(main())
@@ -257,16 +257,16 @@
 
 def test_a_terminating_node_rejects_a_rejoin_and_ends() -> None:
     async def main() -> None:
-        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            await _phase(w, "evacuate")
-            w.node.terminate()
-            assert await _phase(w, "rejoin") == 409
-            assert await _phase(w, "evacuate") == 200
+            await _phase(running, "evacuate")
+            running.node.terminate()
+            assert await _phase(running, "rejoin") == 409
+            assert await _phase(running, "evacuate") == 200
             server.release.set()
             assert (await client.answer()).status == 200
-            await asyncio.wait_for(w.serving, PATIENCE_S)
+            await asyncio.wait_for(running.serving, PATIENCE_S)
 
     run(main())
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -169,8 +169,8 @@
     """Guards against request smuggling: the node responds 400 and closes, and forwards none of the input."""
 
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             good = request("book").decode().replace("Content-Length: 0\r\n", "").removesuffix("\r\n")
             client.writer.write((good + rest).encode("latin-1") + request("look"))
             assert (await client.answer()).status == 400
@@ -230,26 +230,26 @@
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_a_streamed_response_is_forwarded_unchanged_and_counted_once(form: str, version: str) -> None:
     async def main() -> None:
-        async with StubServer([FORMS[form]]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([FORMS[form]]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("book").replace(b"HTTP/1.1", b"HTTP/%s" % version.encode()))
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, LONG)
             assert version == "1.1" or "transfer-encoding" not in answer.headers
             if version == "1.1":
                 assert (await client.ask("book")).body == LONG, "the connection was not reusable"
-            figures = await w.figures()
+            figures = await running.figures()
             assert figures['edge_node_responses{kind="book",result="ok"}'] == len(server.received)
-            assert figures["edge_node_active"] == w.node._listener.budget.reserved == 0
-            assert not w.node._balancer._table.streaming and not w.node._balancer._table.waiting
+            assert figures["edge_node_active"] == running.node._listener.budget.reserved == 0
+            assert not running.node._balancer._table.streaming and not running.node._balancer._table.waiting
 
     run(main())
 
 
 def test_the_first_bytes_of_a_streamed_response_do_not_wait_for_the_rest() -> None:
     async def main() -> None:
-        async with StubServer([begin_long_response]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([begin_long_response]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("book", deadline="0.3"))
             await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert await asyncio.wait_for(client.reader.readexactly(10), PATIENCE_S) == LONG[:10]
@@ -268,8 +268,8 @@
             await server.release.wait()
             writer.write(b"0\r\n\r\n")
 
-        async with StubServer([respond_in_two_parts]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([respond_in_two_parts]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("book"))
             assert b"first" in await asyncio.wait_for(client.reader.readuntil(b"first"), PATIENCE_S)
             server.release.set()
@@ -285,15 +285,15 @@
 def test_an_aborted_streamed_response_shows_as_incomplete(head: bytes) -> None:
     async def main() -> None:
         broken = streamed(OK + head + LONG[: len(LONG) // 2], close=True)
-        async with StubServer([broken]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([broken]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("look"))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await client.answer()
             assert len(server.received) == 1, "a request with a partly sent response was retried"
-            figures = await w.figures()
+            figures = await running.figures()
             assert figures['edge_node_responses{kind="look",result="errors"}'] == 1
-            assert not w.node._requests.pending and not w.node._requests.calls
+            assert not running.node._requests.pending and not running.node._requests.calls
 
     run(main())
 
@@ -302,15 +302,15 @@
     async def main() -> None:
         async with (
             StubServer([streamed(OK + b"Content-Length: %d\r\n\r\n" % 10**9 + LONG)]) as server,
-            world(row("a", server.address)) as w,
+            world(row("a", server.address)) as running,
         ):
-            client = await w.client()
+            client = await running.client()
             client.writer.write(request("look"))
             await asyncio.wait_for(client.reader.readexactly(1000), PATIENCE_S)
             client.close()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
-            assert not w.node._requests.pending and not w.node._requests.calls
-            assert w.node._listener.budget.reserved == 0
+            assert not running.node._requests.pending and not running.node._requests.calls
+            assert running.node._listener.budget.reserved == 0
 
     run(main())
 
@@ -328,8 +328,8 @@
                 await writer.drain()
                 sent += 65536
 
-        async with StubServer([stream]) as server, world(row("a", server.address)) as w:
-            client = await Client.connect(w.address)
+        async with StubServer([stream]) as server, world(row("a", server.address)) as running:
+            client = await Client.connect(running.address)
             client.reader._limit = 1024  # type: ignore[attr-defined]
             client.writer.write(request("look"))
             before = -1
@@ -337,10 +337,10 @@
                 before = sent
                 await asyncio.sleep(0.2)
             assert sent < size, "the node read the whole response although the client reads nothing"
-            (connection,) = w.node._listener._connections
+            (connection,) = running.node._listener._connections
             assert connection._transport is not None
             assert connection._transport.get_write_buffer_size() <= exchange.STREAM_BUFFER_BYTES
-            assert w.node._listener.budget.reserved == exchange.STREAM_BUFFER_BYTES
+            assert running.node._listener.budget.reserved == exchange.STREAM_BUFFER_BYTES
             received = 0
             while received < size:
                 received += len(await asyncio.wait_for(client.reader.read(1 << 20), PATIENCE_S))
@@ -357,14 +357,14 @@
         size = 4 * 1024 * 1024
         stream = streamed(OK + b"Content-Length: %d\r\n\r\n" % size + bytes(size))
         loop = asyncio.get_running_loop()
-        async with StubServer([stream]) as server, world(row("a", server.address)) as w:
+        async with StubServer([stream]) as server, world(row("a", server.address)) as running:
             with socket.socket() as client:
                 client.setblocking(False)
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
-                await loop.sock_connect(client, w.address)
-                while not w.node._listener._connections:
+                await loop.sock_connect(client, running.address)
+                while not running.node._listener._connections:
                     await asyncio.sleep(0)
-                (connection,) = w.node._listener._connections
+                (connection,) = running.node._listener._connections
                 assert connection._transport is not None
                 sock = connection._transport.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
@@ -381,17 +381,20 @@
 
 def test_input_after_a_malformed_request_is_ignored() -> None:
     async def main() -> None:
-        async with StubServer([silent, reply("200 OK")]) as server, world(row("a", server.address)) as w:
+        async with (
+            StubServer([silent, reply("200 OK")]) as server,
+            world(row("a", server.address)) as running,
+        ):
             for bad in (request("book", body=b"x", extra="Expect: more\r\n"), b"nonsense\r\n\r\n"):
                 server.received.clear()
                 server.got.clear()
                 server.release.clear()
                 server.behaviours[:] = [held(reply("200 OK", b"first")), reply("200 OK")]
-                client = await w.client()
+                client = await running.client()
                 client.writer.write(request("look") + bad)
                 await asyncio.wait_for(server.got.wait(), PATIENCE_S)
                 client.writer.write(request("look"))
-                while not any(len(c._exchanges) == 2 for c in w.node._listener._connections):
+                while not any(len(c._exchanges) == 2 for c in running.node._listener._connections):
                     await asyncio.sleep(0)
                 server.release.set()
                 assert (await client.answer()).body == b"first"
@@ -418,8 +421,11 @@
 @pytest.mark.parametrize("step", [1400, 100_000, 10**7])
 def test_a_request_body_is_forwarded_unchanged_in_pieces_of_any_size(form: str, step: int) -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with (
+            StubServer([reply("200 OK", b"done")]) as server,
+            world(row("a", server.address)) as running,
+        ):
+            client = await running.client()
             text = UPLOADS[form]()
             for _ in range(2):
                 for i in range(0, len(text), step):
@@ -427,8 +433,8 @@
                     await client.writer.drain()
                 assert (await client.answer()).body == b"done"
             assert [got.body for got in server.received] == [b"short" if "short" in form else LONG] * 2
-            assert (await w.figures())["edge_node_tries"] == 2
-            assert w.node._listener.budget.reserved == 0
+            assert (await running.figures())["edge_node_tries"] == 2
+            assert running.node._listener.budget.reserved == 0
 
     run(main())
 
@@ -438,11 +444,11 @@
         async def echo_body(_: StubServer, got: Received, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Content-Length: %d\r\n\r\n" % len(got.body) + got.body)
 
-        async with StubServer([echo_body]) as server, world(row("a", server.address)) as w:
+        async with StubServer([echo_body]) as server, world(row("a", server.address)) as running:
 
             async def echo(i: int) -> None:
                 body = LONG[i:] if i % 2 else b"%d" % i
-                client = await w.client()
+                client = await running.client()
                 assert (await client.ask("move", body=body)).body == body
 
             await asyncio.gather(*[echo(i) for i in range(12)])
@@ -462,8 +468,8 @@
 
         listeners = [await asyncio.start_server(break_off, HOST, 0) for _ in range(2)]
         names = [f"{HOST}:{one.sockets[0].getsockname()[1]}" for one in listeners]
-        async with world(row("a", names[0]), row("b", names[1])) as w:
-            answer = await (await w.client()).ask("move", body=LONG)
+        async with world(row("a", names[0]), row("b", names[1])) as running:
+            answer = await (await running.client()).ask("move", body=LONG)
             assert answer.status == 503, "the last byte was never sent, so the client may retry"
             assert "retry-after" in answer.headers
             assert connections == 1
@@ -479,10 +485,10 @@
             address = gone.address
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", address), row("b", server.address)) as w,
+            world(row("a", address), row("b", server.address)) as running,
         ):
             for _ in range(4):
-                assert (await (await w.client()).ask("book", body=LONG)).status == 200
+                assert (await (await running.client()).ask("book", body=LONG)).status == 200
             assert all(got.body == LONG for got in server.received)
 
     run(main())
@@ -490,13 +496,18 @@
 
 def test_the_deadline_of_a_streamed_body_starts_at_its_last_byte() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with (
+            StubServer([reply("200 OK", b"done")]) as server,
+            world(row("a", server.address)) as running,
+        ):
+            client = await running.client()
             text = request("book", body=LONG, deadline="0.3")
             client.writer.write(text[:200_000])
             await asyncio.sleep(0.5)
-            assert w.node._requests.pending, "abandoned before its body was received"
-            assert (await w.figures())["edge_node_active"] == 0, "counted as active before its last byte"
+            assert running.node._requests.pending, "abandoned before its body was received"
+            assert (await running.figures())[
+                "edge_node_active"
+            ] == 0, "counted as active before its last byte"
             client.writer.write(text[200_000:])
             assert (await client.answer()).body == b"done"
             server.behaviours[:] = [silent]
@@ -511,30 +522,38 @@
 ) -> None:
     async def main() -> None:
         monkeypatch.setattr(timeouts, "IDLE_TIMEOUT_S", 0.3)
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("book", body=LONG)[:200_000])
             assert (await client.answer()).status == 408
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
-            assert not server.received and not w.node._requests.pending and not w.node._requests.calls
+            assert (
+                not server.received
+                and not running.node._requests.pending
+                and not running.node._requests.calls
+            )
 
     run(main())
 
 
 def test_a_client_disconnect_within_a_long_body_releases_everything() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("book", body=LONG)[:200_000])
-            while not w.node._requests.calls:
+            while not running.node._requests.calls:
                 await asyncio.sleep(0)
             while not server.opened:
                 await asyncio.sleep(0)
             client.close()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
-            assert not server.received and not w.node._requests.pending and not w.node._requests.calls
-            assert w.node._listener.budget.reserved == 0
-            assert not w.node._balancer._table.streaming
+            assert (
+                not server.received
+                and not running.node._requests.pending
+                and not running.node._requests.calls
+            )
+            assert running.node._listener.budget.reserved == 0
+            assert not running.node._balancer._table.streaming
 
     run(main())
 
@@ -550,8 +569,8 @@
             await _upload(idle_listener)
 
     async def _upload(idle_listener: socket.socket) -> None:
-        async with world(row("a", f"{HOST}:{idle_listener.getsockname()[1]}")) as w:
-            client = await w.client()
+        async with world(row("a", f"{HOST}:{idle_listener.getsockname()[1]}")) as running:
+            client = await running.client()
             head, piece = request("book", body=b"x")[:-1], LONG * 4
             client.writer.write(head.replace(b"Content-Length: 1", b"Content-Length: %d" % 10**9))
             sent, paused = 0, False
@@ -571,17 +590,17 @@
 
 def test_long_bodies_beyond_the_memory_limit_are_rejected_immediately() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address), memory_mb=4) as w:
-            capacity = w.node._listener.budget.limit // exchange.STREAM_BUFFER_BYTES
+        async with StubServer([silent]) as server, world(row("a", server.address), memory_mb=4) as running:
+            capacity = running.node._listener.budget.limit // exchange.STREAM_BUFFER_BYTES
             assert capacity >= 1
-            uploading = [await w.client() for _ in range(capacity)]
+            uploading = [await running.client() for _ in range(capacity)]
             for client in uploading:
                 client.writer.write(request("book", body=LONG)[:100_000])
-            while len(w.node._requests.pending) < capacity:
+            while len(running.node._requests.pending) < capacity:
                 await asyncio.sleep(0)
-            answer = await (await w.client()).ask("book", body=LONG)
+            answer = await (await running.client()).ask("book", body=LONG)
             assert answer.status == 503 and "retry-after" in answer.headers
-            assert (await w.figures())['edge_node_responses{kind="book",result="shed"}'] == 1
+            assert (await running.figures())['edge_node_responses{kind="book",result="shed"}'] == 1
 
     run(main())
 
@@ -591,8 +610,11 @@
 
 def test_a_client_that_expects_100_continue_gets_it() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK", b"done")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with (
+            StubServer([reply("200 OK", b"done")]) as server,
+            world(row("a", server.address)) as running,
+        ):
+            client = await running.client()
             text = request("book", body=LONG, extra="Expect: 100-continue\r\n")
             head, _, body = text.partition(b"\r\n\r\n")
             client.writer.write(head + b"\r\n\r\n")
@@ -610,8 +632,8 @@
 )
 def test_a_head_that_would_be_rejected_gets_no_100_continue(extra: str, status: int) -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("book", body=b"x", extra=extra)[:-1])
             assert (await client.answer()).status == status
             assert await client.ended() and not server.received
@@ -621,8 +643,8 @@
 
 def test_an_absolute_form_target_is_accepted() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             assert (await client.ask("look", target="http://api.internal/api/k?x=1")).status == 200
             assert server.received[0].target == "/api/k?x=1"
             assert (await client.ask(target="HTTP://api.internal/ready")).status == 200
@@ -633,36 +655,37 @@
 
 def test_white_space_around_a_header_value_is_ignored() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
             text = request("look", drop=("X-Class",), extra="X-Class: \t look \t\r\n")
-            client = await w.client()
+            client = await running.client()
             client.writer.write(text)
             assert (await client.answer()).status == 200
 
     run(main())
 
 
-async def _connection(w: World, sent: bytes) -> ClientConnection:
-    client = await w.client()
+async def _connection(running: World, sent: bytes) -> ClientConnection:
+    client = await running.client()
     client.writer.write(sent)
     while not (
-        w.node._listener._connections and next(iter(w.node._listener._connections))._parser.in_message
+        running.node._listener._connections
+        and next(iter(running.node._listener._connections))._parser.in_message
     ):
         await asyncio.sleep(0)
-    return next(iter(w.node._listener._connections))
+    return next(iter(running.node._listener._connections))
 
 
 def test_slow_clients_are_waited_for_and_unresponsive_ones_are_closed_within_3_s() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            head = await _connection(w, b"POST /api HTTP/1.1\r\nX-Cl")
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            head = await _connection(running, b"POST /api HTTP/1.1\r\nX-Cl")
             assert not head.has_timed_out(head.opened_at + 2.2), "a head may take 2 s"
             assert head.has_timed_out(head.opened_at + FIRST_HEAD_TIMEOUT_S + 0.01)
             assert FIRST_BYTE_TIMEOUT_S < FIRST_HEAD_TIMEOUT_S <= 3.0 - 2 * listener.SWEEP_INTERVAL_S
             head.abort()
-            while w.node._listener._connections:
+            while running.node._listener._connections:
                 await asyncio.sleep(0)
-            body = await _connection(w, request("book", body=b"x" * 1000)[:-1])
+            body = await _connection(running, request("book", body=b"x" * 1000)[:-1])
             while not body._parser.in_body:
                 await asyncio.sleep(0)
             assert body.has_timed_out(
@@ -685,17 +708,17 @@
 
 def test_a_streamed_response_continues_after_sigterm() -> None:
     async def main() -> None:
-        async with StubServer([begin_long_response]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([begin_long_response]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("book"))
             await asyncio.wait_for(client.reader.readuntil(LONG[:10]), PATIENCE_S)
-            w.node.terminate()
-            w.node._drain._began -= 60.0  # long past the time of the last response
-            w.node._drain._check()
-            w.node._requests.fail_remaining()
-            assert not w.serving.done()
+            running.node.terminate()
+            running.node._drain._began -= 60.0  # long past the time of the last response
+            running.node._drain._check()
+            running.node._requests.fail_remaining()
+            assert not running.serving.done()
             server.release.set()
             assert await asyncio.wait_for(client.reader.readexactly(len(LONG) - 10), PATIENCE_S) == LONG[10:]
-            await asyncio.wait_for(w.serving, PATIENCE_S)
+            await asyncio.wait_for(running.serving, PATIENCE_S)
 
     run(main())
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -62,12 +62,12 @@
 class HeldDials:
     """Replaces the event loop of a node's upstream side, and holds dials until `release` is set."""
 
-    def __init__(self, w: World) -> None:
+    def __init__(self, running: World) -> None:
         self._loop = asyncio.get_running_loop()
         # Counts the dials that have begun.
         self.waiting = asyncio.Semaphore(0)
         self.release = asyncio.Event()
-        w.node._pool._loop = self  # type: ignore[assignment]
+        running.node._pool._loop = self  # type: ignore[assignment]
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
@@ -84,15 +84,15 @@
 class Told:
     """Records the events that a node delivers to its decision module, which `decide` may replace."""
 
-    def __init__(self, w: World, decide: Callable[[Event, float], list[Action]] | None = None) -> None:
+    def __init__(self, running: World, decide: Callable[[Event, float], list[Action]] | None = None) -> None:
         self.events: list[Event] = []
-        handle = decide or w.node._balancer.handle
+        handle = decide or running.node._balancer.handle
 
         def recording(event: Event, now: float) -> list[Action]:
             self.events.append(event)
             return handle(event, now)
 
-        w.node._balancer.handle = recording  # type: ignore[method-assign]
+        running.node._balancer.handle = recording  # type: ignore[method-assign]
 
     async def first(self, kind: type[Event]) -> Any:
         """Return the first event of this kind, once it has been delivered."""
@@ -117,10 +117,10 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), policyLimits=limits()) as w,
+            world(row("a", server.address), policyLimits=limits()) as running,
         ):
-            dials, told = HeldDials(w), Told(w)
-            client = await w.client()
+            dials, recorder = HeldDials(running), Told(running)
+            client = await running.client()
             client.writer.write(request("book"))
             await dials.begun()
             updated = (
@@ -128,11 +128,11 @@
                 if restarted
                 else row("a", server.address, "DRAINING")
             )
-            tell(await w.discovery.watch(), listing(2, updated, reset=False))
-            while w.node._discovery._version != 2:
+            tell(await running.discovery.watch(), listing(2, updated, reset=False))
+            while running.node._discovery._version != 2:
                 await asyncio.sleep(0)
             dials.release.set()
-            ended: AttemptEnded = await told.first(AttemptEnded)
+            ended: AttemptEnded = await recorder.first(AttemptEnded)
             assert ended.outcome is Outcome.CONNECT_FAILED
             if not restarted:
                 assert (await client.answer()).status == 503
@@ -146,20 +146,20 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
+            world(row("a", server.address), policyLimits=limits(cancel=cancel)) as running,
         ):
-            dials, told = HeldDials(w), Told(w)
-            client = await w.client()
+            dials, recorder = HeldDials(running), Told(running)
+            client = await running.client()
             client.writer.write(request("look", target="/api/left"))
             await dials.begun()
             client.close()
-            await told.first(RequestAbandoned)
+            await recorder.first(RequestAbandoned)
             dials.release.set()
-            ended: AttemptEnded = await told.first(AttemptEnded)
+            ended: AttemptEnded = await recorder.first(AttemptEnded)
             assert ended.outcome in (Outcome.NOT_SENT, Outcome.CANCELLED)
-            while w.node._pool._dial_tasks:
+            while running.node._pool._dial_tasks:
                 await asyncio.sleep(0)
-            assert (await (await w.client()).ask("look", target="/api/next")).status == 200
+            assert (await (await running.client()).ask("look", target="/api/next")).status == 200
             assert [got.target for got in server.received] == ["/api/next"]
             assert server.opened == 1, "the connection that was established was not kept"
 
@@ -173,7 +173,7 @@
         async with (
             StubServer([reply("200 OK", b"first")]) as one,
             StubServer([reply("200 OK", b"second")]) as two,
-            world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=False)) as w,
+            world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=False)) as running,
         ):
 
             def decide(event: Event, now: float) -> list[Action]:
@@ -185,19 +185,19 @@
                 return list(hedged)
 
             # A connection to the first server is open; the second has to be dialled.
-            assert w.node._pool.has_endpoints()
-            client = await w.client()
+            assert running.node._pool.has_endpoints()
+            client = await running.client()
             while not one.received:
                 assert (await client.ask("look")).status == 200
             before = len(two.received)
-            w.node._pool.close_idle(b"b")
-            dials, told = HeldDials(w), Told(w, decide)
+            running.node._pool.close_idle(b"b")
+            dials, recorder = HeldDials(running), Told(running, decide)
             assert (await client.ask("look")).body == b"first"
             await dials.begun()
             dials.release.set()
-            while sum(isinstance(event, AttemptEnded) for event in told.events) < 2:
+            while sum(isinstance(event, AttemptEnded) for event in recorder.events) < 2:
                 await asyncio.sleep(0)
-            outcomes = {event.outcome for event in told.events if isinstance(event, AttemptEnded)}
+            outcomes = {event.outcome for event in recorder.events if isinstance(event, AttemptEnded)}
             assert outcomes == {Outcome.OK, Outcome.NOT_SENT}
             assert len(two.received) == before
 
@@ -210,7 +210,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), policyLimits=limits()) as w,
+            world(row("a", server.address), policyLimits=limits()) as running,
         ):
 
             def decide(event: Event, now: float) -> list[Action]:
@@ -218,13 +218,13 @@
                     return [Send(event.request, b"a", before_ms=now + 2000.0)]
                 return []
 
-            dials, told = HeldDials(w), Told(w, decide)
-            client = await w.client()
+            dials, recorder = HeldDials(running), Told(running, decide)
+            client = await running.client()
             client.writer.write(request("move"))
             await dials.begun()
-            w.node._clock._base += 2.0
+            running.node._clock._base += 2.0
             dials.release.set()
-            ended: AttemptEnded = await told.first(AttemptEnded)
+            ended: AttemptEnded = await recorder.first(AttemptEnded)
             assert ended.outcome is Outcome.NOT_SENT
             assert server.received == []
 
@@ -239,24 +239,24 @@
         behaviours = [reply("200 OK"), held(reply("200 OK")), reply("200 OK")]
         async with (
             StubServer(behaviours) as server,
-            world(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
+            world(row("a", server.address), policyLimits=limits(cancel=cancel)) as running,
         ):
-            client = await w.client()
+            client = await running.client()
             assert (await client.ask("look", target="/api/first")).status == 200
-            w.age(10.0)
-            w.node._pool.keep_alive.record_early_close(1.0, asyncio.get_running_loop().time())
-            told = Told(w)
+            running.age(10.0)
+            running.node._pool.keep_alive.record_early_close(1.0, asyncio.get_running_loop().time())
+            recorder = Told(running)
             client.writer.write(request("book", target="/api/left"))
             while len(server.received) < 2:
                 await asyncio.sleep(0)
             client.close()
-            await told.first(RequestAbandoned)
+            await recorder.first(RequestAbandoned)
             server.release.set()
-            await told.first(AttemptEnded)
-            while not w.node._pool._idle_connections():
+            await recorder.first(AttemptEnded)
+            while not running.node._pool._idle_connections():
                 await asyncio.sleep(0)
-            w.age(REUSE_DELAY_S)
-            assert (await (await w.client()).ask("look", target="/api/next")).status == 200
+            running.age(REUSE_DELAY_S)
+            assert (await (await running.client()).ask("look", target="/api/next")).status == 200
             assert [got.target for got in server.received] == ["/api/first", "/health", "/api/next"]
             assert server.opened == 1
 
@@ -287,20 +287,20 @@
                 if health_checked
                 else [twice, reply("200 OK", b"own")]
             ) as server,
-            world(row("a", server.address)) as w,
+            world(row("a", server.address)) as running,
         ):
-            client = await w.client()
+            client = await running.client()
             if health_checked:
                 assert (await client.ask("look")).status == 200
-                w.age(2 * PATIENCE_S)
-                w.node._pool.keep_alive.record_early_close(0.0, asyncio.get_running_loop().time())
+                running.age(2 * PATIENCE_S)
+                running.node._pool.keep_alive.record_early_close(0.0, asyncio.get_running_loop().time())
                 client.writer.write(request("book"))
                 while len(server.received) < 2:
                     await asyncio.sleep(0)
             else:
                 assert (await client.ask("look")).body == b"right"
                 client.writer.write(request("book"))
-                while not w.node._requests.pending:
+                while not running.node._requests.pending:
                     await asyncio.sleep(0)
             server.release.set()
             assert (await client.answer()).body == b"own"
@@ -317,18 +317,18 @@
     """A connection with two requests was no longer read, so requests were forwarded long after its end."""
 
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            told = Told(w)
-            client = await w.client()
+        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+            recorder = Told(running)
+            client = await running.client()
             client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             client.writer.write(request("look") * count)
-            while len(w.node._requests.pending) < MAX_CONCURRENT:
+            while len(running.node._requests.pending) < MAX_CONCURRENT:
                 await asyncio.sleep(0)
             client.close()
-            while w.node._requests.pending:
+            while running.node._requests.pending:
                 await asyncio.sleep(0)
-            accepted = sum(isinstance(event, RequestArrived) for event in told.events)
+            accepted = sum(isinstance(event, RequestArrived) for event in recorder.events)
             assert accepted == MAX_CONCURRENT, "a waiting request was forwarded"
             server.release.set()
 
@@ -337,8 +337,8 @@
 
 def test_requests_beyond_the_pipelining_limit_are_not_accepted_and_the_connection_closes() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("look") * (3 * MAX_PIPELINED))
             answers = [(await client.answer()).status for _ in range(MAX_PIPELINED)]
             assert answers == [200] * MAX_PIPELINED
@@ -352,8 +352,8 @@
     """Guards against a tenth of a second of CPU time for each read from a client that sends only these."""
 
     async def main() -> None:
-        async with world() as w:
-            client = await w.client()
+        async with world() as running:
+            client = await running.client()
             client.writer.write(request("nosuch") * 600)
             answer = await client.answer()
             assert (answer.status, answer.headers["connection"]) == (400, "close")
@@ -366,13 +366,13 @@
 
 def test_the_bodies_of_waiting_requests_are_bounded() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("look") * MAX_CONCURRENT)
             client.writer.write(request("book", body=b"x" * (MAX_BODY // 2)) * 8)
-            while not w.node._listener._connections:
+            while not running.node._listener._connections:
                 await asyncio.sleep(0)
-            (connection,) = w.node._listener._connections
+            (connection,) = running.node._listener._connections
             while not connection._malformed:
                 await asyncio.sleep(0)
             waiting = [e.message for e in connection._exchanges if e.message is not None]
@@ -387,13 +387,13 @@
     """Its buffer is counted only once it is in flight; uncounted, a few hundred would fill the memory."""
 
     async def main() -> None:
-        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             long = request("book", body=b"x" * (4 * MAX_BODY))
             client.writer.write(request("look") * MAX_CONCURRENT + long)
-            while not w.node._listener._connections:
+            while not running.node._listener._connections:
                 await asyncio.sleep(0)
-            (connection,) = w.node._listener._connections
+            (connection,) = running.node._listener._connections
             while not connection._malformed:
                 await asyncio.sleep(0)
             server.release.set()
@@ -406,13 +406,13 @@
 
 def test_time_spent_waiting_for_earlier_requests_counts_towards_the_deadline() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            told = Told(w)
-            client = await w.client()
+        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+            recorder = Told(running)
+            client = await running.client()
             client.writer.write(request("look", deadline="0.4") * (MAX_CONCURRENT + 1))
             answers = [(await client.answer()).status for _ in range(MAX_CONCURRENT + 1)]
             assert set(answers) == {503}
-            arrivals = [event for event in told.events if isinstance(event, RequestArrived)]
+            arrivals = [event for event in recorder.events if isinstance(event, RequestArrived)]
             assert arrivals[0].budget_ms > 300.0
             assert arrivals[-1].budget_ms < 100.0
             server.release.set()
@@ -427,10 +427,10 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), policyLimits=limits()) as w,
+            world(row("a", server.address), policyLimits=limits()) as running,
         ):
-            dials, told = HeldDials(w), Told(w)
-            client = await w.client()
+            dials, recorder = HeldDials(running), Told(running)
+            client = await running.client()
             upload = request("book", body=b"x" * (8 * MAX_BODY))
             client.writer.write(upload[: 2 * MAX_BODY])
             await dials.begun()
@@ -438,9 +438,9 @@
                 client.close()
             else:
                 client.writer.close()
-            await told.first(RequestAbandoned)
+            await recorder.first(RequestAbandoned)
             dials.release.set()
-            while w.node._pool._dial_tasks:
+            while running.node._pool._dial_tasks:
                 await asyncio.sleep(0)
             assert server.received == []
 
@@ -455,45 +455,45 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(known=False, registryMode="pushed") as w,
+            world(known=False, registryMode="pushed") as running,
         ):
-            told = Told(w)
-            watch = await w.discovery.watch()
+            recorder = Told(running)
+            watch = await running.discovery.watch()
             rows = [row("a", server.address), row("b", server.address, "DRAINING")]
             tell(watch, json.dumps(listing(7, *rows), indent=indent).encode())
             tell(watch, listing(8, reset=False))
-            while w.node._discovery._version != 8:
+            while running.node._discovery._version != 8:
                 await asyncio.sleep(0)
-            assert (await told.first(EndpointList)).kind is ListKind.FULL
-            assert w.discovery.targets == ["/v1/endpoints?watch=1&from=0"]
+            assert (await recorder.first(EndpointList)).kind is ListKind.FULL
+            assert running.discovery.targets == ["/v1/endpoints?watch=1&from=0"]
 
     run(main())
 
 
 def test_an_incomplete_list_does_not_extend_the_timeout_of_its_watch() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as w:
-            watch = await w.discovery.watch()
+        async with world(known=False, registryMode="pushed") as running:
+            watch = await running.discovery.watch()
             tell(watch, b"")
-            while w.node._discovery._timer is None or w.node._discovery._failures:
+            while running.node._discovery._timer is None or running.node._discovery._failures:
                 await asyncio.sleep(0)
-            (current,) = [w.node._discovery._watch]
+            (current,) = [running.node._discovery._watch]
             assert current is not None
-            timer = w.node._discovery._timer
+            timer = running.node._discovery._timer
             for line in (b"{", b'  "generation": 7,', b"", b'  "reset": true,'):
                 current._on_line(line)
             assert current.objects.in_object()
-            assert w.node._discovery._timer is timer
+            assert running.node._discovery._timer is timer
 
     run(main())
 
 
 def test_an_invalid_line_within_a_list_closes_its_watch() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as w:
-            watch = await w.discovery.watch()
+        async with world(known=False, registryMode="pushed") as running:
+            watch = await running.discovery.watch()
             tell(watch, b'{\n  "generation": 7,\n  nonsense }')
-            await w.discovery.watch()
+            await running.discovery.watch()
 
     run(main())
 
@@ -502,18 +502,18 @@
     """Two watches may be open for a moment; only the lines of the newer one count."""
 
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as w:
-            told = Told(w)
-            await w.discovery.watch()
-            before = w.node._discovery._watch
+        async with world(known=False, registryMode="pushed") as running:
+            recorder = Told(running)
+            await running.discovery.watch()
+            before = running.node._discovery._watch
             assert before is not None
-            w.node._discovery.subscribe()
-            await w.discovery.watch()
-            assert w.node._discovery._watch is not before
+            running.node._discovery.subscribe()
+            await running.discovery.watch()
+            assert running.node._discovery._watch is not before
             before._on_line(json.dumps(listing(9)).encode())
             before.connection_lost(None)
-            assert not told.events and w.node._discovery._version == 0
-            assert w.node._discovery._watch is not None
+            assert not recorder.events and running.node._discovery._version == 0
+            assert running.node._discovery._watch is not None
 
     run(main())
 
@@ -524,15 +524,15 @@
         path = tmp_path / "config.json"
         async with (
             StubDiscovery() as moved,
-            world(known=False, registryMode="pushed", path=str(path)) as w,
+            world(known=False, registryMode="pushed", path=str(path)) as running,
         ):
-            discovery = w.node._discovery
+            discovery = running.node._discovery
             path.write_text(json.dumps({"discovery": moved.address}))
             if state != "a call is in flight":
-                await w.discovery.watch()
+                await running.discovery.watch()
             if state == "waiting for the backoff":
                 discovery._fail()
-            w.node.reconfigure()
+            running.node.reconfigure()
             tell(await moved.watch(), listing(3))
             while discovery._version != 3:
                 await asyncio.sleep(0)
@@ -555,16 +555,19 @@
             descriptor = os.dup(listener.fileno()) if origin == "adopted" else None
             async with (
                 StubServer([reply("200 OK")]) as server,
-                world(row("a", server.address), accept_fd=descriptor, registryMode="pushed") as w,
+                world(row("a", server.address), accept_fd=descriptor, registryMode="pushed") as running,
             ):
-                watch = await w.discovery.watch()
+                watch = await running.discovery.watch()
                 tell(watch, listing(2, row("a", server.address)))
-                client = await w.client()
+                client = await running.client()
                 assert (await client.ask("look")).status == 200
-                (accepted,) = w.node._listener._connections
-                (dialled,) = w.node._pool._connections
-                assert w.node._discovery._watch is not None
-                transports = {"dialled": dialled._transport, "watch": w.node._discovery._watch.transport}
+                (accepted,) = running.node._listener._connections
+                (dialled,) = running.node._pool._connections
+                assert running.node._discovery._watch is not None
+                transports = {
+                    "dialled": dialled._transport,
+                    "watch": running.node._discovery._watch.transport,
+                }
                 transport = transports.get(origin, accepted._transport)
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
@@ -584,8 +587,8 @@
         writer.transport.abort()
 
     async def main() -> None:
-        async with StubServer([broken]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([broken]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
             client.writer.write(request("look").replace(b"HTTP/1.1", b"HTTP/1.0"))
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert b"content-length" not in head.lower()
@@ -597,12 +600,12 @@
     run(main())
 
 
-def _stop(w: World) -> None:
-    w.node.stop()
+def _stop(running: World) -> None:
+    running.node.stop()
 
 
-def _close_idle(w: World) -> None:
-    w.node._listener.close_idle(0.0)
+def _close_idle(running: World) -> None:
+    running.node._listener.close_idle(0.0)
 
 
 @pytest.mark.parametrize("close", [_stop, _close_idle])
@@ -610,14 +613,14 @@
     """Guards against losing a request that is read between the check for pending work and the close."""
 
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            told = Told(w)
-            client = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            recorder = Told(running)
+            client = await running.client()
             assert (await client.ask(target="/ready")).status == 200
-            (connection,) = w.node._listener._connections
-            close(w)
+            (connection,) = running.node._listener._connections
+            close(running)
             connection.data_received(request("look"))
-            assert not told.events and not w.node._requests.pending
+            assert not recorder.events and not running.node._requests.pending
             assert await client.ended()
 
     run(main())
@@ -633,12 +636,12 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK", b"served")]) as server,
-            world(row("a", server.address), sockets=64) as w,
+            world(row("a", server.address), sockets=64) as running,
         ):
-            listener = w.node._listener
+            listener = running.node._listener
             peers = []
             for _ in range(listener._max_connections + 5):
-                peer = await w.client()
+                peer = await running.client()
                 peers.append(peer)
                 peer.writer.write(sent)
                 if sent == request("nosuch"):
@@ -648,7 +651,7 @@
             ):
                 await asyncio.sleep(0)
             assert len(listener._connections) <= listener._max_connections
-            assert (await (await w.client()).ask("look")).body == b"served"
+            assert (await (await running.client()).ask("look")).body == b"served"
             for peer in peers:
                 peer.close()
 
@@ -672,16 +675,16 @@
         monkeypatch.setattr(Node, "start", terminate_then_start)
 
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
-            w.node.terminate()
-            began = w.node._drain._began
-            w.node.terminate()
-            w.node.reconfigure()
-            assert w.node._drain._began == began, "the second signal postponed the end"
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+            client = await running.client()
+            running.node.terminate()
+            began = running.node._drain._began
+            running.node.terminate()
+            running.node.reconfigure()
+            assert running.node._drain._began == began, "the second signal postponed the end"
             assert (await client.ask(target="/ready")).status == 503
             assert (await client.ask("look")).status == 200
             assert await client.ended()
-            await asyncio.wait_for(w.serving, PATIENCE_S)
+            await asyncio.wait_for(running.serving, PATIENCE_S)
 
     run(main())
