--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -21,7 +21,7 @@
 from crowpost.membership.transport import MembershipTransport
 from crowpost.membership.wire import MessageKind
 from tests.membership.files import MINIMAL_FILE
-from tests.node.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
+from tests.node.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, running_node
 
 QUICK = ProtocolSettings(
     probe_interval_ms=40.0, gossip_interval_ms=15.0, sync_interval_ms=500.0, dead_probe_interval_ms=200.0
@@ -116,7 +116,7 @@
                 "t", "node", f"{HOST}:0", join=(first,), protocol=QUICK, share_work=True, settle_ms=1.0
             )
             async with StubServer([reply("200 OK")]) as server:
-                async with world(row("s", server.address), members=member) as w:
+                async with running_node(row("s", server.address), members=member) as w:
                     await cluster.until("node", "present")
                     figures = (await w.manage("GET", "/api/telemetry")).body.decode()
                     assert 'edge_node_members{state="present"} 2\n' in figures
--- a/tests/node/state/test_command.py
+++ b/tests/node/state/test_command.py
@@ -10,7 +10,7 @@
 
 from crowpost.cli.main import main
 from tests.node.state.helpers import config, until, write_malformed_list
-from tests.node.stubs import StubServer, listing, reply, row, run, tell, world
+from tests.node.stubs import StubServer, listing, reply, row, run, running_node, tell
 from tests.test_cli import crowpost
 
 
@@ -18,7 +18,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), state=config(tmp_path)) as w,
+            running_node(row("a", server.address), state=config(tmp_path)) as w,
         ):
             tell(await w.discovery.watch(), listing(3, row("a", server.address)))
             assert (await (await w.client()).ask("look")).status == 200
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -22,7 +22,17 @@
 from crowpost.storage.model import Durability
 from crowpost.storage.runner import inspect_store
 from tests.node.state.helpers import config, until, write_malformed_list
-from tests.node.stubs import PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell, world
+from tests.node.stubs import (
+    PATIENCE_S,
+    StubDiscovery,
+    StubServer,
+    listing,
+    reply,
+    row,
+    run,
+    running_node,
+    tell,
+)
 from tests.node.test_process import _configuration, _environment, _start, _told
 
 
@@ -38,12 +48,12 @@
 def test_the_next_process_knows_the_list_without_discovery(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"served")]) as server:
-            async with world(known=False, registryMode="pushed", state=config(tmp_path)) as w:
+            async with running_node(known=False, registryMode="pushed", state=config(tmp_path)) as w:
                 tell(await w.discovery.watch(), listing(41, row("a", server.address)))
                 await until(w.node.ready)
                 client = await w.client()
                 assert (await client.ask("look")).body == b"served"
-            async with world(known=False, registryMode="pushed", state=config(tmp_path)) as w:
+            async with running_node(known=False, registryMode="pushed", state=config(tmp_path)) as w:
                 client = await w.client()
                 assert (await client.ask("look")).body == b"served"
                 assert w.node._discovery._version == 41
@@ -90,9 +100,9 @@
 def test_a_second_process_takes_over_once_the_first_releases_the_directory(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server:
-            first = world(row("a", server.address), state=config(tmp_path))
+            first = running_node(row("a", server.address), state=config(tmp_path))
             old = await first.__aenter__()
-            async with world(row("a", server.address), state=config(tmp_path)) as new:
+            async with running_node(row("a", server.address), state=config(tmp_path)) as new:
                 assert (await new.figures())["edge_node_state_writing"] == 0
                 assert (await old.manage("POST", "/api/evacuate")).status == 200
                 assert (await new.manage("GET", "/api/ready")).status == 200
@@ -103,7 +113,7 @@
                 writer = new.node._state_writer
                 await until(lambda: writer.figures()["state_writing"])
                 assert (await new.manage("GET", "/api/ready")).status == 503  # what staff asked of the node
-                async with world(row("a", server.address), state=config(tmp_path)) as newest:
+                async with running_node(row("a", server.address), state=config(tmp_path)) as newest:
                     assert (await newest.manage("GET", "/api/ready")).status == 503
                     assert (await new.manage("POST", "/api/rejoin")).body == b""
                     new.node.terminate()
@@ -123,7 +133,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), state=config(tmp_path)) as w,
+            running_node(row("a", server.address), state=config(tmp_path)) as w,
         ):
             monkeypatch.setattr("crowpost.storage.disk.os.fsync", fails)
             answer = await w.manage("POST", "/api/evacuate")
@@ -145,7 +155,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), state=config(tmp_path)) as w,
+            running_node(row("a", server.address), state=config(tmp_path)) as w,
         ):
             client = await w.client()
             monkeypatch.setattr("crowpost.storage.disk.os.fsync", hang)
@@ -169,7 +179,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), state=config(tmp_path)) as w,
+            running_node(row("a", server.address), state=config(tmp_path)) as w,
         ):
             assert w.node._state_writer is not None
             writer = w.node._state_writer
@@ -190,20 +200,20 @@
 def test_a_damaged_directory_is_reported_and_not_changed(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server:
-            async with world(row("a", server.address), state=config(tmp_path)) as w:
+            async with running_node(row("a", server.address), state=config(tmp_path)) as w:
                 await w.manage("POST", "/api/evacuate")
             log = next((tmp_path / "state").glob("log-*"))
             data = bytearray(log.read_bytes())
             data[60] ^= 4
             log.write_bytes(data)
-            async with world(row("a", server.address), state=config(tmp_path)) as w:
+            async with running_node(row("a", server.address), state=config(tmp_path)) as w:
                 assert (await w.figures())["edge_node_state_damaged"] == 1
                 assert (await (await w.client()).ask("look")).status == 200
                 answer = await w.manage("POST", "/api/evacuate")
                 assert answer.status == 200 and b"is damaged at byte" in answer.body
             assert log.read_bytes() == data
             with pytest.raises(ConfigError, match="NODE_STATE: .*/state: log-.* is damaged at byte"):
-                async with world(row("a", server.address), state=config(tmp_path, on_damage="refuse")):
+                async with running_node(row("a", server.address), state=config(tmp_path, on_damage="refuse")):
                     pass
 
     run(main())
@@ -212,11 +222,11 @@
 def test_the_directory_of_another_node_is_refused(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server:
-            async with world(row("a", server.address), state=config(tmp_path)):
+            async with running_node(row("a", server.address), state=config(tmp_path)):
                 pass
             other = StateConfig(tmp_path / "state", "n1")
             with pytest.raises(ConfigError, match="belongs to 'n0', not to 'n1'"):
-                async with world(row("a", server.address), state=other):
+                async with running_node(row("a", server.address), state=other):
                     pass
 
     run(main())
@@ -226,7 +236,7 @@
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server:
             slow = config(tmp_path, bytes_per_s=1_000.0)
-            async with world(row("a", server.address), state=slow) as w:
+            async with running_node(row("a", server.address), state=slow) as w:
                 assert w.node._state_writer is not None
                 writer = w.node._state_writer
                 for version in range(2, 600):
@@ -243,13 +253,13 @@
     async def main() -> None:
         write_malformed_list(tmp_path / "state")
         async with StubServer([reply("200 OK")]) as server:
-            async with world(row("a", server.address), state=config(tmp_path)) as w:
+            async with running_node(row("a", server.address), state=config(tmp_path)) as w:
                 assert (await w.figures())["edge_node_state_damaged"] == 1
                 assert (await (await w.client()).ask("look")).status == 200
             with pytest.raises(
                 ConfigError, match="NODE_STATE: .*record 2: a record that no node has written"
             ):
-                async with world(row("a", server.address), state=config(tmp_path, on_damage="refuse")):
+                async with running_node(row("a", server.address), state=config(tmp_path, on_damage="refuse")):
                     pass
 
     run(main())
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -318,7 +318,7 @@
 
 
 @dataclass
-class World:
+class RunningNode:
     """A running node with its address and its discovery."""
 
     node: Node
@@ -349,7 +349,7 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def running_node(
     *rows: dict[str, Any],
     sockets: int = 256,
     memory_mb: int = 192,
@@ -359,7 +359,7 @@
     members: MembershipConfig | None = None,
     state: StateConfig | None = None,
     **changes: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[RunningNode]:
     """Run a node that knows these servers; `changes` go into its settings."""
     naming = Naming(("hall",), ("std",))
     async with StubDiscovery() as discovery:
@@ -384,7 +384,7 @@
         address = await node.start()
         serving = asyncio.create_task(node.wait())
         try:
-            yield World(node, address, discovery, serving)
+            yield RunningNode(node, address, discovery, serving)
         finally:
             node.stop()
             await asyncio.wait_for(serving, PATIENCE_S)
--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -17,8 +17,8 @@
     PATIENCE_S,
     Client,
     Received,
+    RunningNode,
     StubServer,
-    World,
     held,
     listing,
     reply,
@@ -26,9 +26,9 @@
     reset,
     row,
     run,
+    running_node,
     silent,
     tell,
-    world,
 )
 
 NOT_RUN = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
@@ -45,7 +45,7 @@
 
 def test_every_metric_is_rendered_from_the_start() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             kinds = ("look", "move", "book")
             expected = {_responses(kind, result): 0 for kind in kinds for result in ("ok", "shed", "errors")}
             expected |= {"edge_node_tries": 0, "edge_node_active": 0}
@@ -59,7 +59,7 @@
     async def main() -> None:
         error = reply("500 Internal Server Error")
         behaviours = [reply("200 OK"), error, NOT_RUN, reply("200 OK"), reset, held(reply("200 OK"))]
-        async with StubServer(behaviours) as server, world(row("a", server.address)) as running:
+        async with StubServer(behaviours) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             statuses = [
                 (await client.ask("look")).status,
@@ -96,11 +96,11 @@
 
             async with (
                 StubServer([respond_after_the_first]) as two,
-                world(row("a", one.address), row("b", two.address)) as running,
+                running_node(row("a", one.address), row("b", two.address)) as running,
             ):
                 await _ask_both(running, one, two)
 
-    async def _ask_both(running: World, one: StubServer, two: StubServer) -> None:
+    async def _ask_both(running: RunningNode, one: StubServer, two: StubServer) -> None:
         def send_to_both(event: Event, now: float) -> list[Action]:
             if isinstance(event, RequestArrived):
                 return [Send(event.request, b"a"), Send(event.request, b"b")]
@@ -120,11 +120,13 @@
 
 def test_two_processes_of_one_node_share_its_limits() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as single:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as single:
             with socket.socket() as listener:
                 listener.bind((HOST, 0))
                 listener.listen()
-                async with world(row("a", server.address), accept_fd=os.dup(listener.fileno())) as shared:
+                async with running_node(
+                    row("a", server.address), accept_fd=os.dup(listener.fileno())
+                ) as shared:
                     for running, fraction in ((single, 1.0), (shared, 0.5)):
                         node = running.node
                         sockets = (
@@ -146,7 +148,7 @@
     async def main() -> None:
         async with StubServer([silent]) as gone:
             address = gone.address
-        async with world(row("a", address)) as running:
+        async with running_node(row("a", address)) as running:
             assert (await (await running.client()).ask("book", deadline="0.5")).status == 503
             figures = await running.figures()
             assert (figures["edge_node_tries"], figures[_responses("book", "shed")]) == (0, 1)
@@ -156,7 +158,7 @@
 
 def test_a_rejection_before_the_decision_module_is_counted() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
             running.node._listener.budget.limit = 0
             assert (await (await running.client()).ask("book", body=b"x")).status == 503
             figures = await running.figures()
@@ -171,7 +173,7 @@
 )
 def test_unknown_paths_and_wrong_methods_are_rejected(method: str, path: str, status: int) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
             assert (await running.manage(method, path)).status == status
             assert (await running.manage("GET", "/api/ready")).status == 200
 
@@ -183,7 +185,7 @@
 )
 def test_malformed_and_oversized_calls_are_answered_with_400(raw: bytes) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
             client = await Client.connect(running.node.admin_address)
             client.writer.write(raw)
             assert (await client.answer()).status == 400
@@ -193,7 +195,7 @@
 
 def test_unresponsive_peers_delay_no_call_and_are_closed() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
             begun_at = time.monotonic()
             peers = [await Client.connect(running.node.admin_address) for _ in range(60)]
             for peer in peers[::2]:
@@ -210,7 +212,7 @@
 # The drain
 
 
-async def _phase(running: World, call: str) -> int:
+async def _phase(running: RunningNode, call: str) -> int:
     return (await running.manage("POST", f"/api/{call}")).status
 
 
@@ -218,7 +220,7 @@
     async def main() -> None:
         async with (
             StubServer([held(reply("200 OK", b"first")), reply("200 OK", b"second")]) as server,
-            world(row("a", server.address)) as running,
+            running_node(row("a", server.address)) as running,
         ):
             busy, kept, idle = [await running.client() for _ in range(3)]
             busy.writer.write(request("look"))
@@ -244,7 +246,7 @@
 
 def test_a_rejoin_during_a_drain_keeps_idle_connections() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             idle = await running.client()
             assert (await idle.ask("look")).status == 200
             await _phase(running, "evacuate")
@@ -257,7 +259,10 @@
 
 def test_a_terminating_node_rejects_a_rejoin_and_ends() -> None:
     async def main() -> None:
-        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as running:
+        async with (
+            StubServer([held(reply("200 OK"))]) as server,
+            running_node(row("a", server.address)) as running,
+        ):
             client = await running.client()
             client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -20,15 +20,15 @@
     Behaviour,
     Client,
     Received,
+    RunningNode,
     StubServer,
-    World,
     held,
     reply,
     request,
     row,
     run,
+    running_node,
     silent,
-    world,
 )
 
 # About a megabyte; its period of 251 bytes does not divide any buffer size.
@@ -169,7 +169,7 @@
     """Guards against request smuggling: the node responds 400 and closes, and forwards none of the input."""
 
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             good = request("book").decode().replace("Content-Length: 0\r\n", "").removesuffix("\r\n")
             client.writer.write((good + rest).encode("latin-1") + request("look"))
@@ -230,7 +230,7 @@
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_a_streamed_response_is_forwarded_unchanged_and_counted_once(form: str, version: str) -> None:
     async def main() -> None:
-        async with StubServer([FORMS[form]]) as server, world(row("a", server.address)) as running:
+        async with StubServer([FORMS[form]]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("book").replace(b"HTTP/1.1", b"HTTP/%s" % version.encode()))
             answer = await client.answer()
@@ -248,7 +248,10 @@
 
 def test_the_first_bytes_of_a_streamed_response_do_not_wait_for_the_rest() -> None:
     async def main() -> None:
-        async with StubServer([begin_long_response]) as server, world(row("a", server.address)) as running:
+        async with (
+            StubServer([begin_long_response]) as server,
+            running_node(row("a", server.address)) as running,
+        ):
             client = await running.client()
             client.writer.write(request("book", deadline="0.3"))
             await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
@@ -268,7 +271,10 @@
             await server.release.wait()
             writer.write(b"0\r\n\r\n")
 
-        async with StubServer([respond_in_two_parts]) as server, world(row("a", server.address)) as running:
+        async with (
+            StubServer([respond_in_two_parts]) as server,
+            running_node(row("a", server.address)) as running,
+        ):
             client = await running.client()
             client.writer.write(request("book"))
             assert b"first" in await asyncio.wait_for(client.reader.readuntil(b"first"), PATIENCE_S)
@@ -285,7 +291,7 @@
 def test_an_aborted_streamed_response_shows_as_incomplete(head: bytes) -> None:
     async def main() -> None:
         broken = streamed(OK + head + LONG[: len(LONG) // 2], close=True)
-        async with StubServer([broken]) as server, world(row("a", server.address)) as running:
+        async with StubServer([broken]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("look"))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -302,7 +308,7 @@
     async def main() -> None:
         async with (
             StubServer([streamed(OK + b"Content-Length: %d\r\n\r\n" % 10**9 + LONG)]) as server,
-            world(row("a", server.address)) as running,
+            running_node(row("a", server.address)) as running,
         ):
             client = await running.client()
             client.writer.write(request("look"))
@@ -328,7 +334,7 @@
                 await writer.drain()
                 sent += 65536
 
-        async with StubServer([stream]) as server, world(row("a", server.address)) as running:
+        async with StubServer([stream]) as server, running_node(row("a", server.address)) as running:
             client = await Client.connect(running.address)
             client.reader._limit = 1024  # type: ignore[attr-defined]
             client.writer.write(request("look"))
@@ -357,7 +363,7 @@
         size = 4 * 1024 * 1024
         stream = streamed(OK + b"Content-Length: %d\r\n\r\n" % size + bytes(size))
         loop = asyncio.get_running_loop()
-        async with StubServer([stream]) as server, world(row("a", server.address)) as running:
+        async with StubServer([stream]) as server, running_node(row("a", server.address)) as running:
             with socket.socket() as client:
                 client.setblocking(False)
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
@@ -383,7 +389,7 @@
     async def main() -> None:
         async with (
             StubServer([silent, reply("200 OK")]) as server,
-            world(row("a", server.address)) as running,
+            running_node(row("a", server.address)) as running,
         ):
             for bad in (request("book", body=b"x", extra="Expect: more\r\n"), b"nonsense\r\n\r\n"):
                 server.received.clear()
@@ -423,7 +429,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK", b"done")]) as server,
-            world(row("a", server.address)) as running,
+            running_node(row("a", server.address)) as running,
         ):
             client = await running.client()
             text = UPLOADS[form]()
@@ -444,7 +450,7 @@
         async def echo_body(_: StubServer, got: Received, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Content-Length: %d\r\n\r\n" % len(got.body) + got.body)
 
-        async with StubServer([echo_body]) as server, world(row("a", server.address)) as running:
+        async with StubServer([echo_body]) as server, running_node(row("a", server.address)) as running:
 
             async def echo(i: int) -> None:
                 body = LONG[i:] if i % 2 else b"%d" % i
@@ -468,7 +474,7 @@
 
         listeners = [await asyncio.start_server(break_off, HOST, 0) for _ in range(2)]
         names = [f"{HOST}:{one.sockets[0].getsockname()[1]}" for one in listeners]
-        async with world(row("a", names[0]), row("b", names[1])) as running:
+        async with running_node(row("a", names[0]), row("b", names[1])) as running:
             answer = await (await running.client()).ask("move", body=LONG)
             assert answer.status == 503, "the last byte was never sent, so the client may retry"
             assert "retry-after" in answer.headers
@@ -485,7 +491,7 @@
             address = gone.address
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", address), row("b", server.address)) as running,
+            running_node(row("a", address), row("b", server.address)) as running,
         ):
             for _ in range(4):
                 assert (await (await running.client()).ask("book", body=LONG)).status == 200
@@ -498,7 +504,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK", b"done")]) as server,
-            world(row("a", server.address)) as running,
+            running_node(row("a", server.address)) as running,
         ):
             client = await running.client()
             text = request("book", body=LONG, deadline="0.3")
@@ -522,7 +528,7 @@
 ) -> None:
     async def main() -> None:
         monkeypatch.setattr(timeouts, "IDLE_TIMEOUT_S", 0.3)
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("book", body=LONG)[:200_000])
             assert (await client.answer()).status == 408
@@ -538,7 +544,7 @@
 
 def test_a_client_disconnect_within_a_long_body_releases_everything() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("book", body=LONG)[:200_000])
             while not running.node._requests.calls:
@@ -569,7 +575,7 @@
             await _upload(idle_listener)
 
     async def _upload(idle_listener: socket.socket) -> None:
-        async with world(row("a", f"{HOST}:{idle_listener.getsockname()[1]}")) as running:
+        async with running_node(row("a", f"{HOST}:{idle_listener.getsockname()[1]}")) as running:
             client = await running.client()
             head, piece = request("book", body=b"x")[:-1], LONG * 4
             client.writer.write(head.replace(b"Content-Length: 1", b"Content-Length: %d" % 10**9))
@@ -590,7 +596,10 @@
 
 def test_long_bodies_beyond_the_memory_limit_are_rejected_immediately() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address), memory_mb=4) as running:
+        async with (
+            StubServer([silent]) as server,
+            running_node(row("a", server.address), memory_mb=4) as running,
+        ):
             capacity = running.node._listener.budget.limit // exchange.STREAM_BUFFER_BYTES
             assert capacity >= 1
             uploading = [await running.client() for _ in range(capacity)]
@@ -612,7 +621,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK", b"done")]) as server,
-            world(row("a", server.address)) as running,
+            running_node(row("a", server.address)) as running,
         ):
             client = await running.client()
             text = request("book", body=LONG, extra="Expect: 100-continue\r\n")
@@ -632,7 +641,7 @@
 )
 def test_a_head_that_would_be_rejected_gets_no_100_continue(extra: str, status: int) -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("book", body=b"x", extra=extra)[:-1])
             assert (await client.answer()).status == status
@@ -643,7 +652,7 @@
 
 def test_an_absolute_form_target_is_accepted() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             assert (await client.ask("look", target="http://api.internal/api/k?x=1")).status == 200
             assert server.received[0].target == "/api/k?x=1"
@@ -655,7 +664,7 @@
 
 def test_white_space_around_a_header_value_is_ignored() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             text = request("look", drop=("X-Class",), extra="X-Class: \t look \t\r\n")
             client = await running.client()
             client.writer.write(text)
@@ -664,7 +673,7 @@
     run(main())
 
 
-async def _connection(running: World, sent: bytes) -> ClientConnection:
+async def _connection(running: RunningNode, sent: bytes) -> ClientConnection:
     client = await running.client()
     client.writer.write(sent)
     while not (
@@ -677,7 +686,7 @@
 
 def test_slow_clients_are_waited_for_and_unresponsive_ones_are_closed_within_3_s() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             head = await _connection(running, b"POST /api HTTP/1.1\r\nX-Cl")
             assert not head.has_timed_out(head.opened_at + 2.2), "a head may take 2 s"
             assert head.has_timed_out(head.opened_at + FIRST_HEAD_TIMEOUT_S + 0.01)
@@ -708,7 +717,10 @@
 
 def test_a_streamed_response_continues_after_sigterm() -> None:
     async def main() -> None:
-        async with StubServer([begin_long_response]) as server, world(row("a", server.address)) as running:
+        async with (
+            StubServer([begin_long_response]) as server,
+            running_node(row("a", server.address)) as running,
+        ):
             client = await running.client()
             client.writer.write(request("book"))
             await asyncio.wait_for(client.reader.readuntil(LONG[:10]), PATIENCE_S)
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -17,17 +17,17 @@
     Behaviour,
     Client,
     Received,
+    RunningNode,
     StubServer,
-    World,
     held,
     listing,
     reply,
     request,
     row,
     run,
+    running_node,
     settings,
     tell,
-    world,
 )
 from tests.node.test_races import HeldDials, Told, limits, twice
 
@@ -37,12 +37,12 @@
 FAST_S = 1e-6
 
 
-def the_peer(w: World) -> EndpointConnections[UpstreamConnection]:
+def the_peer(w: RunningNode) -> EndpointConnections[UpstreamConnection]:
     (peer,) = w.node._pool._endpoints.values()
     return peer
 
 
-async def ask_first(w: World, response_time_s: float) -> Client:
+async def ask_first(w: RunningNode, response_time_s: float) -> Client:
     """One call, whose connection has yet to rest; response_time_s: what the server then passes for."""
     client = await w.client()
     assert (await client.ask("look", target="/api/first")).status == 200
@@ -51,10 +51,10 @@
 
 
 @asynccontextmanager
-async def pair(*behaviours: Behaviour, cancel: bool = True) -> AsyncIterator[tuple[StubServer, World]]:
+async def pair(*behaviours: Behaviour, cancel: bool = True) -> AsyncIterator[tuple[StubServer, RunningNode]]:
     async with (
         StubServer(list(behaviours) or [reply("200 OK")]) as server,
-        world(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
+        running_node(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
     ):
         yield server, w
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -17,9 +17,9 @@
 from tests.node.stubs import (
     HOST,
     PATIENCE_S,
+    RunningNode,
     StubDiscovery,
     StubServer,
-    World,
     held,
     listing,
     raw,
@@ -28,10 +28,10 @@
     reset,
     row,
     run,
+    running_node,
     settings,
     silent,
     tell,
-    world,
 )
 
 BODY = bytes(range(256)) * 4
@@ -39,7 +39,7 @@
 
 def test_a_served_request_passes_through_unchanged() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK", BODY)]) as server, world(row("a", server.address)) as w:
+        async with StubServer([reply("200 OK", BODY)]) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             answer = await client.ask("move", target="/api/k1?x=%20y", body=BODY, deadline="2.5")
             assert (answer.status, answer.body) == (200, BODY)
@@ -58,7 +58,7 @@
 def test_what_every_server_turns_away_is_refused_with_a_time_to_come_back() -> None:
     async def main() -> None:
         full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
-        async with StubServer([full]) as server, world(row("a", server.address)) as w:
+        async with StubServer([full]) as server, running_node(row("a", server.address)) as w:
             answer = await (await w.client()).ask("book")
             assert answer.status == 503
             assert 0.0 < float(answer.headers["retry-after"]) <= 2.0
@@ -71,7 +71,7 @@
         full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
         async with (
             StubServer([full, reply("200 OK", b"b")]) as server,
-            world(row("a", server.address)) as w,
+            running_node(row("a", server.address)) as w,
         ):
             assert (await (await w.client()).ask("book")).status == 200
             assert len(server.received) == 2
@@ -85,7 +85,7 @@
         async with (
             StubServer([behaviour]) as one,  # type: ignore[list-item]
             StubServer([behaviour]) as two,  # type: ignore[list-item]
-            world(row("a", one.address), row("b", two.address)) as w,
+            running_node(row("a", one.address), row("b", two.address)) as w,
         ):
             answer = await (await w.client()).ask("book", body=b"slot")
             assert answer.status == 502
@@ -99,7 +99,10 @@
     """Guards against the silent resend on a fresh connection that HTTP clients do."""
 
     async def main() -> None:
-        async with StubServer([reply("200 OK"), reset]) as server, world(row("a", server.address)) as w:
+        async with (
+            StubServer([reply("200 OK"), reset]) as server,
+            running_node(row("a", server.address)) as w,
+        ):
             client = await w.client()
             assert (await client.ask("book")).status == 200
             w.age(REUSE_DELAY_S)
@@ -111,7 +114,7 @@
 
 def test_a_client_that_leaves_ends_its_attempt_and_gets_nothing() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as w:
             events = _record(w.node._balancer)
             client = await w.client()
             client.writer.write(request("look"))
@@ -142,7 +145,7 @@
 @pytest.mark.parametrize(("kind", "status"), [("book", 502), ("look", 503)])
 def test_an_answer_comes_before_the_deadline_though_the_server_is_silent(kind: str, status: int) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             begin = asyncio.get_running_loop().time()
             answer = await client.ask(kind, deadline="0.6")
@@ -157,7 +160,7 @@
 def test_late_bytes_of_an_attempt_that_was_given_up_reach_no_other_request() -> None:
     async def main() -> None:
         behaviours = [held(reply("200 OK", b"old")), reply("200 OK", b"new")]
-        async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
+        async with StubServer(behaviours) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             assert (await client.ask("book", deadline="0.3")).status == 502
             server.release.set()
@@ -171,7 +174,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as w:
             w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
             answer = await (await w.client()).ask("look", deadline="0.3")
             assert answer.status == 500
@@ -182,7 +185,10 @@
 
 def test_a_fault_in_one_request_fails_that_request_alone() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK", b"fine")]) as server, world(row("a", server.address)) as w:
+        async with (
+            StubServer([reply("200 OK", b"fine")]) as server,
+            running_node(row("a", server.address)) as w,
+        ):
             handle = w.node._balancer.handle
 
             def faulty(event: Event, now: float) -> list[Action]:
@@ -201,7 +207,7 @@
     """A call that ends while its Send is carried out must not reach the module inside a decision."""
 
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as w:
             handle, inside, seen = w.node._balancer.handle, False, 0
 
             def watched(event: Event, now: float) -> list[Action]:
@@ -226,7 +232,7 @@
         async with (
             StubServer([reply("200 OK", b"a")]) as one,
             StubServer([reply("200 OK", b"b")]) as two,
-            world(row("a", one.address)) as w,
+            running_node(row("a", one.address)) as w,
         ):
             client = await w.client()
             assert (await client.ask("look")).body == b"a"
@@ -244,7 +250,7 @@
         async with (
             StubServer([reply("200 OK", b"old")]) as old,
             StubServer([reply("200 OK", b"new")]) as new,
-            world(row("a", old.address)) as w,
+            running_node(row("a", old.address)) as w,
         ):
             client = await w.client()
             assert (await client.ask("look")).body == b"old"
@@ -261,7 +267,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address)) as w,
+            running_node(row("a", server.address)) as w,
         ):
             watch = await w.discovery.watch()
             tell(watch, listing(41, row("a", server.address)))
@@ -282,7 +288,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(known=False, registryMode="pushed") as w,
+            running_node(known=False, registryMode="pushed") as w,
         ):
             events = _record(w.node._balancer)
             (await w.discovery.watch()).close()
@@ -302,7 +308,7 @@
     """Guards against sends to a server that drained six seconds ago, while the watch was given seven."""
 
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as w:
+        async with running_node(known=False, registryMode="pushed") as w:
             watch = await w.discovery.watch()
             timer = w.node._discovery._timer
             tell(watch, b"")
@@ -320,7 +326,7 @@
 
     async def main() -> None:
         guarantees = settings()["guarantees"] | {"mustAskInMs": 10_000.0}
-        async with world(known=False, registryMode="pushed", guarantees=guarantees) as w:
+        async with running_node(known=False, registryMode="pushed", guarantees=guarantees) as w:
             await w.discovery.watch()
             timer = w.node._discovery._timer
             assert timer is not None
@@ -334,7 +340,7 @@
     """All nodes lose discovery at once: they must not come back in step, nor four times a second."""
 
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as w:
+        async with running_node(known=False, registryMode="pushed") as w:
             discovery = w.node._discovery
             await w.discovery.watch()
             pauses = []
@@ -363,7 +369,7 @@
         async with (
             StubServer([reply("200 OK")]) as server,
             StubDiscovery() as new,
-            world(known=False, registryMode=mode, path=str(path)) as w,
+            running_node(known=False, registryMode=mode, path=str(path)) as w,
         ):
             if mode == "on_request":
                 w.node._discovery.subscribe()
@@ -382,7 +388,7 @@
     run(main())
 
 
-async def _no_server(w: World) -> None:
+async def _no_server(w: RunningNode) -> None:
     client = await w.client()
     while (await client.ask(target="/ready")).status != 503:
         pass
@@ -397,7 +403,7 @@
         path.write_text(text)
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(known=False, registryMode="pushed", path=str(path)) as w,
+            running_node(known=False, registryMode="pushed", path=str(path)) as w,
         ):
             watch = await w.discovery.watch()
             w.node.reconfigure()
@@ -438,7 +444,7 @@
 )
 def test_bad_input_is_answered_at_once_and_not_sent_on(bad: bytes, status: int) -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(bad)
             assert (await client.answer()).status == status
@@ -448,7 +454,7 @@
     run(main())
 
 
-async def _only_connection(w: World) -> ClientConnection:
+async def _only_connection(w: RunningNode) -> ClientConnection:
     while not w.node._listener._connections:
         await asyncio.sleep(0)
     (connection,) = w.node._listener._connections
@@ -459,7 +465,7 @@
     """Guards against silent peers that hold the descriptors of callers: they filled them in five seconds."""
 
     async def main() -> None:
-        async with world() as w:
+        async with running_node() as w:
             peer = await w.client()
             (await _only_connection(w)).opened_at -= FIRST_BYTE_TIMEOUT_S
             assert await peer.ended()
@@ -469,7 +475,7 @@
 
 def test_a_request_that_does_not_come_in_whole_gets_an_error_soon() -> None:
     async def main() -> None:
-        async with world() as w:
+        async with running_node() as w:
             peer = await w.client()
             peer.writer.write(request("book", body=BODY)[:-1])
             connection = await _only_connection(w)
@@ -485,7 +491,7 @@
 
 def test_a_caller_that_has_sent_a_request_may_stay_idle() -> None:
     async def main() -> None:
-        async with world() as w:
+        async with running_node() as w:
             await (await w.client()).ask(target="/ready")
             connection = await _only_connection(w)
             assert not connection.has_timed_out(connection.opened_at + 1000.0)
@@ -496,7 +502,7 @@
 @pytest.mark.parametrize("hint", ["much", "0", "inf", "250000"])
 def test_a_cost_hint_is_only_a_guess(hint: str) -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as w:
             answer = await (await w.client()).ask("look", extra=f"X-Cost-Hint: {hint}\r\n")
             assert answer.status == 200
 
@@ -507,7 +513,10 @@
     """Guards against being killed for memory by callers that send large bodies all at once."""
 
     async def main() -> None:
-        async with StubServer([silent, reply("200 OK")]) as server, world(row("a", server.address)) as w:
+        async with (
+            StubServer([silent, reply("200 OK")]) as server,
+            running_node(row("a", server.address)) as w,
+        ):
             w.node._listener.budget.limit = 150
             first = await w.client()
             first.writer.write(request("book", body=b"x" * 100))
@@ -528,7 +537,7 @@
 def test_terminating_closes_only_after_the_last_of_requests_in_a_row() -> None:
     async def main() -> None:
         behaviours = [held(reply("200 OK")), held(reply("200 OK"))]
-        async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
+        async with StubServer(behaviours) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(request("look") + request("look"))
             while len(w.node._requests.pending) < 2:
@@ -544,7 +553,7 @@
 def test_requests_in_a_row_on_one_connection_are_answered_in_their_order() -> None:
     async def main() -> None:
         behaviours = [reply("200 OK", b"%d" % i) for i in range(8)]
-        async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
+        async with StubServer(behaviours) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(b"".join(request("look", target=f"/api/{i}") for i in range(8)))
             bodies = [(await client.answer()).body for _ in range(8)]
@@ -558,7 +567,7 @@
     async def main() -> None:
         async with (
             StubServer([held(reply("200 OK", b"first")), reply("200 OK", b"second")]) as server,
-            world(row("a", server.address)) as w,
+            running_node(row("a", server.address)) as w,
         ):
             idle, busy = await w.client(), await w.client()
             assert (await idle.ask(target="/ready")).status == 200
@@ -585,7 +594,7 @@
 
 def test_what_is_still_open_when_the_time_runs_out_is_failed_not_dropped() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(request("book", deadline="30"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
@@ -599,7 +608,7 @@
 
 def test_more_callers_than_descriptors_are_refused_and_idle_ones_make_way() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address), sockets=64) as w:
+        async with StubServer([silent]) as server, running_node(row("a", server.address), sockets=64) as w:
             w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
             most = w.node._listener._max_connections
             idle = await w.client()
@@ -625,7 +634,7 @@
     """Guards against refusing a request in the moment in which an idle connection is being closed."""
 
     async def main() -> None:
-        async with world(sockets=64) as w:
+        async with running_node(sockets=64) as w:
             clients = w.node._listener
             silent_peer, *used = [await w.client() for _ in range(clients._max_connections)]
             for client in used:
@@ -644,7 +653,7 @@
     names = {c["name"] for c in settings()["profiles"]}
 
     async def main() -> None:
-        async with world(row("a", f"{HOST}:1")) as w:
+        async with running_node(row("a", f"{HOST}:1")) as w:
             assert {c.name for c in w.node._config.settings.classes} == names
             assert w.node._config.settings.poll_for_list
 
@@ -670,7 +679,10 @@
     async def main() -> None:
         behaviour = reply("200 OK", b"fine", extra=f"X-Load: {text}\r\n")
         columns = {"columns": ["outstanding", "backlog"], "how": "inline"}
-        async with StubServer([behaviour]) as server, world(row("a", server.address), loadInfo=columns) as w:
+        async with (
+            StubServer([behaviour]) as server,
+            running_node(row("a", server.address), loadInfo=columns) as w,
+        ):
             events = _record(w.node._balancer)
             assert (await (await w.client()).ask("look")).body == b"fine"
             assert [e.load for e in events if isinstance(e, AttemptEnded)] == [load]
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -36,19 +36,19 @@
     HOST,
     PATIENCE_S,
     Received,
+    RunningNode,
     StubDiscovery,
     StubServer,
-    World,
     held,
     listing,
     reply,
     request,
     row,
     run,
+    running_node,
     settings,
     silent,
     tell,
-    world,
 )
 
 LONG_DIAL_MS = 1000.0 * PATIENCE_S
@@ -62,7 +62,7 @@
 class HeldDials:
     """Replaces the event loop of a node's upstream side, and holds dials until `release` is set."""
 
-    def __init__(self, running: World) -> None:
+    def __init__(self, running: RunningNode) -> None:
         self._loop = asyncio.get_running_loop()
         # Counts the dials that have begun.
         self.waiting = asyncio.Semaphore(0)
@@ -84,7 +84,9 @@
 class Told:
     """Records the events that a node delivers to its decision module, which `decide` may replace."""
 
-    def __init__(self, running: World, decide: Callable[[Event, float], list[Action]] | None = None) -> None:
+    def __init__(
+        self, running: RunningNode, decide: Callable[[Event, float], list[Action]] | None = None
+    ) -> None:
         self.events: list[Event] = []
         handle = decide or running.node._balancer.handle
 
@@ -117,7 +119,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), policyLimits=limits()) as running,
+            running_node(row("a", server.address), policyLimits=limits()) as running,
         ):
             dials, recorder = HeldDials(running), Told(running)
             client = await running.client()
@@ -146,7 +148,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), policyLimits=limits(cancel=cancel)) as running,
+            running_node(row("a", server.address), policyLimits=limits(cancel=cancel)) as running,
         ):
             dials, recorder = HeldDials(running), Told(running)
             client = await running.client()
@@ -173,7 +175,9 @@
         async with (
             StubServer([reply("200 OK", b"first")]) as one,
             StubServer([reply("200 OK", b"second")]) as two,
-            world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=False)) as running,
+            running_node(
+                row("a", one.address), row("b", two.address), policyLimits=limits(cancel=False)
+            ) as running,
         ):
 
             def decide(event: Event, now: float) -> list[Action]:
@@ -210,7 +214,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), policyLimits=limits()) as running,
+            running_node(row("a", server.address), policyLimits=limits()) as running,
         ):
 
             def decide(event: Event, now: float) -> list[Action]:
@@ -239,7 +243,7 @@
         behaviours = [reply("200 OK"), held(reply("200 OK")), reply("200 OK")]
         async with (
             StubServer(behaviours) as server,
-            world(row("a", server.address), policyLimits=limits(cancel=cancel)) as running,
+            running_node(row("a", server.address), policyLimits=limits(cancel=cancel)) as running,
         ):
             client = await running.client()
             assert (await client.ask("look", target="/api/first")).status == 200
@@ -287,7 +291,7 @@
                 if health_checked
                 else [twice, reply("200 OK", b"own")]
             ) as server,
-            world(row("a", server.address)) as running,
+            running_node(row("a", server.address)) as running,
         ):
             client = await running.client()
             if health_checked:
@@ -317,7 +321,7 @@
     """A connection with two requests was no longer read, so requests were forwarded long after its end."""
 
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
             recorder = Told(running)
             client = await running.client()
             client.writer.write(request("look"))
@@ -337,7 +341,7 @@
 
 def test_requests_beyond_the_pipelining_limit_are_not_accepted_and_the_connection_closes() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("look") * (3 * MAX_PIPELINED))
             answers = [(await client.answer()).status for _ in range(MAX_PIPELINED)]
@@ -352,7 +356,7 @@
     """Guards against a tenth of a second of CPU time for each read from a client that sends only these."""
 
     async def main() -> None:
-        async with world() as running:
+        async with running_node() as running:
             client = await running.client()
             client.writer.write(request("nosuch") * 600)
             answer = await client.answer()
@@ -366,7 +370,7 @@
 
 def test_the_bodies_of_waiting_requests_are_bounded() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("look") * MAX_CONCURRENT)
             client.writer.write(request("book", body=b"x" * (MAX_BODY // 2)) * 8)
@@ -387,7 +391,10 @@
     """Its buffer is counted only once it is in flight; uncounted, a few hundred would fill the memory."""
 
     async def main() -> None:
-        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as running:
+        async with (
+            StubServer([held(reply("200 OK"))]) as server,
+            running_node(row("a", server.address)) as running,
+        ):
             client = await running.client()
             long = request("book", body=b"x" * (4 * MAX_BODY))
             client.writer.write(request("look") * MAX_CONCURRENT + long)
@@ -406,7 +413,7 @@
 
 def test_time_spent_waiting_for_earlier_requests_counts_towards_the_deadline() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as running:
+        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
             recorder = Told(running)
             client = await running.client()
             client.writer.write(request("look", deadline="0.4") * (MAX_CONCURRENT + 1))
@@ -427,7 +434,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), policyLimits=limits()) as running,
+            running_node(row("a", server.address), policyLimits=limits()) as running,
         ):
             dials, recorder = HeldDials(running), Told(running)
             client = await running.client()
@@ -455,7 +462,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(known=False, registryMode="pushed") as running,
+            running_node(known=False, registryMode="pushed") as running,
         ):
             recorder = Told(running)
             watch = await running.discovery.watch()
@@ -472,7 +479,7 @@
 
 def test_an_incomplete_list_does_not_extend_the_timeout_of_its_watch() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as running:
+        async with running_node(known=False, registryMode="pushed") as running:
             watch = await running.discovery.watch()
             tell(watch, b"")
             while running.node._discovery._timer is None or running.node._discovery._failures:
@@ -490,7 +497,7 @@
 
 def test_an_invalid_line_within_a_list_closes_its_watch() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as running:
+        async with running_node(known=False, registryMode="pushed") as running:
             watch = await running.discovery.watch()
             tell(watch, b'{\n  "generation": 7,\n  nonsense }')
             await running.discovery.watch()
@@ -502,7 +509,7 @@
     """Two watches may be open for a moment; only the lines of the newer one count."""
 
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as running:
+        async with running_node(known=False, registryMode="pushed") as running:
             recorder = Told(running)
             await running.discovery.watch()
             before = running.node._discovery._watch
@@ -524,7 +531,7 @@
         path = tmp_path / "config.json"
         async with (
             StubDiscovery() as moved,
-            world(known=False, registryMode="pushed", path=str(path)) as running,
+            running_node(known=False, registryMode="pushed", path=str(path)) as running,
         ):
             discovery = running.node._discovery
             path.write_text(json.dumps({"discovery": moved.address}))
@@ -555,7 +562,9 @@
             descriptor = os.dup(listener.fileno()) if origin == "adopted" else None
             async with (
                 StubServer([reply("200 OK")]) as server,
-                world(row("a", server.address), accept_fd=descriptor, registryMode="pushed") as running,
+                running_node(
+                    row("a", server.address), accept_fd=descriptor, registryMode="pushed"
+                ) as running,
             ):
                 watch = await running.discovery.watch()
                 tell(watch, listing(2, row("a", server.address)))
@@ -587,7 +596,7 @@
         writer.transport.abort()
 
     async def main() -> None:
-        async with StubServer([broken]) as server, world(row("a", server.address)) as running:
+        async with StubServer([broken]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("look").replace(b"HTTP/1.1", b"HTTP/1.0"))
             head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
@@ -600,20 +609,22 @@
     run(main())
 
 
-def _stop(running: World) -> None:
+def _stop(running: RunningNode) -> None:
     running.node.stop()
 
 
-def _close_idle(running: World) -> None:
+def _close_idle(running: RunningNode) -> None:
     running.node._listener.close_idle(0.0)
 
 
 @pytest.mark.parametrize("close", [_stop, _close_idle])
-def test_a_request_read_while_its_connection_closes_is_not_accepted(close: Callable[[World], None]) -> None:
+def test_a_request_read_while_its_connection_closes_is_not_accepted(
+    close: Callable[[RunningNode], None],
+) -> None:
     """Guards against losing a request that is read between the check for pending work and the close."""
 
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             recorder = Told(running)
             client = await running.client()
             assert (await client.ask(target="/ready")).status == 200
@@ -636,7 +647,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK", b"served")]) as server,
-            world(row("a", server.address), sockets=64) as running,
+            running_node(row("a", server.address), sockets=64) as running,
         ):
             listener = running.node._listener
             peers = []
@@ -675,7 +686,7 @@
         monkeypatch.setattr(Node, "start", terminate_then_start)
 
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as running:
+        async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             running.node.terminate()
             began = running.node._drain._began
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -43,10 +43,10 @@
     request,
     row,
     run,
+    running_node,
     settings,
     silent,
     tell,
-    world,
 )
 from tests.node.test_races import HeldDials, Told, limits
 
@@ -106,7 +106,7 @@
     end.bind((HOST, 0))  # refuses until it listens
     server = await asyncio.start_server(outage.serve, sock=end, start_serving=trouble != "refused")
     guarantees = settings()["guarantees"] | {"mustAskInMs": 30_000.0}
-    async with world(row("a", f"{HOST}:9"), registryMode=mode, guarantees=guarantees) as w:
+    async with running_node(row("a", f"{HOST}:9"), registryMode=mode, guarantees=guarantees) as w:
         discovery = w.node._discovery
         discovery._random.seed(seed)
         w.node._balancer._context.rng.seed(seed)
@@ -155,7 +155,7 @@
         loop = asyncio.get_running_loop()
         server = await asyncio.start_server(nothing, HOST, 0)
         guarantees = settings()["guarantees"] | {"mustAskInMs": 10_000.0}
-        async with world(row("a", f"{HOST}:9"), guarantees=guarantees) as w:
+        async with running_node(row("a", f"{HOST}:9"), guarantees=guarantees) as w:
             w.node._discovery.address = server.sockets[0].getsockname()
             await asyncio.sleep(60.0)
         server.close()
@@ -181,7 +181,7 @@
 
         server = await asyncio.start_server(note, HOST, 0)
         host, port = server.sockets[0].getsockname()
-        async with world(row("a", f"{host}:{port}"), policyLimits=limits()) as w:
+        async with running_node(row("a", f"{host}:{port}"), policyLimits=limits()) as w:
 
             def decide(event: Event, now: float) -> list[Action]:
                 place = RequestArrived if waits_for == "a dial" else NodesPresent
@@ -229,7 +229,9 @@
         async with (
             StubServer([after_50_ms]) as one,
             StubServer([after_50_ms]) as two,
-            world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=cancel)) as w,
+            running_node(
+                row("a", one.address), row("b", two.address), policyLimits=limits(cancel=cancel)
+            ) as w,
         ):
             servers = (one, two)
             client = await w.client()
@@ -257,7 +259,7 @@
     """Of a first attempt and of a repeat, which the module keeps in one queue."""
 
     async def main() -> None:
-        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
+        async with StubServer([held(reply("200 OK"))]) as server, running_node(row("a", server.address)) as w:
             queue, told = w.node._balancer._queue, Told(w)
             clients: list[Client] = []
             while not queue:
@@ -289,7 +291,7 @@
         async with (
             StubServer([reply("200 OK")]) as one,
             StubServer([reply("200 OK")]) as two,
-            world(row("a", one.address), row("b", two.address), registryMode="pushed") as w,
+            running_node(row("a", one.address), row("b", two.address), registryMode="pushed") as w,
         ):
             client = await w.client()
             while not one.received:
@@ -315,7 +317,7 @@
         servers = [StubServer([late_reset]), StubServer([late_reset])]
         async with servers[0] as one, servers[1] as two:
             limited = settings()["policyLimits"] | {"mayDuplicate": False, "tryLimit": 2}
-            async with world(row("a", one.address), row("b", two.address), policyLimits=limited) as w:
+            async with running_node(row("a", one.address), row("b", two.address), policyLimits=limited) as w:
                 client = await w.client()
                 await client.ask("look", deadline="3.0")
             told = [float(got.headers["x-deadline"]) for server in servers for got in server.received]
