--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -33,7 +33,7 @@
     reply,
     row,
     run,
-    tell,
+    send_line,
 )
 
 
@@ -66,7 +66,7 @@
             assert version(await world.publish({"discovery": moved.address}, "service/cart")) == 1
             told += await in_force(processes, 1, "service/cart")
             for _ in processes:
-                tell(await moved.watch(), listing(2, row("b", new.address)))
+                send_line(await moved.watch(), listing(2, row("b", new.address)))
             while any(task.done() for task in calling) or bodies[-1] != b"new":
                 assert not any(task.done() for task in calling)
                 await asyncio.sleep(0.01)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -28,8 +28,8 @@
     reply,
     row,
     run,
+    send_line,
     settings,
-    tell,
 )
 
 NODES = 30
@@ -233,13 +233,15 @@
             ]
             watches = [await discovery.watch() for _ in addresses]
             for watch in watches:
-                tell(watch, b"")
+                send_line(watch, b"")
             await asyncio.sleep(2.0)
             burst.set()
             cold = machines[-1]
             cold.begin(1000.0 * time.time(), COLD_MS, CLOSE.share)
             for watch in watches:
-                tell(watch, listing(2, row("cold", servers[-1].address, started=cold.started), reset=False))
+                send_line(
+                    watch, listing(2, row("cold", servers[-1].address, started=cold.started), reset=False)
+                )
             await asyncio.sleep(3.0)
             assert not any(task.done() for task in load)
             for task in load:
--- a/tests/node/state/test_command.py
+++ b/tests/node/state/test_command.py
@@ -10,7 +10,7 @@
 
 from crowpost.cli.main import main
 from tests.node.state.helpers import config, until, write_malformed_list
-from tests.node.stubs import StubServer, listing, reply, row, run, running_node, tell
+from tests.node.stubs import StubServer, listing, reply, row, run, running_node, send_line
 from tests.test_cli import crowpost
 
 
@@ -20,7 +20,7 @@
             StubServer([reply("200 OK")]) as server,
             running_node(row("a", server.address), state=config(tmp_path)) as w,
         ):
-            tell(await w.discovery.watch(), listing(3, row("a", server.address)))
+            send_line(await w.discovery.watch(), listing(3, row("a", server.address)))
             assert (await (await w.client()).ask("look")).status == 200
             assert w.node._state_writer is not None
             writer = w.node._state_writer
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -31,7 +31,7 @@
     row,
     run,
     running_node,
-    tell,
+    send_line,
 )
 from tests.node.test_process import _configuration, _environment, _start, _told
 
@@ -49,7 +49,7 @@
     async def main() -> None:
         async with StubServer([reply("200 OK", b"served")]) as server:
             async with running_node(known=False, registryMode="pushed", state=config(tmp_path)) as w:
-                tell(await w.discovery.watch(), listing(41, row("a", server.address)))
+                send_line(await w.discovery.watch(), listing(41, row("a", server.address)))
                 await until(w.node.ready)
                 client = await w.client()
                 assert (await client.ask("look")).body == b"served"
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -234,7 +234,7 @@
         return await asyncio.wait_for(self.watches.get(), PATIENCE_S)
 
 
-def tell(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
+def send_line(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
     """Send one line on a watch."""
     text = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
     watch.write(b"%x\r\n%s\r\n" % (len(text), text))
--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -27,8 +27,8 @@
     row,
     run,
     running_node,
+    send_line,
     silent,
-    tell,
 )
 
 NOT_RUN = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
@@ -136,7 +136,7 @@
                         )
                         assert 0.8 * fraction * 256 < sockets < 0.95 * fraction * 256
                     assert 2 * shared.node._listener.budget.limit <= single.node._listener.budget.limit
-                    tell(await shared.discovery.watch(), listing(2, row("a", server.address)))
+                    send_line(await shared.discovery.watch(), listing(2, row("a", server.address)))
                     while not shared.node.ready():
                         await asyncio.sleep(0)
                     assert (await (await shared.client()).ask("look")).status == 200
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -26,8 +26,8 @@
     row,
     run,
     running_node,
+    send_line,
     settings,
-    tell,
 )
 from tests.node.test_races import HeldDials, Told, limits, twice
 
@@ -288,7 +288,9 @@
             dials, told = HeldDials(w), Told(w)
             client.writer.write(request("book", target="/api/late"))
             await dials.begun()
-            tell(await w.discovery.watch(), listing(2, row("a", server.address, "DRAINING"), reset=False))
+            send_line(
+                await w.discovery.watch(), listing(2, row("a", server.address, "DRAINING"), reset=False)
+            )
             await until(lambda: w.node._discovery._version == 2)
             dials.release.set()
             ended: AttemptEnded = await told.first(AttemptEnded)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -29,9 +29,9 @@
     row,
     run,
     running_node,
+    send_line,
     settings,
     silent,
-    tell,
 )
 
 BODY = bytes(range(256)) * 4
@@ -237,7 +237,9 @@
             client = await w.client()
             assert (await client.ask("look")).body == b"a"
             watch = await w.discovery.watch()
-            tell(watch, listing(2, row("a", one.address, "DRAINING"), row("b", two.address), reset=False))
+            send_line(
+                watch, listing(2, row("a", one.address, "DRAINING"), row("b", two.address), reset=False)
+            )
             await asyncio.wait_for(one.left.wait(), PATIENCE_S)
             assert {(await client.ask("look")).body for _ in range(5)} == {b"b"}
             assert len(one.received) == 1
@@ -255,7 +257,7 @@
             client = await w.client()
             assert (await client.ask("look")).body == b"old"
             watch = await w.discovery.watch()
-            tell(watch, listing(2, row("a", new.address, started=1000.0)))
+            send_line(watch, listing(2, row("a", new.address, started=1000.0)))
             await asyncio.wait_for(old.left.wait(), PATIENCE_S)
             assert (await client.ask("look")).body == b"new"
 
@@ -270,15 +272,15 @@
             running_node(row("a", server.address)) as w,
         ):
             watch = await w.discovery.watch()
-            tell(watch, listing(41, row("a", server.address)))
+            send_line(watch, listing(41, row("a", server.address)))
             if breaks == "reset":
                 await watch.drain()
                 watch.close()
             else:
-                tell(watch, b"{nonsense" if breaks == "bad line" else b'{"generation":42,"reset":true}')
+                send_line(watch, b"{nonsense" if breaks == "bad line" else b'{"generation":42,"reset":true}')
             again = await w.discovery.watch()
             assert w.discovery.targets == ["/v1/endpoints?watch=1&from=1", "/v1/endpoints?watch=1&from=41"]
-            tell(again, listing(42, reset=False))
+            send_line(again, listing(42, reset=False))
             assert (await (await w.client()).ask("look")).status == 200, "the last list remains"
 
     run(main())
@@ -295,7 +297,7 @@
             watch = await w.discovery.watch()
             client = await w.client()
             assert (await client.ask(target="/ready")).status == 503, "no list yet"
-            tell(watch, listing(5, row("a", server.address)))
+            send_line(watch, listing(5, row("a", server.address)))
             while not events:
                 await asyncio.sleep(0)
             assert (await client.ask(target="/ready")).status == 200
@@ -311,7 +313,7 @@
         async with running_node(known=False, registryMode="pushed") as w:
             watch = await w.discovery.watch()
             timer = w.node._discovery._timer
-            tell(watch, b"")
+            send_line(watch, b"")
             while w.node._discovery._timer is timer:
                 await asyncio.sleep(0)
             timer = w.node._discovery._timer
@@ -352,7 +354,7 @@
                 assert 0.4 * longest < pause <= longest + 0.01
             assert pauses[2] != pytest.approx(pauses[3], abs=0.001)
             watch = await w.discovery.watch()
-            tell(watch, b"")
+            send_line(watch, b"")
             while discovery._failures:
                 await asyncio.sleep(0)
             discovery._fail()
@@ -375,14 +377,14 @@
                 w.node._discovery.subscribe()
             watch = await w.discovery.watch()
             events = _record(w.node._balancer)
-            tell(watch, listing(7, row("a", server.address)))
+            send_line(watch, listing(7, row("a", server.address)))
             while not events:
                 await asyncio.sleep(0)
             path.write_text(json.dumps({"discovery": new.address}))
             w.node.reconfigure()
             watch = await new.watch()
             assert new.targets == ["/v1/endpoints?watch=1&from=7"]
-            tell(watch, listing(8, row("a", server.address, "DRAINING"), reset=False))
+            send_line(watch, listing(8, row("a", server.address, "DRAINING"), reset=False))
             await asyncio.wait_for(_no_server(w), PATIENCE_S)
 
     run(main())
@@ -407,7 +409,7 @@
         ):
             watch = await w.discovery.watch()
             w.node.reconfigure()
-            tell(watch, listing(7, row("a", server.address)))
+            send_line(watch, listing(7, row("a", server.address)))
             client = await w.client()
             while (await client.ask(target="/ready")).status != 200:
                 pass
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -27,8 +27,8 @@
     request,
     row,
     run,
+    send_line,
     settings,
-    tell,
 )
 
 ROOT = Path(__file__).parents[2]
@@ -179,7 +179,7 @@
                 for _ in range(2):
                     process = await _start({**common, "NODE_MANAGEMENT": f"{HOST}:0"}, (descriptor,))
                     started.append((process, await _told(process, "managed")))
-                    tell(await discovery.watch(), listing(2, row("a", server.address)))
+                    send_line(await discovery.watch(), listing(2, row("a", server.address)))
                     await _told(process, "listens")
                 (old, _), (new, managed) = started
                 kept = await Client.connect(address)
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -46,9 +46,9 @@
     row,
     run,
     running_node,
+    send_line,
     settings,
     silent,
-    tell,
 )
 
 LONG_DIAL_MS = 1000.0 * PATIENCE_S
@@ -130,7 +130,7 @@
                 if restarted
                 else row("a", server.address, "DRAINING")
             )
-            tell(await running.discovery.watch(), listing(2, updated, reset=False))
+            send_line(await running.discovery.watch(), listing(2, updated, reset=False))
             while running.node._discovery._version != 2:
                 await asyncio.sleep(0)
             dials.release.set()
@@ -467,8 +467,8 @@
             recorder = Told(running)
             watch = await running.discovery.watch()
             rows = [row("a", server.address), row("b", server.address, "DRAINING")]
-            tell(watch, json.dumps(listing(7, *rows), indent=indent).encode())
-            tell(watch, listing(8, reset=False))
+            send_line(watch, json.dumps(listing(7, *rows), indent=indent).encode())
+            send_line(watch, listing(8, reset=False))
             while running.node._discovery._version != 8:
                 await asyncio.sleep(0)
             assert (await recorder.first(EndpointList)).kind is ListKind.FULL
@@ -481,7 +481,7 @@
     async def main() -> None:
         async with running_node(known=False, registryMode="pushed") as running:
             watch = await running.discovery.watch()
-            tell(watch, b"")
+            send_line(watch, b"")
             while running.node._discovery._timer is None or running.node._discovery._failures:
                 await asyncio.sleep(0)
             (current,) = [running.node._discovery._watch]
@@ -499,7 +499,7 @@
     async def main() -> None:
         async with running_node(known=False, registryMode="pushed") as running:
             watch = await running.discovery.watch()
-            tell(watch, b'{\n  "generation": 7,\n  nonsense }')
+            send_line(watch, b'{\n  "generation": 7,\n  nonsense }')
             await running.discovery.watch()
 
     run(main())
@@ -540,7 +540,7 @@
             if state == "waiting for the backoff":
                 discovery._fail()
             running.node.reconfigure()
-            tell(await moved.watch(), listing(3))
+            send_line(await moved.watch(), listing(3))
             while discovery._version != 3:
                 await asyncio.sleep(0)
             assert moved.targets == ["/v1/endpoints?watch=1&from=0"]
@@ -567,7 +567,7 @@
                 ) as running,
             ):
                 watch = await running.discovery.watch()
-                tell(watch, listing(2, row("a", server.address)))
+                send_line(watch, listing(2, row("a", server.address)))
                 client = await running.client()
                 assert (await client.ask("look")).status == 200
                 (accepted,) = running.node._listener._connections
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -44,9 +44,9 @@
     row,
     run,
     running_node,
+    send_line,
     settings,
     silent,
-    tell,
 )
 from tests.node.test_races import HeldDials, Told, limits
 
@@ -73,23 +73,23 @@
             await read_head(reader)
             if self.over:
                 _head(writer)
-                tell(writer, self.news)
+                send_line(writer, self.news)
             elif self.trouble == "reset":
                 writer.transport.abort()
             elif self.trouble == "failed":
                 writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             elif self.trouble == "broken":
                 _head(writer)
-                tell(writer, b"nonsense")
+                send_line(writer, b"nonsense")
             elif self.trouble == "half":
                 _head(writer)
-                tell(writer, b"{")
+                send_line(writer, b"{")
                 while not writer.is_closing():  # it trickles on, and is never whole
                     await asyncio.sleep(1.0)
-                    tell(writer, b'"generation": 2,')
+                    send_line(writer, b'"generation": 2,')
             elif self.trouble == "silent":
                 _head(writer)
-                tell(writer, listing(1, row("a", f"{HOST}:9")))
+                send_line(writer, listing(1, row("a", f"{HOST}:9")))
             else:
                 assert self.trouble == "given up"
 
@@ -148,7 +148,7 @@
             _head(writer)
             with contextlib.suppress(ConnectionError):
                 while not writer.is_closing():
-                    tell(writer, b"")
+                    send_line(writer, b"")
                     await asyncio.sleep(2.0)
 
         calls: list[float] = []
@@ -297,7 +297,7 @@
             while not one.received:
                 assert (await client.ask("look")).status == 200
             before = len(one.received)
-            tell(await w.discovery.watch(), listing(2, row("b", two.address)))
+            send_line(await w.discovery.watch(), listing(2, row("b", two.address)))
             while w.node._discovery._version != 2:
                 await asyncio.sleep(0)
             for _ in range(20):
