--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -141,7 +141,7 @@
     writer.transport.abort()
 
 
-async def silent(server: StubServer, _: Received, __: asyncio.StreamWriter) -> None:
+async def unresponsive(server: StubServer, _: Received, __: asyncio.StreamWriter) -> None:
     """Send nothing until the server's `release` is set."""
     await server.release.wait()
 
--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -28,7 +28,7 @@
     run,
     running_node,
     send_line,
-    silent,
+    unresponsive,
 )
 
 NOT_RUN = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
@@ -86,7 +86,7 @@
 
 def test_a_hedged_request_counts_one_response_and_two_attempts() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as one:
+        async with StubServer([unresponsive]) as one:
 
             async def respond_after_the_first(
                 server: StubServer, got: Received, writer: asyncio.StreamWriter
@@ -146,7 +146,7 @@
 
 def test_an_attempt_without_a_connection_is_not_counted_but_its_rejection_is() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as gone:
+        async with StubServer([unresponsive]) as gone:
             address = gone.address
         async with running_node(row("a", address)) as running:
             assert (await (await running.client()).ask("book", deadline="0.5")).status == 503
@@ -158,7 +158,7 @@
 
 def test_a_rejection_before_the_decision_module_is_counted() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
             running.node._listener.budget.limit = 0
             assert (await (await running.client()).ask("book", body=b"x")).status == 503
             figures = await running.figures()
@@ -173,7 +173,7 @@
 )
 def test_unknown_paths_and_wrong_methods_are_rejected(method: str, path: str, status: int) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
             assert (await running.manage(method, path)).status == status
             assert (await running.manage("GET", "/api/ready")).status == 200
 
@@ -185,7 +185,7 @@
 )
 def test_malformed_and_oversized_calls_are_answered_with_400(raw: bytes) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
             client = await Client.connect(running.node.admin_address)
             client.writer.write(raw)
             assert (await client.answer()).status == 400
@@ -195,7 +195,7 @@
 
 def test_unresponsive_peers_delay_no_call_and_are_closed() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
             begun_at = time.monotonic()
             peers = [await Client.connect(running.node.admin_address) for _ in range(60)]
             for peer in peers[::2]:
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -28,7 +28,7 @@
     row,
     run,
     running_node,
-    silent,
+    unresponsive,
 )
 
 # About a megabyte; its period of 251 bytes does not divide any buffer size.
@@ -388,7 +388,7 @@
 def test_input_after_a_malformed_request_is_ignored() -> None:
     async def main() -> None:
         async with (
-            StubServer([silent, reply("200 OK")]) as server,
+            StubServer([unresponsive, reply("200 OK")]) as server,
             running_node(row("a", server.address)) as running,
         ):
             for bad in (request("book", body=b"x", extra="Expect: more\r\n"), b"nonsense\r\n\r\n"):
@@ -487,7 +487,7 @@
 
 def test_a_body_that_no_server_received_is_sent_to_another() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as gone:
+        async with StubServer([unresponsive]) as gone:
             address = gone.address
         async with (
             StubServer([reply("200 OK")]) as server,
@@ -516,7 +516,7 @@
             ] == 0, "counted as active before its last byte"
             client.writer.write(text[200_000:])
             assert (await client.answer()).body == b"done"
-            server.behaviours[:] = [silent]
+            server.behaviours[:] = [unresponsive]
             assert (await client.ask("book", body=LONG, deadline="0.3")).status == 502
             server.release.set()
 
@@ -597,7 +597,7 @@
 def test_long_bodies_beyond_the_memory_limit_are_rejected_immediately() -> None:
     async def main() -> None:
         async with (
-            StubServer([silent]) as server,
+            StubServer([unresponsive]) as server,
             running_node(row("a", server.address), memory_mb=4) as running,
         ):
             capacity = running.node._listener.budget.limit // exchange.STREAM_BUFFER_BYTES
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -31,7 +31,7 @@
     running_node,
     send_line,
     settings,
-    silent,
+    unresponsive,
 )
 
 BODY = bytes(range(256)) * 4
@@ -114,7 +114,7 @@
 
 def test_a_client_that_leaves_ends_its_attempt_and_gets_nothing() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as w:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as w:
             events = _record(w.node._balancer)
             client = await w.client()
             client.writer.write(request("look"))
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize(("kind", "status"), [("book", 502), ("look", 503)])
 def test_an_answer_comes_before_the_deadline_though_the_server_is_silent(kind: str, status: int) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as w:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             begin = asyncio.get_running_loop().time()
             answer = await client.ask(kind, deadline="0.6")
@@ -174,7 +174,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as w:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as w:
             w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
             answer = await (await w.client()).ask("look", deadline="0.3")
             assert answer.status == 500
@@ -516,7 +516,7 @@
 
     async def main() -> None:
         async with (
-            StubServer([silent, reply("200 OK")]) as server,
+            StubServer([unresponsive, reply("200 OK")]) as server,
             running_node(row("a", server.address)) as w,
         ):
             w.node._listener.budget.limit = 150
@@ -596,7 +596,7 @@
 
 def test_what_is_still_open_when_the_time_runs_out_is_failed_not_dropped() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as w:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(request("book", deadline="30"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
@@ -610,7 +610,10 @@
 
 def test_more_callers_than_descriptors_are_refused_and_idle_ones_make_way() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address), sockets=64) as w:
+        async with (
+            StubServer([unresponsive]) as server,
+            running_node(row("a", server.address), sockets=64) as w,
+        ):
             w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
             most = w.node._listener._max_connections
             idle = await w.client()
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -48,7 +48,7 @@
     running_node,
     send_line,
     settings,
-    silent,
+    unresponsive,
 )
 
 LONG_DIAL_MS = 1000.0 * PATIENCE_S
@@ -321,7 +321,7 @@
     """A connection with two requests was no longer read, so requests were forwarded long after its end."""
 
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
             recorder = Told(running)
             client = await running.client()
             client.writer.write(request("look"))
@@ -370,7 +370,7 @@
 
 def test_the_bodies_of_waiting_requests_are_bounded() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("look") * MAX_CONCURRENT)
             client.writer.write(request("book", body=b"x" * (MAX_BODY // 2)) * 8)
@@ -413,7 +413,7 @@
 
 def test_time_spent_waiting_for_earlier_requests_counts_towards_the_deadline() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, running_node(row("a", server.address)) as running:
+        async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
             recorder = Told(running)
             client = await running.client()
             client.writer.write(request("look", deadline="0.4") * (MAX_CONCURRENT + 1))
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -28,7 +28,7 @@
     reset,
     row,
     run,
-    silent,
+    unresponsive,
 )
 
 REQUEST = b"GET /api/x HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -121,7 +121,7 @@
 
 def test_silence_is_a_time_out_and_closes_the_connection() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, attempts(server.address) as a:
+        async with StubServer([unresponsive]) as server, attempts(server.address) as a:
             assert await a.outcome(0.1) == (Outcome.TIMEOUT, b"")
             server.release.set()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
@@ -167,7 +167,7 @@
 
 def test_a_cancelled_attempt_has_one_outcome() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, attempts(server.address) as a:
+        async with StubServer([unresponsive]) as server, attempts(server.address) as a:
             call, future = a.begin()
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             call.abort(Outcome.CANCELLED)
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize(
     ("to_probe", "connections"),
-    [(reply("200 OK"), 1), (reply("503 Service Unavailable"), 1), (reset, 2), (silent, 2)],
+    [(reply("200 OK"), 1), (reply("503 Service Unavailable"), 1), (reset, 2), (unresponsive, 2)],
 )
 def test_a_doubtful_connection_is_probed_before_an_unrepeatable_call(
     to_probe: Behaviour, connections: int
@@ -313,7 +313,7 @@
 def test_a_server_that_drains_while_a_connection_is_probed_gets_nothing_new() -> None:
     async def main() -> None:
         async with (
-            StubServer([reply("200 OK"), silent]) as server,
+            StubServer([reply("200 OK"), unresponsive]) as server,
             attempts(server.address, probe=PROBE) as a,
         ):
             await a.outcome()
@@ -343,7 +343,7 @@
 
 def test_close_idle_leaves_calls_alone() -> None:
     async def main() -> None:
-        behaviours = [reply("200 OK"), silent]
+        behaviours = [reply("200 OK"), unresponsive]
         async with StubServer(behaviours) as server, attempts(server.address) as a:
             await a.outcome()
             a.servers.close_idle(b"a")
@@ -363,7 +363,7 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as one,
-            StubServer([silent]) as two,
+            StubServer([unresponsive]) as two,
             attempts(one.address, most_open=1) as a,
         ):
             a.servers.update(Naming((), ()).read(listing(2, row("a", one.address), row("b", two.address))))
@@ -402,7 +402,7 @@
 
 def test_a_call_that_is_left_holds_no_connection_past_its_time_nor_one_that_is_needed() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, attempts(server.address, most_open=1) as a:
+        async with StubServer([unresponsive]) as server, attempts(server.address, most_open=1) as a:
             call, _ = a.begin(timeout_s=0.2)
             while not server.received:
                 await asyncio.sleep(0)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -46,7 +46,7 @@
     running_node,
     send_line,
     settings,
-    silent,
+    unresponsive,
 )
 from tests.node.test_races import HeldDials, Told, limits
 
@@ -238,7 +238,7 @@
             for _ in range(40):
                 assert (await client.ask("look")).status == 200
             for server in servers:
-                server.behaviours = [silent]
+                server.behaviours = [unresponsive]
             before = sum(len(server.received) for server in servers)
             assert before == 40
             client.writer.write(request("look"))
