--- a/tests/config_feed/fleet.py
+++ b/tests/config_feed/fleet.py
@@ -16,7 +16,7 @@
 from crowpost.cli.feed_status import collect_statuses, summarize
 from crowpost.config_feed.messages import Message, PublishAccepted, PublishRequest
 from crowpost.config_feed.request_reply import request_reply
-from tests.node.stubs import HOST, PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, settings
+from tests.node.stubs import HOST, WAIT_TIMEOUT_S, StubDiscovery, StubServer, listing, reply, row, settings
 
 CLUSTER = "c"
 
@@ -56,7 +56,7 @@
     async def wait_for_line(self, pattern: str, after: int = 0) -> re.Match[str]:
         """Wait for a line of the log, after the first `after` lines."""
         try:
-            return await asyncio.wait_for(self._find(pattern, after), PATIENCE_S)
+            return await asyncio.wait_for(self._find(pattern, after), WAIT_TIMEOUT_S)
         except TimeoutError:
             raise AssertionError(f"no line with {pattern}:\n{''.join(self.lines)}") from None
 
@@ -79,7 +79,7 @@
     async def end(self) -> None:
         """End the process in order, with exit code 0."""
         self.signal(signal.SIGTERM)
-        assert await asyncio.wait_for(self.process.wait(), PATIENCE_S) == 0, "".join(self.lines)
+        assert await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT_S) == 0, "".join(self.lines)
 
 
 class Fleet:
@@ -133,14 +133,14 @@
 
     async def publish(self, body: object, scope: str = "all", **more: Any) -> Message:
         asked = PublishRequest(1, scope, json.dumps(body).encode(), "ann", "why not", **more)
-        return await request_reply(self.addresses["p"], asked, CLUSTER, PATIENCE_S)
+        return await request_reply(self.addresses["p"], asked, CLUSTER, WAIT_TIMEOUT_S)
 
     async def status(self, met: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
         """Wait for a status that meets a condition, as reports take a moment."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + PATIENCE_S
+        end = loop.time() + WAIT_TIMEOUT_S
         while loop.time() < end:
-            found = summarize(await collect_statuses(list(self.addresses.values()), CLUSTER, PATIENCE_S))
+            found = summarize(await collect_statuses(list(self.addresses.values()), CLUSTER, WAIT_TIMEOUT_S))
             if met(found):
                 return found
             await asyncio.sleep(0.02)
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -25,7 +25,7 @@
 from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Client,
     StubDiscovery,
     StubServer,
@@ -199,7 +199,7 @@
 
         async def publish(body: bytes) -> Message:
             return await request_reply(
-                at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S
+                at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, WAIT_TIMEOUT_S
             )
 
         assert version(await publish(b"1")) == 1
@@ -218,8 +218,8 @@
         came: asyncio.Queue[Document] = asyncio.Queue()
         watcher = FeedTransport(config("w", "watch", upstreams=(UpstreamServer(at),)), came.put_nowait)
         watcher.start()
-        assert (await asyncio.wait_for(came.get(), PATIENCE_S)).body == b"1"
-        found = summarize(await collect_statuses([at], CLUSTER, PATIENCE_S))
+        assert (await asyncio.wait_for(came.get(), WAIT_TIMEOUT_S)).body == b"1"
+        found = summarize(await collect_statuses([at], CLUSTER, WAIT_TIMEOUT_S))
         assert found["stopped"] == {"p": 1} and not found["whole"] and found["heads"]["all"]["version"] == 1
         await watcher.close()
         await publisher.close()
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -19,7 +19,7 @@
 from tests.decisions.fleet import Fleet, SimServer, heaviest
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Client,
     Received,
     StubDiscovery,
@@ -249,4 +249,4 @@
             await asyncio.gather(*load, return_exceptions=True)
             assert CLOSE.beyond(cold) < 0.0
 
-    run(asyncio.wait_for(main(), 2 * PATIENCE_S))
+    run(asyncio.wait_for(main(), 2 * WAIT_TIMEOUT_S))
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -21,7 +21,7 @@
 from crowpost.membership.transport import MembershipTransport
 from crowpost.membership.wire import MessageKind
 from tests.membership.files import MINIMAL_FILE
-from tests.node.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, running_node
+from tests.node.stubs import HOST, WAIT_TIMEOUT_S, StubServer, reply, row, run, running_node
 
 QUICK = ProtocolSettings(
     probe_interval_ms=40.0, gossip_interval_ms=15.0, sync_interval_ms=500.0, dead_probe_interval_ms=200.0
@@ -55,7 +55,7 @@
 
         while not all_hold_it():
             self.changed.clear()
-            await asyncio.wait_for(self.changed.wait(), PATIENCE_S)
+            await asyncio.wait_for(self.changed.wait(), WAIT_TIMEOUT_S)
 
     def close(self) -> None:
         for transport in self.transports:
@@ -95,7 +95,7 @@
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(junk)
                 writer.write_eof()
-                assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
+                assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b""
                 writer.close()
             with pytest.raises(MembershipError, match="closed|bytes read"):
                 await query(first, MessageKind.LEAVE, "another cluster")
--- a/tests/node/state/helpers.py
+++ b/tests/node/state/helpers.py
@@ -14,7 +14,7 @@
 from crowpost.storage.disk import Disk
 from crowpost.storage.model import Durability
 from crowpost.storage.runner import execute_job, recover_disk
-from tests.node.stubs import PATIENCE_S
+from tests.node.stubs import WAIT_TIMEOUT_S
 
 
 def remembered(i: int, ratio: float, average: float = 20.0, **more: Any) -> RememberedEndpoint:
@@ -43,4 +43,4 @@
         while not met():
             await asyncio.sleep(0.01)
 
-    await asyncio.wait_for(wait(), PATIENCE_S)
+    await asyncio.wait_for(wait(), WAIT_TIMEOUT_S)
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -23,7 +23,7 @@
 from crowpost.storage.runner import inspect_store
 from tests.node.state.helpers import config, until, write_malformed_list
 from tests.node.stubs import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     StubDiscovery,
     StubServer,
     listing,
@@ -69,7 +69,7 @@
 async def manage(address: tuple[str, int], method: str, call: str) -> int:
     reader, writer = await asyncio.open_connection(*address)
     writer.write(f"{method} /api/{call} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
-    answer = await asyncio.wait_for(reader.read(), PATIENCE_S)
+    answer = await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S)
     writer.close()
     return int(answer.split()[1])
 
@@ -91,7 +91,7 @@
                 if call:
                     assert await manage(address, "POST", call) == 200
                 process.send_signal(signal.SIGKILL)
-                await asyncio.wait_for(process.wait(), PATIENCE_S)
+                await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S)
             assert seen == [200, 503, 200]
 
     run(main())
@@ -150,7 +150,7 @@
 
     def hang(descriptor: int) -> None:
         hangs.set()
-        assert let.wait(PATIENCE_S)
+        assert let.wait(WAIT_TIMEOUT_S)
 
     async def main() -> None:
         async with (
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -20,14 +20,14 @@
 
 HOST = "127.0.0.1"
 # The timeout for events that must happen; only a failing test reaches it.
-PATIENCE_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
     """Run a test on uvloop, the event loop of a node."""
 
     async def bounded() -> None:
-        await asyncio.wait_for(main, 3 * PATIENCE_S)
+        await asyncio.wait_for(main, 3 * WAIT_TIMEOUT_S)
 
     uvloop.run(bounded())
 
@@ -231,7 +231,7 @@
 
     async def watch(self) -> asyncio.StreamWriter:
         """Return the next watch that a node opens."""
-        return await asyncio.wait_for(self.watches.get(), PATIENCE_S)
+        return await asyncio.wait_for(self.watches.get(), WAIT_TIMEOUT_S)
 
 
 def send_line(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
@@ -261,7 +261,7 @@
         return cls(*await asyncio.open_connection(*address))
 
     async def answer(self) -> Answer:
-        return await asyncio.wait_for(self._answer(), PATIENCE_S)
+        return await asyncio.wait_for(self._answer(), WAIT_TIMEOUT_S)
 
     async def _answer(self) -> Answer:
         first, headers = await read_head(self.reader)
@@ -278,7 +278,7 @@
     async def ended(self) -> bool:
         """Return whether the node closes the connection without sending more."""
         with contextlib.suppress(ConnectionError):
-            return await asyncio.wait_for(self.reader.read(), PATIENCE_S) == b""
+            return await asyncio.wait_for(self.reader.read(), WAIT_TIMEOUT_S) == b""
         return True
 
     def close(self) -> None:
@@ -387,4 +387,4 @@
             yield RunningNode(node, address, discovery, serving)
         finally:
             node.stop()
-            await asyncio.wait_for(serving, PATIENCE_S)
+            await asyncio.wait_for(serving, WAIT_TIMEOUT_S)
--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -14,7 +14,7 @@
 from crowpost.node.metrics import Metrics
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Client,
     Received,
     RunningNode,
@@ -70,7 +70,7 @@
             assert statuses == [200, 502, 200, 502]
             server.got.clear()
             client.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
             figures = await running.figures()
             assert figures["edge_node_active"] == 1
             assert figures["edge_node_tries"] == len(server.received) == 6
@@ -224,7 +224,7 @@
         ):
             busy, kept, idle = [await running.client() for _ in range(3)]
             busy.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
             assert (await idle.ask(target="/ready")).status == 200
             assert [await _phase(running, "evacuate"), await _phase(running, "evacuate")] == [200, 200]
             assert (await running.manage("GET", "/api/ready")).status == 503
@@ -265,13 +265,13 @@
         ):
             client = await running.client()
             client.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
             await _phase(running, "evacuate")
             running.node.terminate()
             assert await _phase(running, "rejoin") == 409
             assert await _phase(running, "evacuate") == 200
             server.release.set()
             assert (await client.answer()).status == 200
-            await asyncio.wait_for(running.serving, PATIENCE_S)
+            await asyncio.wait_for(running.serving, WAIT_TIMEOUT_S)
 
     run(main())
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -16,7 +16,7 @@
 from crowpost.node.upstream import connection as upstream_connection
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Behaviour,
     Client,
     Received,
@@ -254,12 +254,14 @@
         ):
             client = await running.client()
             client.writer.write(request("book", deadline="0.3"))
-            await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
-            assert await asyncio.wait_for(client.reader.readexactly(10), PATIENCE_S) == LONG[:10]
+            await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
+            assert await asyncio.wait_for(client.reader.readexactly(10), WAIT_TIMEOUT_S) == LONG[:10]
             # Past the deadline, which no longer applies once the response has begun.
             await asyncio.sleep(0.35)
             server.release.set()
-            assert await asyncio.wait_for(client.reader.readexactly(len(LONG) - 10), PATIENCE_S) == LONG[10:]
+            assert (
+                await asyncio.wait_for(client.reader.readexactly(len(LONG) - 10), WAIT_TIMEOUT_S) == LONG[10:]
+            )
 
     run(main())
 
@@ -277,9 +279,11 @@
         ):
             client = await running.client()
             client.writer.write(request("book"))
-            assert b"first" in await asyncio.wait_for(client.reader.readuntil(b"first"), PATIENCE_S)
+            assert b"first" in await asyncio.wait_for(client.reader.readuntil(b"first"), WAIT_TIMEOUT_S)
             server.release.set()
-            assert b"0\r\n\r\n" in await asyncio.wait_for(client.reader.readuntil(b"0\r\n\r\n"), PATIENCE_S)
+            assert b"0\r\n\r\n" in await asyncio.wait_for(
+                client.reader.readuntil(b"0\r\n\r\n"), WAIT_TIMEOUT_S
+            )
 
     run(main())
 
@@ -312,9 +316,9 @@
         ):
             client = await running.client()
             client.writer.write(request("look"))
-            await asyncio.wait_for(client.reader.readexactly(1000), PATIENCE_S)
+            await asyncio.wait_for(client.reader.readexactly(1000), WAIT_TIMEOUT_S)
             client.close()
-            await asyncio.wait_for(server.left.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
             assert not running.node._requests.pending and not running.node._requests.calls
             assert running.node._listener.budget.reserved == 0
 
@@ -349,7 +353,7 @@
             assert running.node._listener.budget.reserved == exchange.STREAM_BUFFER_BYTES
             received = 0
             while received < size:
-                received += len(await asyncio.wait_for(client.reader.read(1 << 20), PATIENCE_S))
+                received += len(await asyncio.wait_for(client.reader.read(1 << 20), WAIT_TIMEOUT_S))
 
     run(main())
 
@@ -398,7 +402,7 @@
                 server.behaviours[:] = [held(reply("200 OK", b"first")), reply("200 OK")]
                 client = await running.client()
                 client.writer.write(request("look") + bad)
-                await asyncio.wait_for(server.got.wait(), PATIENCE_S)
+                await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
                 client.writer.write(request("look"))
                 while not any(len(c._exchanges) == 2 for c in running.node._listener._connections):
                     await asyncio.sleep(0)
@@ -532,7 +536,7 @@
             client = await running.client()
             client.writer.write(request("book", body=LONG)[:200_000])
             assert (await client.answer()).status == 408
-            await asyncio.wait_for(server.left.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
             assert (
                 not server.received
                 and not running.node._requests.pending
@@ -552,7 +556,7 @@
             while not server.opened:
                 await asyncio.sleep(0)
             client.close()
-            await asyncio.wait_for(server.left.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
             assert (
                 not server.received
                 and not running.node._requests.pending
@@ -627,7 +631,7 @@
             text = request("book", body=LONG, extra="Expect: 100-continue\r\n")
             head, _, body = text.partition(b"\r\n\r\n")
             client.writer.write(head + b"\r\n\r\n")
-            interim = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            interim = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
             assert interim == b"HTTP/1.1 100 Continue\r\n\r\n"
             client.writer.write(body)
             assert (await client.answer()).body == b"done"
@@ -723,14 +727,16 @@
         ):
             client = await running.client()
             client.writer.write(request("book"))
-            await asyncio.wait_for(client.reader.readuntil(LONG[:10]), PATIENCE_S)
+            await asyncio.wait_for(client.reader.readuntil(LONG[:10]), WAIT_TIMEOUT_S)
             running.node.terminate()
             running.node._drain._began -= 60.0  # long past the time of the last response
             running.node._drain._check()
             running.node._requests.fail_remaining()
             assert not running.serving.done()
             server.release.set()
-            assert await asyncio.wait_for(client.reader.readexactly(len(LONG) - 10), PATIENCE_S) == LONG[10:]
-            await asyncio.wait_for(running.serving, PATIENCE_S)
+            assert (
+                await asyncio.wait_for(client.reader.readexactly(len(LONG) - 10), WAIT_TIMEOUT_S) == LONG[10:]
+            )
+            await asyncio.wait_for(running.serving, WAIT_TIMEOUT_S)
 
     run(main())
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -13,7 +13,7 @@
 from crowpost.node.upstream.endpoint import EndpointConnections
 from crowpost.node.upstream.race import MAX_EXTRA_DIALS
 from tests.node.stubs import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Behaviour,
     Client,
     Received,
@@ -31,7 +31,7 @@
 )
 from tests.node.test_races import HeldDials, Told, limits, twice
 
-NEVER_S = 10 * PATIENCE_S
+NEVER_S = 10 * WAIT_TIMEOUT_S
 PAST_DEADLINE_S = 5.0  # but less than an idle connection is trusted for
 SLOW_S = 3600.0  # a server whose answers take so long is waited for
 FAST_S = 1e-6
@@ -76,7 +76,7 @@
         while not condition():
             await asyncio.sleep(0)
 
-    await asyncio.wait_for(wait(), PATIENCE_S)
+    await asyncio.wait_for(wait(), WAIT_TIMEOUT_S)
 
 
 def test_a_call_to_a_fast_server_waits_for_no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -332,5 +332,5 @@
 
 def test_settings_of_these_tests_allow_what_they_rely_on() -> None:
     """A dial is given up later than a failing test."""
-    assert limits()["connectTimeoutMs"] >= 1000.0 * PATIENCE_S
+    assert limits()["connectTimeoutMs"] >= 1000.0 * WAIT_TIMEOUT_S
     assert settings()["policyLimits"]["cancel"] is True
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -17,7 +17,7 @@
 
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Client,
     Received,
     StubDiscovery,
@@ -70,7 +70,7 @@
     assert process.stderr is not None
     line = ""
     while not (found := re.search(rf"{what} on ([\d.]+):(\d+)", line)):
-        line = (await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)).decode()
+        line = (await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)).decode()
         assert line, "the node ended"
     return found[1], int(found[2])
 
@@ -91,7 +91,7 @@
                 await moved.watch()
                 assert (await client.ask("look")).body == b"served"
             process.send_signal(signal.SIGTERM)
-            _, log = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+            _, log = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
             assert process.returncode == 0, log.decode()
 
     run(main())
@@ -111,7 +111,7 @@
             process.send_signal(signal.SIGHUP)
             await moved.watch()
             process.send_signal(signal.SIGTERM)
-            _, log = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+            _, log = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
             assert process.returncode == 0, log.decode()
 
     run(main())
@@ -122,7 +122,7 @@
         config = tmp_path / "config.json"
         config.write_text("{}")
         process = await _start({"NODE_NAME": "n0", "NODE_CONFIG": str(config)})
-        _, error = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+        _, error = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         assert process.returncode == 2
         assert error.decode() == "crowpost: settings is missing or not of type dict: None\n"
 
@@ -157,7 +157,7 @@
                 process = await _start(
                     {**_environment(discovery, config), **given}, pass_fds=(bound.fileno(),)
                 )
-                _, error = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+                _, error = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
             assert process.returncode == 2
             assert error.decode().count("\n") == 1 and text in error.decode()
 
@@ -196,7 +196,7 @@
                 load = [asyncio.create_task(ask_on_new_connections()) for _ in range(4)]
                 assert (await kept.ask("look")).status == 200
                 old.send_signal(signal.SIGTERM)
-                await asyncio.wait_for(old.communicate(), PATIENCE_S)
+                await asyncio.wait_for(old.communicate(), WAIT_TIMEOUT_S)
                 assert old.returncode == 0
                 done.set()
                 await asyncio.gather(*load)
@@ -204,7 +204,7 @@
                 client = await Client.connect(managed)
                 assert (await client.ask(target="/api/ready")).status == 200
                 new.send_signal(signal.SIGTERM)
-                await asyncio.wait_for(new.communicate(), PATIENCE_S)
+                await asyncio.wait_for(new.communicate(), WAIT_TIMEOUT_S)
                 assert new.returncode == 0
 
     run(main())
@@ -247,12 +247,12 @@
     async def down(address: tuple[str, int], may_read: asyncio.Event) -> None:
         client = await Client.connect(address)
         client.writer.write(request("look"))
-        await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
-        await asyncio.wait_for(may_read.wait(), 2 * PATIENCE_S)
+        await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
+        await asyncio.wait_for(may_read.wait(), 2 * WAIT_TIMEOUT_S)
         got = hashlib.sha256()
         left = size
         while left:
-            piece = await asyncio.wait_for(client.reader.read(min(left, 1 << 20)), PATIENCE_S)
+            piece = await asyncio.wait_for(client.reader.read(min(left, 1 << 20)), WAIT_TIMEOUT_S)
             assert piece, "the answer broke off"
             got.update(piece)
             left -= len(piece)
@@ -275,7 +275,7 @@
             await asyncio.gather(*downs)
             assert _peak_kb(process) - before < 24 * 1024, "long bodies were held"
             process.terminate()
-            await asyncio.wait_for(process.communicate(), PATIENCE_S)
+            await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
             assert process.returncode == 0
 
     run(main())
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -34,7 +34,7 @@
 from crowpost.node.upstream.pool import REUSE_DELAY_S
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Received,
     RunningNode,
     StubDiscovery,
@@ -51,7 +51,7 @@
     unresponsive,
 )
 
-LONG_DIAL_MS = 1000.0 * PATIENCE_S
+LONG_DIAL_MS = 1000.0 * WAIT_TIMEOUT_S
 
 
 def limits(**changes: Any) -> dict[str, Any]:
@@ -78,7 +78,7 @@
         return await self._loop.create_connection(*args)
 
     async def begun(self) -> None:
-        await asyncio.wait_for(self.waiting.acquire(), PATIENCE_S)
+        await asyncio.wait_for(self.waiting.acquire(), WAIT_TIMEOUT_S)
 
 
 class Told:
@@ -106,7 +106,7 @@
                         return event
                 await asyncio.sleep(0)
 
-        return await asyncio.wait_for(wait(), PATIENCE_S)
+        return await asyncio.wait_for(wait(), WAIT_TIMEOUT_S)
 
 
 # ---------------------------------------------------------------- dials
@@ -282,7 +282,7 @@
     health_checked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against the next request on that connection getting it, also after a health check."""
-    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", PATIENCE_S)
+    monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", WAIT_TIMEOUT_S)
 
     async def main() -> None:
         async with (
@@ -296,7 +296,7 @@
             client = await running.client()
             if health_checked:
                 assert (await client.ask("look")).status == 200
-                running.age(2 * PATIENCE_S)
+                running.age(2 * WAIT_TIMEOUT_S)
                 running.node._pool.keep_alive.record_early_close(0.0, asyncio.get_running_loop().time())
                 client.writer.write(request("book"))
                 while len(server.received) < 2:
@@ -325,7 +325,7 @@
             recorder = Told(running)
             client = await running.client()
             client.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
             client.writer.write(request("look") * count)
             while len(running.node._requests.pending) < MAX_CONCURRENT:
                 await asyncio.sleep(0)
@@ -599,12 +599,12 @@
         async with StubServer([broken]) as server, running_node(row("a", server.address)) as running:
             client = await running.client()
             client.writer.write(request("look").replace(b"HTTP/1.1", b"HTTP/1.0"))
-            head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
             assert b"content-length" not in head.lower()
             await client.reader.readexactly(2 * MAX_BODY)
             server.release.set()
             with pytest.raises(ConnectionResetError):
-                await asyncio.wait_for(client.reader.read(), PATIENCE_S)
+                await asyncio.wait_for(client.reader.read(), WAIT_TIMEOUT_S)
 
     run(main())
 
@@ -696,6 +696,6 @@
             assert (await client.ask(target="/ready")).status == 503
             assert (await client.ask("look")).status == 200
             assert await client.ended()
-            await asyncio.wait_for(running.serving, PATIENCE_S)
+            await asyncio.wait_for(running.serving, WAIT_TIMEOUT_S)
 
     run(main())
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -13,7 +13,7 @@
 from crowpost.lab.rig.history import check
 from crowpost.lab.rig.plan import Act, Bad, kinds, load, shipped, timetable
 from crowpost.lab.rig.relays import Relays, own_ip
-from tests.node.stubs import PATIENCE_S, run
+from tests.node.stubs import WAIT_TIMEOUT_S, run
 from tests.test_cli import crowpost
 
 HEAD = 'schema = 1\nname = "t"\nabout = "a test"\nprocesses = 4\nduration_s = 5.0\n'
@@ -160,7 +160,7 @@
             ends[sender].sendto(data, (host, int(port)))
 
         async def receive(name: str) -> bytes:
-            return await asyncio.wait_for(loop.sock_recv(ends[name], 2000), PATIENCE_S)
+            return await asyncio.wait_for(loop.sock_recv(ends[name], 2000), WAIT_TIMEOUT_S)
 
         try:
             act = Act(Bad("one_way", 0.0), ("a",), frozenset({("a", "b")}))
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -31,7 +31,7 @@
 from tests.node.skipping_clock import run_with_skipping_clock
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Answer,
     Client,
     Received,
@@ -424,7 +424,7 @@
             answers = await asyncio.gather(*taken, return_exceptions=True)
             served = [got for got in answers if isinstance(got, Answer) and got.status == 200]
             assert len(served) >= len(new.received)
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0, log.read_text()[-2000:]
+            assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0, log.read_text()[-2000:]
             for task in crowd:
                 task.cancel()
             await asyncio.gather(*crowd, return_exceptions=True)
