--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -29,7 +29,7 @@
     send_line,
     settings,
 )
-from tests.node.test_races import HeldDials, Told, limits, twice
+from tests.node.test_races import EventRecorder, HeldDials, limits, respond_twice
 
 NEVER_S = 10 * WAIT_TIMEOUT_S
 PAST_DEADLINE_S = 5.0  # but less than an idle connection is trusted for
@@ -164,7 +164,7 @@
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(twice, reply("200 OK", b"own")) as (server, w):
+        async with pair(respond_twice, reply("200 OK", b"own")) as (server, w):
             client = await ask_first(w, FAST_S)
             w.age(1.0)
             (resting,) = the_peer(w).idle
@@ -188,7 +188,7 @@
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(twice, reply("200 OK", b"own")) as (server, w):
+        async with pair(respond_twice, reply("200 OK", b"own")) as (server, w):
             client = await ask_first(w, FAST_S)
             (resting,) = the_peer(w).idle
             dials = HeldDials(w)
@@ -226,7 +226,7 @@
         async with pair() as (server, w):
             client = await ask_first(w, FAST_S)
             server._server.close()  # takes no new connection; those that stand stay
-            told = Told(w)
+            told = EventRecorder(w)
             assert (await client.ask("book", target="/api/second")).status == 200
             assert targets(server) == ["/api/first", "/api/second"]
             assert [e.outcome for e in told.events if isinstance(e, AttemptEnded)] == [Outcome.OK]
@@ -242,7 +242,7 @@
         async with pair(then_break) as (server, w):
             client = await ask_first(w, FAST_S)
             (resting,) = the_peer(w).idle
-            dials, told = HeldDials(w), Told(w)
+            dials, told = HeldDials(w), EventRecorder(w)
             client.writer.write(request("book"))
             await dials.begun()
             server.release.set()
@@ -266,7 +266,7 @@
     async def main() -> None:
         async with pair(cancel=cancel) as (server, w):
             client = await ask_first(w, FAST_S)
-            dials, told = HeldDials(w), Told(w)
+            dials, told = HeldDials(w), EventRecorder(w)
             client.writer.write(request("book", target="/api/left"))
             await dials.begun()
             client.close()
@@ -285,7 +285,7 @@
     async def main() -> None:
         async with pair() as (server, w):
             client = await ask_first(w, FAST_S)
-            dials, told = HeldDials(w), Told(w)
+            dials, told = HeldDials(w), EventRecorder(w)
             client.writer.write(request("book", target="/api/late"))
             await dials.begun()
             send_line(
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -81,7 +81,7 @@
         await asyncio.wait_for(self.waiting.acquire(), WAIT_TIMEOUT_S)
 
 
-class Told:
+class EventRecorder:
     """Records the events that a node delivers to its decision module, which `decide` may replace."""
 
     def __init__(
@@ -121,7 +121,7 @@
             StubServer([reply("200 OK")]) as server,
             running_node(row("a", server.address), policyLimits=limits()) as running,
         ):
-            dials, recorder = HeldDials(running), Told(running)
+            dials, recorder = HeldDials(running), EventRecorder(running)
             client = await running.client()
             client.writer.write(request("book"))
             await dials.begun()
@@ -150,7 +150,7 @@
             StubServer([reply("200 OK")]) as server,
             running_node(row("a", server.address), policyLimits=limits(cancel=cancel)) as running,
         ):
-            dials, recorder = HeldDials(running), Told(running)
+            dials, recorder = HeldDials(running), EventRecorder(running)
             client = await running.client()
             client.writer.write(request("look", target="/api/left"))
             await dials.begun()
@@ -195,7 +195,7 @@
                 assert (await client.ask("look")).status == 200
             before = len(two.received)
             running.node._pool.close_idle(b"b")
-            dials, recorder = HeldDials(running), Told(running, decide)
+            dials, recorder = HeldDials(running), EventRecorder(running, decide)
             assert (await client.ask("look")).body == b"first"
             await dials.begun()
             dials.release.set()
@@ -222,7 +222,7 @@
                     return [Send(event.request, b"a", before_ms=now + 2000.0)]
                 return []
 
-            dials, recorder = HeldDials(running), Told(running, decide)
+            dials, recorder = HeldDials(running), EventRecorder(running, decide)
             client = await running.client()
             client.writer.write(request("move"))
             await dials.begun()
@@ -249,7 +249,7 @@
             assert (await client.ask("look", target="/api/first")).status == 200
             running.age(10.0)
             running.node._pool.keep_alive.record_early_close(1.0, asyncio.get_running_loop().time())
-            recorder = Told(running)
+            recorder = EventRecorder(running)
             client.writer.write(request("book", target="/api/left"))
             while len(server.received) < 2:
                 await asyncio.sleep(0)
@@ -270,7 +270,7 @@
 # ---------------------------------------------------------------- input after a response
 
 
-async def twice(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
+async def respond_twice(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
     """Respond, and send a second response once the server's `release` is set."""
     await reply("200 OK", b"right")(server, received, writer)
     await server.release.wait()
@@ -287,9 +287,9 @@
     async def main() -> None:
         async with (
             StubServer(
-                [reply("200 OK"), twice, reply("200 OK", b"own")]
+                [reply("200 OK"), respond_twice, reply("200 OK", b"own")]
                 if health_checked
-                else [twice, reply("200 OK", b"own")]
+                else [respond_twice, reply("200 OK", b"own")]
             ) as server,
             running_node(row("a", server.address)) as running,
         ):
@@ -322,7 +322,7 @@
 
     async def main() -> None:
         async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
-            recorder = Told(running)
+            recorder = EventRecorder(running)
             client = await running.client()
             client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
@@ -414,7 +414,7 @@
 def test_time_spent_waiting_for_earlier_requests_counts_towards_the_deadline() -> None:
     async def main() -> None:
         async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
-            recorder = Told(running)
+            recorder = EventRecorder(running)
             client = await running.client()
             client.writer.write(request("look", deadline="0.4") * (MAX_CONCURRENT + 1))
             answers = [(await client.answer()).status for _ in range(MAX_CONCURRENT + 1)]
@@ -436,7 +436,7 @@
             StubServer([reply("200 OK")]) as server,
             running_node(row("a", server.address), policyLimits=limits()) as running,
         ):
-            dials, recorder = HeldDials(running), Told(running)
+            dials, recorder = HeldDials(running), EventRecorder(running)
             client = await running.client()
             upload = request("book", body=b"x" * (8 * MAX_BODY))
             client.writer.write(upload[: 2 * MAX_BODY])
@@ -464,7 +464,7 @@
             StubServer([reply("200 OK")]) as server,
             running_node(known=False, registryMode="pushed") as running,
         ):
-            recorder = Told(running)
+            recorder = EventRecorder(running)
             watch = await running.discovery.watch()
             rows = [row("a", server.address), row("b", server.address, "DRAINING")]
             send_line(watch, json.dumps(listing(7, *rows), indent=indent).encode())
@@ -510,7 +510,7 @@
 
     async def main() -> None:
         async with running_node(known=False, registryMode="pushed") as running:
-            recorder = Told(running)
+            recorder = EventRecorder(running)
             await running.discovery.watch()
             before = running.node._discovery._watch
             assert before is not None
@@ -625,7 +625,7 @@
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, running_node(row("a", server.address)) as running:
-            recorder = Told(running)
+            recorder = EventRecorder(running)
             client = await running.client()
             assert (await client.ask(target="/ready")).status == 200
             (connection,) = running.node._listener._connections
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -48,7 +48,7 @@
     settings,
     unresponsive,
 )
-from tests.node.test_races import HeldDials, Told, limits
+from tests.node.test_races import EventRecorder, HeldDials, limits
 
 TROUBLES = ("refused", "reset", "failed", "broken", "half", "silent", "given up")
 MARGIN_S = 0.5  # for a node that is busy
@@ -188,7 +188,7 @@
                 return [Send(1, b"a")] if isinstance(event, place) else []
 
             w.node._listener._sweeper.cancel()
-            dials, told = HeldDials(w), Told(w, decide)
+            dials, told = HeldDials(w), EventRecorder(w, decide)
             client = await w.client()
             client.writer.write(request("book", body=b"x" * (8 * MAX_BODY))[: 2 * MAX_BODY])
             await told.first(RequestArrived)
@@ -260,7 +260,7 @@
 
     async def main() -> None:
         async with StubServer([held(reply("200 OK"))]) as server, running_node(row("a", server.address)) as w:
-            queue, told = w.node._balancer._queue, Told(w)
+            queue, told = w.node._balancer._queue, EventRecorder(w)
             clients: list[Client] = []
             while not queue:
                 client = await w.client()
