--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -59,7 +59,7 @@
                 assert w.node._discovery._version == 41
                 learned = w.node._balancer.remember(0, 9)
                 assert [m.server for m in learned] == [b"a"] and learned[0].average_ms is not None
-                figures = await w.figures()
+                figures = await w.metrics()
                 assert figures["edge_node_state_writing"] == 1
                 assert figures["edge_node_state_generation"] == 41
 
@@ -103,7 +103,7 @@
             first = running_node(row("a", server.address), state=config(tmp_path))
             old = await first.__aenter__()
             async with running_node(row("a", server.address), state=config(tmp_path)) as new:
-                assert (await new.figures())["edge_node_state_writing"] == 0
+                assert (await new.metrics())["edge_node_state_writing"] == 0
                 assert (await old.manage("POST", "/api/evacuate")).status == 200
                 assert (await new.manage("GET", "/api/ready")).status == 200
                 state = read_node_state(inspect_store(tmp_path / "state"))
@@ -139,7 +139,7 @@
             answer = await w.manage("POST", "/api/evacuate")
             assert answer.status == 200 and b"a restart may forget it: writing has stopped" in answer.body
             assert (await w.manage("GET", "/api/ready")).status == 503
-            assert (await w.figures())["edge_node_state_writing"] == 0
+            assert (await w.metrics())["edge_node_state_writing"] == 0
             assert (await (await w.client()).ask("look")).status == 200
 
     run(main())
@@ -207,7 +207,7 @@
             data[60] ^= 4
             log.write_bytes(data)
             async with running_node(row("a", server.address), state=config(tmp_path)) as w:
-                assert (await w.figures())["edge_node_state_damaged"] == 1
+                assert (await w.metrics())["edge_node_state_damaged"] == 1
                 assert (await (await w.client()).ask("look")).status == 200
                 answer = await w.manage("POST", "/api/evacuate")
                 assert answer.status == 200 and b"is damaged at byte" in answer.body
@@ -254,7 +254,7 @@
         write_malformed_list(tmp_path / "state")
         async with StubServer([reply("200 OK")]) as server:
             async with running_node(row("a", server.address), state=config(tmp_path)) as w:
-                assert (await w.figures())["edge_node_state_damaged"] == 1
+                assert (await w.metrics())["edge_node_state_damaged"] == 1
                 assert (await (await w.client()).ask("look")).status == 200
             with pytest.raises(
                 ConfigError, match="NODE_STATE: .*record 2: a record that no node has written"
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -342,7 +342,7 @@
         assert await client.ended(), "an admin call left its connection open"
         return answer
 
-    async def figures(self) -> dict[str, int]:
+    async def metrics(self) -> dict[str, int]:
         """Return the node's metrics by name and labels."""
         text = (await self.manage("GET", "/api/telemetry")).body.decode()
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in text.splitlines())}
--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -50,7 +50,7 @@
             expected = {_responses(kind, result): 0 for kind in kinds for result in ("ok", "shed", "errors")}
             expected |= {"edge_node_tries": 0, "edge_node_active": 0}
             expected |= {"edge_node_pool_size": 1, "edge_node_pool_ejected": 0}
-            assert await running.figures() == expected
+            assert await running.metrics() == expected
 
     run(main())
 
@@ -71,13 +71,13 @@
             server.got.clear()
             client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
-            figures = await running.figures()
-            assert figures["edge_node_active"] == 1
-            assert figures["edge_node_tries"] == len(server.received) == 6
-            assert figures[_responses("look", "ok")] == 1
-            assert (figures[_responses("book", "ok")], figures[_responses("book", "errors")]) == (1, 2)
+            metrics = await running.metrics()
+            assert metrics["edge_node_active"] == 1
+            assert metrics["edge_node_tries"] == len(server.received) == 6
+            assert metrics[_responses("look", "ok")] == 1
+            assert (metrics[_responses("book", "ok")], metrics[_responses("book", "errors")]) == (1, 2)
             client.close()  # an abandoned request is no longer active
-            while (await running.figures())["edge_node_active"]:
+            while (await running.metrics())["edge_node_active"]:
                 pass
             server.release.set()
 
@@ -111,8 +111,8 @@
         running.node._balancer.handle = send_to_both  # type: ignore[method-assign]
         assert (await (await running.client()).ask("look")).status == 200
         assert len(one.received) == len(two.received) == 1
-        figures = await running.figures()
-        assert (figures["edge_node_tries"], figures[_responses("look", "ok")]) == (2, 1)
+        metrics = await running.metrics()
+        assert (metrics["edge_node_tries"], metrics[_responses("look", "ok")]) == (2, 1)
         one.release.set()
 
     run(main())
@@ -150,8 +150,8 @@
             address = gone.address
         async with running_node(row("a", address)) as running:
             assert (await (await running.client()).ask("book", deadline="0.5")).status == 503
-            figures = await running.figures()
-            assert (figures["edge_node_tries"], figures[_responses("book", "shed")]) == (0, 1)
+            metrics = await running.metrics()
+            assert (metrics["edge_node_tries"], metrics[_responses("book", "shed")]) == (0, 1)
 
     run(main())
 
@@ -161,8 +161,8 @@
         async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as running:
             running.node._listener.budget.limit = 0
             assert (await (await running.client()).ask("book", body=b"x")).status == 503
-            figures = await running.figures()
-            assert (figures[_responses("book", "shed")], figures["edge_node_active"]) == (1, 0)
+            metrics = await running.metrics()
+            assert (metrics[_responses("book", "shed")], metrics["edge_node_active"]) == (1, 0)
 
     run(main())
 
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -238,9 +238,9 @@
             assert version == "1.1" or "transfer-encoding" not in answer.headers
             if version == "1.1":
                 assert (await client.ask("book")).body == LONG, "the connection was not reusable"
-            figures = await running.figures()
-            assert figures['edge_node_responses{kind="book",result="ok"}'] == len(server.received)
-            assert figures["edge_node_active"] == running.node._listener.budget.reserved == 0
+            metrics = await running.metrics()
+            assert metrics['edge_node_responses{kind="book",result="ok"}'] == len(server.received)
+            assert metrics["edge_node_active"] == running.node._listener.budget.reserved == 0
             assert not running.node._balancer._table.streaming and not running.node._balancer._table.waiting
 
     run(main())
@@ -301,8 +301,8 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await client.answer()
             assert len(server.received) == 1, "a request with a partly sent response was retried"
-            figures = await running.figures()
-            assert figures['edge_node_responses{kind="look",result="errors"}'] == 1
+            metrics = await running.metrics()
+            assert metrics['edge_node_responses{kind="look",result="errors"}'] == 1
             assert not running.node._requests.pending and not running.node._requests.calls
 
     run(main())
@@ -443,7 +443,7 @@
                     await client.writer.drain()
                 assert (await client.answer()).body == b"done"
             assert [got.body for got in server.received] == [b"short" if "short" in form else LONG] * 2
-            assert (await running.figures())["edge_node_tries"] == 2
+            assert (await running.metrics())["edge_node_tries"] == 2
             assert running.node._listener.budget.reserved == 0
 
     run(main())
@@ -515,7 +515,7 @@
             client.writer.write(text[:200_000])
             await asyncio.sleep(0.5)
             assert running.node._requests.pending, "abandoned before its body was received"
-            assert (await running.figures())[
+            assert (await running.metrics())[
                 "edge_node_active"
             ] == 0, "counted as active before its last byte"
             client.writer.write(text[200_000:])
@@ -613,7 +613,7 @@
                 await asyncio.sleep(0)
             answer = await (await running.client()).ask("book", body=LONG)
             assert answer.status == 503 and "retry-after" in answer.headers
-            assert (await running.figures())['edge_node_responses{kind="book",result="shed"}'] == 1
+            assert (await running.metrics())['edge_node_responses{kind="book",result="shed"}'] == 1
 
     run(main())
 
