--- a/crowpost/node/discovery/client.py
+++ b/crowpost/node/discovery/client.py
@@ -13,8 +13,8 @@
 
 log = logging.getLogger(__name__)
 
-# Discovery sends an empty line every 2 s on a watch: if two are missing, its machine is partitioned from the
-# node or discovery is down.  A change of the list must be known within 6 s, so the remaining time is left for
+# Discovery sends an empty line every 2 s on a watch: if two are missing, discovery is down or its machine is
+# partitioned from the node.  A change of the list must be known within 6 s, so the remaining time is left for
 # a new watch to deliver it.
 IDLE_TIMEOUT_S = 4.5
 # A new watch receives its first line immediately, or an empty one after 2 s.  After a start beside another
@@ -75,7 +75,7 @@
         self._call = self._loop.create_task(self._open_watch())
 
     def move(self, address: tuple[str, int]) -> None:
-        """Use another address; reopen the watch there, from the last known version on, if one was open."""
+        """Use another address; if the old one was watched, watch there from the last known version on."""
         self.address = address
         if self._pushed or self._watch is not None:
             self.subscribe()
--- a/crowpost/node/downstream/exchange.py
+++ b/crowpost/node/downstream/exchange.py
@@ -116,7 +116,7 @@
             self._set_reading(self._has_buffer and self._connection.accepts_output_of(self))
 
     def check_client(self) -> None:
-        """Close the connection if the client has left; called before each attempt, useless in that case."""
+        """Close the connection if the client has left; called before an attempt, which is useless then."""
         if not self.client_gone and self._connection.client_has_left():
             self._connection.on_client_left()
 
