--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -62,7 +62,7 @@
                     await asyncio.sleep(0.005)
             # Some may come as one, and the last of them must come.
             told = await in_force(processes, 9)
-            assert not world.server.left.is_set(), "a connection to a server was closed"
+            assert not world.server.connection_ended.is_set(), "a connection to a server was closed"
             assert version(await world.publish({"discovery": moved.address}, "service/cart")) == 1
             told += await in_force(processes, 1, "service/cart")
             for _ in processes:
@@ -76,7 +76,7 @@
             await processes[0].event("standing", scope="node/n0", refused=why)
             over.set()
             await asyncio.gather(*calling)
-            assert not new.left.is_set(), "a connection to a server was closed"
+            assert not new.connection_ended.is_set(), "a connection to a server was closed"
             assert max(event["took_us"] for event in told) < 50_000  # what it takes is measured elsewhere
             found = await world.status(lambda f: f["followers"]["n0"]["refused"] == {"node/n0": why})
             assert found["followers"]["n1"]["refused"] == {} and not found["silent"] and not found["whole"]
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -150,16 +150,15 @@
 class StubServer:
     """A server that handles each request with the next behaviour, and repeats the last one.
 
-    got: set when a request has been received; left: set when a connection has ended; opened: the number of
-    connections so far.
+    request_received, connection_ended: set by each such event; opened: the number of connections so far.
     """
 
     behaviours: list[Behaviour]
     address: str = ""
     received: list[Received] = field(default_factory=list)
     release: asyncio.Event = field(default_factory=asyncio.Event)
-    got: asyncio.Event = field(default_factory=asyncio.Event)
-    left: asyncio.Event = field(default_factory=asyncio.Event)
+    request_received: asyncio.Event = field(default_factory=asyncio.Event)
+    connection_ended: asyncio.Event = field(default_factory=asyncio.Event)
     opened: int = 0
 
     async def __aenter__(self) -> StubServer:
@@ -179,10 +178,10 @@
                 body = await read_body(reader, headers)
                 request = Received(method, target, headers, body)
                 self.received.append(request)
-                self.got.set()
+                self.request_received.set()
                 behave = self.behaviours.pop(0) if len(self.behaviours) > 1 else self.behaviours[0]
                 await behave(self, request, writer)
-        self.left.set()
+        self.connection_ended.set()
         writer.close()
 
 
--- a/tests/node/test_admin.py
+++ b/tests/node/test_admin.py
@@ -68,9 +68,9 @@
                 (await client.ask("book")).status,  # the server resets the connection
             ]
             assert statuses == [200, 502, 200, 502]
-            server.got.clear()
+            server.request_received.clear()
             client.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             metrics = await running.metrics()
             assert metrics["edge_node_active"] == 1
             assert metrics["edge_node_tries"] == len(server.received) == 6
@@ -91,7 +91,7 @@
             async def respond_after_the_first(
                 server: StubServer, got: Received, writer: asyncio.StreamWriter
             ) -> None:
-                await one.got.wait()
+                await one.request_received.wait()
                 await reply("200 OK")(server, got, writer)
 
             async with (
@@ -224,7 +224,7 @@
         ):
             busy, kept, idle = [await running.client() for _ in range(3)]
             busy.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             assert (await idle.ask(target="/ready")).status == 200
             assert [await _phase(running, "evacuate"), await _phase(running, "evacuate")] == [200, 200]
             assert (await running.manage("GET", "/api/ready")).status == 503
@@ -265,7 +265,7 @@
         ):
             client = await running.client()
             client.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             await _phase(running, "evacuate")
             running.node.terminate()
             assert await _phase(running, "rejoin") == 409
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -318,7 +318,7 @@
             client.writer.write(request("look"))
             await asyncio.wait_for(client.reader.readexactly(1000), WAIT_TIMEOUT_S)
             client.close()
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
             assert not running.node._requests.pending and not running.node._requests.calls
             assert running.node._listener.budget.reserved == 0
 
@@ -397,12 +397,12 @@
         ):
             for bad in (request("book", body=b"x", extra="Expect: more\r\n"), b"nonsense\r\n\r\n"):
                 server.received.clear()
-                server.got.clear()
+                server.request_received.clear()
                 server.release.clear()
                 server.behaviours[:] = [held(reply("200 OK", b"first")), reply("200 OK")]
                 client = await running.client()
                 client.writer.write(request("look") + bad)
-                await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+                await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
                 client.writer.write(request("look"))
                 while not any(len(c._exchanges) == 2 for c in running.node._listener._connections):
                     await asyncio.sleep(0)
@@ -536,7 +536,7 @@
             client = await running.client()
             client.writer.write(request("book", body=LONG)[:200_000])
             assert (await client.answer()).status == 408
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
             assert (
                 not server.received
                 and not running.node._requests.pending
@@ -556,7 +556,7 @@
             while not server.opened:
                 await asyncio.sleep(0)
             client.close()
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
             assert (
                 not server.received
                 and not running.node._requests.pending
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -118,12 +118,12 @@
             events = _record(w.node._balancer)
             client = await w.client()
             client.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             client.close()
             while not any(isinstance(event, RequestAbandoned) for event in events):
                 await asyncio.sleep(0)
             server.release.set()
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
             assert not w.node._requests.pending and not w.node._requests.calls
 
     run(main())
@@ -240,7 +240,7 @@
             send_line(
                 watch, listing(2, row("a", one.address, "DRAINING"), row("b", two.address), reset=False)
             )
-            await asyncio.wait_for(one.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(one.connection_ended.wait(), WAIT_TIMEOUT_S)
             assert {(await client.ask("look")).body for _ in range(5)} == {b"b"}
             assert len(one.received) == 1
 
@@ -258,7 +258,7 @@
             assert (await client.ask("look")).body == b"old"
             watch = await w.discovery.watch()
             send_line(watch, listing(2, row("a", new.address, started=1000.0)))
-            await asyncio.wait_for(old.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(old.connection_ended.wait(), WAIT_TIMEOUT_S)
             assert (await client.ask("look")).body == b"new"
 
     run(main())
@@ -522,7 +522,7 @@
             w.node._listener.budget.limit = 150
             first = await w.client()
             first.writer.write(request("book", body=b"x" * 100))
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             answer = await (await w.client()).ask("book", body=b"x" * 100)
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
@@ -574,7 +574,7 @@
             idle, busy = await w.client(), await w.client()
             assert (await idle.ask(target="/ready")).status == 200
             busy.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             w.node.terminate()
             answer = await idle.ask(target="/ready")
             assert (
@@ -599,7 +599,7 @@
         async with StubServer([unresponsive]) as server, running_node(row("a", server.address)) as w:
             client = await w.client()
             client.writer.write(request("book", deadline="30"))
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             w.node.terminate()
             w.node._requests.fail_remaining()
             assert (await client.answer()).status == 500
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -325,7 +325,7 @@
             recorder = EventRecorder(running)
             client = await running.client()
             client.writer.write(request("look"))
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             client.writer.write(request("look") * count)
             while len(running.node._requests.pending) < MAX_CONCURRENT:
                 await asyncio.sleep(0)
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -124,7 +124,7 @@
         async with StubServer([unresponsive]) as server, attempts(server.address) as a:
             assert await a.outcome(0.1) == (Outcome.TIMEOUT, b"")
             server.release.set()
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
 
     run(main())
 
@@ -169,11 +169,11 @@
     async def main() -> None:
         async with StubServer([unresponsive]) as server, attempts(server.address) as a:
             call, future = a.begin()
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             call.abort(Outcome.CANCELLED)
             call.abort(Outcome.TIMEOUT)
             server.release.set()
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
             assert (await future)[0] is Outcome.CANCELLED
             assert a.ended == [Outcome.CANCELLED]
 
@@ -198,7 +198,7 @@
         twice = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1" * 2)
         async with StubServer([twice, reply("200 OK", b"2")]) as server, attempts(server.address) as a:
             assert await a.outcome() == (Outcome.OK, b"1")
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
             assert await a.outcome() == (Outcome.OK, b"2")
 
     run(main())
@@ -228,7 +228,7 @@
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, attempts(server.address, idle_s=0.0) as a:
             await a.outcome()
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
 
     run(main())
 
@@ -319,9 +319,9 @@
             await a.outcome()
             a.age(1.0)
             a.servers.keep_alive.record_early_close(0.5, asyncio.get_running_loop().time())
-            server.got.clear()
+            server.request_received.clear()
             _, future = a.begin(repeatable=False)
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             a.servers.update(Naming((), ()).read(listing(2, row("a", server.address, "DRAINING"))))
             assert (await future)[0] is Outcome.CONNECT_FAILED
             assert [r.target for r in server.received] == ["/api/x", "/health"]
@@ -347,10 +347,10 @@
         async with StubServer(behaviours) as server, attempts(server.address) as a:
             await a.outcome()
             a.servers.close_idle(b"a")
-            await asyncio.wait_for(server.left.wait(), WAIT_TIMEOUT_S)
-            server.got.clear()
+            await asyncio.wait_for(server.connection_ended.wait(), WAIT_TIMEOUT_S)
+            server.request_received.clear()
             call, future = a.begin()
-            await asyncio.wait_for(server.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(server.request_received.wait(), WAIT_TIMEOUT_S)
             a.servers.close_idle(b"a")
             assert not future.done()
             call.abort(Outcome.CANCELLED)
@@ -369,7 +369,7 @@
             a.servers.update(Naming((), ()).read(listing(2, row("a", one.address), row("b", two.address))))
             await a.outcome()
             call, future = a.begin(server=b"b")
-            await asyncio.wait_for(two.got.wait(), WAIT_TIMEOUT_S)
+            await asyncio.wait_for(two.request_received.wait(), WAIT_TIMEOUT_S)
             assert await a.outcome() == (Outcome.CONNECT_FAILED, b"")
             assert not future.done()
             call.abort(Outcome.CANCELLED)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -303,7 +303,9 @@
             for _ in range(20):
                 assert (await client.ask("look")).status == 200
             assert len(one.received) == before
-            await asyncio.wait_for(one.left.wait(), 5.0)  # its idle time would be three times as long
+            await asyncio.wait_for(
+                one.connection_ended.wait(), 5.0
+            )  # its idle time would be three times as long
 
     run(main())
 
