--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -25,7 +25,7 @@
 from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Client,
     StubDiscovery,
     StubServer,
@@ -33,7 +33,7 @@
     reply,
     row,
     run,
-    tell,
+    send_line,
 )
 
 
@@ -62,11 +62,11 @@
                     await asyncio.sleep(0.005)
             # Some may come as one, and the last of them must come.
             told = await in_force(processes, 9)
-            assert not world.server.left.is_set(), "a connection to a server was closed"
+            assert not world.server.connection_ended.is_set(), "a connection to a server was closed"
             assert version(await world.publish({"discovery": moved.address}, "service/cart")) == 1
             told += await in_force(processes, 1, "service/cart")
             for _ in processes:
-                tell(await moved.watch(), listing(2, row("b", new.address)))
+                send_line(await moved.watch(), listing(2, row("b", new.address)))
             while any(task.done() for task in calling) or bodies[-1] != b"new":
                 assert not any(task.done() for task in calling)
                 await asyncio.sleep(0.01)
@@ -76,7 +76,7 @@
             await processes[0].event("standing", scope="node/n0", refused=why)
             over.set()
             await asyncio.gather(*calling)
-            assert not new.left.is_set(), "a connection to a server was closed"
+            assert not new.connection_ended.is_set(), "a connection to a server was closed"
             assert max(event["took_us"] for event in told) < 50_000  # what it takes is measured elsewhere
             found = await world.status(lambda f: f["followers"]["n0"]["refused"] == {"node/n0": why})
             assert found["followers"]["n1"]["refused"] == {} and not found["silent"] and not found["whole"]
@@ -199,7 +199,7 @@
 
         async def publish(body: bytes) -> Message:
             return await request_reply(
-                at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S
+                at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, WAIT_TIMEOUT_S
             )
 
         assert version(await publish(b"1")) == 1
@@ -218,8 +218,8 @@
         came: asyncio.Queue[Document] = asyncio.Queue()
         watcher = FeedTransport(config("w", "watch", upstreams=(UpstreamServer(at),)), came.put_nowait)
         watcher.start()
-        assert (await asyncio.wait_for(came.get(), PATIENCE_S)).body == b"1"
-        found = summarize(await collect_statuses([at], CLUSTER, PATIENCE_S))
+        assert (await asyncio.wait_for(came.get(), WAIT_TIMEOUT_S)).body == b"1"
+        found = summarize(await collect_statuses([at], CLUSTER, WAIT_TIMEOUT_S))
         assert found["stopped"] == {"p": 1} and not found["whole"] and found["heads"]["all"]["version"] == 1
         await watcher.close()
         await publisher.close()
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -19,7 +19,7 @@
 from tests.decisions.fleet import Fleet, SimServer, heaviest
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Client,
     Received,
     StubDiscovery,
@@ -28,8 +28,8 @@
     reply,
     row,
     run,
+    send_line,
     settings,
-    tell,
 )
 
 NODES = 30
@@ -233,13 +233,15 @@
             ]
             watches = [await discovery.watch() for _ in addresses]
             for watch in watches:
-                tell(watch, b"")
+                send_line(watch, b"")
             await asyncio.sleep(2.0)
             burst.set()
             cold = machines[-1]
             cold.begin(1000.0 * time.time(), COLD_MS, CLOSE.share)
             for watch in watches:
-                tell(watch, listing(2, row("cold", servers[-1].address, started=cold.started), reset=False))
+                send_line(
+                    watch, listing(2, row("cold", servers[-1].address, started=cold.started), reset=False)
+                )
             await asyncio.sleep(3.0)
             assert not any(task.done() for task in load)
             for task in load:
@@ -247,4 +249,4 @@
             await asyncio.gather(*load, return_exceptions=True)
             assert CLOSE.beyond(cold) < 0.0
 
-    run(asyncio.wait_for(main(), 2 * PATIENCE_S))
+    run(asyncio.wait_for(main(), 2 * WAIT_TIMEOUT_S))
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -21,7 +21,7 @@
 from crowpost.membership.transport import MembershipTransport
 from crowpost.membership.wire import MessageKind
 from tests.membership.files import MINIMAL_FILE
-from tests.node.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
+from tests.node.stubs import HOST, WAIT_TIMEOUT_S, StubServer, reply, row, run, running_node
 
 QUICK = ProtocolSettings(
     probe_interval_ms=40.0, gossip_interval_ms=15.0, sync_interval_ms=500.0, dead_probe_interval_ms=200.0
@@ -55,7 +55,7 @@
 
         while not all_hold_it():
             self.changed.clear()
-            await asyncio.wait_for(self.changed.wait(), PATIENCE_S)
+            await asyncio.wait_for(self.changed.wait(), WAIT_TIMEOUT_S)
 
     def close(self) -> None:
         for transport in self.transports:
@@ -95,7 +95,7 @@
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(junk)
                 writer.write_eof()
-                assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
+                assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b""
                 writer.close()
             with pytest.raises(MembershipError, match="closed|bytes read"):
                 await query(first, MessageKind.LEAVE, "another cluster")
@@ -116,7 +116,7 @@
                 "t", "node", f"{HOST}:0", join=(first,), protocol=QUICK, share_work=True, settle_ms=1.0
             )
             async with StubServer([reply("200 OK")]) as server:
-                async with world(row("s", server.address), members=member) as w:
+                async with running_node(row("s", server.address), members=member) as w:
                     await cluster.until("node", "present")
                     figures = (await w.manage("GET", "/api/telemetry")).body.decode()
                     assert 'edge_node_members{state="present"} 2\n' in figures
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -13,36 +13,36 @@
 from crowpost.node.upstream.endpoint import EndpointConnections
 from crowpost.node.upstream.race import MAX_EXTRA_DIALS
 from tests.node.stubs import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Behaviour,
     Client,
     Received,
+    RunningNode,
     StubServer,
-    World,
     held,
     listing,
     reply,
     request,
     row,
     run,
+    running_node,
+    send_line,
     settings,
-    tell,
-    world,
 )
-from tests.node.test_races import HeldDials, Told, limits, twice
+from tests.node.test_races import EventRecorder, HeldDials, limits, respond_twice
 
-NEVER_S = 10 * PATIENCE_S
+NEVER_S = 10 * WAIT_TIMEOUT_S
 PAST_DEADLINE_S = 5.0  # but less than an idle connection is trusted for
 SLOW_S = 3600.0  # a server whose answers take so long is waited for
 FAST_S = 1e-6
 
 
-def the_peer(w: World) -> EndpointConnections[UpstreamConnection]:
+def the_peer(w: RunningNode) -> EndpointConnections[UpstreamConnection]:
     (peer,) = w.node._pool._endpoints.values()
     return peer
 
 
-async def ask_first(w: World, response_time_s: float) -> Client:
+async def ask_first(w: RunningNode, response_time_s: float) -> Client:
     """One call, whose connection has yet to rest; response_time_s: what the server then passes for."""
     client = await w.client()
     assert (await client.ask("look", target="/api/first")).status == 200
@@ -51,10 +51,10 @@
 
 
 @asynccontextmanager
-async def pair(*behaviours: Behaviour, cancel: bool = True) -> AsyncIterator[tuple[StubServer, World]]:
+async def pair(*behaviours: Behaviour, cancel: bool = True) -> AsyncIterator[tuple[StubServer, RunningNode]]:
     async with (
         StubServer(list(behaviours) or [reply("200 OK")]) as server,
-        world(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
+        running_node(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
     ):
         yield server, w
 
@@ -76,7 +76,7 @@
         while not condition():
             await asyncio.sleep(0)
 
-    await asyncio.wait_for(wait(), PATIENCE_S)
+    await asyncio.wait_for(wait(), WAIT_TIMEOUT_S)
 
 
 def test_a_call_to_a_fast_server_waits_for_no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -164,7 +164,7 @@
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(twice, reply("200 OK", b"own")) as (server, w):
+        async with pair(respond_twice, reply("200 OK", b"own")) as (server, w):
             client = await ask_first(w, FAST_S)
             w.age(1.0)
             (resting,) = the_peer(w).idle
@@ -188,7 +188,7 @@
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(twice, reply("200 OK", b"own")) as (server, w):
+        async with pair(respond_twice, reply("200 OK", b"own")) as (server, w):
             client = await ask_first(w, FAST_S)
             (resting,) = the_peer(w).idle
             dials = HeldDials(w)
@@ -226,7 +226,7 @@
         async with pair() as (server, w):
             client = await ask_first(w, FAST_S)
             server._server.close()  # takes no new connection; those that stand stay
-            told = Told(w)
+            told = EventRecorder(w)
             assert (await client.ask("book", target="/api/second")).status == 200
             assert targets(server) == ["/api/first", "/api/second"]
             assert [e.outcome for e in told.events if isinstance(e, AttemptEnded)] == [Outcome.OK]
@@ -242,7 +242,7 @@
         async with pair(then_break) as (server, w):
             client = await ask_first(w, FAST_S)
             (resting,) = the_peer(w).idle
-            dials, told = HeldDials(w), Told(w)
+            dials, told = HeldDials(w), EventRecorder(w)
             client.writer.write(request("book"))
             await dials.begun()
             server.release.set()
@@ -266,7 +266,7 @@
     async def main() -> None:
         async with pair(cancel=cancel) as (server, w):
             client = await ask_first(w, FAST_S)
-            dials, told = HeldDials(w), Told(w)
+            dials, told = HeldDials(w), EventRecorder(w)
             client.writer.write(request("book", target="/api/left"))
             await dials.begun()
             client.close()
@@ -285,10 +285,12 @@
     async def main() -> None:
         async with pair() as (server, w):
             client = await ask_first(w, FAST_S)
-            dials, told = HeldDials(w), Told(w)
+            dials, told = HeldDials(w), EventRecorder(w)
             client.writer.write(request("book", target="/api/late"))
             await dials.begun()
-            tell(await w.discovery.watch(), listing(2, row("a", server.address, "DRAINING"), reset=False))
+            send_line(
+                await w.discovery.watch(), listing(2, row("a", server.address, "DRAINING"), reset=False)
+            )
             await until(lambda: w.node._discovery._version == 2)
             dials.release.set()
             ended: AttemptEnded = await told.first(AttemptEnded)
@@ -330,5 +332,5 @@
 
 def test_settings_of_these_tests_allow_what_they_rely_on() -> None:
     """A dial is given up later than a failing test."""
-    assert limits()["connectTimeoutMs"] >= 1000.0 * PATIENCE_S
+    assert limits()["connectTimeoutMs"] >= 1000.0 * WAIT_TIMEOUT_S
     assert settings()["policyLimits"]["cancel"] is True
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -31,7 +31,7 @@
 from tests.node.skipping_clock import run_with_skipping_clock
 from tests.node.stubs import (
     HOST,
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Answer,
     Client,
     Received,
@@ -43,12 +43,12 @@
     request,
     row,
     run,
+    running_node,
+    send_line,
     settings,
-    silent,
-    tell,
-    world,
+    unresponsive,
 )
-from tests.node.test_races import HeldDials, Told, limits
+from tests.node.test_races import EventRecorder, HeldDials, limits
 
 TROUBLES = ("refused", "reset", "failed", "broken", "half", "silent", "given up")
 MARGIN_S = 0.5  # for a node that is busy
@@ -73,23 +73,23 @@
             await read_head(reader)
             if self.over:
                 _head(writer)
-                tell(writer, self.news)
+                send_line(writer, self.news)
             elif self.trouble == "reset":
                 writer.transport.abort()
             elif self.trouble == "failed":
                 writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             elif self.trouble == "broken":
                 _head(writer)
-                tell(writer, b"nonsense")
+                send_line(writer, b"nonsense")
             elif self.trouble == "half":
                 _head(writer)
-                tell(writer, b"{")
+                send_line(writer, b"{")
                 while not writer.is_closing():  # it trickles on, and is never whole
                     await asyncio.sleep(1.0)
-                    tell(writer, b'"generation": 2,')
+                    send_line(writer, b'"generation": 2,')
             elif self.trouble == "silent":
                 _head(writer)
-                tell(writer, listing(1, row("a", f"{HOST}:9")))
+                send_line(writer, listing(1, row("a", f"{HOST}:9")))
             else:
                 assert self.trouble == "given up"
 
@@ -106,7 +106,7 @@
     end.bind((HOST, 0))  # refuses until it listens
     server = await asyncio.start_server(outage.serve, sock=end, start_serving=trouble != "refused")
     guarantees = settings()["guarantees"] | {"mustAskInMs": 30_000.0}
-    async with world(row("a", f"{HOST}:9"), registryMode=mode, guarantees=guarantees) as w:
+    async with running_node(row("a", f"{HOST}:9"), registryMode=mode, guarantees=guarantees) as w:
         discovery = w.node._discovery
         discovery._random.seed(seed)
         w.node._balancer._context.rng.seed(seed)
@@ -148,14 +148,14 @@
             _head(writer)
             with contextlib.suppress(ConnectionError):
                 while not writer.is_closing():
-                    tell(writer, b"")
+                    send_line(writer, b"")
                     await asyncio.sleep(2.0)
 
         calls: list[float] = []
         loop = asyncio.get_running_loop()
         server = await asyncio.start_server(nothing, HOST, 0)
         guarantees = settings()["guarantees"] | {"mustAskInMs": 10_000.0}
-        async with world(row("a", f"{HOST}:9"), guarantees=guarantees) as w:
+        async with running_node(row("a", f"{HOST}:9"), guarantees=guarantees) as w:
             w.node._discovery.address = server.sockets[0].getsockname()
             await asyncio.sleep(60.0)
         server.close()
@@ -181,14 +181,14 @@
 
         server = await asyncio.start_server(note, HOST, 0)
         host, port = server.sockets[0].getsockname()
-        async with world(row("a", f"{host}:{port}"), policyLimits=limits()) as w:
+        async with running_node(row("a", f"{host}:{port}"), policyLimits=limits()) as w:
 
             def decide(event: Event, now: float) -> list[Action]:
                 place = RequestArrived if waits_for == "a dial" else NodesPresent
                 return [Send(1, b"a")] if isinstance(event, place) else []
 
             w.node._listener._sweeper.cancel()
-            dials, told = HeldDials(w), Told(w, decide)
+            dials, told = HeldDials(w), EventRecorder(w, decide)
             client = await w.client()
             client.writer.write(request("book", body=b"x" * (8 * MAX_BODY))[: 2 * MAX_BODY])
             await told.first(RequestArrived)
@@ -229,14 +229,16 @@
         async with (
             StubServer([after_50_ms]) as one,
             StubServer([after_50_ms]) as two,
-            world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=cancel)) as w,
+            running_node(
+                row("a", one.address), row("b", two.address), policyLimits=limits(cancel=cancel)
+            ) as w,
         ):
             servers = (one, two)
             client = await w.client()
             for _ in range(40):
                 assert (await client.ask("look")).status == 200
             for server in servers:
-                server.behaviours = [silent]
+                server.behaviours = [unresponsive]
             before = sum(len(server.received) for server in servers)
             assert before == 40
             client.writer.write(request("look"))
@@ -257,8 +259,8 @@
     """Of a first attempt and of a repeat, which the module keeps in one queue."""
 
     async def main() -> None:
-        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
-            queue, told = w.node._balancer._queue, Told(w)
+        async with StubServer([held(reply("200 OK"))]) as server, running_node(row("a", server.address)) as w:
+            queue, told = w.node._balancer._queue, EventRecorder(w)
             clients: list[Client] = []
             while not queue:
                 client = await w.client()
@@ -289,19 +291,21 @@
         async with (
             StubServer([reply("200 OK")]) as one,
             StubServer([reply("200 OK")]) as two,
-            world(row("a", one.address), row("b", two.address), registryMode="pushed") as w,
+            running_node(row("a", one.address), row("b", two.address), registryMode="pushed") as w,
         ):
             client = await w.client()
             while not one.received:
                 assert (await client.ask("look")).status == 200
             before = len(one.received)
-            tell(await w.discovery.watch(), listing(2, row("b", two.address)))
+            send_line(await w.discovery.watch(), listing(2, row("b", two.address)))
             while w.node._discovery._version != 2:
                 await asyncio.sleep(0)
             for _ in range(20):
                 assert (await client.ask("look")).status == 200
             assert len(one.received) == before
-            await asyncio.wait_for(one.left.wait(), 5.0)  # its idle time would be three times as long
+            await asyncio.wait_for(
+                one.connection_ended.wait(), 5.0
+            )  # its idle time would be three times as long
 
     run(main())
 
@@ -315,7 +319,7 @@
         servers = [StubServer([late_reset]), StubServer([late_reset])]
         async with servers[0] as one, servers[1] as two:
             limited = settings()["policyLimits"] | {"mayDuplicate": False, "tryLimit": 2}
-            async with world(row("a", one.address), row("b", two.address), policyLimits=limited) as w:
+            async with running_node(row("a", one.address), row("b", two.address), policyLimits=limited) as w:
                 client = await w.client()
                 await client.ask("look", deadline="3.0")
             told = [float(got.headers["x-deadline"]) for server in servers for got in server.received]
@@ -422,7 +426,7 @@
             answers = await asyncio.gather(*taken, return_exceptions=True)
             served = [got for got in answers if isinstance(got, Answer) and got.status == 200]
             assert len(served) >= len(new.received)
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0, log.read_text()[-2000:]
+            assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0, log.read_text()[-2000:]
             for task in crowd:
                 task.cancel()
             await asyncio.gather(*crowd, return_exceptions=True)
