--- a/crowpost/decision_api/__init__.py
+++ b/crowpost/decision_api/__init__.py
@@ -1,7 +1,8 @@
 """The interface of the decision module: settings, events and actions.
 
-All times are milliseconds on the host's clock, which only has to advance.  An endpoint id is opaque bytes, a
-request id an opaque number; the module hands both back as it got them.
+The host is the process that runs the decision module: a real node, or the simulator's adapter.  All times are
+milliseconds on the host's clock, which must not run backwards but may start anywhere.  Endpoint ids (bytes)
+and request ids (numbers) are opaque; the module returns them unchanged.
 """
 
 from crowpost.decision_api.actions import (
--- a/crowpost/decision_api/actions.py
+++ b/crowpost/decision_api/actions.py
@@ -13,8 +13,9 @@
     """Start the request's next attempt.
 
     Attributes:
-        timeout_ms: 0: wait until the client gives up.
-        before_ms: an attempt that has not been written by then must not be, and ends as NOT_SENT.
+        timeout_ms: Longest wait for the attempt; 0 means until the client gives up.
+        before_ms: Time before which the attempt must be written to the endpoint.  After it the host must not
+            send the attempt, which then ends as NOT_SENT.
     """
 
     request: RequestId
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not served, and a retry by the client is harmless."""
+    """Final answer: the request was not served, and the client may safely retry it."""
 
     request: RequestId
     retry_after_ms: float = 0.0
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: not served, and nothing is promised."""
+    """Final answer: the request was not served, and a retry by the client may do harm."""
 
     request: RequestId
 
@@ -43,7 +44,8 @@
     """Stop waiting for an attempt.
 
     Attributes:
-        answered: another copy has brought the answer, and this one may still end to free its connection.
+        answered: Whether another attempt has answered the request.  If so, this one may be left to finish, so
+            that its connection can be reused.
     """
 
     request: RequestId
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired at or after at_ms."""
+    """Ask for a TimerFired event with this token at or after at_ms."""
 
     token: int
     at_ms: float
@@ -75,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on; answered by an EndpointList."""
+    """Ask discovery for the endpoint list and its further changes; the reply is an EndpointList event."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/crowpost/decision_api/endpoints.py
+++ b/crowpost/decision_api/endpoints.py
@@ -1,4 +1,4 @@
-"""Rows of the endpoint list, and what an earlier process learned of an endpoint."""
+"""Entries of the endpoint list, and what an earlier process of this node learned about an endpoint."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Readiness(Enum):
-    """Whether an endpoint on the list takes requests."""
+    """Whether an endpoint of the list accepts requests."""
 
     GONE = 0
     READY = 1
@@ -17,7 +17,7 @@
 
 
 class ListKind(Enum):
-    """How an endpoint list relates to the one before it; FAILED: discovery gave none."""
+    """How an endpoint list relates to the one before it; FAILED means that discovery returned no list."""
 
     FAILED = 0
     CHANGES = 1
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """A row of the endpoint list.  started_ms 0 means long ago."""
+    """An entry of the endpoint list.  started_ms 0 means that the endpoint started long ago and is warm."""
 
     server: EndpointId
     readiness: Readiness = Readiness.READY
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RememberedEndpoint:
-    """What a process had learned, age_ms ago, of an endpoint that was started at started_ms."""
+    """What an earlier process had learned, age_ms ago, about an endpoint that was started at started_ms."""
 
     server: EndpointId
     started_ms: float
-    share_ratio: float  # its share, as a multiple of the mean share
-    average_ms: float | None = None  # None: not called yet
+    share_ratio: float  # Share as a multiple of the mean share
+    average_ms: float | None = None  # None if the endpoint has not responded yet
     ejected: bool = False
     age_ms: float = 0.0
--- a/crowpost/decision_api/errors.py
+++ b/crowpost/decision_api/errors.py
@@ -8,18 +8,18 @@
 
 
 class UnexpectedEventError(DecisionApiError, ValueError):
-    """An event that cannot be true: it names a request, attempt or class that never existed."""
+    """An impossible event: it names a request, attempt or class that does not exist."""
 
 
 class InvalidSettingsError(DecisionApiError, ValueError):
-    """Settings that cannot be meant; the text names the field."""
+    """A setting that is out of range; the message names the field."""
 
 
 class SettingsError(DecisionApiError):
-    """A setting that is missing or cannot be read.
+    """A setting that is missing or cannot be parsed.
 
     Attributes:
-        key: its path.
+        key: Path of the setting.
     """
 
     def __init__(self, key: str, problem: str) -> None:
--- a/crowpost/decision_api/events.py
+++ b/crowpost/decision_api/events.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A whole endpoint list, or changes of it; an endpoint that a whole list lacks is gone."""
+    """A full endpoint list, or changes to it; an endpoint that a full list does not contain is gone."""
 
     kind: ListKind
     entries: tuple[EndpointEntry, ...] = ()
@@ -20,12 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request, which is owed one final answer within budget_ms.
+    """A client's request, which must get exactly one final answer within budget_ms.
 
     Attributes:
-        cost_hint_ms: its work, by what the client foretells; None where it does not.
-        is_repeat: the client has sent it before, with the same key.
-        body_streamed: its body is too long to be held; the budget runs from its last byte, see BodySent.
+        cost_hint_ms: The client's estimate of the request's work; None if it gives none.
+        is_repeat: Whether the client has sent it before, with the same idempotency key.
+        body_streamed: Whether its body is too long to be buffered; the budget then runs from the body's last
+            byte, see BodySent.
     """
 
     request: RequestId
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodySent:
-    """The last byte of a streamed body has reached the attempt's endpoint, which works from now on."""
+    """The last byte of a streamed body has reached the attempt's endpoint, which starts work on it now."""
 
     request: RequestId
     attempt: int
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The response to an attempt has begun, and is passed on to the client."""
+    """The response to an attempt has begun and is being passed on to the client."""
 
     request: RequestId
     attempt: int
@@ -59,12 +60,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt.
+    """The outcome of an attempt; each attempt has exactly one.
 
     Attributes:
-        finished: the request needs no further answer.
-        load: the endpoint's load report, by the settings' columns.
-        body_consumed: a streamed body went with it and cannot be sent again.
+        finished: Whether the request needs no further answer.
+        load: The endpoint's load report, in the order of `load_report_columns` of the settings.
+        body_consumed: Whether the attempt used up a streamed body, which cannot be sent again.
     """
 
     request: RequestId
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """The client has left, or its time is over; no answer is owed."""
+    """The client has disconnected or its deadline has passed; the request needs no answer."""
 
     request: RequestId
 
@@ -96,14 +97,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that SetTimer asked for is due."""
+    """A timer that was set by SetTimer is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another node of the tier; the module makes no use of these."""
+    """A message from another node of the tier; the decision module ignores these."""
 
     sender: int
     body: bytes
@@ -111,10 +112,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NodesPresent:
-    """The number of present nodes of the tier, and this one's place among them, from 0 on.
+    """The number of nodes of the tier that are present, and this node's index among them, counted from 0.
 
-    They replace `node_count` and `node_index` of the settings.  Raise UnexpectedEventError where the place is
-    not below the number.
+    Both replace `node_count` and `node_index` of the settings.  Raise UnexpectedEventError if the index is
+    not below the count.
     """
 
     node_count: int
@@ -122,15 +123,18 @@
 
     def __post_init__(self) -> None:
         if not 0 <= self.node_index < self.node_count:
-            raise UnexpectedEventError(f"place {self.node_index} among {self.node_count} nodes")
+            raise UnexpectedEventError(
+                f"node_index {self.node_index} is out of range for {self.node_count} nodes"
+            )
 
 
 @dataclass(frozen=True, slots=True)
 class StateRestored:
-    """What an earlier process of this node learned; to be fed once, after the first list.
+    """What an earlier process of this node learned; the host sends it once, after the first endpoint list.
 
     Attributes:
-        limit_each: its concurrency limit for each unit of capacity of its own part; 0: not known.
+        limit_each: The earlier process's concurrency limit for each unit of capacity in this node's part of
+            the endpoints; 0 if unknown.
     """
 
     endpoints: tuple[RememberedEndpoint, ...]
--- a/crowpost/decision_api/outcomes.py
+++ b/crowpost/decision_api/outcomes.py
@@ -19,8 +19,8 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "moot"
-    REJECTED = "rejected"  # the endpoint calls the request itself wrong; any other would, too
+    REJECTED = "rejected"  # The request itself is invalid, so any other endpoint would reject it, too
 
 
-# These outcomes prove that the attempt never ran.
+# Outcomes that prove that the endpoint never executed the attempt.
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
--- a/crowpost/decision_api/settings.py
+++ b/crowpost/decision_api/settings.py
@@ -7,11 +7,11 @@
 
 from crowpost.decision_api.errors import InvalidSettingsError
 
-MIN_DURATION_MS = 1e-6  # of what must take some time
+MIN_DURATION_MS = 1e-6  # Least value of durations that must not be 0
 
 
 def _check(values: object, names: tuple[str, ...], least: float) -> None:
-    """Raise InvalidSettingsError where a field is below the least value, infinite or not a number."""
+    """Raise InvalidSettingsError if a field is below the least value, infinite or not a number."""
     for name in names:
         value = getattr(values, name)
         if not least <= value < float("inf"):
@@ -19,7 +19,10 @@
 
 
 class Effect(Enum):
-    """What a second execution of a request would do: nothing, nothing within a scope and window, or harm."""
+    """What a second execution of a request would do.
+
+    SAFE: no harm.  KEYED: no harm within the scope and window of its idempotency key.  UNSAFE: harm.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -27,7 +30,7 @@
 
 
 class IdempotencyScope(Enum):
-    """The endpoints that together execute a request with an idempotency key once."""
+    """The endpoints among which repeats of a request with the same idempotency key are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,17 +39,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests and what an answer to it is worth.
+    """A class of requests and the value of an answer to one.
 
     Attributes:
-        latency_objective_ms: an answer later than this is worth `late_value_fraction` of one in time.
-        deadline_ms: time after which no answer is of use.
-        priority_weight: worth against other classes, for the order of the queue.
-        effect: what a second execution would do.
-        idempotency_scope: where repeats of a keyed request are dropped.
-        idempotency_window_ms: how long they are, from the first attempt on.
-        stream: its response is a stream, whose end is not waited for.
-        objective_stretch: extra time on the objective, as a multiple of the request's work.
+        latency_objective_ms: Latency up to which an answer has its full value; a later one is worth
+            `late_value_fraction` of that.
+        deadline_ms: Time after which an answer has no value.
+        priority_weight: Value relative to other classes, for the order of the queue.
+        effect: What a second execution would do.
+        idempotency_scope: The endpoints among which repeats of a keyed request are dropped.
+        idempotency_window_ms: How long repeats are dropped, counted from the first attempt.
+        stream: Whether the response is a stream, whose end is not waited for.
+        objective_stretch: Extra time on the latency objective, as a multiple of the request's work.
     """
 
     name: str
@@ -71,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One of those who share the service; its quota is of all nodes of the first tier together."""
+    """A tenant of the service; its quota covers all nodes of the first tier together."""
 
     name: str
     fraction: float
@@ -80,28 +84,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told at its start.
+    """The settings that an instance of the decision module starts with.
 
     Attributes:
-        node_count: nodes of this tier that share the endpoints.
-        node_index: this node's place among them, from 0 on.
-        tier: 0 for nodes that clients reach; tiers: how many there are.
-        max_attempts: of one request, with retries and hedged requests.
-        retry_after: whether a rejection names a time, up to `max_retry_after_ms`.
-        priority_by_work: a request's worth grows with its work.
-        over_quota_weight: factor of the weight of requests over their tenant's quota.
-        poll_for_list: the endpoint list has to be polled, within `list_poll_ms`.
-        capacity_hints: whether entries of the list tell of capacity.
-        passes_deadline: an endpoint that calls the next tier passes on the time left.
-        answer_slack_ms: time after the client's deadline in which a final answer still counts.
-        drain_grace_ms: time in which sends to a draining or gone endpoint must end.
-        slow_start_fraction: capacity of an endpoint at its start; full after `warm_up_ms`.
-        overload_factor: times its present capacity, sent for `overload_window_ms`, that a warming endpoint
-            does not survive.
-        connect_timeout_ms: time that a dial takes at the most.
-        tick_ms: resolution of the host's clock.
-        cross_zone_price: price of a request to another zone; 0 where it has none.
-        load_report_columns: names of the numbers in a load report.
+        node_count: Number of nodes of this tier, which share the endpoints.
+        node_index: This node's index among them, counted from 0.
+        tier: Index of this node's tier; 0 for the nodes that clients reach.
+        tiers: Number of tiers.
+        max_attempts: Most attempts for one request, retries and hedged requests included.
+        retry_after: Whether a rejection names a time to retry after, up to `max_retry_after_ms`.
+        priority_by_work: Whether the value of a request grows with its work.
+        over_quota_weight: Factor on the priority weight of requests that exceed their tenant's quota.
+        poll_for_list: Whether the endpoint list has to be polled, within `list_poll_ms`.
+        capacity_hints: Whether entries of the endpoint list carry capacities.
+        passes_deadline: Whether an endpoint that calls the next tier passes on the time left.
+        answer_slack_ms: Time after the client's deadline in which a final answer still counts.
+        drain_grace_ms: Time within which sends to a draining or gone endpoint must end.
+        slow_start_fraction: Part of its capacity that an endpoint has when it starts; all of it after
+            `warm_up_ms`.
+        overload_factor: Multiple of its present capacity that overloads a warming endpoint when sent for
+            `overload_window_ms`.
+        connect_timeout_ms: Longest time that connecting takes.
+        tick_ms: Resolution of the host's clock.
+        cross_zone_price: Price of a request to another zone; 0 if it has none.
+        load_report_columns: Names of the numbers in a load report.
     """
 
     classes: tuple[RequestClass, ...]
@@ -137,7 +143,7 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise InvalidSettingsError("classes is empty")
+            raise InvalidSettingsError("classes must not be empty")
         _check(self, ("node_count", "tiers", "max_attempts"), 1)
         _check(self, ("tier", "warm_up_ms", "slow_start_fraction", "overload_window_ms", "tick_ms"), 0.0)
         _check(self, ("max_retry_after_ms", "over_quota_weight", "cross_zone_price", "answer_slack_ms"), 0.0)
--- a/crowpost/decision_api/settings_reader.py
+++ b/crowpost/decision_api/settings_reader.py
@@ -1,6 +1,6 @@
 """Read the settings of an instance from pairs of path and value.
 
-The simulator's wire and a real node's configuration hold the same object, so both are read here.
+The simulator's protocol and a real node's configuration hold the same object, so one reader serves both.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 
 
 class _SettingsTable:
-    """Typed, checked look-ups in pairs of path and value."""
+    """Typed and checked look-ups in pairs of path and value."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return the text of a key; raise SettingsError where it is missing without a default."""
+        """Return the text of a key; raise SettingsError if it is missing and has no default."""
         value = self.values.get(key, default)
         if value is None:
             raise SettingsError(key, "is missing")
         return value
 
     def number(self, key: str, default: float | None = None, low: float = 0.0) -> float:
-        """Return a finite number of at least `low`."""
+        """Return a finite number of at least `low`; raise SettingsError otherwise."""
         raw = self.values.get(key, "")
         if raw == "":
             if default is None:
@@ -47,14 +47,14 @@
         return value
 
     def integer(self, key: str, default: int | None = None, low: int = 0) -> int:
-        """Return a whole number of at least `low`."""
+        """Return a whole number of at least `low`; raise SettingsError otherwise."""
         value = self.number(key, default, low)
         if value != int(value):
             raise SettingsError(key, f"is not a whole number: {value}")
         return int(value)
 
     def flag(self, key: str, default: bool) -> bool:
-        """Return whether a key is true."""
+        """Return whether a key is true; raise SettingsError if it is neither true nor false."""
         raw = self.values.get(key, "")
         if raw == "":
             return default
@@ -63,7 +63,7 @@
         return raw == "true"
 
     def names(self, key: str) -> tuple[str, ...]:
-        """Return the names of a key that holds them with commas between."""
+        """Return the names in a comma-separated value."""
         raw = self.values.get(key, "")
         return tuple(raw.split(",")) if raw else ()
 
@@ -81,7 +81,7 @@
     try:
         return IdempotencyScope(raw)
     except ValueError as error:
-        raise SettingsError(key, f"is an unknown group: {raw!r}") from error
+        raise SettingsError(key, f"is an unknown idempotency scope: {raw!r}") from error
 
 
 def _request_class(table: _SettingsTable, path: str) -> RequestClass:
@@ -110,7 +110,7 @@
 
 
 def read_settings(values: Mapping[str, str]) -> Settings:
-    """Return the settings of pairs of path and value; raise SettingsError, with the key, where one is wrong.
+    """Return the settings in pairs of path and value; raise SettingsError, with the key, if one is wrong.
 
     Unknown keys are ignored.
     """
--- a/crowpost/decisions/attempt_handling.py
+++ b/crowpost/decisions/attempt_handling.py
@@ -1,4 +1,4 @@
-"""The progress and outcomes of attempts, and what follows for their requests."""
+"""Handling of the progress and outcomes of attempts, and what follows for their requests."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from crowpost.decisions.request_table import RequestTable
 from crowpost.decisions.retry_budget import RetryBudget
 
-MIN_TICKS_LEFT = 2  # for a retry
+MIN_TICKS_LEFT = 2  # Clock ticks that must be left before the deadline for a retry
 
 
 class AttemptHandler:
-    """Handles the events of attempts, and the departure of clients."""
+    """Handles events of attempts and of clients that have disconnected."""
 
     def __init__(
         self,
@@ -48,28 +48,28 @@
         self._budget = budget
 
     def on_abandoned(self, event: RequestAbandoned) -> None:
-        """Drop a request whose client has left."""
+        """Drop a request whose client has disconnected."""
         request = self._table.requests.pop(event.request, None)
-        if request is not None:  # else it finished a moment ago
+        if request is not None:  # None if the request has finished already
             self._queue.remove(request)
             self._dispatcher.cancel_attempts(request, None)
 
     # ------------------------------------------------------------ progress
 
     def on_body_sent(self, event: BodySent) -> None:
-        """Count an attempt as waiting from the last byte of its body on."""
+        """Count an attempt as waiting at its endpoint once the last byte of its body was sent."""
         key = (event.request, event.attempt)
         if key not in self._table.streaming:
-            raise UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was sending no body")
+            raise UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was not sending a body")
         self._table.start_waiting(key, self._table.streaming.pop(key), self._context.now)
 
     def on_response_started(self, event: ResponseStarted) -> None:
-        """Bind a request to the attempt whose response has begun, and cancel the others."""
+        """Commit a request to the attempt whose response has begun, and cancel its other attempts."""
         table = self._table
         key = (event.request, event.attempt)
         attempt = table.waiting.get(key)
         if key in table.streaming:
-            return  # the endpoint responds before it has the whole body
+            return  # The endpoint has responded before it got the whole body
         if attempt is None:
             raise _not_in_flight(key)
         attempt.endpoint.last_response_at = self._context.now
@@ -77,7 +77,7 @@
         if request is None:
             return
         if not request.request_class.stream:
-            # A long response: the work is done, and how long the bytes take is the client's affair.
+            # The endpoint's work is done; how long the transfer takes depends on the client, too.
             table.streaming[key] = table.waiting.pop(key)
             table.stop_waiting(key, attempt.endpoint)
             self._scorer.score_response(event.elapsed_ms, attempt, request, len(table.waiting))
@@ -88,7 +88,7 @@
     # ------------------------------------------------------------ outcomes
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Score an outcome; finish the request, retry it, or leave it to its other attempts."""
+        """Score an outcome, then finish the request, retry it, or leave it to its other attempts."""
         table = self._table
         key = (event.request, event.attempt)
         streaming = table.streaming.pop(key, None)
@@ -118,7 +118,7 @@
 
     def _retry_or_finish(self, request: Request, outcome: Outcome) -> None:
         time_left = request.deadline - self._context.now
-        # An attempt that no endpoint saw costs nothing to repeat.
+        # A retry after an attempt that no endpoint has seen takes no token of the retry budget.
         costs_token = request.first_risky_attempt() is not None or outcome is Outcome.FULL
         if not self._may_retry(request, outcome, time_left, costs_token):
             self._dispatcher.finish_unserved(request)
--- a/crowpost/decisions/balancer.py
+++ b/crowpost/decisions/balancer.py
@@ -1,4 +1,4 @@
-"""One node's decisions: events in, actions out.  It joins the parts and hands each event to its own."""
+"""The decisions of one node: creates the parts and dispatches each event to the part that handles it."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 
 
 class Balancer:
-    """The decisions of one node.  Feed it events in order; carry out the actions it returns."""
+    """The decisions of one node.  The host passes events in order and carries out the returned actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self._context = context = Context(settings, random.Random(seed))
-        self._wake_at = math.inf  # of the one host timer for the earliest timer in here
+        self._wake_at = math.inf  # Time of the one host timer, which stands for the earliest internal timer
         self._endpoints = endpoints = EndpointSet(context)
         self._outliers = outliers = OutlierDetector(context, endpoints)
         self._limiter = limiter = ConcurrencyLimiter(context, endpoints, outliers.expected)
@@ -69,7 +69,7 @@
         attempts = AttemptHandler(
             context, self._table, self._queue, endpoints, self._dispatcher, self._selector, scorer, budget
         )
-        # The module makes no use of messages from peers.
+        # Events without a handler are ignored: the module does not use messages from peers.
         self._handlers: dict[type, Callable[[Any], None]] = {
             AttemptEnded: attempts.on_attempt_ended,
             RequestArrived: arrivals.on_arrived,
@@ -83,10 +83,10 @@
             StateRestored: self._on_state_restored,
         }
 
-    # ------------------------------------------------------------ for the host
+    # ------------------------------------------------------------ interface for the host
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Return the actions that follow from an event at a time in ms, or raise UnexpectedEventError."""
+        """Return the actions that follow from an event at time `now` in ms, or raise UnexpectedEventError."""
         context = self._context
         context.now = now
         context.actions = []
@@ -109,7 +109,7 @@
 
     @property
     def pool_ejected(self) -> int:
-        """The number of listed endpoints that are avoided at the last event: those held to be unhealthy."""
+        """The number of listed endpoints that were avoided as unhealthy at the last event."""
         return self._outliers.count_unhealthy()
 
     @property
@@ -119,11 +119,11 @@
 
     @property
     def limit_each(self) -> float:
-        """The same for each unit of capacity that is this node's part."""
+        """The concurrency limit for each unit of capacity in this node's part of the endpoints."""
         return self._limiter.limit_each
 
     def remember(self, first: int, most: int) -> list[RememberedEndpoint]:
-        """Return what has been learned of so many listed endpoints, from one place in the list on."""
+        """Return what was learned about at most `most` listed endpoints, from index `first` on."""
         return learned_state.remember(self._endpoints, first, most)
 
     # ------------------------------------------------------------ events
--- a/crowpost/decisions/concurrency_limiter.py
+++ b/crowpost/decisions/concurrency_limiter.py
@@ -10,97 +10,107 @@
 from crowpost.decisions.estimators import ExpectedLatency
 from crowpost.decisions.load_estimation import BASELINE_FACTOR, LoadEstimator
 
+# A decrease divides the limit by the load ratio, within these two factors.
 MAX_DECREASE_FACTOR = 0.9
-MIN_DECREASE_FACTOR = 0.5  # a cut is as deep as the load ratio, down to this
+MIN_DECREASE_FACTOR = 0.5
 INCREASE_FACTOR = 1.05
-INITIAL_INCREASE_FACTOR = 1.2  # until the first overload
+INITIAL_INCREASE_FACTOR = 1.2  # Increase factor until the first overload
 INCREASE_STEP = 1.0
-MAX_LITTLE_FACTOR = 1.65  # times what the best rate needs at the baseline latency: no growth beyond
-DECREASE_MARGIN_FACTOR = 1.2  # over what the best recent rate needs at the baseline latency
-MIN_USED_FRACTION = 0.8  # of the limit: where less is in flight, nothing tells that more would do
-INITIAL_LIMIT = 6.0  # for each endpoint before anything is known, so that a restart opens no flood
-MAX_RESTORED_FACTOR = 2.0  # times the initial limit, or less by as much: a remembered limit goes no further
+# By Little's law the number in flight without a queue is the best recent rate times the baseline latency.
+# The limit grows to at most MAX_LITTLE_FACTOR times that; a decrease leaves at least DECREASE_MARGIN_FACTOR
+# times that.
+MAX_LITTLE_FACTOR = 1.65
+DECREASE_MARGIN_FACTOR = 1.2
+# With a smaller part of the limit in flight, latencies do not show whether a higher limit would do.
+MIN_USED_FRACTION = 0.8
+# The limit for each endpoint before any response, so that a restart does not flood the endpoints.
+INITIAL_LIMIT = 6.0
+# A restored limit is at most this many times the initial limit, and at least the initial limit divided by it.
+MAX_RESTORED_FACTOR = 2.0
 
 
 class ConcurrencyLimiter:
-    """The limit: overload cuts it, the lack of load lifts it, and it follows the capacity of the list."""
+    """Decreases the limit on overload, increases it without, and scales it with the capacity of the list."""
 
     def __init__(self, context: Context, endpoints: EndpointSet, expected: ExpectedLatency) -> None:
         self._context = context
         self._endpoints = endpoints
         self._expected = expected
         self.load = LoadEstimator(context, endpoints.send_rate)
-        self.sharers = 1  # nodes that share the limit
-        self.limit = 0.0  # set by the first list
-        self._capacity = 0.0  # of the listed endpoints, in warm ones
+        self.sharers = 1  # Number of nodes that share the limit
+        self.limit = 0.0  # Set by the first endpoint list
+        self._capacity = 0.0  # Capacity of the listed endpoints, in units of one warm endpoint
         self._has_been_overloaded = False
         self._adjusted_at = 0.0
         self._is_shedding = False
         self.set_nodes()
 
     def set_nodes(self) -> None:
-        """Split what the first tier admits over its nodes; further in each node stands for itself."""
+        """Split the limit over the nodes of the first tier; in inner tiers each node has it whole."""
         before = self.sharers
         self.sharers = 1 if self._context.settings.tier else self._endpoints.node_count
         self.limit *= before / self.sharers
         self.load.peak_rate *= before / self.sharers
 
     def admits(self, in_flight: int, fraction: float) -> bool:
-        """Return whether the limit leaves room for one more beside those in flight.
+        """Return whether the limit admits one more attempt beside those in flight.
 
-        Where many nodes share few requests the limit is a few or less than one: whole numbers would admit
-        far too many or too few over all nodes, so each request carries the drawn `fraction` that settles it.
+        If many nodes share few requests, the limit of each is a few or less than one.  Rounding it would
+        admit far too many or too few over all nodes, so each request carries a random `fraction` in [0, 1),
+        which admits it with the probability of the limit's fractional part.
         """
         return in_flight + fraction < self.limit or self._is_unused(fraction)
 
     def _is_unused(self, fraction: float) -> bool:
-        """Return whether endpoints hold less than all nodes together may send, by fresh load reports.
+        """Return whether fresh load reports show that endpoints hold less than all nodes together may send.
 
-        Only until the baseline is known: up to then the limit is this node's part of a guess for all, and the
-        part of a peer that drains or restarts goes unused, while all its requests come here.
+        This applies only until the baseline is known.  Until then the limit is this node's part of an
+        estimate for all nodes.  The part of a peer that drains or restarts goes unused, while its requests
+        come here.
         """
         if self.sharers == 1 or self.load.load_ratio > 1.0 or self.load.is_baseline_known():
             return False
         return 0.0 < self._endpoints.reports.held < INITIAL_LIMIT * self._capacity - fraction
 
     def follow_capacity(self) -> None:
-        """Keep the limit in proportion to what the endpoints bear while they come, go and warm up.
+        """Keep the limit in proportion to the capacity of the endpoints as they come, go and warm up.
 
-        Latencies tell of a set that has lost half of its capacity only once the rest is overloaded: what was
-        admitted for all is then with those that stayed.
+        When the set loses half of its capacity, latencies show it only once the remaining endpoints are
+        overloaded, as they then hold all that was admitted for the whole set.
         """
         capacity = self._endpoints.capacity
         if not capacity:
-            return  # whatever is listed next, the limit stands for what was listed last
+            return  # The limit stays in proportion to the last capacity until endpoints are listed again
         before = self._capacity
         self._capacity = capacity
         if before:
             self.limit = self.limit * capacity / before
         else:
-            # All nodes of the first tier start alike: each takes its part of what the set may hold.  Further
-            # in a node limits itself by the whole set: what it sends was admitted at the first tier, and a
-            # request held back there costs all the work done for it so far.
+            # All nodes of the first tier start alike, and each takes its part of what the set may hold.  A
+            # node of an inner tier uses the limit of the whole set: its requests were admitted at the first
+            # tier, and rejecting one there would waste all the work done for it so far.
             self.limit = INITIAL_LIMIT * max(1.0, capacity / self.sharers)
 
     @property
     def limit_each(self) -> float:
-        """The limit for each unit of capacity that is this node's part."""
+        """The limit for each unit of capacity in this node's part of the endpoints."""
         return self.limit / max(1.0, self._capacity / self.sharers) if self._capacity else 0.0
 
     def restore(self, limit_each: float, trust: float) -> None:
-        """Start from an earlier process's limit, so far as it is trusted and near the initial one."""
+        """Start from an earlier process's limit, weighted by `trust` and kept near the initial limit."""
         if limit_each > 0.0 and self._capacity:
             least = INITIAL_LIMIT / MAX_RESTORED_FACTOR
             bounded = min(max(limit_each, least), INITIAL_LIMIT * MAX_RESTORED_FACTOR)
             self.limit *= 1.0 + trust * (bounded / INITIAL_LIMIT - 1.0)
 
     def update(self, latency_ratio: float, in_flight: int) -> None:
-        """Take in an attempt's latency, in latency objectives, and adjust the limit where that is due."""
+        """Record an attempt's latency, in latency objectives, and adjust the limit if that is due."""
         load = self.load
         load.update(latency_ratio, in_flight)
         now = self._context.now
-        # Not by the mean latency alone: in an overload that grows to the clients' deadline, and cuts that
-        # waited for it came every five seconds, while four hundred nodes went on feeding dead requests.
+        # The mean latency alone would not do: in an overload it grows to the clients' deadline, so that the
+        # limit was decreased only every five seconds, while four hundred nodes went on sending requests that
+        # were already lost.
         pause = min(
             self._expected.mean, BASELINE_FACTOR * load.baseline_latency, self._context.latency_objective_ms
         )
@@ -108,9 +118,9 @@
             return
         self._adjusted_at = now
         settings = self._context.settings
-        # An endpoint holds its slot while it waits for the tiers behind it: with a request for each of those
-        # its core is just kept busy.  At one request a first tier that had taken a lucky start for its
-        # baseline shed 40% all day.
+        # An endpoint holds its slot while it waits for the tiers behind it, and needs a request for each of
+        # those tiers to keep its core busy.  With a least limit of one request for each endpoint, a first
+        # tier whose baseline latency came from a lucky start rejected 40% of the requests all day.
         least = (settings.tiers - settings.tier) * len(self._endpoints.listed) / self.sharers
         if load.load_ratio > 1.0:
             self._decrease(least)
@@ -122,12 +132,14 @@
     def _decrease(self, least: float) -> None:
         load = self.load
         self._has_been_overloaded = True
-        # Cut at most to what was in flight when as much was answered without a queue, times a margin:
-        # repeated blind cuts shed at random, and what they let back in overloads the endpoints again.
+        # Decrease at most to what is in flight at the best recent rate without a queue, times a margin.
+        # Repeated decreases without such a bound rejected requests at random, and those admitted again
+        # afterwards overloaded the endpoints anew.
         enough = DECREASE_MARGIN_FACTOR * load.peak_rate * load.peak_fade()
         enough *= min(load.baseline_latency, load.mean_latency)
         factor = min(MAX_DECREASE_FACTOR, max(MIN_DECREASE_FACTOR, 1.0 / load.load_ratio))
-        # The mean in flight, and a deviation more: at one moment few may be far fewer.
+        # The mean in flight plus its standard deviation: if few are in flight on average, there may be far
+        # fewer at any one moment.
         reach = max(1.0, load.mean_in_flight + math.sqrt(load.mean_in_flight))
         self.limit = max(least, enough, min(self.limit, reach) * factor)
 
@@ -135,8 +147,8 @@
         load = self.load
         factor = INCREASE_FACTOR if self._has_been_overloaded else INITIAL_INCREASE_FACTOR
         increased = self.limit * factor + INCREASE_STEP
-        # By Little's law more in flight than this, at the best rate seen, mean a queue: latencies tell so
-        # only after they have been suffered, and by then the limit had doubled once too often.
+        # By Little's law more in flight than this, at the best rate so far, means a queue.  Latencies show it
+        # only afterwards, and by then the limit had doubled once too often.
         enough = max(MAX_LITTLE_FACTOR * load.baseline_latency * load.peak_rate, INITIAL_LIMIT * least)
         enough += math.sqrt(enough)
         self.limit = max(self.limit, min(increased, enough))
@@ -144,7 +156,7 @@
     def _log_change(self) -> None:
         load = self.load
         self._is_shedding = not self._is_shedding
-        # The words of this line are part of recorded runs.
+        # Recorded runs contain this line, so its wording must stay.
         text = (
             f"admission limit {'on' if self._is_shedding else 'off'}: {self.limit:.1f} calls"
             f", strain {load.load_ratio:.2f}, mean latency {load.mean_latency:.0f} ms"
--- a/crowpost/decisions/dispatch.py
+++ b/crowpost/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""The one path that sends attempts, and the one that answers what is not served."""
+"""The only place that sends attempts, and the only one that answers requests that are not served."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from crowpost.decisions.request_table import RequestTable
 from crowpost.decisions.timers import TimerKind
 
-MAX_UNPLACED = 3  # requests without a place after which a pass over the queue ends
-RETRY_AFTER_FRACTION = 0.2  # of the latency objective, in a rejection
+MAX_UNPLACED = 3  # A pass over the queue ends after this many requests for which no endpoint is eligible
+RETRY_AFTER_FRACTION = 0.2  # Retry-after time of a rejection, as a part of the latency objective
 
 
 class Dispatcher:
-    """Places queued requests, sends their attempts, and gives final answers to those not served."""
+    """Places queued requests at endpoints, sends their attempts, and answers those that are not served."""
 
     def __init__(
         self,
@@ -42,33 +42,33 @@
     # ------------------------------------------------------------ the queue
 
     def drain_queue(self) -> None:
-        """Place what is queued, the greatest priority weight first."""
+        """Place queued requests, those of the greatest priority weight first."""
         entries = self._queue.entries
         position = 0
         while position < len(entries) and position < MAX_UNPLACED:
             request = entries[position][2]
             if not self._limiter.admits(len(self._table.waiting), request.limit_fraction):
-                break  # and none of less weight by the luck of its fraction
+                break  # Otherwise a request of less weight could pass by drawing a smaller limit_fraction
             if not self.place(request, last_resort=False):
                 position += 1
         if entries:
             self._queue.plan_recheck()
 
     def expire(self, request: Request) -> None:
-        """Give a request that has waited its time a last attempt anywhere the rules allow, or an answer."""
+        """Send a request that has waited its full time to any endpoint that the rules allow, or answer it."""
         admitted = self._limiter.admits(len(self._table.waiting), request.limit_fraction)
         if not (admitted and self.place(request, last_resort=True)):
             self.finish_unserved(request)
 
-    # ------------------------------------------------------------ the one path that sends
+    # ------------------------------------------------------------ sending
 
     def place(self, request: Request, last_resort: bool) -> bool:
-        """Send the request's next attempt, if an endpoint may take it; return whether one did."""
+        """Send the request's next attempt if an endpoint is eligible; return whether it was sent."""
         endpoint = self._selector.draw(request, last_resort, len(self._table.waiting))
         return endpoint is not None and self._send(request, endpoint)
 
     def _send(self, request: Request, endpoint: Endpoint) -> bool:
-        """Send an attempt.  Rules 1 to 3 are enforced here; the draw has kept rule 4."""
+        """Send an attempt.  Rules 1 to 3 are enforced here; the draw has enforced rule 4."""
         context = self._context
         settings = context.settings
         if (
@@ -97,7 +97,7 @@
         return True
 
     def schedule_hedge(self, request: Request) -> None:
-        """Set a timer for when the attempt is overdue, where a further one could still answer in time."""
+        """Set a timer for when the attempt is overdue, if a further one could still answer in time."""
         overdue_at = self._context.now + self._scorer.overdue_after(request)
         has_attempts = len(request.attempts) < self._context.settings.max_attempts
         if not (request.is_repeatable() and has_attempts):
@@ -105,10 +105,10 @@
         if overdue_at + self._scorer.class_expected[request.class_index].mean < request.deadline:
             self._context.timers.at(overdue_at, TimerKind.HEDGE, request.id)
 
-    # ------------------------------------------------------------ the one path that answers
+    # ------------------------------------------------------------ answering
 
     def finish_unserved(self, request: Request) -> None:
-        """Give the final answer to a request that is not served: a rejection where rule 2 allows it."""
+        """Give the final answer to a request that is not served: a rejection if rule 2 allows it."""
         if self._table.requests.pop(request.id, None) is None:
             return
         self._queue.remove(request)
@@ -123,7 +123,7 @@
         self.cancel_attempts(request, None)
 
     def cancel_attempts(self, request: Request, answered_by: int | None) -> None:
-        """Cancel the open attempts of a request, but for the one that answers it."""
+        """Cancel the open attempts of a request, except the one that answers it."""
         if not self._context.settings.may_cancel or not request.in_flight:
             return
         for number, attempt in enumerate(request.attempts):
@@ -132,7 +132,7 @@
 
 
 def _is_safe_to_repeat(request: Request) -> bool:
-    """Return whether the client may send it again, although an attempt may have run."""
+    """Return whether the client may send the request again although an attempt may have run."""
     effect = request.request_class.effect
     scope = request.request_class.idempotency_scope
     return effect is Effect.SAFE or (effect is Effect.KEYED and scope is IdempotencyScope.ALL)
--- a/crowpost/decisions/endpoint_selection.py
+++ b/crowpost/decisions/endpoint_selection.py
@@ -1,8 +1,8 @@
-"""Which endpoints an attempt may go to, and the draw among them.
+"""Which endpoints are eligible for an attempt, and the draw among them.
 
-A draw from the whole vector, made again while it falls on an endpoint that may not be drawn, is a draw
-conditioned on those that may, and costs the same for any number of them.  When several draws fall on such
-endpoints, all are looked at.
+The draw is rejection sampling: a draw from the whole share vector is repeated while it hits an endpoint that
+is not eligible.  The result is distributed as the vector conditioned on the eligible endpoints, at a cost
+that does not grow with their number.  After several draws without success all endpoints are examined.
 """
 
 from __future__ import annotations
@@ -15,17 +15,19 @@
 from crowpost.decisions.outlier_detection import OutlierDetector
 from crowpost.decisions.request_state import Request
 
-# A node's attempts at one endpoint may exceed its share of all in flight by this much before it is skipped.
+# An endpoint is skipped once it holds more of this node's attempts than its share of all in flight, times
+# SHARE_FACTOR, plus SHARE_EXTRA.
 SHARE_FACTOR = 1.25
 SHARE_EXTRA = 0.5
-MAX_QUEUED_AT_ENDPOINT = 4.0  # over all nodes, by its average latency against the baseline
-MIN_LOCAL_ENDPOINTS = 2  # fewer than this in the subset or zone are too few to keep to
-HEAVY_UNITS = 2.0  # from so many times the mean work on, a request is too heavy for a slow endpoint
-MAX_DRAWS = 12  # before all endpoints are looked at
+# Requests of all nodes that may queue at an endpoint, by its average latency against the baseline.
+MAX_QUEUED_AT_ENDPOINT = 4.0
+MIN_LOCAL_ENDPOINTS = 2  # With fewer fit endpoints in the subset or zone, those outside it are used as well
+HEAVY_UNITS = 2.0  # A request of this many times the mean work avoids slow endpoints
+MAX_DRAWS = 12  # All endpoints are examined after this many draws
 
 
 class EndpointSelector:
-    """Eligibility and the draw, for one request at a time."""
+    """Determines the eligible endpoints of a request and draws one of them."""
 
     def __init__(
         self,
@@ -38,18 +40,18 @@
         self._endpoints = endpoints
         self._outliers = outliers
         self._limiter = limiter
-        self._any_class_repeats = any(c.effect is not Effect.UNSAFE for c in context.settings.classes)
-        # These hold for all endpoints during one draw.
+        self._any_class_repeats = any(each.effect is not Effect.UNSAFE for each in context.settings.classes)
+        # These values stay the same for all endpoints during one draw.
         self._max_queued = 0.0
         self._overdue_after = 0.0
         self._mean_latency = 0.0
-        self._warm_rate: float | None = None  # computed once, and only if an endpoint is warming up
+        self._warm_rate: float | None = None  # Computed at most once, for the first warming endpoint
         self._in_flight = 0
 
     # ------------------------------------------------------------ the rules
 
     def may_continue(self, request: Request) -> bool:
-        """Return whether a further attempt may be made at all: rule 2 but for its groups."""
+        """Return whether a further attempt may be made at all: rule 2 without the idempotency scope."""
         settings = self._context.settings
         first = request.first_risky_attempt()
         if request.body_consumed:
@@ -61,7 +63,7 @@
         return self._context.now < request.window_end_ms() - settings.tick_ms
 
     def scope_of(self, request: Request) -> Scope | None:
-        """Return the zone or cell that a further attempt must stay in; None where any endpoint will do."""
+        """Return the zone or cell that a further attempt must stay in; None if there is no restriction."""
         request_class = request.request_class
         if (
             request_class.effect is not Effect.KEYED
@@ -75,7 +77,7 @@
         return request_class.idempotency_scope, first.entry.zone if by_zone else first.entry.cell
 
     def is_permitted(self, request: Request, endpoint: Endpoint) -> bool:
-        """Return whether rules 2 and 3 let an attempt of this request go to this endpoint at all."""
+        """Return whether rules 2 and 3 permit an attempt of this request at this endpoint."""
         if not endpoint.listed or not self.may_continue(request):
             return False
         scope = self.scope_of(request)
@@ -93,7 +95,7 @@
     # ------------------------------------------------------------ the draw
 
     def draw(self, request: Request, last_resort: bool, in_flight: int) -> Endpoint | None:
-        """Return the endpoint of the request's next attempt; None where none may be drawn."""
+        """Return the endpoint of the request's next attempt; None if none is eligible."""
         listed = self._endpoints.listed
         automaton = self._endpoints.automaton
         if not listed or not self.may_continue(request):
@@ -112,7 +114,7 @@
         return listed[automaton.draw_among(pool, self._context.rng.random())] if pool else None
 
     def _draw_from_vector(self, request: Request, last_resort: bool) -> Endpoint | None:
-        """Draw a few times from the whole vector; return None if too few draws hit an eligible one."""
+        """Draw up to MAX_DRAWS times from the vector; return None if too few draws hit eligible endpoints."""
         listed = self._endpoints.listed
         draw = self._endpoints.automaton.draw
         random = self._context.rng.random
@@ -132,14 +134,15 @@
         return None
 
     def _pool(self, request: Request, last_resort: bool, in_panic: bool) -> list[int]:
-        """Return the indices that the draw is conditioned on, by a look at every endpoint."""
+        """Return the indices that the draw is conditioned on; this examines every endpoint."""
         listed = self._endpoints.listed
         in_scope = self._endpoints.in_scope(self.scope_of(request))
         allowed = [index for index in in_scope if self._is_allowed(request, listed[index])]
         if in_panic:
-            fit = allowed  # something that all endpoints share is wrong: health is no guide
+            fit = allowed  # The cause is common to all endpoints, so their health says nothing
         elif last_resort:
-            # It is now or never: a crowded endpoint may still answer in time, an unresponsive one will not.
+            # This is the last attempt: an overloaded endpoint may still answer in time, an unresponsive one
+            # will not.
             unresponsive = self._outliers.is_unresponsive
             overdue_after = self._overdue_after
             fit = [index for index in allowed if not unresponsive(listed[index], overdue_after)] or allowed
@@ -152,7 +155,10 @@
         return [index for index in pool if self._is_fast(listed[index])] or pool
 
     def prefer_local(self, fit: list[int]) -> list[int]:
-        """Return the subset's endpoints while two are fit, else, where crossing has a price, the zone's."""
+        """Return the fit endpoints of the subset, or if too few those of the zone, or else all.
+
+        The zone is preferred only where a request to another zone has a price.
+        """
         in_subset = self._endpoints.in_subset
         subset = [index for index in fit if in_subset[index]]
         if len(subset) >= MIN_LOCAL_ENDPOINTS:
@@ -167,7 +173,7 @@
     # ------------------------------------------------------------ one endpoint
 
     def _is_fast(self, endpoint: Endpoint) -> bool:
-        """Return whether it is no slower than the mean, as far as is known."""
+        """Return whether the endpoint is not known to be slower than the mean."""
         return (self._endpoints.automaton.averages[endpoint.index] or 0.0) <= self._mean_latency
 
     def _is_eligible(self, request: Request, endpoint: Endpoint, last_resort: bool) -> bool:
@@ -178,7 +184,7 @@
         return self._is_fit(request, endpoint)
 
     def _is_allowed(self, request: Request, endpoint: Endpoint) -> bool:
-        """Return whether rules 3 and 4 allow an attempt; rule 2 is the request's own."""
+        """Return whether rules 3 and 4 allow an attempt; the caller has checked rule 2."""
         slow_start = self._endpoints.slow_start
         now = self._context.now
         if not endpoint.listed or not slow_start.is_warming_up(endpoint, now):
@@ -188,23 +194,23 @@
         return slow_start.permits(endpoint, request.units, self._warm_rate, now)
 
     def _is_fit(self, request: Request, endpoint: Endpoint) -> bool:
-        """Return whether it is healthy, not paused, and within what it should hold."""
+        """Return whether the endpoint is healthy, not paused, and below its limits for attempts in flight."""
         if endpoint.ejected or self._outliers.is_unresponsive(endpoint, self._overdue_after):
             return False
         in_flight = len(endpoint.in_flight)
         if endpoint.half_open and (in_flight or (self._any_class_repeats and not request.is_repeatable())):
-            return False  # one trial request at a time, and none that could be lost for good
+            return False  # One trial request at a time, and only of a class that can be repeated
         if endpoint.paused_until > self._context.now or in_flight + 1 > endpoint.in_flight_limit:
             return False
         return self._has_capacity(endpoint, in_flight)
 
     def _has_capacity(self, endpoint: Endpoint, in_flight: int) -> bool:
-        """Return whether it holds less than its share of all requests in flight allows."""
+        """Return whether the endpoint holds less than its share of all requests in flight allows."""
         endpoints = self._endpoints
         average = endpoints.automaton.averages[endpoint.index]
         if average and in_flight * (1.0 - self._limiter.load.baseline_latency / average) > self._max_queued:
-            # By Little's law this part of its requests queue there; an endpoint crowded for long turns slow
-            # for long, and its own average tells so before the mean of all does.
+            # By Little's law this many of its requests are queued there.  An endpoint that is overloaded for
+            # long stays slow for long, and its own average shows that before the mean of all endpoints does.
             return False
         share = endpoints.automaton.share(endpoint.index)
         if average and average > self._mean_latency:
--- a/crowpost/decisions/endpoint_set.py
+++ b/crowpost/decisions/endpoint_set.py
@@ -21,20 +21,22 @@
 from crowpost.decisions.slow_start import SlowStart
 from crowpost.decisions.subsetting import choose_subset
 
-# By load reports limits hold of all nodes' requests: where many share an endpoint, each sees too few itself.
-HELD_COLUMN = "outstanding"  # requests that an endpoint holds, in its load reports
-MAX_REPORT_AGE_OBJECTIVES = 1.0  # a report older than this many latency objectives is not used
-REFRESH_FRACTION = 0.02  # of the latency objective, between refreshes of what only time moves
-MAX_KNOWN_FACTOR = 2  # once so many times the listed endpoints are known, and some more, old ones are dropped
+# The column of a load report with the number of requests that the endpoint holds.  Load reports cover the
+# requests of all nodes: where many nodes share an endpoint, each alone sees too few of them for a limit.
+HELD_COLUMN = "outstanding"
+MAX_REPORT_AGE_OBJECTIVES = 1.0  # Greatest age of a load report that is used, in latency objectives
+REFRESH_FRACTION = 0.02  # Time between refreshes of time-dependent state, as a part of the latency objective
+# Departed endpoints are dropped once this many times the listed endpoints, plus the extra, are known.
+MAX_KNOWN_FACTOR = 2
 MAX_KNOWN_EXTRA = 100
 MIN_CAPACITY_HINT = 1e-3
 DEFAULT_RATE_SPAN_MS = 1000.0
 
-Scope = tuple[IdempotencyScope, int]  # the zone or cell that a repeat must stay in, and its number
+Scope = tuple[IdempotencyScope, int]  # Kind and number of the zone or cell that a repeat must stay in
 
 
 class EndpointSet:
-    """The endpoints by their id, and those that are listed, in the automaton's order."""
+    """All known endpoints by id, and the listed ones in the order of the learning automaton."""
 
     def __init__(self, context: Context) -> None:
         settings = context.settings
@@ -46,12 +48,12 @@
         self.slow_start = SlowStart(settings)
         self.known: dict[EndpointId, Endpoint] = {}
         self.listed: list[Endpoint] = []
-        self.in_subset: list[bool] = []  # in the same order: whether the node keeps to this endpoint
-        self.subset: list[int] | None = None  # indices of those, None where it is all
-        self.busy: dict[EndpointId, Endpoint] = {}  # those with attempts of this node in flight
-        self.send_rate = Rate(settings.warm_up_ms or DEFAULT_RATE_SPAN_MS)  # units sent
-        self.warming_up: list[Endpoint] = []  # as of the last refresh
-        self.capacity = 0.0  # of the listed endpoints, in warm ones, as of the last refresh
+        self.in_subset: list[bool] = []  # Whether the subset contains it, in the order of `listed`
+        self.subset: list[int] | None = None  # Indices of the subset; None if it is all endpoints
+        self.busy: dict[EndpointId, Endpoint] = {}  # Endpoints with attempts of this node in flight
+        self.send_rate = Rate(settings.warm_up_ms or DEFAULT_RATE_SPAN_MS)  # Units of work sent
+        self.warming_up: list[Endpoint] = []  # State of the last refresh
+        self.capacity = 0.0  # Capacity of the listed endpoints at the last refresh, in units of a warm one
         self._refresh_at = -math.inf
         self._by_scope: dict[Scope, list[int]] = {}
         columns = settings.load_report_columns
@@ -61,7 +63,7 @@
     # ------------------------------------------------------------ the list
 
     def apply(self, event: EndpointList) -> None:
-        """Apply a whole list, or changes of one."""
+        """Apply a full endpoint list, or changes to one."""
         if event.kind is not ListKind.CHANGES:
             named = {entry.server for entry in event.entries}
             for name, endpoint in self.known.items():
@@ -84,7 +86,7 @@
             endpoint.slow_start_tokens = self._context.rng.random()
             endpoint.slow_start_tokens_at = now
         elif entry.started_ms > endpoint.entry.started_ms:
-            # A restarted process: what was held against the old one is void; it warms up again.
+            # The process was restarted: failures of the old one no longer count, and it warms up again.
             endpoint.failure_rate = 0.0
             endpoint.ejections = 0
             endpoint.ejected = False
@@ -99,40 +101,53 @@
     def _rebuild_listed(self) -> None:
         listed = {name: endpoint for name, endpoint in self.known.items() if endpoint.listed}
         if self.settings.capacity_hints:
-            weights = {n: max(e.entry.capacity_hint, MIN_CAPACITY_HINT) for n, e in listed.items()}
+            weights = {
+                name: max(endpoint.entry.capacity_hint, MIN_CAPACITY_HINT)
+                for name, endpoint in listed.items()
+            }
         else:
             weights = dict.fromkeys(listed, 1.0)
         for endpoint in self.listed:
             endpoint.index = -1
-        self.automaton.set_endpoints(weights, {name: e.entry.kind for name, e in listed.items()})
+        self.automaton.set_endpoints(
+            weights, {name: endpoint.entry.kind for name, endpoint in listed.items()}
+        )
         self.listed = [listed[name] for name in self.automaton.endpoints]
         self._by_scope = {}
         for index, endpoint in enumerate(self.listed):
             endpoint.index = index
 
     def _drop_departed(self) -> None:
-        """Forget endpoints that are gone, once many are: lives may be short, and memory must not grow."""
+        """Drop departed endpoints once there are many, as short-lived endpoints would fill the memory."""
         if len(self.known) <= MAX_KNOWN_FACTOR * len(self.listed) + MAX_KNOWN_EXTRA:
             return
-        kept = {n: e for n, e in self.known.items() if e.listed or e.in_flight or e.ejected}
-        draining = {n: e for n, e in self.known.items() if e.entry.readiness is Readiness.DRAINING}
+        kept = {
+            name: endpoint
+            for name, endpoint in self.known.items()
+            if endpoint.listed or endpoint.in_flight or endpoint.ejected
+        }
+        draining = {
+            name: endpoint
+            for name, endpoint in self.known.items()
+            if endpoint.entry.readiness is Readiness.DRAINING
+        }
         self.known = kept | draining
 
     def set_nodes(self, node_count: int, node_index: int) -> None:
-        """Follow a change of how many nodes share the endpoints, and of this one's place among them."""
+        """Set how many nodes share the endpoints, and the index of this node among them."""
         self.node_count = node_count
         self.node_index = node_index
         self.automaton.set_steps(node_count)
         self._choose_subset()
 
     def in_scope(self, scope: Scope | None) -> Sequence[int]:
-        """Return the indices of the listed endpoints of a zone or cell, or of all."""
+        """Return the indices of the listed endpoints in a zone or cell, or of all if scope is None."""
         if scope is None:
             return range(len(self.listed))
         if scope not in self._by_scope:
             by_zone = scope[0] is IdempotencyScope.ZONE
             number = scope[1]
-            places = ((e.entry.zone if by_zone else e.entry.cell) for e in self.listed)
+            places = ((endpoint.entry.zone if by_zone else endpoint.entry.cell) for endpoint in self.listed)
             self._by_scope[scope] = [index for index, place in enumerate(places) if place == number]
         return self._by_scope[scope]
 
@@ -155,7 +170,7 @@
     # ------------------------------------------------------------ capacity and load reports
 
     def refresh(self) -> bool:
-        """Recompute what time moves, if it is due; return whether the capacity may have changed."""
+        """Recompute time-dependent state if that is due; return whether the capacity may have changed."""
         now = self._context.now
         if now < self._refresh_at:
             return False
@@ -169,7 +184,7 @@
         return may_have_changed
 
     def count_in_flight(self, endpoint: Endpoint, change: int) -> None:
-        """Count an attempt of this node that the endpoint has got (1) or ended (-1)."""
+        """Count an attempt of this node that has started (1) or ended (-1) at an endpoint."""
         if change > 0:
             self.busy.setdefault(endpoint.entry.server, endpoint)
         elif not endpoint.in_flight:
@@ -181,10 +196,10 @@
         return self.slow_start.is_warming_up(endpoint, self._context.now)
 
     def rate_of_warm_endpoint(self) -> float:
-        """Return the units a millisecond that a warm endpoint gets; of all while none is warm."""
+        """Return the units sent per millisecond to a warm endpoint, or to any endpoint while none is warm."""
         warm = len(self.listed) - len(self.warming_up)
         return self.send_rate.per_ms(self._context.now) / (warm or len(self.listed))
 
     def record_load(self, endpoint: Endpoint, load: Sequence[float]) -> None:
-        """Take in the load report that came with a response."""
+        """Record the load report that came with a response."""
         self.reports.record(endpoint, load, self._context.now, self.automaton.share)
--- a/crowpost/decisions/endpoint_state.py
+++ b/crowpost/decisions/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a node knows of one endpoint."""
+"""What a node knows about one endpoint."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from crowpost.decision_api import EndpointEntry, RequestId
 
-AttemptKey = tuple[RequestId, int]  # the request and the number of its attempt
+AttemptKey = tuple[RequestId, int]  # Request id, and number of the attempt within the request
 
 
 @dataclass(slots=True, eq=False)
@@ -17,23 +17,23 @@
 
     entry: EndpointEntry
     listed: bool = True
-    index: int = -1  # in the automaton's order, -1 while it is not there
-    in_flight: dict[AttemptKey, float] = field(default_factory=dict)  # by time of sending, oldest first
+    index: int = -1  # Position in the learning automaton, -1 while it is not there
+    in_flight: dict[AttemptKey, float] = field(default_factory=dict)  # Time of sending, oldest first
     last_response_at: float = -math.inf
-    failure_rate: float = 0.0  # an exponential average
+    failure_rate: float = 0.0  # Exponential moving average
     ejected: bool = False
-    half_open: bool = False  # back from an ejection: one trial request at a time
-    ejections: int = 0  # in a row; the exponent of the ejection backoff
+    half_open: bool = False  # Returning from an ejection, with one trial request at a time
+    ejections: int = 0  # Consecutive ejections; the exponent of the ejection backoff
     paused_until: float = -math.inf
-    in_flight_limit: float = math.inf  # that it is known to bear, once it has refused an attempt
-    slow_start_tokens: float = 0.0  # in requests of mean work
+    in_flight_limit: float = math.inf  # Finite once the endpoint has rejected an attempt as full
+    slow_start_tokens: float = 0.0  # Tokens, one for a request of mean work
     slow_start_tokens_at: float = 0.0
-    in_flight_elsewhere: float = 0.0  # requests of other nodes that it holds, by its last load report
+    in_flight_elsewhere: float = 0.0  # Requests of other nodes, by the last load report
     reported_at: float = -math.inf
-    _shard_hash: tuple[int, int] = (-1, 0)  # the last round that a hash was asked for, and that hash
+    _shard_hash: tuple[int, int] = (-1, 0)  # Round and hash of the last call of shard_hash
 
     def shard_hash(self, shard_round: int) -> int:
-        """Return 48 bits that are the endpoint's own in each round of shards, the same at every node."""
+        """Return the endpoint's hash of 48 bits for a round of shards, which is the same at every node."""
         if self._shard_hash[0] != shard_round:
             hashed = self.entry.server + shard_round.to_bytes(4, "big")
             digest = hashlib.blake2b(hashed, digest_size=6).digest()
--- a/crowpost/decisions/fenwick_tree.py
+++ b/crowpost/decisions/fenwick_tree.py
@@ -1,4 +1,4 @@
-"""A weighted draw from a group of members in logarithmic time."""
+"""Weighted draws from a group of members in logarithmic time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WeightedGroup:
-    """Members with a Fenwick tree of their weights (Fenwick, 1994): add and find in O(log n)."""
+    """Members with a Fenwick tree of their weights (Fenwick, 1994); `add` and `find` take O(log n)."""
 
     __slots__ = ("_position", "_tree", "members", "total")
 
@@ -24,7 +24,7 @@
         return member in self._position
 
     def add(self, member: int, change: float) -> None:
-        """Raise a member's weight."""
+        """Add a change to the weight of a member."""
         position = self._position[member]
         tree = self._tree
         self.total += change
@@ -33,7 +33,7 @@
             position += position & -position
 
     def find(self, target: float) -> int:
-        """Return the member at which the running sum of weights passes `target`; the last if none does."""
+        """Return the member at which the prefix sum of weights exceeds `target`, or the last member."""
         tree = self._tree
         position = 0
         step = 1 << max(0, (len(tree) - 1).bit_length() - 1)
--- a/crowpost/decisions/hedging.py
+++ b/crowpost/decisions/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second copy of a request whose attempt is overdue."""
+"""Hedged requests: a further attempt for a request whose attempt is overdue."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Hedger:
-    """Hedges overdue attempts, or withdraws and repeats them where copies are forbidden."""
+    """Hedges overdue attempts, or cancels them so that they are retried where hedging is not allowed."""
 
     def __init__(
         self,
@@ -31,21 +31,22 @@
         self._budget = budget
 
     def on_timer(self, request: Request | None) -> None:
-        """Look at a request whose attempt may be overdue by now.  None: it has finished."""
+        """Check a request whose attempt may be overdue by now; None if it has finished."""
         if request is None or not request.in_flight or request.queued or request.response_started:
             return
         self._hedge(request)
 
     def _hedge(self, request: Request) -> None:
-        """Send a second copy.
+        """Send a hedged request if the endpoint is unresponsive, the retry budget allows it, and load is low.
 
-        Only if the endpoint has become unresponsive: one that goes on answering others is merely busy with
-        long work, and giving that up would waste it and feed the next queue (seen as 14% of attempts timed
-        out on a quiet day).  And only while the budget lasts and nothing is overloaded.
+        An endpoint that still answers other requests is only busy with long work.  Abandoning that work would
+        waste it and load the next endpoint: 14% of the attempts timed out on a quiet day for this reason.
         """
         overdue_after = self._scorer.overdue_after(request)
         open_attempts = (attempt for attempt in request.attempts if attempt.outcome is None)
-        if not all(self._outliers.is_unresponsive(a.endpoint, overdue_after) for a in open_attempts):
+        if not all(
+            self._outliers.is_unresponsive(attempt.endpoint, overdue_after) for attempt in open_attempts
+        ):
             self._dispatcher.schedule_hedge(request)
         elif self._budget.allows() and self._limiter.load.load_ratio < 1.0:
             if not self._context.settings.may_hedge:
--- a/crowpost/decisions/learned_state.py
+++ b/crowpost/decisions/learned_state.py
@@ -1,4 +1,4 @@
-"""What a process has learned, for the next process of the same node."""
+"""Saving and restoring what a process has learned, for the next process of the same node."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from crowpost.decisions.learning_automaton import LearnedEndpoint
 from crowpost.decisions.outlier_detection import OutlierDetector
 
-TRUST_HALF_LIFE_MS = 60_000.0  # in which the trust in what an earlier process learned halves
-MIN_TRUST = 0.05  # less counts as none: an ejection is whole, however old
+TRUST_HALF_LIFE_MS = 60_000.0  # Half-life of the trust in what an earlier process learned
+MIN_TRUST = 0.05  # Less counts as none, since an ejection cannot be restored in part
 
 
 def _trust(age_ms: float) -> float:
@@ -18,7 +18,7 @@
 
 
 def remember(endpoints: EndpointSet, first: int, most: int) -> list[RememberedEndpoint]:
-    """Return what has been learned of so many listed endpoints, from one place in the list on."""
+    """Return what was learned about at most `most` listed endpoints, from index `first` on."""
     automaton = endpoints.automaton
     listed = endpoints.listed
     return [
@@ -36,17 +36,17 @@
 def restore(
     event: StateRestored, endpoints: EndpointSet, outliers: OutlierDetector, limiter: ConcurrencyLimiter
 ) -> None:
-    """Weigh what an earlier process learned: by age, and only of endpoints that were not restarted since."""
+    """Restore what an earlier process learned, weighted by age, about endpoints that have not restarted."""
     learned: dict[EndpointId, LearnedEndpoint] = {}
-    for memory in event.endpoints:
-        endpoint = endpoints.known.get(memory.server)
-        trust = _trust(memory.age_ms)
+    for remembered in event.endpoints:
+        endpoint = endpoints.known.get(remembered.server)
+        trust = _trust(remembered.age_ms)
         if endpoint is None or endpoint.index < 0 or not trust:
             continue
-        if endpoint.entry.started_ms != memory.started_ms:
-            continue  # another process than the one that it was learned of
-        learned[memory.server] = LearnedEndpoint(memory.share_ratio, memory.average_ms, trust)
-        if memory.ejected and not endpoint.ejected:
+        if endpoint.entry.started_ms != remembered.started_ms:
+            continue  # The endpoint has restarted since
+        learned[remembered.server] = LearnedEndpoint(remembered.share_ratio, remembered.average_ms, trust)
+        if remembered.ejected and not endpoint.ejected:
             outliers.restore_ejected(endpoint)
     endpoints.automaton.restore(learned)
     limiter.restore(event.limit_each, _trust(event.limit_age_ms))
--- a/crowpost/decisions/learning_automaton.py
+++ b/crowpost/decisions/learning_automaton.py
@@ -1,7 +1,8 @@
 """The two-time-scale learning automaton, at a cost that does not grow with the number of endpoints.
 
-A payoff is an affine map of all shares of each listed kind and a rise of one, which the vector takes in a few
-numbers; the mean of averages is a running sum.  alpha, theta and p_min are the paper's symbols.
+A response that pays off applies an affine map to all shares of each listed kind and raises one share; the
+share vector stores that in a few numbers.  The mean of the averages is a running sum.  alpha, theta and p_min
+are the paper's symbols.
 """
 
 from __future__ import annotations
@@ -12,41 +13,46 @@
 from crowpost.decision_api import EndpointId
 from crowpost.decisions.share_vector import ShareVector, with_floor
 
-# A copy sees few requests over many endpoints, so both steps are far above the paper's.
-ALPHA = 0.15  # an average spans about seven of its endpoint's requests
-THETA_FRACTION = 0.06  # theta = this / r; with the floor the walk of equals stays under a sixth of a share
-# N nodes share the requests, so each learns at an N-th of the rate, while the walks of their vectors cancel
-# out in what an endpoint gets from all of them.  theta = this * N / r keeps that sum as steady as three
-# nodes at the fraction above keep it; over K listed kinds in place of r endpoints the same holds.
+# One node sees few requests over many endpoints, so both steps are far above the paper's.
+ALPHA = 0.15  # An average spans about seven requests of its endpoint
+# theta = this / r.  With the floor, the random walk of equal endpoints stays within a sixth of a share.
+THETA_FRACTION = 0.06
+# N nodes share the requests, so each learns at an N-th of the rate, while the random walks of their vectors
+# cancel out in what an endpoint gets from all of them.  theta = this * N / r keeps that sum as steady as
+# three nodes with THETA_FRACTION do.  The same holds for K listed kinds in place of r endpoints.
 THETA_PER_NODE = 0.02
-ALPHA_PER_NODE = ALPHA / 3  # for the same reason
-MAX_ALPHA = 0.5  # an average of a sparse view still spans two requests
-MAX_THETA_RATIO = 0.1  # to alpha: the averages must stay well ahead of the shares of endpoints
-MAX_KIND_THETA_RATIO = 1 / 3  # to alpha: the shares of kinds rest on the averages of many endpoints
+ALPHA_PER_NODE = ALPHA / 3  # Grows with the number of nodes for the same reason
+MAX_ALPHA = 0.5  # An average still spans two requests where a node sees few
+# Greatest ratio of theta to alpha, as the averages must move well ahead of the shares of endpoints.
+MAX_THETA_RATIO = 0.1
+# The same for kinds, whose shares rest on the averages of many endpoints.
+MAX_KIND_THETA_RATIO = 1 / 3
 FLOOR_FRACTION = 0.4  # p_min = this / r; also pulls shares that latency cannot tell apart back to uniform
-NEWCOMER_FRACTION = 0.5  # a newcomer's part of the mean share until it has shown what it can do
-MAX_FAILURE_FACTOR = 3.0  # a failure counts as so many means at most: silence lifts no threshold
+NEWCOMER_FRACTION = 0.5  # Share of a new endpoint, as a part of the mean share, until its latency is known
+# A failure counts as at most this many means, so that an unresponsive endpoint cannot lift the threshold.
+MAX_FAILURE_FACTOR = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedEndpoint:
-    """What an earlier process learned of an endpoint."""
+    """What an earlier process learned about an endpoint."""
 
-    share_ratio: float  # its share, as a multiple of the mean share
-    average_ms: float | None  # None: not called yet
-    trust: float  # by which share and average leave their initial values
+    share_ratio: float  # Share as a multiple of the mean share
+    average_ms: float | None  # None if the endpoint has not responded yet
+    trust: float  # Weight from 0 to 1 against the initial share and average
 
 
 class LearningAutomaton:
-    """A floored probability vector over endpoints and a latency average for each."""
+    """A probability vector with a floor over the endpoints, and a latency average for each."""
 
     def __init__(self, node_count: int = 1) -> None:
         self.endpoints: list[EndpointId] = []
-        self.averages: list[float | None] = []  # None: not called yet, counts as the mean of the others
-        self.theta_kind = 0.0  # 0 where all are listed as of one kind
+        # None before the endpoint's first response; counts as the mean of the others.
+        self.averages: list[float | None] = []
+        self.theta_kind = 0.0  # 0 if all endpoints are of one kind
         self._index: dict[EndpointId, int] = {}
         self._vector = ShareVector()
-        # Bound here: a layer less for each request.
+        # Bound methods, which save a call for each request.
         self.share = self._vector.share
         self.draw = self._vector.draw
         self.restrict_to = self._vector.restrict_to
@@ -56,27 +62,30 @@
 
     @property
     def shares(self) -> list[float]:
-        """The whole vector."""
+        """The whole share vector."""
         return self._vector.shares()
 
     def mean(self) -> float | None:
-        """Return the payoff threshold: the mean of all averages, None before any response."""
+        """Return the payoff threshold, the mean of all averages; None before any response."""
         return self._sum_of_averages / self._known_averages if self._known_averages else None
 
     def draw_among(self, eligible: Sequence[int], random_value: float) -> int:
-        """Return the index drawn by a number in [0, 1) from the vector conditioned on the eligible."""
+        """Return the index that a number in [0, 1) draws from the vector conditioned on the eligible."""
         shares = [self.share(index) for index in eligible]
-        left = random_value * sum(shares)
+        remaining = random_value * sum(shares)
         for index, share in zip(eligible, shares, strict=True):
-            left -= share
-            if left < 0.0:
+            remaining -= share
+            if remaining < 0.0:
                 return index
         return eligible[-1]
 
     # ------------------------------------------------------------ learning
 
     def record_response(self, endpoint: EndpointId, latency: float) -> bool:
-        """Move an endpoint's average, and the vector if the response paid off; return whether it did."""
+        """Update an endpoint's average, and the vector if the response pays off; return whether it does.
+
+        A response pays off if its latency is below the threshold.
+        """
         index = self._index.get(endpoint)
         if index is None:
             return False
@@ -91,15 +100,15 @@
             vector.shrink(kind, theta, p_min)
         vector.add(index, theta * (1.0 - count * p_min))
         if self.theta_kind:
-            self._favour_kind(index, p_min)
+            self._raise_kind_shares(index, p_min)
         vector.renormalize()
         return True
 
-    def _favour_kind(self, index: int, p_min: float) -> None:
-        """Raise the shares of the endpoints that are listed as of the same kind, in proportion.
+    def _raise_kind_shares(self, index: int, p_min: float) -> None:
+        """Raise the shares of all listed endpoints of the same kind, in proportion.
 
-        Guards against a set in which a node's requests to any one endpoint are too few to tell slow machines
-        from fast ones before the slow are overloaded, seen within four seconds at full size.
+        In large sets a node sends too few requests to any one endpoint to tell slow machines from fast ones
+        before the slow ones are overloaded, which took under four seconds at full size.
         """
         theta = self.theta_kind
         kind, kind_share, members = self._vector.kind_of(index)
@@ -110,16 +119,20 @@
         self._vector.grow(kind, 1.0 + theta * rest / kind_share)
 
     def record_failure(self, endpoint: EndpointId, latency: float) -> None:
-        """Count a failure as a miss: a fast error must not look quick, nor a silence lift the threshold."""
+        """Count a failure as a response that does not pay off.
+
+        Its latency counts as at least the mean, so that a fast error does not look like a fast response, and
+        as at most MAX_FAILURE_FACTOR means, so that an unresponsive endpoint does not lift the threshold.
+        """
         index = self._index.get(endpoint)
         mean = self.mean()
         if index is not None and mean is not None:
             self._move_average(index, min(max(latency, mean), MAX_FAILURE_FACTOR * mean))
 
     def _move_average(self, index: int, latency: float) -> float:
-        """Move one endpoint's average only; return the threshold for this latency."""
+        """Update only the average of an endpoint; return the payoff threshold for this latency."""
         mean = self.mean()
-        if mean is None:  # the first response of all is every endpoint's initial value
+        if mean is None:  # The first response of all is the initial value of every endpoint
             self.averages = [latency] * len(self.averages)
             self._known_averages = len(self.averages)
             self._sum_of_averages = latency * len(self.averages)
@@ -132,13 +145,13 @@
         self._sum_of_averages += after - (before or 0.0)
         return self.mean() or latency
 
-    # ------------------------------------------------------------ changes of the set
+    # ------------------------------------------------------------ changes of the endpoint set
 
     def restore(self, learned: Mapping[EndpointId, LearnedEndpoint]) -> None:
-        """Start from what an earlier process learned."""
+        """Move shares and averages toward what an earlier process learned, by its trust."""
         shares = self.shares
         mean_share = 1.0 / max(len(self.endpoints), 1)
-        averages = [e.average_ms for e in learned.values() if e.average_ms is not None]
+        averages = [endpoint.average_ms for endpoint in learned.values() if endpoint.average_ms is not None]
         level = sum(averages) / max(len(averages), 1)
         for name, endpoint in learned.items():
             index = self._index[name]
@@ -151,7 +164,7 @@
     def set_endpoints(
         self, weights: Mapping[EndpointId, float], kinds: Mapping[EndpointId, int] | None = None
     ) -> None:
-        """Replace the endpoints: those that stay keep their ratios, a newcomer gets a modest share."""
+        """Replace the endpoints; those that stay keep their ratios, new ones get a reduced share."""
         staying = [name for name in self.endpoints if name in weights]
         new = [name for name in weights if name not in self._index]
         shares = self.shares
@@ -177,7 +190,7 @@
         self._sum_of_averages = sum(known)
 
     def set_steps(self, node_count: int) -> None:
-        """Set the step sizes by the number of endpoints and of the nodes that call them."""
+        """Set the step sizes by the number of endpoints and the number of nodes that call them."""
         self._node_count = node_count
         theta_of_nodes = THETA_PER_NODE * node_count
         self.alpha = min(max(ALPHA, ALPHA_PER_NODE * node_count), MAX_ALPHA)
--- a/crowpost/decisions/load_reports.py
+++ b/crowpost/decisions/load_reports.py
@@ -1,4 +1,4 @@
-"""Requests that endpoints hold, by the load reports that come with their responses."""
+"""The number of requests that endpoints hold, from the load reports in their responses."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class LoadReports:
-    """Requests that endpoints hold, of all nodes together, by reports no older than `max_age_ms`.
+    """The number of requests of all nodes that endpoints hold, by reports no older than `max_age_ms`.
 
-    column: where in a report the number of requests stands; None where no report tells of it.
+    column: position of that number in a report; None if reports do not contain it.
     """
 
     def __init__(self, column: int | None, max_age_ms: float) -> None:
         self._column = column
         self._max_age_ms = max_age_ms
-        self._reporting: dict[EndpointId, Endpoint] = {}  # with a fresh report, as of the last refresh
-        self._held = 0.0  # requests that those hold
-        self._share = 0.0  # the sum of their shares of the vector
+        self._reporting: dict[EndpointId, Endpoint] = {}  # Endpoints with a fresh report
+        self._held = 0.0  # Requests that these endpoints hold
+        self._share = 0.0  # Sum of their shares in the vector
 
     @property
     def held(self) -> float:
-        """Requests of all nodes that endpoints hold, for a share of one; 0 where no report is fresh."""
+        """Requests of all nodes that all endpoints hold, scaled up by share; 0 if no report is fresh."""
         return self._held / self._share if self._share else 0.0
 
     def is_fresh(self, endpoint: Endpoint, now: float) -> bool:
@@ -31,7 +31,7 @@
         return now - endpoint.reported_at <= self._max_age_ms
 
     def refresh(self, now: float, share: Callable[[int], float]) -> None:
-        """Drop reports that are too old.  share: of the vector, by an endpoint's index."""
+        """Drop reports that are too old.  share: returns the share of an endpoint by its index."""
         oldest = now - self._max_age_ms
         self._reporting = {
             name: endpoint
@@ -43,13 +43,13 @@
         self._share = sum([share(endpoint.index) for endpoint in reporting])
 
     def count(self, endpoint: Endpoint, change: int) -> None:
-        """Count an attempt of this node that the endpoint has got (1) or ended (-1)."""
+        """Count an attempt of this node that has started (1) or ended (-1) at an endpoint."""
         self._held += change if endpoint.entry.server in self._reporting else 0
 
     def record(
         self, endpoint: Endpoint, load: Sequence[float], now: float, share: Callable[[int], float]
     ) -> None:
-        """Take in a report: what an endpoint holds less what this node has in flight there."""
+        """Record a report: what the endpoint holds, less what this node has in flight there."""
         if self._column is None or self._column >= len(load):
             return
         before = endpoint.in_flight_elsewhere
--- a/crowpost/decisions/outlier_detection.py
+++ b/crowpost/decisions/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: unresponsive and failing endpoints, always against peers, and their way back."""
+"""Outlier detection: unresponsive and failing endpoints, compared with their peers, and their return."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 from crowpost.decisions.estimators import ExpectedLatency
 from crowpost.decisions.timers import TimerKind
 
-FAILURE_STEP = 0.3  # two failures in a row cross EJECTION_FAILURE_RATE, one never does
+FAILURE_STEP = 0.3  # Two failures in a row exceed EJECTION_FAILURE_RATE, one never does
 EJECTION_FAILURE_RATE = 0.45
-PEER_FAILURE_FACTOR = 2.0  # and it must fail at twice the peers' rate, so that a shared cause ejects nobody
-MIN_FAILURE_RATE = 0.01  # less counts for nothing among peers
-RESET_FAILURE_RATE = 0.05  # below it an endpoint's earlier ejections are forgotten
-MAX_EJECTED_FRACTION = 0.34  # of the listed endpoints, at once
-PANIC_THRESHOLD = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the endpoints
-PANIC_SAMPLE_SIZE = 128  # busy endpoints that are looked at for it, where there are more
-MIN_BACKOFF_FRACTION = 0.2  # of the warm-up time: the first ejection's; doubles up to MAX_BACKOFF_FRACTION
+# An ejected endpoint must also fail at this multiple of its peers' rate, so that a shared cause ejects none.
+PEER_FAILURE_FACTOR = 2.0
+MIN_FAILURE_RATE = 0.01  # Lower failure rates do not count in the rate of the peers
+RESET_FAILURE_RATE = 0.05  # Below this rate the earlier ejections of an endpoint are forgotten
+MAX_EJECTED_FRACTION = 0.34  # Greatest part of the listed endpoints that is ejected at once
+# If a greater part is unhealthy, health is ignored, as the endpoints are not the cause.
+PANIC_THRESHOLD = 0.5
+PANIC_SAMPLE_SIZE = 128  # Most busy endpoints that are examined for the panic threshold
+# Parts of the warm-up time: the backoff of the first ejection, which doubles with each further one, and the
+# greatest backoff.
+MIN_BACKOFF_FRACTION = 0.2
 MAX_BACKOFF_FRACTION = 1.0
 MAX_BACKOFF_EXPONENT = 10
 MIN_BACKOFF_JITTER = 0.75
@@ -29,23 +33,23 @@
 
 
 def _can_spare(unavailable: int, endpoints: int) -> bool:
-    """Return whether one more of these endpoints may be left out beside those that are."""
+    """Return whether one more of these endpoints may be made unavailable."""
     return unavailable + 1 <= max(1.0, MAX_EJECTED_FRACTION * endpoints)
 
 
 class OutlierDetector:
-    """Which endpoints are avoided, and for how long."""
+    """Decides which endpoints are avoided, and for how long."""
 
     def __init__(self, context: Context, endpoints: EndpointSet) -> None:
         self._context = context
         self._endpoints = endpoints
         self.expected = ExpectedLatency()
-        self._suspects: dict[EndpointId, Endpoint] = {}  # failing, ejected or paused, lately
+        self._suspects: dict[EndpointId, Endpoint] = {}  # Failing, ejected or paused endpoints
 
     # ------------------------------------------------------------ state
 
     def _listed_suspects(self) -> list[Endpoint]:
-        """Return the listed endpoints that something is held against."""
+        """Return the listed endpoints that are failing, ejected or paused, and drop the others."""
         now = self._context.now
         for name, endpoint in list(self._suspects.items()):
             is_failing = endpoint.failure_rate > MIN_FAILURE_RATE
@@ -54,7 +58,11 @@
         return [endpoint for endpoint in self._suspects.values() if endpoint.index >= 0]
 
     def is_unresponsive(self, endpoint: Endpoint, overdue_after: float) -> bool:
-        """Return whether its attempts are overdue against what peers answer in count before they end."""
+        """Return whether an endpoint has not responded for longer than its peers take.
+
+        The time allowed shrinks with the square root of the number of its attempts in flight, so that they
+        count before they end.
+        """
         if not endpoint.in_flight:
             return False
         since = max(next(iter(endpoint.in_flight.values())), endpoint.last_response_at)
@@ -65,7 +73,7 @@
         busy = self._endpoints.busy
         threshold = PANIC_THRESHOLD * len(self._endpoints.listed)
         if len(self._suspects) + len(busy) <= threshold:
-            return False  # only a busy endpoint can be unresponsive
+            return False  # Only a busy endpoint can be unresponsive
         overdue_after = self.expected.overdue_after()
         unresponsive = sum(
             not endpoint.ejected and endpoint.index >= 0 and self.is_unresponsive(endpoint, overdue_after)
@@ -75,7 +83,7 @@
         return ejected + unresponsive * max(1.0, len(busy) / PANIC_SAMPLE_SIZE) > threshold
 
     def count_unhealthy(self) -> int:
-        """Return how many listed endpoints are avoided at the present event."""
+        """Return how many listed endpoints are avoided at the current event."""
         overdue_after = self.expected.overdue_after()
         return sum(
             1
@@ -86,21 +94,25 @@
     # ------------------------------------------------------------ pauses
 
     def pause(self, endpoint: Endpoint, span_ms: float) -> None:
-        """Skip an endpoint for a while."""
+        """Skip an endpoint for a time span."""
         endpoint.paused_until = self._context.now + span_ms
         self._suspects[endpoint.entry.server] = endpoint
 
     def pause_if_spared(self, endpoint: Endpoint, span_ms: float) -> None:
-        """Do the same, unless too many of those that would take its requests are left out already.
+        """Pause an endpoint, unless too many of those that would take its requests are unavailable already.
 
-        Where crossing zones has a price those are the own zone's: pauses by the whole set's number sent a
-        zone's requests across.
+        With a subset only its endpoints count.  Where requests to other zones have a price these are in the
+        node's own zone: when the whole set was counted, pauses sent the zone's requests to other zones.
         """
         endpoints = self._endpoints
         now = self._context.now
         has_subset = endpoints.subset is not None and len(endpoints.subset) > 1
-        out = [e for e in self._listed_suspects() if e.ejected or e.paused_until > now]
-        unavailable = sum(endpoints.in_subset[e.index] for e in out) if has_subset else len(out)
+        avoided = [
+            suspect for suspect in self._listed_suspects() if suspect.ejected or suspect.paused_until > now
+        ]
+        unavailable = (
+            sum(endpoints.in_subset[suspect.index] for suspect in avoided) if has_subset else len(avoided)
+        )
         total = len(endpoints.subset or ()) if has_subset else len(endpoints.listed)
         if _can_spare(unavailable, total):
             self.pause(endpoint, span_ms)
@@ -108,7 +120,7 @@
     # ------------------------------------------------------------ ejection
 
     def record_success(self, endpoint: Endpoint) -> None:
-        """Take in that an endpoint has served."""
+        """Record that an endpoint has served a request."""
         endpoint.failure_rate -= FAILURE_STEP * endpoint.failure_rate
         if endpoint.half_open:
             endpoint.half_open = False
@@ -118,7 +130,11 @@
             endpoint.ejections = 0
 
     def record_failure(self, endpoint: Endpoint, outcome: Outcome) -> None:
-        """Take in a failure; eject an outlier: against peers, at most a part of the set, longer each time."""
+        """Record a failure, and eject the endpoint if it is an outlier.
+
+        An outlier fails more than its peers.  At most a part of the listed endpoints is ejected at once, and
+        an endpoint stays ejected for longer each time.
+        """
         endpoint.failure_rate += FAILURE_STEP * (1.0 - endpoint.failure_rate)
         self._suspects[endpoint.entry.server] = endpoint
         if endpoint.ejected:
@@ -126,12 +142,14 @@
         listed = len(self._endpoints.listed)
         peers = listed - (endpoint.index >= 0)
         suspects = self._listed_suspects()
-        failing = sum(e.failure_rate for e in suspects if e is not endpoint and not e.ejected)
+        failing = sum(
+            suspect.failure_rate for suspect in suspects if suspect is not endpoint and not suspect.ejected
+        )
         peer_rate = failing / peers if peers else 1.0
         if endpoint.half_open or (
             endpoint.failure_rate >= EJECTION_FAILURE_RATE
             and endpoint.failure_rate >= PEER_FAILURE_FACTOR * peer_rate
-            and _can_spare(sum(e.ejected for e in suspects), listed)
+            and _can_spare(sum(suspect.ejected for suspect in suspects), listed)
         ):
             self._eject(endpoint, outcome, peer_rate)
 
@@ -142,20 +160,20 @@
         text = f"server {name.hex()} ejected: {outcome.value}"
         text += f", fail {endpoint.failure_rate:.2f} against {peer_rate:.2f} of its peers"
         self._context.actions.append(Log(text))
-        # Idle connections may lead to a dead process; a fresh one proves by failing that nothing ran.
+        # Idle connections may lead to a dead process.  A failure to connect proves that nothing was executed.
         self._context.actions.append(CloseIdle(name))
         self._schedule_return(endpoint)
 
     def restore_ejected(self, endpoint: Endpoint) -> None:
-        """Eject what an earlier process had ejected, where it can be spared."""
-        ejected = sum(e.ejected for e in self._listed_suspects())
+        """Eject an endpoint that an earlier process had ejected, unless too many are ejected already."""
+        ejected = sum(suspect.ejected for suspect in self._listed_suspects())
         if _can_spare(ejected, len(self._endpoints.listed)):
             endpoint.failure_rate = EJECTION_FAILURE_RATE
             endpoint.ejected = True
             self._suspects[endpoint.entry.server] = endpoint
             self._schedule_return(endpoint)
 
-    # ------------------------------------------------------------ the way back
+    # ------------------------------------------------------------ return from ejection
 
     def _schedule_return(self, endpoint: Endpoint) -> None:
         context = self._context
@@ -182,16 +200,16 @@
         endpoint.failure_rate = FAILURE_STEP
 
     def on_health_check_ended(self, event: HealthCheckEnded) -> None:
-        """Admit trial requests after a good health check; wait on after a bad one."""
+        """Admit trial requests after a successful health check; schedule another one after a failed one."""
         endpoint = self._endpoints.known.get(event.server)
         if endpoint is None:
             return
         self._endpoints.record_load(endpoint, event.load)
         if not endpoint.ejected:
-            return  # it has changed meanwhile
+            return  # It has returned in the meantime
         if event.outcome is Outcome.OK:
             self._open_half(endpoint)
         else:
-            # Health checks are cheap: keep asking at a steady pace.
+            # Health checks are cheap, so they are repeated without a growing backoff.
             endpoint.ejections = min(endpoint.ejections, 1)
             self._schedule_return(endpoint)
--- a/crowpost/decisions/request_arrival.py
+++ b/crowpost/decisions/request_arrival.py
@@ -1,4 +1,4 @@
-"""The arrival of a request: its work, weight and deadline, and its place in the queue."""
+"""The arrival of a request: its work, priority weight and deadline, and its entry into the queue."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from crowpost.decisions.request_table import RequestTable
 from crowpost.decisions.retry_budget import RetryBudget
 
-COST_STEP = 0.02  # part of its distance to a new cost hint by which the mean moves
+COST_STEP = 0.02  # The mean cost moves by this part of its distance to a new cost hint
 
 
 class ArrivalHandler:
@@ -31,7 +31,7 @@
         self._queue = queue
         self._quotas = quotas
         self._budget = budget
-        self._mean_cost_ms = 0.0  # by cost hints
+        self._mean_cost_ms = 0.0  # Mean of the cost hints
 
     def on_arrived(self, event: RequestArrived) -> None:
         """Queue a new request."""
@@ -62,7 +62,8 @@
         request.limit_fraction = context.rng.random()
         self._table.requests[number] = request
         self._budget.earn()
-        # At the first tier a request waits a part of its objective; further in, its work would be lost.
+        # A request waits a part of its objective at the first tier.  In inner tiers it may wait longer, since
+        # rejecting it would waste the work done for it.
         max_wait = MAX_BUDGET_FRACTION * event.budget_ms
         if settings.tier == 0:
             max_wait = min(QUEUE_FRACTION * request_class.latency_objective_ms, max_wait)
--- a/crowpost/decisions/request_state.py
+++ b/crowpost/decisions/request_state.py
@@ -1,4 +1,4 @@
-"""What a node knows of a request and its attempts."""
+"""What a node knows about a request and its attempts."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One send: where, when, and how it ended (None before that)."""
+    """One attempt: where and when it was sent, and its outcome (None while it is open)."""
 
     endpoint: Endpoint
-    entry: EndpointEntry  # the endpoint's row at the time of sending
+    entry: EndpointEntry  # Entry of the endpoint at the time of sending
     sent_at: float
     units: float = 1.0
     outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
-        """Return whether the endpoint may have executed it."""
+        """Return whether the endpoint may have executed the attempt."""
         return self.outcome is None or self.outcome not in NEVER_RAN
 
 
 @dataclass(slots=True)
 class Request:
-    """A request that this node owes an answer."""
+    """A request that this node has to answer."""
 
     id: RequestId
     request_class: RequestClass
     class_index: int
     deadline: float
-    units: float  # work, as a multiple of the mean request's
+    units: float  # Work as a multiple of that of the mean request
     priority_weight: float
-    sequence: int  # in order of arrival
+    sequence: int  # Order of arrival
     body_streamed: bool = False
-    limit_fraction: float = 0.0  # drawn in [0, 1): settles the fraction of the concurrency limit
+    limit_fraction: float = 0.0  # Random in [0, 1); see ConcurrencyLimiter.admits
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
     queue_until: float = 0.0
@@ -45,15 +45,15 @@
     body_consumed: bool = False
 
     def is_repeatable(self) -> bool:
-        """Return whether it may be sent twice at all."""
+        """Return whether the request may be sent more than once at all."""
         return self.request_class.effect is not Effect.UNSAFE and not self.body_streamed
 
     def first_risky_attempt(self) -> Attempt | None:
-        """Return the first attempt that may have run."""
+        """Return the first attempt that may have been executed; None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run()), None)
 
     def window_end_ms(self) -> float:
-        """Return when the idempotency window ends; infinity where there is none, or none has begun."""
+        """Return when the idempotency window ends; infinity if there is none or it has not begun."""
         first = self.first_risky_attempt()
         if first is None or self.request_class.effect is not Effect.KEYED:
             return math.inf
--- a/crowpost/decisions/request_table.py
+++ b/crowpost/decisions/request_table.py
@@ -11,8 +11,8 @@
 class RequestTable:
     """Open requests and attempts.
 
-    An attempt is waiting while its endpoint works on it, and streaming while a long body still goes up or a
-    long response comes down.
+    An attempt is waiting while its endpoint works on it, and streaming while a long body is being sent or a
+    long response is being received.
     """
 
     def __init__(self, endpoints: EndpointSet) -> None:
--- a/crowpost/decisions/share_vector.py
+++ b/crowpost/decisions/share_vector.py
@@ -6,23 +6,23 @@
 
 from crowpost.decisions.fenwick_tree import WeightedGroup
 
-MIN_SCALE = 1e-6  # below it weights are taken anew, for the digits of floating point
+MIN_SCALE = 1e-6  # Below this scale the weights are recomputed, to keep floating-point precision
 
 
 def with_floor(ratios: Sequence[float], floor: float) -> list[float]:
-    """Return shares that sum to 1 and keep the ratios of all above the floor, `floor` / their number."""
+    """Return shares that sum to 1, are at least `floor` / their number, and keep their ratios above it."""
     count = len(ratios)
     if not count:
         return []
     min_share = floor / count
     at_floor: set[int] = set()
     while True:
-        total = sum(x for i, x in enumerate(ratios) if i not in at_floor) if at_floor else sum(ratios)
+        total = sum(ratio for i, ratio in enumerate(ratios) if i not in at_floor) if at_floor else sum(ratios)
         scale = (1.0 - len(at_floor) * min_share) / total if total > 0 else 0.0
         min_ratio = min_share / scale if scale else float("inf")
-        below = {i for i, x in enumerate(ratios) if x < min_ratio and i not in at_floor}
+        below = {i for i, ratio in enumerate(ratios) if ratio < min_ratio and i not in at_floor}
         if not below:
-            return [min_share if i in at_floor else x * scale for i, x in enumerate(ratios)]
+            return [min_share if i in at_floor else ratio * scale for i, ratio in enumerate(ratios)]
         at_floor |= below
 
 
@@ -34,16 +34,16 @@
     """
 
     def __init__(self) -> None:
-        self._kinds: list[int] = []  # of the members, numbered from 0
+        self._kinds: list[int] = []  # Kind of each member, numbered from 0
         self._weights: list[float] = []
         self._scale: list[float] = []
         self._offset: list[float] = []
         self._groups: list[WeightedGroup] = []
-        self._restricted: list[WeightedGroup] | None = None  # the part that `draw` is restricted to
+        self._restricted: list[WeightedGroup] | None = None  # The members that `draw` is restricted to
 
     @property
     def kind_count(self) -> int:
-        """How many kinds there are."""
+        """The number of kinds."""
         return len(self._scale)
 
     def set_members(self, shares: list[float], kinds: list[int]) -> None:
@@ -65,7 +65,7 @@
         self.restrict_to(restricted)
 
     def restrict_to(self, members: Sequence[int] | None) -> None:
-        """Let `draw` draw from these members from now on; None: from all."""
+        """Restrict `draw` to these members; None lifts the restriction."""
         self._restricted = None if members is None else self._grouped(members)
 
     def share(self, member: int) -> float:
@@ -77,42 +77,45 @@
         """Return the whole vector."""
         scale = self._scale
         offset = self._offset
-        return [scale[k] * w + offset[k] for k, w in zip(self._kinds, self._weights, strict=True)]
+        return [
+            scale[kind] * weight + offset[kind]
+            for kind, weight in zip(self._kinds, self._weights, strict=True)
+        ]
 
     def draw(self, random_value: float) -> int:
-        """Return the index drawn by a number in [0, 1) from the vector, or from its restricted part."""
+        """Return the index that a number in [0, 1) draws from the vector, or from its restricted part."""
         groups = self._groups if self._restricted is None else self._restricted
         masses = [self._mass(kind, group) for kind, group in enumerate(groups)]
-        left = random_value * sum(masses)
+        remaining = random_value * sum(masses)
         kind = 0
-        while left >= masses[kind] and kind < len(masses) - 1:
-            left -= masses[kind]
+        while remaining >= masses[kind] and kind < len(masses) - 1:
+            remaining -= masses[kind]
             kind += 1
         group = groups[kind]
         offset = self._offset[kind]
-        flat = offset * len(group.members)
-        if left < flat:
-            return group.members[int(left / offset)]
-        return group.find((left - flat) / self._scale[kind])
+        offset_mass = offset * len(group.members)
+        if remaining < offset_mass:
+            return group.members[int(remaining / offset)]
+        return group.find((remaining - offset_mass) / self._scale[kind])
 
     def kind_of(self, member: int) -> tuple[int, float, int]:
-        """Return a member's kind, the sum of that kind's shares, and how many are of it."""
+        """Return a member's kind, the sum of that kind's shares, and its number of members."""
         kind = self._kinds[member]
         group = self._groups[kind]
         return kind, self._mass(kind, group), len(group.members)
 
     def shrink(self, kind: int, step: float, toward: float) -> None:
-        """Move every share of a kind by a part of its distance to one value."""
+        """Move every share of a kind by a part `step` of its distance to the value `toward`."""
         self._scale[kind] *= 1.0 - step
         self._offset[kind] += step * (toward - self._offset[kind])
 
     def grow(self, kind: int, factor: float) -> None:
-        """Multiply every share of a kind."""
+        """Multiply every share of a kind by a factor."""
         self._scale[kind] *= factor
         self._offset[kind] *= factor
 
     def add(self, member: int, change: float) -> None:
-        """Raise one share."""
+        """Add a change to one share."""
         kind = self._kinds[member]
         weight = change / self._scale[kind]
         self._weights[member] += weight
@@ -121,7 +124,7 @@
             self._restricted[kind].add(member, weight)
 
     def renormalize(self) -> None:
-        """Take the shares themselves as weights where a scale has faded so far that digits would be lost."""
+        """Reset scales and offsets if a scale has become so small that precision would be lost."""
         if min(self._scale) < MIN_SCALE:
             self.set_shares(self.shares())
 
--- a/crowpost/decisions/slow_start.py
+++ b/crowpost/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the rising part of a warm endpoint's load that one gets after its start."""
+"""Slow start: after its start an endpoint gets a rising part of the load of a warm one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class SlowStart:
-    """The recovery ramp of endpoints that are warming up.  Times are milliseconds."""
+    """The load ramp of endpoints that are warming up.  Times are milliseconds."""
 
     def __init__(self, settings: Settings) -> None:
         self._initial_fraction = settings.slow_start_fraction
@@ -20,17 +20,17 @@
         return started > 0 and now - started < self._warm_up_ms
 
     def capacity_fraction(self, endpoint: Endpoint, now: float) -> float:
-        """Return the part of its capacity that a warming endpoint has by now at the least."""
+        """Return the least part of its capacity that a warming endpoint has by now."""
         low = self._initial_fraction
         age = now - endpoint.entry.started_ms
         return low + (1.0 - low) * max(age, 0.0) / self._warm_up_ms
 
     def permits(self, endpoint: Endpoint, units: float, warm_rate: float, now: float) -> bool:
-        """Rule 4: a warming endpoint gets the rising part of what this node sends a warm one.
+        """Return whether rule 4 allows an attempt: the endpoint gets a rising part of a warm one's load.
 
-        Every node does so alone; together they then send it its part of what warm endpoints bear, which
-        leaves the multiple that the rule allows as a margin for chance and for heavy requests.  warm_rate:
-        units a millisecond.
+        Every node applies this on its own.  All nodes together then send the endpoint its part of what warm
+        endpoints get, and the multiple of its capacity that rule 4 allows remains as a margin for chance and
+        for heavy requests.  warm_rate: units per millisecond that this node sends to a warm endpoint.
         """
         fraction = self.capacity_fraction(endpoint, now)
         most = max(1.0, fraction * warm_rate * self._window_ms)
--- a/crowpost/decisions/timers.py
+++ b/crowpost/decisions/timers.py
@@ -8,7 +8,7 @@
 
 
 class TimerKind(IntEnum):
-    """What is to be done when a timer is due."""
+    """The action that is due when a timer fires."""
 
     HEDGE = 0
     POLL_LIST = 1
@@ -17,10 +17,10 @@
 
 
 class Timers:
-    """Times in ms with what is due then; equal times in the order in which they were set."""
+    """Timers by time in ms; those of equal times fire in the order in which they were set."""
 
     def __init__(self) -> None:
-        self.set = 0  # over the life
+        self.set = 0  # Number of timers set so far
         self._heap: list[tuple[float, int, int, int | bytes | None]] = []
 
     def __len__(self) -> int:
@@ -32,11 +32,11 @@
         heapq.heappush(self._heap, (when, self.set, kind, subject))
 
     def earliest(self) -> float:
-        """Return when the next is due; infinity if none is set."""
+        """Return when the next timer is due; infinity if none is set."""
         return self._heap[0][0] if self._heap else math.inf
 
     def pop_due(self, now: float) -> tuple[int, int | bytes | None] | None:
-        """Take off the earliest timer that is due; return its kind and subject, or None if none is."""
+        """Remove the earliest timer that is due; return its kind and subject, or None if none is due."""
         if not self._heap or self._heap[0][0] > now:
             return None
         _, _, kind, subject = heapq.heappop(self._heap)
--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -133,5 +133,5 @@
 
 
 def test_a_place_beyond_the_nodes_present_is_no_event() -> None:
-    with pytest.raises(UnexpectedEventError, match="place 3 among 3 nodes"):
+    with pytest.raises(UnexpectedEventError, match="node_index 3 is out of range for 3 nodes"):
         NodesPresent(3, 3)
