--- a/crowpost/decision_api/actions.py
+++ b/crowpost/decision_api/actions.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: the request was not served, and a retry by the client may do harm."""
+    """Final answer: the request was not served, with no promise that a retry is harmless."""
 
     request: RequestId
 
--- a/tests/decisions/__init__.py
+++ b/tests/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions."""
+"""Tests of the decision module."""
--- a/tests/decisions/test_policy_files.py
+++ b/tests/decisions/test_policy_files.py
@@ -1,4 +1,4 @@
-"""The deploy file names every file that holds a decision."""
+"""deploy/balancer.toml lists every file of crowpost/decisions as policy."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_deploy_file_lists_every_file_of_the_decisions_as_policy() -> None:
+def test_deploy_file_lists_all_files_of_the_decisions() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     files = {str(file.relative_to(ROOT)) for file in (ROOT / "crowpost" / "decisions").rglob("*.py")}
     assert set(deploy["policy"]) == files
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules at their edges, and on seeded random streams."""
+"""The four rules (see crowpost/decisions) in edge cases, and on seeded random streams of events."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     TimerFired,
     UnexpectedEventError,
 )
-from tests.decisions.checker import Surrounding
+from tests.decisions.checker import SimulatedHost
 
-EFFECTS = [
+REQUEST_CLASSES = [
     RequestClass("safe", 1000, 3000, effect=Effect.SAFE),
     RequestClass("unsafe", 1000, 3000, effect=Effect.UNSAFE),
     RequestClass(
@@ -58,7 +58,7 @@
 ]
 
 
-def make(kind: RequestClass, **more: object) -> Surrounding:
+def make(request_class: RequestClass, **more: object) -> SimulatedHost:
     values: dict[str, object] = {
         "answer_slack_ms": 20.0,
         "tick_ms": 5.0,
@@ -66,126 +66,126 @@
         "max_attempts": 4,
     }
     values.update(more)
-    return Surrounding(Settings(classes=(kind,), **values), seed=3)  # type: ignore[arg-type]
+    return SimulatedHost(Settings(classes=(request_class,), **values), seed=3)  # type: ignore[arg-type]
 
 
-def rows(n: int) -> list[EndpointEntry]:
-    return [EndpointEntry(bytes([i]), zone=i % 2, cell=i // 2) for i in range(n)]
+def endpoint_entries(count: int) -> list[EndpointEntry]:
+    return [EndpointEntry(bytes([i]), zone=i % 2, cell=i // 2) for i in range(count)]
 
 
 @pytest.mark.parametrize("seed", range(12))
-@pytest.mark.parametrize("duplicate", [True, False])
-def test_rules_hold_on_any_stream(seed: int, duplicate: bool) -> None:
-    for stage in (0, 1):
+@pytest.mark.parametrize("may_hedge", [True, False])
+def test_rules_hold_on_random_streams(seed: int, may_hedge: bool) -> None:
+    for tier in (0, 1):
         settings = Settings(
-            classes=tuple(EFFECTS),
-            tier=stage,
+            classes=tuple(REQUEST_CLASSES),
+            tier=tier,
             tiers=2,
             answer_slack_ms=20.0,
             tick_ms=5.0,
-            may_hedge=duplicate,
+            may_hedge=may_hedge,
             may_check_health=True,
             poll_for_list=bool(seed % 2),
             max_attempts=2 + seed % 4,
         )
-        play = Surrounding(settings, seed)
-        play.list_of(rows(8), ListKind.CACHED)
-        play.muddle(1500)
-        assert sum(isinstance(a, Send) for a in play.log) > 100
-        assert all(owed.done_at is not None for owed in play.owed.values())
+        host = SimulatedHost(settings, seed)
+        host.feed_list(endpoint_entries(8), ListKind.CACHED)
+        host.feed_random_events(1500)
+        assert sum(isinstance(action, Send) for action in host.actions) > 100
+        assert all(record.done_at is not None for record in host.requests.values())
 
 
-def test_a_request_is_answered_though_no_server_is_known() -> None:
-    play = make(EFFECTS[1])
-    play.arrive()
+def test_request_is_rejected_if_no_endpoint_is_known() -> None:
+    host = make(REQUEST_CLASSES[1])
+    host.arrive()
     for _ in range(400):
-        play.step(10)
-    assert [type(a) for a in play.log if isinstance(a, Reject | Fail)] == [Reject]
-
-
-def test_unsafe_request_is_failed_after_a_timeout_and_resent_after_a_proof() -> None:
-    play = make(EFFECTS[1])
-    play.list_of(rows(4))
-    first = play.arrive()
-    play.end(first, 0, Outcome.CONNECT_FAILED)
-    assert len(play.owed[first].attempts) == 2
-    play.end(first, 1, Outcome.ERROR)
-    assert isinstance(play.log[-1], Fail) and len(play.owed[first].attempts) == 2
-
-
-@pytest.mark.parametrize(("index", "answer"), [(2, Reject), (3, Fail), (4, Fail)])
-def test_keyed_request_stays_in_its_group_and_window(index: int, answer: type) -> None:
-    play = make(EFFECTS[index], may_hedge=False)
-    play.list_of(rows(6))
-    request = play.arrive()
-    play.end(request, 0, Outcome.ERROR)
-    assert len(play.owed[request].attempts) == 2  # the checker has seen to the group
-    play.now += EFFECTS[index].idempotency_window_ms
-    play.end(request, 1, Outcome.ERROR)
-    assert len(play.owed[request].attempts) == 2
-    assert any(isinstance(a, answer) for a in play.log)
-
-
-def test_no_second_copy_where_copies_are_forbidden() -> None:
-    for duplicate in (False, True):
-        play = make(EFFECTS[0], may_hedge=duplicate)
-        play.list_of(rows(4))
+        host.advance(10)
+    assert [type(action) for action in host.actions if isinstance(action, Reject | Fail)] == [Reject]
+
+
+def test_unsafe_request_is_retried_after_connect_failure_and_failed_after_error() -> None:
+    host = make(REQUEST_CLASSES[1])
+    host.feed_list(endpoint_entries(4))
+    first = host.arrive()
+    host.end(first, 0, Outcome.CONNECT_FAILED)
+    assert len(host.requests[first].attempts) == 2
+    host.end(first, 1, Outcome.ERROR)
+    assert isinstance(host.actions[-1], Fail) and len(host.requests[first].attempts) == 2
+
+
+@pytest.mark.parametrize(("index", "answer_type"), [(2, Reject), (3, Fail), (4, Fail)])
+def test_keyed_request_stays_in_its_idempotency_scope_and_window(index: int, answer_type: type) -> None:
+    host = make(REQUEST_CLASSES[index], may_hedge=False)
+    host.feed_list(endpoint_entries(6))
+    request = host.arrive()
+    host.end(request, 0, Outcome.ERROR)
+    assert len(host.requests[request].attempts) == 2  # SimulatedHost has checked the idempotency scope
+    host.now += REQUEST_CLASSES[index].idempotency_window_ms
+    host.end(request, 1, Outcome.ERROR)
+    assert len(host.requests[request].attempts) == 2
+    assert any(isinstance(action, answer_type) for action in host.actions)
+
+
+def test_no_hedged_request_without_may_hedge() -> None:
+    for may_hedge in (False, True):
+        host = make(REQUEST_CLASSES[0], may_hedge=may_hedge)
+        host.feed_list(endpoint_entries(4))
         for _ in range(20):
-            done = play.arrive()
-            play.step(20)
-            play.end(done, 0, Outcome.OK)
-        request = play.arrive()
-        before = [len(play.owed[request].attempts)]
+            done = host.arrive()
+            host.advance(20)
+            host.end(done, 0, Outcome.OK)
+        request = host.arrive()
+        attempt_counts = [len(host.requests[request].attempts)]
         for _ in range(30):
-            play.now += 10  # time-outs are not delivered: only the module's own timers run
-            play.fire_due()
-            before.append(len(play.owed[request].attempts))
-        assert (before[-1] > 1) is duplicate
+            host.now += 10  # Only the module's timers fire: timeouts are not delivered
+            host.fire_due_timers()
+            attempt_counts.append(len(host.requests[request].attempts))
+        assert (attempt_counts[-1] > 1) is may_hedge
 
 
-def test_drained_gone_and_unlisted_servers_get_nothing() -> None:
-    play = make(EFFECTS[0])
-    play.list_of(rows(4))
-    drained = [EndpointEntry(bytes([0]), Readiness.DRAINING), EndpointEntry(bytes([1]), Readiness.GONE)]
-    play.list_of(drained, ListKind.CHANGES)
+def test_draining_gone_and_unlisted_endpoints_get_no_attempts() -> None:
+    host = make(REQUEST_CLASSES[0])
+    host.feed_list(endpoint_entries(4))
+    unavailable = [EndpointEntry(bytes([0]), Readiness.DRAINING), EndpointEntry(bytes([1]), Readiness.GONE)]
+    host.feed_list(unavailable, ListKind.CHANGES)
     for _ in range(40):
-        play.end(play.arrive(), 0, Outcome.OK)
-    play.list_of([rows(4)[3]], ListKind.FULL)
+        host.end(host.arrive(), 0, Outcome.OK)
+    host.feed_list([endpoint_entries(4)[3]], ListKind.FULL)
     for _ in range(10):
-        request = play.arrive()
-        assert play.owed[request].attempts[0].entry.server == bytes([3])
-        play.end(request, 0, Outcome.OK)
+        request = host.arrive()
+        assert host.requests[request].attempts[0].entry.server == bytes([3])
+        host.end(request, 0, Outcome.OK)
 
 
-def test_a_burst_on_a_fleet_with_a_cold_server_keeps_the_cold_budget() -> None:
-    warm_up_ms, start_share = 8000.0, 0.3
-    play = make(EFFECTS[0], warm_up_ms=warm_up_ms, slow_start_fraction=start_share, node_count=1)
-    play.list_of(rows(4))
-    sent_cold: list[tuple[float, float]] = []
+def test_burst_keeps_the_budget_of_a_warming_endpoint() -> None:
+    warm_up_ms, initial_fraction = 8000.0, 0.3
+    host = make(REQUEST_CLASSES[0], warm_up_ms=warm_up_ms, slow_start_fraction=initial_fraction, node_count=1)
+    host.feed_list(endpoint_entries(4))
+    sent_to_warming: list[tuple[float, float]] = []
     warm_per_s = 0.0
     for step in itertools.count():
-        if step == 400:  # a warmed-up flow of one call each 5 ms, then one server restarts and calls burst
-            play.list_of([EndpointEntry(bytes([0]), started_ms=play.now)], ListKind.CHANGES)
+        if step == 400:  # After one request each 5 ms one endpoint restarts and the rate triples
+            host.feed_list([EndpointEntry(bytes([0]), started_ms=host.now)], ListKind.CHANGES)
             warm_per_s = 200 / 4
         if step == 800:
             break
-        play.now += 5
+        host.now += 5
         for _ in range(3 if step >= 400 else 1):
-            request = play.arrive()
-            server = play.owed[request].attempts[0].entry.server
+            request = host.arrive()
+            server = host.requests[request].attempts[0].entry.server
             if step >= 400 and server == bytes([0]):
-                sent_cold.append((play.now, play.now - play.rows[server].started_ms))
-            play.end(request, 0, Outcome.OK)
-    assert sent_cold  # it does get its part
-    for at, _ in sent_cold:
-        window = [age for t, age in sent_cold if at <= t < at + 1000]
-        capacity = start_share + (1 - start_share) * window[0] / warm_up_ms
-        # The flow a warm server bore before the burst stands in for what it can do.
+                sent_to_warming.append((host.now, host.now - host.entries[server].started_ms))
+            host.end(request, 0, Outcome.OK)
+    assert sent_to_warming  # The warming endpoint does get its part
+    for window_start, _ in sent_to_warming:
+        window = [age for sent_at, age in sent_to_warming if window_start <= sent_at < window_start + 1000]
+        capacity = initial_fraction + (1 - initial_fraction) * window[0] / warm_up_ms
+        # The rate that a warm endpoint served before the burst is taken as its capacity.
         assert len(window) <= 3 * capacity * 3 * warm_per_s
 
 
-def test_unlikely_news_is_ignored_and_impossible_news_is_an_error() -> None:
-    balancer = Balancer(Settings(classes=(EFFECTS[0],)), seed=1)
+def test_outdated_events_are_ignored_and_impossible_events_raise() -> None:
+    balancer = Balancer(Settings(classes=(REQUEST_CLASSES[0],)), seed=1)
     assert balancer.handle(RequestAbandoned(77), 1.0) == []
     assert balancer.handle(TimerFired(9), 1.0) == []
     with pytest.raises(UnexpectedEventError, match="was not out"):
@@ -200,33 +200,35 @@
 def test_identical_events_give_identical_actions() -> None:
     logs = []
     for _ in range(2):
-        play = make(EFFECTS[0])
-        play.list_of(rows(6))
-        play.muddle(400)
-        logs.append(play.log)
+        host = make(REQUEST_CLASSES[0])
+        host.feed_list(endpoint_entries(6))
+        host.feed_random_events(400)
+        logs.append(host.actions)
     assert logs[0] == logs[1]
 
 
-def test_the_sending_guard_stands_by_itself() -> None:
-    """No caller asks for these today; the one path that sends must refuse them all the same."""
-    for duplicate in (False, True):
-        play = make(EFFECTS[0], may_hedge=duplicate, max_attempts=2)
-        play.list_of(rows(3))
-        node = play.balancer
-        send = node._dispatcher._send
-        request = node._table.requests[play.arrive()]
+def test_send_enforces_the_rules_by_itself() -> None:
+    """No part of the module requests these sends at present, but `_send` must reject them all the same."""
+    for may_hedge in (False, True):
+        host = make(REQUEST_CLASSES[0], may_hedge=may_hedge, max_attempts=2)
+        host.feed_list(endpoint_entries(3))
+        balancer = host.balancer
+        send = balancer._dispatcher._send
+        request = balancer._table.requests[host.arrive()]
         first = request.attempts[0].entry.server
-        other, drained = (s for s in node._endpoints.listed if s.entry.server != first)
-        play.list_of([EndpointEntry(drained.entry.server, Readiness.DRAINING)], ListKind.CHANGES)
+        other, drained = (
+            endpoint for endpoint in balancer._endpoints.listed if endpoint.entry.server != first
+        )
+        host.feed_list([EndpointEntry(drained.entry.server, Readiness.DRAINING)], ListKind.CHANGES)
         assert not send(request, drained)
-        assert send(request, other) is duplicate  # a second copy while the first is out
-        assert not duplicate or not send(request, other)  # and no more than the attempts allowed
-        request.deadline = play.now + 1.0
+        assert send(request, other) is may_hedge  # A second attempt while the first is in flight
+        assert not may_hedge or not send(request, other)  # No more than max_attempts
+        request.deadline = host.now + 1.0
         assert not send(request, other)
-        node._dispatcher.finish_unserved(request)
-        actions = len(node._context.actions)
-        node._dispatcher.finish_unserved(request)
-        assert len(node._context.actions) == actions  # one final answer
+        balancer._dispatcher.finish_unserved(request)
+        actions = len(balancer._context.actions)
+        balancer._dispatcher.finish_unserved(request)
+        assert len(balancer._context.actions) == actions  # Only one final answer
         assert not send(request, other)
 
 
@@ -240,8 +242,8 @@
         ("tick_ms", float("nan")),
     ],
 )
-def test_impossible_settings_name_the_field(field: str, value: object) -> None:
-    values: dict[str, object] = {"classes": (EFFECTS[0],), field: value}
+def test_error_of_a_setting_out_of_range_names_the_field(field: str, value: object) -> None:
+    values: dict[str, object] = {"classes": (REQUEST_CLASSES[0],), field: value}
     with pytest.raises(InvalidSettingsError, match=field):
         Settings(**values)  # type: ignore[arg-type]
     with pytest.raises(InvalidSettingsError, match="latency_objective_ms"):
