--- a/crowpost/decisions/balancer.py
+++ b/crowpost/decisions/balancer.py
@@ -50,7 +50,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self._context = context = Context(settings, random.Random(seed))
-        self._wake_at = math.inf  # Time of the one host timer, which stands for the earliest internal timer
+        self._wake_at = math.inf  # Time of the one host timer, that of the earliest internal timer
         self._endpoints = endpoints = EndpointSet(context)
         self._outliers = outliers = OutlierDetector(context, endpoints)
         self._limiter = limiter = ConcurrencyLimiter(context, endpoints, outliers.expected)
@@ -134,7 +134,7 @@
         while (due := context.timers.pop_due(context.now)) is not None:
             kind, subject = due
             if kind == TimerKind.RECHECK_QUEUE:
-                for request in self._queue.take_recheck():
+                for request in self._queue.take_expired():
                     self._dispatcher.expire(request)
             elif kind == TimerKind.POLL_LIST:
                 self._poller.on_timer()
--- a/crowpost/decisions/concurrency_limiter.py
+++ b/crowpost/decisions/concurrency_limiter.py
@@ -17,9 +17,9 @@
 INITIAL_INCREASE_FACTOR = 1.2  # Increase factor until the first overload
 INCREASE_STEP = 1.0
 # By Little's law the number in flight without a queue is the best recent rate times the baseline latency.
-# The limit grows to at most MAX_LITTLE_FACTOR times that; a decrease leaves at least DECREASE_MARGIN_FACTOR
-# times that.
-MAX_LITTLE_FACTOR = 1.65
+# The limit grows to GROWTH_MARGIN_FACTOR times that, plus its root for chance; a decrease leaves at least
+# DECREASE_MARGIN_FACTOR times that.
+GROWTH_MARGIN_FACTOR = 1.65
 DECREASE_MARGIN_FACTOR = 1.2
 # With a smaller part of the limit in flight, latencies do not show whether a higher limit would do.
 MIN_USED_FRACTION = 0.8
@@ -59,9 +59,9 @@
         admit far too many or too few over all nodes, so each request carries a random `fraction` in [0, 1),
         which admits it with the probability of the limit's fractional part.
         """
-        return in_flight + fraction < self.limit or self._is_unused(fraction)
+        return in_flight + fraction < self.limit or self._has_unused_capacity(fraction)
 
-    def _is_unused(self, fraction: float) -> bool:
+    def _has_unused_capacity(self, fraction: float) -> bool:
         """Return whether fresh load reports show that endpoints hold less than all nodes together may send.
 
         This applies only until the baseline is known.  Until then the limit is this node's part of an
@@ -99,8 +99,8 @@
     def restore(self, limit_each: float, trust: float) -> None:
         """Start from an earlier process's limit, weighted by `trust` and kept near the initial limit."""
         if limit_each > 0.0 and self._capacity:
-            least = INITIAL_LIMIT / MAX_RESTORED_FACTOR
-            bounded = min(max(limit_each, least), INITIAL_LIMIT * MAX_RESTORED_FACTOR)
+            min_limit = INITIAL_LIMIT / MAX_RESTORED_FACTOR
+            bounded = min(max(limit_each, min_limit), INITIAL_LIMIT * MAX_RESTORED_FACTOR)
             self.limit *= 1.0 + trust * (bounded / INITIAL_LIMIT - 1.0)
 
     def update(self, latency_ratio: float, in_flight: int) -> None:
@@ -121,37 +121,39 @@
         # An endpoint holds its slot while it waits for the tiers behind it, and needs a request for each of
         # those tiers to keep its core busy.  With a least limit of one request for each endpoint, a first
         # tier whose baseline latency came from a lucky start rejected 40% of the requests all day.
-        least = (settings.tiers - settings.tier) * len(self._endpoints.listed) / self.sharers
+        min_limit = (settings.tiers - settings.tier) * len(self._endpoints.listed) / self.sharers
         if load.load_ratio > 1.0:
-            self._decrease(least)
+            self._decrease(min_limit)
         elif in_flight + 1 >= MIN_USED_FRACTION * self.limit and load.is_baseline_known():
-            self._increase(least)
+            self._increase(min_limit)
         if (load.load_ratio > 1.0) is not self._is_shedding:
             self._log_change()
 
-    def _decrease(self, least: float) -> None:
+    def _decrease(self, min_limit: float) -> None:
         load = self.load
         self._has_been_overloaded = True
         # Decrease at most to what is in flight at the best recent rate without a queue, times a margin.
         # Repeated decreases without such a bound rejected requests at random, and those admitted again
         # afterwards overloaded the endpoints anew.
-        enough = DECREASE_MARGIN_FACTOR * load.peak_rate * load.peak_fade()
-        enough *= min(load.baseline_latency, load.mean_latency)
+        needed = DECREASE_MARGIN_FACTOR * load.peak_rate * load.peak_decay()
+        needed *= min(load.baseline_latency, load.mean_latency)
         factor = min(MAX_DECREASE_FACTOR, max(MIN_DECREASE_FACTOR, 1.0 / load.load_ratio))
         # The mean in flight plus its standard deviation: if few are in flight on average, there may be far
         # fewer at any one moment.
-        reach = max(1.0, load.mean_in_flight + math.sqrt(load.mean_in_flight))
-        self.limit = max(least, enough, min(self.limit, reach) * factor)
+        max_in_flight = max(1.0, load.mean_in_flight + math.sqrt(load.mean_in_flight))
+        self.limit = max(min_limit, needed, min(self.limit, max_in_flight) * factor)
 
-    def _increase(self, least: float) -> None:
+    def _increase(self, min_limit: float) -> None:
         load = self.load
         factor = INCREASE_FACTOR if self._has_been_overloaded else INITIAL_INCREASE_FACTOR
         increased = self.limit * factor + INCREASE_STEP
         # By Little's law more in flight than this, at the best rate so far, means a queue.  Latencies show it
         # only afterwards, and by then the limit had doubled once too often.
-        enough = max(MAX_LITTLE_FACTOR * load.baseline_latency * load.peak_rate, INITIAL_LIMIT * least)
-        enough += math.sqrt(enough)
-        self.limit = max(self.limit, min(increased, enough))
+        max_limit = max(
+            GROWTH_MARGIN_FACTOR * load.baseline_latency * load.peak_rate, INITIAL_LIMIT * min_limit
+        )
+        max_limit += math.sqrt(max_limit)
+        self.limit = max(self.limit, min(increased, max_limit))
 
     def _log_change(self) -> None:
         load = self.load
--- a/crowpost/decisions/dispatch.py
+++ b/crowpost/decisions/dispatch.py
@@ -52,7 +52,7 @@
             if not self.place(request, last_resort=False):
                 position += 1
         if entries:
-            self._queue.plan_recheck()
+            self._queue.schedule_recheck()
 
     def expire(self, request: Request) -> None:
         """Send a request that has waited its full time to any endpoint that the rules allow, or answer it."""
--- a/crowpost/decisions/endpoint_selection.py
+++ b/crowpost/decisions/endpoint_selection.py
@@ -184,7 +184,7 @@
         return self._is_fit(request, endpoint)
 
     def _is_allowed(self, request: Request, endpoint: Endpoint) -> bool:
-        """Return whether rules 3 and 4 allow an attempt; the caller has checked rule 2."""
+        """Return whether rules 3 and 4 allow an attempt; rule 2 is checked in `draw`."""
         slow_start = self._endpoints.slow_start
         now = self._context.now
         if not endpoint.listed or not slow_start.is_warming_up(endpoint, now):
--- a/crowpost/decisions/learning_automaton.py
+++ b/crowpost/decisions/learning_automaton.py
@@ -25,11 +25,12 @@
 MAX_ALPHA = 0.5  # An average still spans two requests where a node sees few
 # Greatest ratio of theta to alpha, as the averages must move well ahead of the shares of endpoints.
 MAX_THETA_RATIO = 0.1
-# The same for kinds, whose shares rest on the averages of many endpoints.
+# Greatest ratio of theta to alpha for kinds; it is larger as their shares rest on many averages.
 MAX_KIND_THETA_RATIO = 1 / 3
-FLOOR_FRACTION = 0.4  # p_min = this / r; also pulls shares that latency cannot tell apart back to uniform
+# p_min = this / r.  The floor also pulls shares back to uniform where latencies do not differ.
+FLOOR_FRACTION = 0.4
 NEWCOMER_FRACTION = 0.5  # Share of a new endpoint, as a part of the mean share, until its latency is known
-# A failure counts as at most this many means, so that an unresponsive endpoint cannot lift the threshold.
+# A failure counts as at most this many means, so that an unresponsive endpoint cannot raise the threshold.
 MAX_FAILURE_FACTOR = 3.0
 
 
@@ -115,14 +116,14 @@
         for other in range(self._vector.kind_count):
             if other != kind:
                 self._vector.shrink(other, theta, p_min)
-        rest = 1.0 - kind_share - p_min * (len(self.endpoints) - members)
-        self._vector.grow(kind, 1.0 + theta * rest / kind_share)
+        available = 1.0 - kind_share - p_min * (len(self.endpoints) - members)
+        self._vector.grow(kind, 1.0 + theta * available / kind_share)
 
     def record_failure(self, endpoint: EndpointId, latency: float) -> None:
         """Count a failure as a response that does not pay off.
 
         Its latency counts as at least the mean, so that a fast error does not look like a fast response, and
-        as at most MAX_FAILURE_FACTOR means, so that an unresponsive endpoint does not lift the threshold.
+        as at most MAX_FAILURE_FACTOR means, so that an unresponsive endpoint does not raise the threshold.
         """
         index = self._index.get(endpoint)
         mean = self.mean()
@@ -168,9 +169,9 @@
         staying = [name for name in self.endpoints if name in weights]
         new = [name for name in weights if name not in self._index]
         shares = self.shares
-        places = [self._index[name] for name in staying]
-        ratios = [shares[place] for place in places]
-        averages = [self.averages[place] for place in places]
+        old_indices = [self._index[name] for name in staying]
+        ratios = [shares[old_index] for old_index in old_indices]
+        averages = [self.averages[old_index] for old_index in old_indices]
         unit = 1.0
         if staying:
             unit = NEWCOMER_FRACTION * sum(ratios) / sum(weights[name] for name in staying)
@@ -178,10 +179,12 @@
         self.averages = averages + [None] * len(new)
         self._sum_averages()
         self._index = {name: index for index, name in enumerate(self.endpoints)}
-        numbers: dict[int, int] = {}
-        own_kinds = [numbers.setdefault(kinds[name] if kinds else 0, len(numbers)) for name in self.endpoints]
+        kind_numbers: dict[int, int] = {}
+        endpoint_kinds = [
+            kind_numbers.setdefault(kinds[name] if kinds else 0, len(kind_numbers)) for name in self.endpoints
+        ]
         ratios += [unit * weights[name] for name in new]
-        self._vector.set_members(with_floor(ratios, FLOOR_FRACTION), own_kinds)
+        self._vector.set_members(with_floor(ratios, FLOOR_FRACTION), endpoint_kinds)
         self.set_steps(self._node_count)
 
     def _sum_averages(self) -> None:
--- a/crowpost/decisions/list_polling.py
+++ b/crowpost/decisions/list_polling.py
@@ -47,8 +47,8 @@
                 self._failures = 0
         elif self._context.settings.poll_for_list:
             # All nodes may start at once: spread their first polls, well within the poll interval.
-            spread = self._context.rng.random() * FIRST_POLL_FRACTION
-            self._schedule_poll(spread * self._context.settings.list_poll_ms)
+            fraction = self._context.rng.random() * FIRST_POLL_FRACTION
+            self._schedule_poll(fraction * self._context.settings.list_poll_ms)
 
     def on_timer(self) -> None:
         """Poll, unless a later poll has been scheduled instead."""
--- a/crowpost/decisions/load_estimation.py
+++ b/crowpost/decisions/load_estimation.py
@@ -20,14 +20,14 @@
 # send, as the first responses to come back are the fast ones.
 MIN_BASELINE_RESPONSES = 10
 MIN_BASELINE_LATENCIES = 20.0
-BASELINE_FADE = 0.00003  # Part by which the baseline moves toward the long mean latency at each response
+BASELINE_STEP = 0.00003  # Part by which the baseline moves toward the long mean latency at each response
 # Load is averaged over about twenty responses (MIN_STEP), or, where those take longer than STEP_OBJECTIVES
 # latency objectives, over as many as come in that time, but at least five (MAX_STEP): at full size twenty
 # responses of one node came only after the overload.
 MIN_STEP = 0.05
 STEP_OBJECTIVES = 2.0
 MAX_STEP = 0.2
-PEAK_FADE_OBJECTIVES = 4.0  # Time constant of the decay of the peak rate, in latency objectives
+PEAK_DECAY_OBJECTIVES = 4.0  # Time constant of the decay of the peak rate, in latency objectives
 
 
 class LoadEstimator:
@@ -60,10 +60,10 @@
             not too_early and self._context.now - (start or 0.0) >= MIN_BASELINE_LATENCIES * self.mean_latency
         )
 
-    def peak_fade(self) -> float:
+    def peak_decay(self) -> float:
         """Return the decay of the peak rate by its age, as in an overload there may be no responses."""
         age = self._context.now - self._peak_at
-        return math.exp(-age / (PEAK_FADE_OBJECTIVES * self._context.latency_objective_ms))
+        return math.exp(-age / (PEAK_DECAY_OBJECTIVES * self._context.latency_objective_ms))
 
     def observe_response(self, latency: float) -> None:
         """Update the mean latency, the baseline and the peak rate with a response."""
@@ -74,17 +74,17 @@
         long_step = max(MIN_STEP, 1.0 / self._responses)
         self._long_mean_latency += long_step * (latency - self._long_mean_latency)
         self._response_rate.add(1.0, now)
-        fade = self.peak_fade()
+        decay = self.peak_decay()
         self._peak_at = now
         if not self.is_baseline_known():
             return
         # A count of n has a standard deviation of sqrt(n): the best rate of few responses is mostly chance.
         rate = self._response_rate.per_ms(now)
-        self.peak_rate = max(self.peak_rate * fade, rate - math.sqrt(rate / self._response_rate.span))
+        self.peak_rate = max(self.peak_rate * decay, rate - math.sqrt(rate / self._response_rate.span))
         self.baseline_latency = min(self.baseline_latency, self._long_mean_latency)
-        self.baseline_latency += BASELINE_FADE * (self._long_mean_latency - self.baseline_latency)
+        self.baseline_latency += BASELINE_STEP * (self._long_mean_latency - self.baseline_latency)
         self._baseline_latency_ratio = min(self._baseline_latency_ratio, self._latency_ratio)
-        self._baseline_latency_ratio += BASELINE_FADE * (self._latency_ratio - self._baseline_latency_ratio)
+        self._baseline_latency_ratio += BASELINE_STEP * (self._latency_ratio - self._baseline_latency_ratio)
 
     def update(self, latency_ratio: float, in_flight: int) -> None:
         """Update the load ratio with an attempt's latency in objectives, and the mean number in flight."""
--- a/crowpost/decisions/outcome_scoring.py
+++ b/crowpost/decisions/outcome_scoring.py
@@ -71,7 +71,7 @@
             # This overdue outcome is all that is known about the endpoint.  Where requests are few, an
             # average of seven spans most of a minute, and whatever overloaded or stopped the endpoint is
             # still there.
-            self._outliers.pause_if_spared(endpoint, OVERDUE_PAUSE_FACTOR * elapsed)
+            self._outliers.pause_if_allowed(endpoint, OVERDUE_PAUSE_FACTOR * elapsed)
         if outcome is Outcome.OK:
             self.score_response(elapsed, attempt, request, in_flight)
         elif outcome is Outcome.FULL or (
--- a/crowpost/decisions/outlier_detection.py
+++ b/crowpost/decisions/outlier_detection.py
@@ -32,8 +32,8 @@
 DEFAULT_WARM_UP_MS = 10_000.0
 
 
-def _can_spare(unavailable: int, endpoints: int) -> bool:
-    """Return whether one more of these endpoints may be made unavailable."""
+def _may_exclude_one_more(unavailable: int, endpoints: int) -> bool:
+    """Return whether one more endpoint may be excluded beside those that are unavailable already."""
     return unavailable + 1 <= max(1.0, MAX_EJECTED_FRACTION * endpoints)
 
 
@@ -98,7 +98,7 @@
         endpoint.paused_until = self._context.now + span_ms
         self._suspects[endpoint.entry.server] = endpoint
 
-    def pause_if_spared(self, endpoint: Endpoint, span_ms: float) -> None:
+    def pause_if_allowed(self, endpoint: Endpoint, span_ms: float) -> None:
         """Pause an endpoint, unless too many of those that would take its requests are unavailable already.
 
         With a subset only its endpoints count.  Where requests to other zones have a price these are in the
@@ -114,7 +114,7 @@
             sum(endpoints.in_subset[suspect.index] for suspect in avoided) if has_subset else len(avoided)
         )
         total = len(endpoints.subset or ()) if has_subset else len(endpoints.listed)
-        if _can_spare(unavailable, total):
+        if _may_exclude_one_more(unavailable, total):
             self.pause(endpoint, span_ms)
 
     # ------------------------------------------------------------ ejection
@@ -149,7 +149,7 @@
         if endpoint.half_open or (
             endpoint.failure_rate >= EJECTION_FAILURE_RATE
             and endpoint.failure_rate >= PEER_FAILURE_FACTOR * peer_rate
-            and _can_spare(sum(suspect.ejected for suspect in suspects), listed)
+            and _may_exclude_one_more(sum(suspect.ejected for suspect in suspects), listed)
         ):
             self._eject(endpoint, outcome, peer_rate)
 
@@ -167,7 +167,7 @@
     def restore_ejected(self, endpoint: Endpoint) -> None:
         """Eject an endpoint that an earlier process had ejected, unless too many are ejected already."""
         ejected = sum(suspect.ejected for suspect in self._listed_suspects())
-        if _can_spare(ejected, len(self._endpoints.listed)):
+        if _may_exclude_one_more(ejected, len(self._endpoints.listed)):
             endpoint.failure_rate = EJECTION_FAILURE_RATE
             endpoint.ejected = True
             self._suspects[endpoint.entry.server] = endpoint
@@ -192,9 +192,9 @@
         if self._context.settings.may_check_health and endpoint.listed:
             self._context.actions.append(HealthCheck(name))
         else:
-            self._open_half(endpoint)
+            self._make_half_open(endpoint)
 
-    def _open_half(self, endpoint: Endpoint) -> None:
+    def _make_half_open(self, endpoint: Endpoint) -> None:
         endpoint.ejected = False
         endpoint.half_open = True
         endpoint.failure_rate = FAILURE_STEP
@@ -208,7 +208,7 @@
         if not endpoint.ejected:
             return  # It has returned in the meantime
         if event.outcome is Outcome.OK:
-            self._open_half(endpoint)
+            self._make_half_open(endpoint)
         else:
             # Health checks are cheap, so they are repeated without a growing backoff.
             endpoint.ejections = min(endpoint.ejections, 1)
--- a/crowpost/decisions/request_arrival.py
+++ b/crowpost/decisions/request_arrival.py
@@ -37,11 +37,11 @@
         """Queue a new request."""
         context = self._context
         settings = context.settings
-        number = event.request
+        request_id = event.request
         if not 0 <= event.class_index < len(settings.classes):
-            raise UnexpectedEventError(f"request {number} is of unknown class {event.class_index}")
-        if number in self._table.requests:
-            raise UnexpectedEventError(f"request {number} arrived twice")
+            raise UnexpectedEventError(f"request {request_id} is of unknown class {event.class_index}")
+        if request_id in self._table.requests:
+            raise UnexpectedEventError(f"request {request_id} arrived twice")
         request_class = settings.classes[event.class_index]
         units = self._units(event.cost_hint_ms)
         weight = request_class.priority_weight
@@ -50,7 +50,7 @@
         weight *= 1.0 if self._quotas.take(event.tenant) else settings.over_quota_weight
         deadline = math.inf if event.body_streamed else context.now + event.budget_ms
         request = Request(
-            id=number,
+            id=request_id,
             request_class=request_class,
             class_index=event.class_index,
             deadline=deadline,
@@ -60,7 +60,7 @@
             body_streamed=event.body_streamed,
         )
         request.limit_fraction = context.rng.random()
-        self._table.requests[number] = request
+        self._table.requests[request_id] = request
         self._budget.earn()
         # A request waits a part of its objective at the first tier.  In inner tiers it may wait longer, since
         # rejecting it would waste the work done for it.
--- a/crowpost/decisions/request_queue.py
+++ b/crowpost/decisions/request_queue.py
@@ -40,13 +40,13 @@
             request.queued = False
             self.entries.remove((-request.priority_weight, request.sequence, request))
 
-    def take_recheck(self) -> list[Request]:
+    def take_expired(self) -> list[Request]:
         """Record that the timer has fired, and return the requests that have waited their full time."""
         self._recheck_at = math.inf
         now = self._context.now
         return [request for _, _, request in self.entries if request.queue_until <= now]
 
-    def plan_recheck(self) -> None:
+    def schedule_recheck(self) -> None:
         """Set the timer for the next check of the queue, unless one is set that is as early."""
         regular = self._context.now + RECHECK_FRACTION * self._context.latency_objective_ms
         at = min(regular, min(request.queue_until for _, _, request in self.entries))
--- a/crowpost/decisions/slow_start.py
+++ b/crowpost/decisions/slow_start.py
@@ -33,8 +33,8 @@
         for heavy requests.  warm_rate: units per millisecond that this node sends to a warm endpoint.
         """
         fraction = self.capacity_fraction(endpoint, now)
-        most = max(1.0, fraction * warm_rate * self._window_ms)
+        max_tokens = max(1.0, fraction * warm_rate * self._window_ms)
         earned = fraction * warm_rate * (now - endpoint.slow_start_tokens_at)
-        endpoint.slow_start_tokens = min(most, endpoint.slow_start_tokens + earned)
+        endpoint.slow_start_tokens = min(max_tokens, endpoint.slow_start_tokens + earned)
         endpoint.slow_start_tokens_at = now
-        return endpoint.slow_start_tokens >= min(units, most)
+        return endpoint.slow_start_tokens >= min(units, max_tokens)
--- a/crowpost/decisions/subsetting.py
+++ b/crowpost/decisions/subsetting.py
@@ -20,14 +20,14 @@
     skips are full either way.  Splitting the sorted items into equal runs would move a third as many items as
     there are shards.
     """
-    least = len(hashes) // shards
+    min_size = len(hashes) // shards
     sizes = [0] * shards
     assigned = [0] * len(hashes)
     for position, item in enumerate(sorted(range(len(hashes)), key=hashes.__getitem__)):
-        room = least if position < least * shards else least + 1
+        max_size = min_size if position < min_size * shards else min_size + 1
         shard = hashes[item] % shards
         step = (hashes[item] >> 16) | 1
-        while sizes[shard] >= room:
+        while sizes[shard] >= max_size:
             shard = (shard + step) % shards
         sizes[shard] += 1
         assigned[item] = shard
@@ -46,8 +46,8 @@
     """
     # The number of shards is a power of two, since all subsets depend on it and it must not change with every
     # change of the list.  Few nodes use larger subsets: with none, each would connect to every endpoint.
-    most = min(len(candidates) // MIN_SUBSET_SIZE, node_count // MIN_NODES_PER_ENDPOINT)
-    shards = 1 << max(0, most.bit_length() - 1)
+    max_shards = min(len(candidates) // MIN_SUBSET_SIZE, node_count // MIN_NODES_PER_ENDPOINT)
+    shards = 1 << max(0, max_shards.bit_length() - 1)
     if shards <= 1:
         return candidates
     shard_round, own_shard = divmod(node_index, shards)
