--- a/crowpost/decision_api/settings.py
+++ b/crowpost/decision_api/settings.py
@@ -143,7 +143,7 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise InvalidSettingsError("classes must not be empty")
+            raise InvalidSettingsError("classes is empty")
         _check(self, ("node_count", "tiers", "max_attempts"), 1)
         _check(self, ("tier", "warm_up_ms", "slow_start_fraction", "overload_window_ms", "tick_ms"), 0.0)
         _check(self, ("max_retry_after_ms", "over_quota_weight", "cross_zone_price", "answer_slack_ms"), 0.0)
--- a/crowpost/decision_api/settings_reader.py
+++ b/crowpost/decision_api/settings_reader.py
@@ -81,7 +81,7 @@
     try:
         return IdempotencyScope(raw)
     except ValueError as error:
-        raise SettingsError(key, f"is an unknown idempotency scope: {raw!r}") from error
+        raise SettingsError(key, f"is an unknown group: {raw!r}") from error
 
 
 def _request_class(table: _SettingsTable, path: str) -> RequestClass:
--- a/crowpost/decisions/attempt_handling.py
+++ b/crowpost/decisions/attempt_handling.py
@@ -60,7 +60,7 @@
         """Count an attempt as waiting at its endpoint once the last byte of its body was sent."""
         key = (event.request, event.attempt)
         if key not in self._table.streaming:
-            raise UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was not sending a body")
+            raise UnexpectedEventError(f"attempt {key[1]} of request {key[0]} was sending no body")
         self._table.start_waiting(key, self._table.streaming.pop(key), self._context.now)
 
     def on_response_started(self, event: ResponseStarted) -> None:
