--- a/crowpost/decisions/request_arrival.py
+++ b/crowpost/decisions/request_arrival.py
@@ -1,4 +1,4 @@
-"""The arrival of a request: its work, weight and deadline, and its place in the queue."""
+"""The arrival of a request: its work, priority weight and deadline, and its entry into the queue."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from crowpost.decisions.request_table import RequestTable
 from crowpost.decisions.retry_budget import RetryBudget
 
-COST_STEP = 0.02  # part of its distance to a new cost hint by which the mean moves
+COST_STEP = 0.02  # The mean cost moves by this part of its distance to a new cost hint
 
 
 class ArrivalHandler:
@@ -31,17 +31,17 @@
         self._queue = queue
         self._quotas = quotas
         self._budget = budget
-        self._mean_cost_ms = 0.0  # by cost hints
+        self._mean_cost_ms = 0.0  # Mean of the cost hints
 
     def on_arrived(self, event: RequestArrived) -> None:
         """Queue a new request."""
         context = self._context
         settings = context.settings
-        number = event.request
+        request_id = event.request
         if not 0 <= event.class_index < len(settings.classes):
-            raise UnexpectedEventError(f"request {number} is of unknown class {event.class_index}")
-        if number in self._table.requests:
-            raise UnexpectedEventError(f"request {number} arrived twice")
+            raise UnexpectedEventError(f"request {request_id} is of unknown class {event.class_index}")
+        if request_id in self._table.requests:
+            raise UnexpectedEventError(f"request {request_id} arrived twice")
         request_class = settings.classes[event.class_index]
         units = self._units(event.cost_hint_ms)
         weight = request_class.priority_weight
@@ -50,7 +50,7 @@
         weight *= 1.0 if self._quotas.take(event.tenant) else settings.over_quota_weight
         deadline = math.inf if event.body_streamed else context.now + event.budget_ms
         request = Request(
-            id=number,
+            id=request_id,
             request_class=request_class,
             class_index=event.class_index,
             deadline=deadline,
@@ -60,9 +60,10 @@
             body_streamed=event.body_streamed,
         )
         request.limit_fraction = context.rng.random()
-        self._table.requests[number] = request
+        self._table.requests[request_id] = request
         self._budget.earn()
-        # At the first tier a request waits a part of its objective; further in, its work would be lost.
+        # A request waits a part of its objective at the first tier.  In inner tiers it may wait longer, since
+        # rejecting it would waste the work done for it.
         max_wait = MAX_BUDGET_FRACTION * event.budget_ms
         if settings.tier == 0:
             max_wait = min(QUEUE_FRACTION * request_class.latency_objective_ms, max_wait)
