--- a/crowpost/config_feed/__init__.py
+++ b/crowpost/config_feed/__init__.py
@@ -1,4 +1,5 @@
-"""Configuration for a whole fleet: versioned documents, published once, applied everywhere.
+"""Distributes versioned configuration documents from publishers, through relays, to all nodes of a cluster.
 
-The cores do no I/O: `follower` watches, `distribution_server` serves, and both share a `document_table`.
+The protocol logic does no I/O: `follower` fetches documents, `distribution_server` serves them, and both
+share a `document_table`.  `transport` connects them to TCP.
 """
--- a/crowpost/config_feed/apply_status.py
+++ b/crowpost/config_feed/apply_status.py
@@ -1,4 +1,4 @@
-"""How far a process has got with a document: stored, applied or rejected."""
+"""The apply status of a document at one process: stored, applied or rejected."""
 
 from __future__ import annotations
 
@@ -7,15 +7,17 @@
 
 from crowpost.config_feed.documents import VersionKey
 
-MAX_REJECTION_BYTES = 200  # of the reason in a report
+MAX_REJECTION_BYTES = 200  # limit for the rejection reason in a report
 
 
 class ApplyState(StrEnum):
     """The state of a document at one process; the values are those on the wire and in `--json`."""
 
-    STORED = "held"  # by a relay or publisher, which passes it on and does not validate it
+    # Relays and publishers forward a document without validating it.
+    STORED = "held"
     APPLIED = "in force"
-    REJECTED = "refused"  # the last good document stays applied
+    # The last good document stays applied.
+    REJECTED = "refused"
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,9 +26,9 @@
 
     key: VersionKey
     state: ApplyState
-    why: str = ""  # it was rejected
+    why: str = ""  # reason for a rejection
 
 
 def shorten_reason(why: str) -> str:
-    """Return as much of a reason as a report carries."""
+    """Return a rejection reason cut to MAX_REJECTION_BYTES."""
     return why.encode()[:MAX_REJECTION_BYTES].decode(errors="ignore")
--- a/crowpost/config_feed/apply_tracker.py
+++ b/crowpost/config_feed/apply_tracker.py
@@ -8,24 +8,25 @@
 
 
 class ApplyTracker:
-    """Keeps which documents are being applied, and which were applied or rejected."""
+    """Tracks which documents are being applied, and which were applied or rejected."""
 
     def __init__(self) -> None:
-        self.changes = 0  # of statuses; the counter of reports
-        self._statuses: dict[str, ApplyStatus] = {}  # by scope
+        # Number of status changes; reports carry it as their counter.
+        self.changes = 0
+        self._statuses: dict[str, ApplyStatus] = {}
         self._applied: dict[str, Document] = {}
         self._in_progress: dict[str, Document] = {}
 
     def applied_document(self, scope: str) -> Document | None:
-        """Return the last good document of a scope."""
+        """Return the document last applied for a scope, or None."""
         return self._applied.get(scope)
 
     def status(self, scope: str) -> ApplyStatus:
-        """Return the status of a scope that has one."""
+        """Return the status of a scope.  Raise KeyError where the scope has none."""
         return self._statuses[scope]
 
     def statuses(self) -> list[ApplyStatus]:
-        """Return all statuses, from the widest scope."""
+        """Return all statuses, from the widest scope to the narrowest."""
         return [self._statuses[scope] for scope in order_scopes(self._statuses)]
 
     def restore(self, document: Document, state: ApplyState) -> None:
@@ -34,7 +35,7 @@
         self._set(document.header, state)
 
     def set_stored(self, header: DocumentHeader) -> None:
-        """Record a document that is passed on and not applied."""
+        """Record a document that this process forwards but does not apply."""
         self._set(header, ApplyState.STORED)
 
     def is_applying(self, scope: str) -> bool:
@@ -46,7 +47,7 @@
         self._in_progress[document.header.scope] = document
 
     def finish(self, header: DocumentHeader, rejection: str) -> bool:
-        """Record the result, rejected if `rejection` is not empty.
+        """Record the result of applying a document; a non-empty `rejection` is the reason for a rejection.
 
         Return False where this document is not being applied.
         """
--- a/crowpost/config_feed/command.py
+++ b/crowpost/config_feed/command.py
@@ -1,4 +1,4 @@
-"""The command of a publisher or a relay, until SIGTERM: `python -m crowpost.feed FILE`."""
+"""Command line of a publisher or relay, which runs until SIGTERM: `python -m crowpost.feed FILE`."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from crowpost.config_feed.publication_log import Check
 from crowpost.config_feed.transport import FeedTransport
 
-PROGRAM = "crowpost.feed"  # as operators call it
+PROGRAM = "crowpost.feed"  # name of the command for operators
 EXIT_OK = 0
 EXIT_USAGE = 2
 
 
 async def serve(config: FeedConfig, check: Check, restored: bool) -> None:
-    """Run a publisher or a relay until a signal, and say goodbye at the end."""
+    """Run a publisher or a relay until SIGTERM or SIGINT, then close its connections in order."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -34,7 +34,8 @@
 
 
 async def _run_publisher(config: FeedConfig, check: Check, restored: bool, stop: asyncio.Event) -> None:
-    from crowpost.config_feed.publisher import Publisher  # a relay needs no store
+    # Imported here because a relay needs no store.
+    from crowpost.config_feed.publisher import Publisher
 
     publisher = Publisher(config, check, restored=restored)
     await publisher.start()
@@ -51,13 +52,14 @@
 
 
 def _ignore(document: Document) -> None:
-    """Do nothing: a relay's distribution server has announced the document."""
+    """Ignore a received document: the relay's distribution server has already announced it."""
     del document
 
 
 def main(arguments: list[str]) -> int:
-    """Run the command; return 0 after an orderly end, 2 after one line for what cannot be used."""
-    from crowpost.node.configuration_overlays import make_check  # the only place where the two meet
+    """Run the command.  Return 0 after an orderly shutdown, or 2 after a one-line message about an error."""
+    # The only place where this package depends on the node.
+    from crowpost.node.configuration_overlays import make_check
 
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     restored = "--restored" in arguments
--- a/crowpost/config_feed/configuration.py
+++ b/crowpost/config_feed/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a process of the feed, from a TOML file; errors name file and key in one line."""
+"""Reads the [feed] table of a TOML configuration file; each error names file and key in one line."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     "snapshot_bytes",
     "tuning",
 )
-"""Keys of the table [feed], in the order in which an error lists them."""
+"""Keys of the table [feed], in the order in which an error message lists them."""
 
 TUNING_KEYS = {
     "upstream_connections": "watches",
@@ -68,12 +68,12 @@
     "max_damaged_frames": "damaged",
     "status_timeout_ms": "status_ms",
 }
-"""Keys of [feed.tuning] by the field of `Tuning`, where the two differ."""
+"""Maps fields of `Tuning` to their keys in [feed.tuning], where the two names differ."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedConfig:
-    """The table [feed].  Addresses are host:port; `listen` may name port 0."""
+    """The values of the table [feed].  Addresses are host:port; `listen` may have port 0."""
 
     cluster: str
     name: str
@@ -81,34 +81,41 @@
     region: str = ""
     zone: str = ""
     service: str = ""
-    listen: str = ""  # of a relay or publisher
-    upstreams: tuple[UpstreamServer, ...] = ()  # servers that may be watched
-    directory: Path | None = None  # a node's document cache, a publisher's store
-    home_region: str = ""  # the region whose publisher writes `all` and the services
-    publishers: Mapping[str, str] = field(default_factory=dict)  # the name of each region's publisher
-    sample_file: str = ""  # a node's configuration file, with which a publisher validates documents
-    snapshot_bytes: int = SNAPSHOT_BYTES  # a publisher's log of this size is replaced by a snapshot
+    # Relays and publishers only: the address on which they accept followers.
+    listen: str = ""
+    # Distribution servers that this process may follow.
+    upstreams: tuple[UpstreamServer, ...] = ()
+    # The document cache of a node, or the store of a publisher.
+    directory: Path | None = None
+    # The region whose publisher writes the scopes `all` and `service/S`.
+    home_region: str = ""
+    # The name of the publisher of each region, by region.
+    publishers: Mapping[str, str] = field(default_factory=dict)
+    # A node's configuration file, against which a publisher validates documents.
+    sample_file: str = ""
+    # A publisher's log that reaches this size is replaced by a snapshot.
+    snapshot_bytes: int = SNAPSHOT_BYTES
     tuning: Tuning = field(default_factory=Tuning)
 
     @property
     def subscription(self) -> Subscription:
-        """The documents that this process watches."""
+        """The documents that this process subscribes to."""
         if self.role != NODE_ROLE:
             return Subscription(all_scopes=True)
         return Subscription(self.region, self.service, self.name)
 
 
 def load(path: str, name: str = "", *, roles: tuple[str, ...] = ROLES) -> FeedConfig:
-    """Return the table [feed] of a file.  Raise FeedError for what cannot be used.
+    """Return the table [feed] of a file.  Raise FeedError where the file or a value is invalid.
 
-    name: of the process, where the file has none; roles: those that are allowed.
+    name: the name of the process where the file has none; roles: the roles that are allowed.
     """
     try:
         config = _read(read_file(path), name)
     except (TableError, FeedError) as error:
         raise FeedError(f"{path}: {error}") from error
     if config.role not in roles:
-        raise FeedError(f"{path}: feed.role: {' or '.join(roles)} here, not {config.role!r}")
+        raise FeedError(f"{path}: feed.role: must be {' or '.join(roles)} here, not {config.role!r}")
     return config
 
 
@@ -144,7 +151,7 @@
 
 
 def _check(config: FeedConfig) -> None:
-    """Raise FeedError for values that do not go together with the role."""
+    """Raise FeedError for names or addresses that are invalid, or settings that the role lacks."""
     for key, value in (("name", config.name), ("region", config.region), ("service", config.service)):
         if value:
             _check_name(f"feed.{key}", value)
@@ -162,16 +169,20 @@
     if config.directory is None:
         raise FeedError("feed.directory: is missing")
     if config.home_region not in config.publishers:
-        raise FeedError(f"feed.home: one of the regions in feed.publishers, not {config.home_region!r}")
+        raise FeedError(
+            f"feed.home: must be one of the regions in feed.publishers, not {config.home_region!r}"
+        )
     if config.publishers.get(config.region) != config.name:
-        raise FeedError(f"feed.publishers.{config.region}: {config.name!r}, the publisher of this region")
+        raise FeedError(
+            f"feed.publishers.{config.region}: must be {config.name!r}, the publisher of this region"
+        )
 
 
 def _read_upstreams(raw: object) -> tuple[UpstreamServer, ...]:
     if raw is None:
         return ()
     if not isinstance(raw, list):
-        raise FeedError("feed.upstreams: a list of tables")
+        raise FeedError("feed.upstreams: must be a list of tables")
     return tuple(_read_upstream(f"feed.upstreams[{number}]", item) for number, item in enumerate(raw))
 
 
--- a/crowpost/config_feed/conflicts.py
+++ b/crowpost/config_feed/conflicts.py
@@ -1,4 +1,4 @@
-"""Conflicts: two documents of one scope and epoch that are not successive versions of one publisher."""
+"""Detects conflicts: documents of one scope and epoch that are not successive versions of one publisher."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
 
 
 class ConflictRule(StrEnum):
-    """The rule by which one of two documents is the valid one; the values are those on the wire."""
+    """The rule that decides which of two conflicting documents is valid; the values are those on the wire."""
 
-    VERSION = "version"  # the higher version
-    WRITER = "writer"  # of equal versions the later name of the writer
-    DIGEST = "digest"  # of two bodies that one writer published as one version
+    # The higher version wins.
+    VERSION = "version"
+    # The versions are equal, and the writer whose name sorts last wins.
+    WRITER = "writer"
+    # One writer published two bodies as one version, and the higher digest wins.
+    DIGEST = "digest"
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Two documents for one scope in one epoch: the valid one, the other, and the deciding rule."""
+    """Two conflicting documents of one scope and epoch, and the rule that decided between them."""
 
     winner: DocumentHeader
     loser: DocumentHeader
     rule: ConflictRule
 
     def log_fields(self) -> dict[str, object]:
-        """Return what log events tell of a conflict; the keys are part of the log format."""
+        """Return the fields of a conflict in log events; the keys are part of the log format."""
         return {
             "scope": self.winner.scope,
             "era": self.winner.epoch,
@@ -36,9 +39,9 @@
 
 
 def find_conflict(winner: DocumentHeader, loser: DocumentHeader) -> Conflict | None:
-    """Return the conflict between two headers of one scope, or None where they do not conflict.
+    """Return the conflict between two headers of one scope, or None where there is none.
 
-    Documents conflict if two writers wrote them in one epoch, or if they are two bodies for one version.  A
+    Documents of one epoch conflict if two writers wrote them, or if they are two bodies for one version.  A
     newer version by the same writer is no conflict, nor is any document of a later epoch.
     """
     same_version = winner.version == loser.version
--- a/crowpost/config_feed/distribution_server.py
+++ b/crowpost/config_feed/distribution_server.py
@@ -1,10 +1,10 @@
-"""The serving side of the feed, in relays and publishers.  Without I/O.
+"""The distribution server of relays and publishers.  It does no I/O.
 
-A distribution server sends headers to all followers that watch them and bodies on request, and collects apply
-reports.  Connections are numbers chosen by the transport, one for each accepted connection; they are
-unrelated to those of a Follower.  What is sent is limited twice: for each connection by a part of its
-follower's budget, and in all by the server's own.  Bodies are sent to a few connections at once; others are
-queued.
+A distribution server sends document headers to all followers that subscribe to them, sends bodies on request,
+and collects apply reports.  The transport identifies each accepted connection by a number, which is unrelated
+to the connection numbers of a Follower.  Two token buckets limit the bytes sent: one for each connection,
+which is a part of its follower's byte budget, and one for the whole server.  Bodies are sent to a few
+connections at once; further connections wait in a queue.
 """
 
 from __future__ import annotations
@@ -47,17 +47,17 @@
 from crowpost.config_feed.token_bucket import TokenBucket
 from crowpost.config_feed.tuning import Tuning
 
-HEARTBEAT_GROUPS = 8  # a heartbeat goes to an eighth of the connections at a time
-MAX_QUEUED_FETCHES = 64  # of one connection
-MIN_FRAME_LIMIT_BYTES = 524_288  # fits a version vector of all scopes
-PUBLISH_OVERHEAD_BYTES = 65_536  # allowed around the body of a publish request
-RELAY_REJECTION = "a relay takes no documents; publish to a publisher"
+HEARTBEAT_GROUPS = 8  # each round of heartbeats goes to an eighth of the connections
+MAX_QUEUED_FETCHES = 64  # limit for each connection
+MIN_FRAME_LIMIT_BYTES = 524_288  # large enough for a version vector of all scopes
+PUBLISH_OVERHEAD_BYTES = 65_536  # allowance for the fields of a publish request beside its body
+RELAY_REJECTION = "a relay accepts no documents; publish to a publisher"
 
 
 class DistributionServer:
     """Serves the documents of a table to followers.
 
-    accepts_publishes: whether publish requests are passed on in `ServerOutput.requests`, or rejected.
+    accepts_publishes: whether publish requests are returned in `ServerOutput.requests` or rejected.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self.table = table
         self.tuning = tuning or Tuning()
         self.counts: Counter[str] = Counter()
-        """bytes_in, bytes_out, bodies_out, followers, busy, dropped_KIND ..."""
+        """Counters by name: bytes_in, bytes_out, bodies_out, followers, busy, dropped_KIND ..."""
         self.follower_table = FollowerStatusTable(2 * self.tuning.max_connections)
         self._accepts_publishes = accepts_publishes
         self._cluster = cluster_tag(identity.cluster)
@@ -92,11 +92,11 @@
 
     @property
     def followers(self) -> int:
-        """The number of connections of followers."""
+        """The number of connections on which a follower has sent its Hello."""
         return sum(connection.hello is not None for connection in self._connections.values())
 
     def accepted(self, connection_id: int, now: float) -> None:
-        """A connection was accepted."""
+        """Handle an accepted connection; reject it if the server is closed or full."""
         now = self._advance_clock(now)
         if self._closed or len(self._connections) >= self.tuning.max_connections:
             self.counts["turned_away"] += 1
@@ -111,7 +111,7 @@
         self._connections[connection_id] = FollowerConnection(connection_id, reader, now, bucket)
 
     def lost(self, connection_id: int, now: float) -> None:
-        """A connection is closed."""
+        """Handle the loss of a connection."""
         self._remove(connection_id, self._advance_clock(now))
 
     def _remove(self, connection_id: int, now: float) -> None:
@@ -128,7 +128,7 @@
             self._emit("lost", now, {"follower": connection.hello.name})
 
     def blocked(self, connection_id: int, blocked: bool, now: float) -> None:
-        """The socket of a connection accepts no more for now, its buffer being full, or does again."""
+        """Handle that the write buffer of a connection is full (`blocked`), or has space again."""
         now = self._advance_clock(now)
         connection = self._connections.get(connection_id)
         if connection is None:
@@ -141,7 +141,7 @@
         self._scheduler.run(now)
 
     def received(self, connection_id: int, data: bytes, now: float) -> None:
-        """Bytes were received on a connection, in any portions."""
+        """Handle bytes received on a connection; a message may arrive in several parts."""
         now = self._advance_clock(now)
         connection = self._connections.get(connection_id)
         if connection is None:
@@ -154,16 +154,16 @@
         self._scheduler.run(now)
 
     def answer(self, connection_id: int, message: Message, now: float) -> None:
-        """Answer a publish request; without effect where the connection is closed by now."""
+        """Answer a publish request; no effect if the connection has been closed meanwhile."""
         if connection_id in self._connections:
             self._send(self._connections[connection_id], message, self._advance_clock(now))
 
     def announce(self, document: Document, now: float) -> bool:
-        """Store a document and send its header to all that watch its scope.
+        """Store a document and send its header to all followers that subscribe to its scope.
 
-        Return False where the table has a newer one.  A document that is in the table already, as the
-        Follower with the same table fetched it, is announced as well.  Raise FeedError where it cannot be
-        stored.
+        Return False where the table has a newer one.  A document that is already in the table, because the
+        Follower that shares the table fetched it, is announced as well.  Raise FeedError where the document
+        cannot be stored.
         """
         now = self._advance_clock(now)
         header = document.header
@@ -171,7 +171,7 @@
         if (stored is None or stored.header != header) and not self.table.put(document):
             return False
         frame = encode(DocumentHeaders((header,)), self._cluster)
-        for connection in self._index.watching(header.scope):
+        for connection in self._index.subscribers(header.scope):
             if not connection.pending_headers and self._scheduler.may_send(connection, now):
                 self._send_frame(connection, frame, now)
             else:
@@ -180,7 +180,7 @@
         return True
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Send the heartbeats and queued data that are due."""
         now = self._advance_clock(now)
         if now >= self._heartbeat_at:
             self._send_heartbeats(now)
@@ -195,14 +195,14 @@
         return math.inf if self._closed else min(self._heartbeat_at, self._scheduler.next_at())
 
     def status(self, now: float) -> dict[str, object]:
-        """Return documents, followers, apply statuses and conflicts; see `status_merge`."""
+        """Return documents, followers, apply statuses and conflicts, as `status_merge` reads them."""
         return self._status(self._advance_clock(now))
 
     def _status(self, now: float) -> dict[str, object]:
         return server_status(self.identity, self.table, self.follower_table, self.counts, now)
 
     def close(self, now: float, why: str = "in order") -> None:
-        """Say goodbye on all connections and accept no more."""
+        """Send Goodbye on all connections, close them, and accept no more."""
         now = self._advance_clock(now)
         for connection in list(self._connections.values()):
             self._send(connection, Goodbye(why), now)
@@ -210,13 +210,16 @@
         self._closed = True
 
     def take(self) -> ServerOutput:
-        """Return all that is to be done since the last call."""
+        """Return what the transport must do, as collected since the last call."""
         output = self._output
         self._output = ServerOutput()
         return output
 
     def _advance_clock(self, now: float) -> float:
-        """Return the time to use.  After a suspension of this process no follower is to blame."""
+        """Return the time to use.
+
+        The time of a suspension of this process does not count towards the timeouts of followers.
+        """
         suspended_ms = self._clock.advance(now, self._next())
         if suspended_ms:
             for connection in self._connections.values():
@@ -230,9 +233,9 @@
     # ------------------------------------------------------------ messages
 
     def _handle(self, connection: FollowerConnection, message: Message | FrameError, now: float) -> None:
-        """Handle a received message, or the reason why there is none."""
+        """Handle a received message, or the error of an invalid frame."""
         if isinstance(message, FrameError):
-            # What a damaged frame told would be missing; a follower that reconnects tells all again.
+            # The content of a damaged frame is lost; a follower sends its whole state again on reconnecting.
             self.counts[f"dropped_{message.kind}"] += 1
             self._emit("dropped", now, {"what": message.kind, "why": str(message)})
             self._disconnect(connection, now)
@@ -270,7 +273,7 @@
                 self._reject(connection, now)
 
     def _reject(self, connection: FollowerConnection, now: float) -> None:
-        """Close a connection after a message out of place."""
+        """Close a connection after a message that is not valid at this point of the protocol."""
         self.counts["dropped_unexpected"] += 1
         self._disconnect(connection, now)
 
@@ -327,7 +330,7 @@
         self._output.sends.append((connection.number, frame))
 
     def _serve(self, connection: FollowerConnection, now: float) -> None:
-        """Send one frame: headers before bodies."""
+        """Send one frame of pending data: headers before bodies."""
         if connection.pending_headers:
             scopes = list(connection.pending_headers)[:MAX_HEADERS_PER_FRAME]
             headers = tuple(connection.pending_headers.pop(scope) for scope in scopes)
@@ -349,7 +352,7 @@
             self.counts["bodies_out"] += 1
 
     def _send_heartbeats(self, now: float) -> None:
-        """Send heartbeats to a group of connections, and close those that are silent or blocked."""
+        """Send heartbeats to one group of connections, and close those that are unresponsive or blocked."""
         self._heartbeat_group = (self._heartbeat_group + 1) % HEARTBEAT_GROUPS
         interval_ms = self._heartbeat_interval_ms
         self._heartbeat_at = max(self._heartbeat_at + interval_ms, now + 0.5 * interval_ms)
@@ -360,8 +363,8 @@
             if connection.number % HEARTBEAT_GROUPS == self._heartbeat_group
         ]
         for connection in group:
-            is_silent = now - connection.last_received_at > timeout_ms
-            if is_silent or now - connection.blocked_at > timeout_ms:
+            is_unresponsive = now - connection.last_received_at > timeout_ms
+            if is_unresponsive or now - connection.blocked_at > timeout_ms:
                 self._disconnect(connection, now)
             elif connection.hello is not None and not connection.is_blocked:
                 self._send(connection, Heartbeat(self.table.digest(connection.subscription)), now)
--- a/crowpost/config_feed/document_cache.py
+++ b/crowpost/config_feed/document_cache.py
@@ -1,8 +1,9 @@
-"""A node's last good documents on its disk: one file for each scope, replaced as a whole.
+"""Caches a node's last good documents on disk: one file for each scope, replaced atomically.
 
-This is not the store of `crowpost.storage`: there are four documents at the most and each replaces the one
-before, so a log has nothing to add.  Two processes of one node, as in an upgrade, may both write without a
-lock, since each file is complete by itself and an older one is corrected by the next watch.  All calls block.
+The store of `crowpost.storage` is not used: there are at most four documents and each replaces its
+predecessor, so a log would add nothing.  Two processes of one node, as during an upgrade, may both write
+without a lock, since each file is complete by itself and the feed replaces an older one when the node next
+connects.  All calls block.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 
 
 class DocumentCache:
-    """A directory of documents.  owner: the cluster and the node that it belongs to."""
+    """A directory of cached documents.  owner: the cluster and the node that the directory belongs to."""
 
     def __init__(self, directory: Path, owner: tuple[str, str]) -> None:
         self._directory = directory
         self._owner = list(owner)
 
     def load(self) -> tuple[list[Document], list[str]]:
-        """Return the documents that are intact, and a note in one line for each file that is not.
+        """Return the intact documents, and a one-line note for each damaged file.
 
         Raise FeedError where the directory cannot be made or read, or belongs to another node.
         """
@@ -39,7 +40,7 @@
             try:
                 document, owner = _read_file(path)
             except (OSError, ValueError, TypeError, msgpack.exceptions.UnpackException):
-                notes.append(f"{path.name} is damaged and was not used: the feed will bring it again")
+                notes.append(f"{path.name} is damaged and was not used: it will be fetched again")
                 continue
             if owner != self._owner:
                 raise FeedError(f"{self._directory}: the directory belongs to {owner[1]!r} of {owner[0]!r}")
@@ -54,7 +55,7 @@
             raise FeedError(f"{self._directory}: {error.strerror}") from error
 
     def store(self, document: Document) -> None:
-        """Replace the document of a scope; it is durable on return.  Raise OSError otherwise."""
+        """Replace the document of a scope durably.  Raise OSError where writing fails."""
         path = self._directory / _file_name(document.header.scope)
         temporary = path.with_name(f"{path.name}.{os.getpid()}{TEMPORARY_SUFFIX}")
         row = [FORMAT, self._owner, header_row(document.header), document.body]
@@ -75,7 +76,7 @@
 
 
 def _read_file(path: Path) -> tuple[Document, list[str]]:
-    """Return the document of a file and the owner that it names; raise ValueError where it is damaged."""
+    """Return the document of a file and its owner.  Raise ValueError where the file is damaged."""
     version, owner, header, body = msgpack.unpackb(path.read_bytes())
     document = Document(DocumentHeader(*header), body)
     if version != FORMAT or not document.is_intact or path.name != _file_name(document.header.scope):
@@ -84,5 +85,5 @@
 
 
 def _file_name(scope: str) -> str:
-    """Return the file name of a scope; its one slash is the only character that a name may not hold."""
+    """Return the file name of a scope; the slash is its only character that a file name may not have."""
     return scope.replace("/", "=") + DOCUMENT_SUFFIX
--- a/crowpost/config_feed/document_table.py
+++ b/crowpost/config_feed/document_table.py
@@ -1,4 +1,4 @@
-"""The newest complete document of each scope, shared by the follower and the server of one process."""
+"""The newest complete document of each scope, shared by the follower and distribution server of a process."""
 
 from __future__ import annotations
 
@@ -11,27 +11,30 @@
 from crowpost.config_feed.scopes import Subscription, scopes_for_node
 from crowpost.config_feed.tuning import Tuning
 
-MAX_CONFLICTS = 64  # remembered; the oldest is forgotten first
-_FINGERPRINT_BYTES = 7  # fits the integers of the wire format
+MAX_CONFLICTS = 64  # the oldest conflicts beyond this number are dropped
+_FINGERPRINT_BYTES = 7  # fits into an integer of the wire format
 
 
 class DocumentTable:
-    """Documents by scope, bounded in number and bytes; a document only gives way to one of a higher rank."""
+    """Documents by scope, limited in number and bytes; only a document of higher rank replaces another."""
 
     def __init__(self, tuning: Tuning | None = None) -> None:
         self._tuning = tuning or Tuning()
         self.documents: dict[str, Document] = {}
         self.conflicts: list[Conflict] = []
-        self.bytes = 0  # of all bodies
-        self._fingerprints: dict[str, int] = {}  # by scope
-        self._digest = 0  # XOR of all fingerprints
+        # Total size of all bodies.
+        self.bytes = 0
+        # The fingerprint of each document, by scope.
+        self._fingerprints: dict[str, int] = {}
+        # XOR of all fingerprints.
+        self._digest = 0
 
     def get(self, scope: str) -> Document | None:
-        """Return the document of a scope."""
+        """Return the document of a scope, or None."""
         return self.documents.get(scope)
 
     def put(self, document: Document) -> bool:
-        """Store a document; return False where one of the same rank or a higher one is stored already.
+        """Store a document.  Return False where one of the same or a higher rank is already stored.
 
         Raise FeedError where the body does not match the header or is too large, or the table is full.
         """
@@ -53,18 +56,16 @@
         header = document.header
         tuning = self._tuning
         if not document.is_intact:
-            raise FeedError(
-                f"{header.scope} version {header.version}: the body is not the one that its head names"
-            )
+            raise FeedError(f"{header.scope} version {header.version}: the body does not match its header")
         if header.size > tuning.max_document_bytes:
             raise FeedError(f"{header.scope}: {header.size} bytes, {tuning.max_document_bytes} at the most")
         added_bytes = header.size - (current.header.size if current is not None else 0)
         no_scope_left = current is None and len(self.documents) >= tuning.max_documents
         if no_scope_left or self.bytes + added_bytes > tuning.max_table_bytes:
-            raise FeedError(f"{header.scope}: the table of documents is full")
+            raise FeedError(f"{header.scope}: the document table is full")
 
     def record_conflict(self, header: DocumentHeader) -> Conflict | None:
-        """Remember a conflict of a header with the stored one; return it if it was not known before."""
+        """Record a conflict between a header and the stored one.  Return it if it was not known before."""
         current = self.documents.get(header.scope)
         if current is None:
             return None
@@ -86,7 +87,11 @@
         return [self.documents[scope].header for scope in scopes if scope in self.documents]
 
     def newer(self, subscription: Subscription, version_vector: Iterable[VersionKey]) -> list[DocumentHeader]:
-        """Return the headers that a follower with this version vector lacks, or has another document for."""
+        """Return the headers to send to a follower with this version vector.
+
+        These are the documents that the follower lacks, and those of the same or a newer version than its own
+        that differ from it.
+        """
         known = {key.scope: key for key in version_vector}
         found = []
         for header in self.headers(subscription):
@@ -98,7 +103,7 @@
         return found
 
     def digest(self, subscription: Subscription) -> int:
-        """Return one number for all versions stored among those of a subscription."""
+        """Return one number that identifies all stored versions of a subscription."""
         if subscription.all_scopes:
             return self._digest
         found = 0
--- a/crowpost/config_feed/errors.py
+++ b/crowpost/config_feed/errors.py
@@ -4,7 +4,7 @@
 
 
 class FeedError(ValueError):
-    """Base class: an invalid document, scope, message or setting.  The text is one line."""
+    """Base class of the errors for an invalid document, scope, message or setting; the text is one line."""
 
 
 class FrameError(FeedError):
--- a/crowpost/config_feed/fetch_scheduler.py
+++ b/crowpost/config_feed/fetch_scheduler.py
@@ -1,4 +1,4 @@
-"""Schedules the fetches of bodies.
+"""Schedules the fetches of document bodies.
 
 Each body is requested once, from the nearest server that offers it, and from another one if it stalls.
 """
@@ -19,37 +19,44 @@
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_connections import UpstreamConnection, UpstreamConnections
 
-REQUEST_OVERHEAD_BYTES = 110 + PACKET_OVERHEAD_BYTES  # of a FetchRequest, and around the data of a BodyChunk
-MIN_REQUEST_BYTES = 4_096  # worth requesting while there are few tokens
-MAX_BACKOFF_DOUBLINGS = 6  # of the wait while no server sends a body
-NO_SOURCE = 0  # connections are numbered from 1
+# Size of a FetchRequest, and of a BodyChunk without its data.
+REQUEST_OVERHEAD_BYTES = 110 + PACKET_OVERHEAD_BYTES
+MIN_REQUEST_BYTES = 4_096  # smallest request, or the rest of the body, that is sent when tokens are short
+MAX_BACKOFF_DOUBLINGS = 6  # limits the backoff while no server sends the body
+NO_SOURCE = 0  # is never a connection number, as these begin at 1
 
 EmitEvent = Callable[[str, float, dict[str, object]], None]
 
 
 @dataclass(slots=True, eq=False)
 class PendingFetch:
-    """A document that is known to be newer than the stored one; times in ms."""
+    """The fetch of a document that is newer than the stored one; times in ms."""
 
     header: DocumentHeader
     first_offered_at: float
     body: bytearray = field(default_factory=bytearray)
-    source: int = NO_SOURCE  # connection that was asked
-    requested_until: int = 0  # offset up to which bytes were requested
-    progress_at: float = 0.0  # last request or received byte
-    stall_count: int = 0  # in a row without a byte
-    contributors: set[int] = field(default_factory=set)  # connections that sent chunks
-    single_source: bool = False  # chunks of two servers did not fit: fetch all of it from one
+    # The connection on which the body is requested.
+    source: int = NO_SOURCE
+    # Offset up to which bytes were requested.
+    requested_until: int = 0
+    # Time of the last request or received byte.
+    progress_at: float = 0.0
+    # Number of successive stalls without a received byte.
+    stall_count: int = 0
+    # Connections that sent chunks of the body.
+    contributors: set[int] = field(default_factory=set)
+    # Fetch the whole body from one server, because chunks of several servers did not match the digest.
+    single_source: bool = False
 
     @property
     def awaits_bytes(self) -> bool:
-        """Whether a server was asked and has not sent all that was requested."""
+        """Whether requested bytes have not been received yet."""
         if self.source == NO_SOURCE:
             return False
         return len(self.body) < self.requested_until or not self.header.size
 
     def release_source(self) -> None:
-        """Ask any server for the rest."""
+        """Let any server be asked for the rest of the body."""
         self.source = NO_SOURCE
         self.requested_until = len(self.body)
 
@@ -58,14 +65,15 @@
         self.stall_count = min(self.stall_count + 1, MAX_BACKOFF_DOUBLINGS)
 
     def accepts_chunks_from(self, connection_id: int) -> bool:
-        """Return whether a chunk of a connection may continue the body."""
+        """Return whether a chunk received on a connection may be appended to the body."""
         return not (self.single_source and self.contributors) or connection_id in self.contributors
 
 
 class FetchScheduler:
-    """Decides what to fetch, and from which server.
+    """Decides which bodies to fetch, and from which server.
 
-    Every requested byte is taken from the token bucket first.  max_concurrent: bodies fetched at once.
+    Tokens for all bytes of a request are spent before it is sent.  max_concurrent: the number of bodies that
+    are fetched at once.
     """
 
     def __init__(
@@ -89,14 +97,14 @@
         self._emit = emit
         self.pending: dict[str, PendingFetch] = {}  # by scope
         self.stalled_connections: list[UpstreamConnection] = []
-        """To be closed: what they have not sent leaves no tokens to ask another server."""
+        """Connections to close, because their outstanding bytes leave no tokens to ask another server."""
         self._outstanding = OutstandingBytes(bucket)
         self._retry_at = math.inf
 
     # ------------------------------------------------------------ offers
 
     def offer(self, connection: UpstreamConnection, header: DocumentHeader, now: float) -> bool:
-        """Record that a server offers a document; return whether it is newer than the stored one."""
+        """Record that a server offers a document.  Return whether it is newer and is to be fetched."""
         stored = self._table.get(header.scope)
         if stored is not None and header.rank <= stored.header.rank:
             connection.offered_headers.pop(header.scope, None)
@@ -115,7 +123,10 @@
         return True
 
     def _choose_document(self, scope: str, now: float) -> None:
-        """Fetch the best document on offer; one that nobody offers for now is kept as far as it came."""
+        """Fetch the offered document of the highest rank.
+
+        If no server offers one any more, keep the fetch in progress with the bytes received so far.
+        """
         best = self._best_offer(scope)
         fetch = self.pending.get(scope)
         if best is None or (fetch is not None and fetch.header == best):
@@ -135,7 +146,7 @@
         return best
 
     def connection_lost(self, connection: UpstreamConnection, now: float) -> None:
-        """Continue elsewhere with what was requested on a closed connection."""
+        """Continue the fetches of a closed connection with other servers."""
         self._outstanding.cancel_connection(connection.number)
         for scope, fetch in self.pending.items():
             if fetch.source == connection.number:
@@ -146,7 +157,7 @@
     def body_unavailable(
         self, connection: UpstreamConnection, key: VersionKey, busy: bool, now: float
     ) -> None:
-        """Continue elsewhere with what a server does not send, being busy or without the document."""
+        """Continue a fetch with another server; this one is busy or no longer has the document."""
         self._outstanding.cancel(connection.number, key)
         fetch = self.pending.get(key.scope)
         if fetch is None or fetch.source != connection.number or fetch.header.key != key:
@@ -163,7 +174,7 @@
     # ------------------------------------------------------------ received bodies
 
     def receive_chunk(self, connection: UpstreamConnection, chunk: BodyChunk, now: float) -> Document | None:
-        """Add a chunk to its body; return the document once it is complete and intact."""
+        """Append a chunk to its body.  Return the document once it is complete and intact."""
         self._outstanding.receive(connection.number, chunk.key, len(chunk.data))
         fetch = self.pending.get(chunk.key.scope)
         if fetch is None or fetch.header.key != chunk.key:
@@ -172,7 +183,7 @@
         received = len(fetch.body)
         if chunk.offset > received:
             self._counts["dropped_gap"] += 1
-            if fetch.source == connection.number:  # a frame was lost: request from there again
+            if fetch.source == connection.number:  # a frame was lost, so request again from its offset
                 fetch.release_source()
             return None
         data = chunk.data[received - chunk.offset : fetch.header.size - chunk.offset]
@@ -205,20 +216,20 @@
         return document
 
     def _restart(self, connection: UpstreamConnection, fetch: PendingFetch, now: float) -> None:
-        """Fetch a body anew that does not match its header, from a single server."""
+        """Restart the fetch of a body that does not match its header, from a single server."""
         header = fetch.header
         self._counts["dropped_digest"] += 1
         self._emit("dropped", now, {"what": "digest", "scope": header.scope, "version": header.version})
-        again = PendingFetch(header, fetch.first_offered_at, progress_at=now, single_source=True)
-        again.stall_count = fetch.stall_count
-        again.count_stall()
-        self.pending[header.scope] = again
+        restarted = PendingFetch(header, fetch.first_offered_at, progress_at=now, single_source=True)
+        restarted.stall_count = fetch.stall_count
+        restarted.count_stall()
+        self.pending[header.scope] = restarted
         if len(fetch.contributors) == 1:
             connection.rejected_headers[header.scope] = header
             self._choose_document(header.scope, now)
 
     def reject(self, header: DocumentHeader) -> None:
-        """Ignore the present offers of a document that cannot be stored, until their connections are new."""
+        """Ignore the current offers of a document that cannot be stored, until the server reconnects."""
         for connection in self._connections.connections.values():
             if connection.offered_headers.get(header.scope) == header:
                 connection.rejected_headers[header.scope] = header
@@ -243,7 +254,7 @@
     def _schedule(self, fetch: PendingFetch, connections: list[UpstreamConnection], now: float) -> None:
         sources = _sources(fetch, connections, now)
         if not sources:
-            return  # a new connection, or a digest that differs, brings an offer
+            return  # wait for an offer, which follows a new connection or a differing digest
         due = self._due_at(fetch, connections, sources, now)
         if now < due:
             self._retry_at = min(self._retry_at, due)
@@ -268,7 +279,7 @@
         tuning = self._tuning
         if fetch.awaits_bytes:
             return fetch.progress_at + tuning.stall_timeout_ms * 2.0**fetch.stall_count
-        if fetch.source != NO_SOURCE:  # what the tokens allowed has come, and there is more
+        if fetch.source != NO_SOURCE:  # all requested bytes were received; request the next ones at once
             return -math.inf
         if fetch.stall_count:
             return fetch.progress_at + tuning.stall_timeout_ms * 2.0 ** (fetch.stall_count - 1)
@@ -280,7 +291,7 @@
     def _replace_source(
         self, fetch: PendingFetch, sources: list[UpstreamConnection], now: float
     ) -> UpstreamConnection:
-        """Return another server for a stalled fetch, or the same one where there is no other."""
+        """Return another server for a stalled fetch, or the same one if no other offers the document."""
         for connection in sources:
             if connection.number == fetch.source:
                 connection.slow_until = now + self._tuning.slow_server_ms
@@ -294,7 +305,7 @@
         return source
 
     def _request(self, fetch: PendingFetch, source: UpstreamConnection, stalled: bool, now: float) -> None:
-        """Request the rest of a body, as much as there are tokens for."""
+        """Request the rest of a body, as far as the tokens allow."""
         received = len(fetch.body)
         missing = fetch.header.size - received
         minimum = min(missing, MIN_REQUEST_BYTES)
@@ -305,7 +316,7 @@
                 self._retry_at = min(self._retry_at, affordable_at)
                 if stalled:
                     self._close_if_blocking(fetch, source, minimum)
-                    fetch.release_source()  # then it is open which server to ask
+                    fetch.release_source()  # the server is chosen once there are tokens
                 return
         length = int(min(missing, max(minimum, self._bucket.tokens - 2 * REQUEST_OVERHEAD_BYTES)))
         self._bucket.spend(length + self._overhead(length), now)
@@ -323,7 +334,7 @@
         self._retry_at = min(self._retry_at, stall_at)
 
     def _overhead(self, length: int) -> int:
-        """Return the bytes of a request and around the chunks of its answer."""
+        """Return the size of a request and of the frames of its chunks, without the chunk data."""
         chunks = 1 + length // self._tuning.chunk_bytes
         return REQUEST_OVERHEAD_BYTES * (1 + chunks)
 
@@ -337,11 +348,11 @@
             self.stalled_connections.append(stalled)
 
     def next_at(self) -> float:
-        """Return when `tick` is due, in ms; offers and chunks are acted on at once."""
+        """Return when `tick` is due next, in ms."""
         return self._retry_at
 
     def shift(self, by_ms: float) -> None:
-        """Move all deadlines, after this process was suspended."""
+        """Move all deadlines by the time for which this process was suspended."""
         for fetch in self.pending.values():
             fetch.progress_at += by_ms
             fetch.first_offered_at += by_ms
@@ -350,7 +361,7 @@
 def _sources(
     fetch: PendingFetch, connections: list[UpstreamConnection], now: float
 ) -> list[UpstreamConnection]:
-    """Return the servers that offer a document: slow ones last, and otherwise by nearness."""
+    """Return the servers that offer a document, the nearest first, but slow servers after all others."""
     header = fetch.header
     found = [
         connection
@@ -358,5 +369,6 @@
         if connection.offered_headers.get(header.scope) == header
         and connection.rejected_headers.get(header.scope) != header
     ]
-    found.sort(key=lambda connection: connection.slow_until > now)  # stable: keeps the order by nearness
+    # The sort is stable, so it keeps the order by nearness.
+    found.sort(key=lambda connection: connection.slow_until > now)
     return found
--- a/crowpost/config_feed/follower.py
+++ b/crowpost/config_feed/follower.py
@@ -1,12 +1,12 @@
-"""The watching side of the feed: a node, a relay, or a publisher that follows other publishers.  Without I/O.
+"""The follower of a node, a relay, or a publisher that follows other publishers.  It does no I/O.
 
-Call it with received bytes and times that never go back; `take` returns what the transport is to do.
-Connections are numbers that the follower gives out with each ConnectRequest; the transport connects, calls
-`connected` or `lost`, and passes received bytes on.
+The transport calls it with events, received bytes and the time; `take` returns what the transport must do.
+The follower assigns a number to each connection that it requests with a ConnectRequest; the transport
+connects, calls `connected` or `lost`, and passes on received bytes.
 
-Headers come from all servers that are watched, bodies from one of them (`fetch_scheduler`).  Each heartbeat
-carries a digest of the stored versions; while digests differ the version vector is sent again, so no loss is
-permanent.
+Headers are received from all connected servers, and each body from one of them (`fetch_scheduler`).  Each
+heartbeat has a digest of the stored versions; while the digests of both sides differ, the version vector is
+sent again, so that lost headers are always repeated.
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
 
 
 class Follower:
-    """Watches a few servers and fetches each document of a subscription once, from the nearest of them.
+    """Follows a few servers and fetches each document of a subscription once, from the nearest of them.
 
-    A node answers each document in `FollowerOutput.apply` by calling `apply_finished`; a relay or publisher
-    stores it, and its distribution server announces it.  table: shared with that server; cached_documents:
-    last good documents from disk, applied from the start.
+    A node applies each document in `FollowerOutput.apply` and then calls `apply_finished`; a relay or
+    publisher stores it, and its distribution server announces it.  table: shared with that server;
+    cached_documents: last good documents from disk, which count as applied from the start.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self.tuning = tuning
         self.table = DocumentTable(tuning) if table is None else table
         self.counts: Counter[str] = Counter()
-        """bytes_in, bytes_out, bodies, fetches, taken_over, coalesced, dropped_KIND, dials, lost ..."""
+        """Counters: bytes_in, bytes_out, bodies, fetches, taken_over, coalesced, dropped_KIND, dials ..."""
         self._requires_apply = identity.role == NODE_ROLE
         self._rng = rng
         self._cluster = cluster_tag(identity.cluster)
@@ -108,16 +108,16 @@
     # ------------------------------------------------------------ state
 
     def applied_document(self, scope: str) -> Document | None:
-        """Return the last good document of a scope."""
+        """Return the last good document of a scope, or None."""
         return self._tracker.applied_document(scope)
 
     def apply_statuses(self) -> list[ApplyStatus]:
-        """Return the apply status of each document, from the widest scope."""
+        """Return the apply status of each document, from the widest scope to the narrowest."""
         return self._tracker.statuses()
 
     @property
     def connected_servers(self) -> list[str]:
-        """Addresses of the servers that are watched, the nearest first."""
+        """The addresses of the connected servers, the nearest first."""
         return [connection.upstream.server.address for connection in self._ready_connections()]
 
     def _ready_connections(self) -> list[UpstreamConnection]:
@@ -128,7 +128,7 @@
     # ------------------------------------------------------------ input
 
     def connected(self, connection_id: int, now: float) -> None:
-        """A requested connection is open."""
+        """Handle that a requested connection is open."""
         now = self._advance_clock(now)
         connection = self._connections.connections.get(connection_id)
         if connection is not None and not connection.open:
@@ -140,7 +140,7 @@
         self._advance(now)
 
     def lost(self, connection_id: int, now: float) -> None:
-        """A connection failed to open or is closed; without effect after a disconnect of one's own."""
+        """Handle a connection that failed or was closed; no effect if this side disconnected it."""
         now = self._advance_clock(now)
         connection = self._connections.connections.get(connection_id)
         if connection is not None:
@@ -149,7 +149,7 @@
         self._advance(now)
 
     def received(self, connection_id: int, data: bytes, now: float) -> None:
-        """Bytes were received on a connection, in any portions."""
+        """Handle bytes received on a connection; a message may arrive in several parts."""
         now = self._advance_clock(now)
         connection = self._connections.connections.get(connection_id)
         if connection is not None and connection.open:
@@ -161,7 +161,7 @@
         self._advance(now)
 
     def apply_finished(self, header: DocumentHeader, rejection: str, now: float) -> None:
-        """A document is applied if `rejection` is empty, else rejected for that reason, in one line."""
+        """Handle the result of applying a document; a non-empty `rejection` is the reason, in one line."""
         now = self._advance_clock(now)
         scope = header.scope
         if not self._tracker.finish(header, rejection):
@@ -171,17 +171,20 @@
         values = {"scope": scope, "version": header.version, "refused": shorten_reason(rejection)}
         self._emit("standing", now, values)
         newest = self.table.get(scope)
-        if newest is not None and newest.header.rank > header.rank:  # received meanwhile
+        # A newer document may have been received meanwhile.
+        if newest is not None and newest.header.rank > header.rank:
             self._begin_apply(newest)
         self._broadcast_status(scope, now)
         self._advance(now)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Send the heartbeats and requests that are due, and close unresponsive connections."""
         now = self._advance_clock(now)
         for connection in list(self._connections.connections.values()):
             if now >= self._connections.deadline(connection):
-                self._disconnect(connection, now, "silent" if connection.handshake_done else "no answer")
+                self._disconnect(
+                    connection, now, "unresponsive" if connection.handshake_done else "no handshake"
+                )
             elif now >= connection.heartbeat_at:
                 heartbeat_ms = self.tuning.heartbeat_ms
                 connection.heartbeat_at = now + heartbeat_ms * (0.9 + 0.1 * self._rng.random())
@@ -198,13 +201,13 @@
         return min(self._connections.next_at(), self._scheduler.next_at())
 
     def take(self) -> FollowerOutput:
-        """Return all that is to be done since the last call."""
+        """Return what the transport must do, as collected since the last call."""
         output = self._output
         self._output = FollowerOutput()
         return output
 
     def close(self, now: float, why: str = "in order") -> None:
-        """Say goodbye on all connections and open no more."""
+        """Send Goodbye on all connections, close them, and open no more."""
         now = self._advance_clock(now)
         for connection in list(self._connections.connections.values()):
             if connection.open:
@@ -213,7 +216,10 @@
         self._closed = True
 
     def _advance_clock(self, now: float) -> float:
-        """Return the time to use.  After a suspension of this process no server is to blame."""
+        """Return the time to use.
+
+        The time of a suspension of this process does not count towards the timeouts of servers.
+        """
         suspended_ms = self._clock.advance(now, self._due)
         now = self._clock.now
         if suspended_ms:
@@ -224,7 +230,7 @@
         return now
 
     def _advance(self, now: float) -> None:
-        """Open and close connections and request bodies, as far as they are due."""
+        """Open and close connections, and request bodies, as they are due."""
         if not self._closed:
             surplus = self._connections.surplus()
             if surplus is not None:
@@ -238,7 +244,7 @@
             self._scheduler.tick(now)
             while self._scheduler.stalled_connections:
                 stalled = self._scheduler.stalled_connections.pop()
-                self._disconnect(stalled, now, "it holds back what was asked")
+                self._disconnect(stalled, now, "requested bytes were not received")
                 self._scheduler.tick(now)
         self._due = self._next()
 
@@ -247,7 +253,8 @@
     def _send(self, connection: UpstreamConnection, message: Message, now: float) -> None:
         frame = encode(message, self._cluster)
         self.counts["bytes_out"] += len(frame)
-        if not isinstance(message, FetchRequest):  # the scheduler has spent its tokens
+        # The scheduler has already spent the tokens of a fetch request.
+        if not isinstance(message, FetchRequest):
             self.bucket.spend(len(frame) + PACKET_OVERHEAD_BYTES, now)
         self._output.sends.append((connection.number, frame))
 
@@ -284,12 +291,13 @@
     def _handle(
         self, connection: UpstreamConnection, message: Message | FrameError, now: float, size: int
     ) -> None:
-        """Handle a received message, or the reason why there is none.  size: of its frame in bytes."""
+        """Handle a received message, or the error of an invalid frame.  size: of the frame in bytes."""
         if isinstance(message, FrameError):
             self._handle_frame_error(connection, message, now)
             return
         connection.last_received_at = now
-        if not isinstance(message, BodyChunk):  # its tokens were spent with the request
+        # The tokens of a chunk were spent when it was requested.
+        if not isinstance(message, BodyChunk):
             self.bucket.spend(size + PACKET_OVERHEAD_BYTES, now)
         match message:
             case Hello():
@@ -304,12 +312,12 @@
             case Heartbeat(digest):
                 self._compare_digest(connection, digest, now)
             case Goodbye(why):
-                self._disconnect(connection, now, f"bye: {why}")
+                self._disconnect(connection, now, f"closed by the server: {why}")
             case _:
                 self.counts["dropped_unexpected"] += 1
 
     def _handle_frame_error(self, connection: UpstreamConnection, error: FrameError, now: float) -> None:
-        """Skip a damaged frame, as its content comes again; after too many close the connection."""
+        """Skip a damaged frame, as its content is sent again; close the connection after too many of them."""
         self.counts[f"dropped_{error.kind}"] += 1
         self._emit("dropped", now, {"what": error.kind, "server": connection.name, "why": str(error)})
         connection.damaged_frames += 1
@@ -319,8 +327,9 @@
     def _complete_handshake(self, connection: UpstreamConnection, hello: Hello, now: float) -> None:
         identity = self.identity
         if hello.instance_id == identity.instance_id and hello.name == identity.name:
-            connection.upstream.failures = MAX_FAILURES_COUNTED  # its own server: back off for longest
-            self._disconnect(connection, now, "this process itself")
+            # This is the process's own server: use the longest backoff.
+            connection.upstream.failures = MAX_FAILURES_COUNTED
+            self._disconnect(connection, now, "connected to this process itself")
             return
         if connection.handshake_done:
             return
@@ -332,7 +341,7 @@
             self._send(connection, self._report(statuses), now)
 
     def _compare_digest(self, connection: UpstreamConnection, digest: int, now: float) -> None:
-        """Send the version vector, less and less often, while the digests of both sides differ."""
+        """Send the version vector while the digests of both sides differ, with increasing intervals."""
         differs = digest != self.table.digest(self.subscription)
         if not connection.resync.compare(differs, now):
             return
--- a/crowpost/config_feed/follower_connections.py
+++ b/crowpost/config_feed/follower_connections.py
@@ -1,4 +1,4 @@
-"""Connections that a distribution server accepted, and the index of them by scope."""
+"""The connections that a distribution server accepted, and their index by scope."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class FollowerConnection:
-    """An accepted connection; it has a `hello` once it is a follower's.  Times in ms."""
+    """An accepted connection; `hello` is set once a follower has sent its Hello.  Times in ms."""
 
     number: int
     reader: FrameReader
@@ -24,25 +24,28 @@
     bucket: TokenBucket
     hello: Hello | None = None
     subscription: Subscription = field(default_factory=Subscription)
-    pending_headers: dict[str, DocumentHeader] = field(default_factory=dict)  # to be sent, by scope
+    # Headers to send, by scope.
+    pending_headers: dict[str, DocumentHeader] = field(default_factory=dict)
     fetch_queue: deque[FetchRequest] = field(default_factory=deque)
-    blocked_at: float = math.inf  # since when the socket accepts no more
-    is_queued: bool = False  # for sending
+    # When the write buffer became full; infinite while it has space.
+    blocked_at: float = math.inf
+    # Whether the connection is in the queue of the SendScheduler.
+    is_queued: bool = False
     is_closed: bool = False
 
     @property
     def is_blocked(self) -> bool:
-        """Whether the socket accepts no more for now."""
+        """Whether the write buffer is full."""
         return not math.isinf(self.blocked_at)
 
     @property
     def has_data(self) -> bool:
-        """Whether headers or bodies are to be sent."""
+        """Whether there are headers or bodies to send."""
         return bool(self.fetch_queue or self.pending_headers)
 
 
 class SubscriptionIndex:
-    """Finds the connections whose followers watch a scope."""
+    """Finds the connections whose followers subscribe to a scope."""
 
     def __init__(self) -> None:
         self._by_scope: dict[str, dict[int, FollowerConnection]] = {}
@@ -69,7 +72,7 @@
             if not group:
                 del self._by_scope[scope]
 
-    def watching(self, scope: str) -> Iterator[FollowerConnection]:
-        """Yield the connections that watch a scope, those of all scopes last."""
+    def subscribers(self, scope: str) -> Iterator[FollowerConnection]:
+        """Yield the connections that subscribe to a scope, those that subscribe to all scopes last."""
         yield from self._by_scope.get(scope, {}).values()
         yield from self._all_scopes.values()
--- a/crowpost/config_feed/follower_status.py
+++ b/crowpost/config_feed/follower_status.py
@@ -1,4 +1,4 @@
-"""What a distribution server knows of its followers, and the status that it answers with."""
+"""The followers known to a distribution server, and the status that it sends on request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedStatus:
-    """An apply status, and since when it is so in ms of the server's clock."""
+    """An apply status, and the time of its last change in ms of the server's clock."""
 
     status: ApplyStatus
     since: float
@@ -24,24 +24,26 @@
 
 @dataclass(slots=True)
 class FollowerRecord:
-    """What a follower reported of itself; times in ms of the server's clock."""
+    """The last reports of a follower; times in ms of the server's clock."""
 
     hello: Hello
     last_received_at: float
     connection_id: int | None
     counter: int = 0
-    statuses: dict[str, TimedStatus] = field(default_factory=dict)  # by scope
+    # The apply status of each scope.
+    statuses: dict[str, TimedStatus] = field(default_factory=dict)
 
 
 class FollowerStatusTable:
-    """The records of many followers, bounded: those disconnected for longest are forgotten first."""
+    """The records of a limited number of followers; those disconnected for the longest are removed first."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self.records: dict[str, FollowerRecord] = {}  # by name
+        # The record of each follower, by its name.
+        self.records: dict[str, FollowerRecord] = {}
 
     def connected(self, hello: Hello, connection_id: int, now: float) -> None:
-        """Record that a follower connected, for the first time or again."""
+        """Record that a follower connected or reconnected."""
         record = self.records.pop(hello.name, None)
         if record is None or record.hello.instance_id != hello.instance_id:
             record = FollowerRecord(hello, now, connection_id)
@@ -59,19 +61,19 @@
         del self.records[oldest]
 
     def disconnected(self, name: str, connection_id: int) -> None:
-        """Record that a connection is closed; what the follower reported last is kept."""
+        """Record that a connection is closed; the last reports of its follower are kept."""
         record = self.records.get(name)
         if record is not None and record.connection_id == connection_id:
             record.connection_id = None
 
     def received(self, name: str, now: float) -> None:
-        """Record a sign of life of a follower."""
+        """Record that a message of a follower was received."""
         record = self.records.get(name)
         if record is not None:
             record.last_received_at = now
 
     def report(self, report: ApplyReport, now: float) -> None:
-        """Record a report; one that is older than the last one, or of another instance, is ignored."""
+        """Record a report; ignore one that is older than the last one, or from another instance."""
         record = self.records.get(report.name)
         if record is None or record.hello.instance_id != report.instance_id:
             return
@@ -92,7 +94,7 @@
     counts: Mapping[str, int],
     now: float,
 ) -> dict[str, Any]:
-    """Return the status of a server as a map of plain values; its keys are part of the wire format."""
+    """Return the status of a server as a dictionary of plain values; its keys are part of the wire format."""
     return {
         "name": server.name,
         "role": server.role,
--- a/crowpost/config_feed/frames.py
+++ b/crowpost/config_feed/frames.py
@@ -1,4 +1,4 @@
-"""Messages as frames: length, header (magic, version, kind, cluster), CRC-32C and MessagePack body."""
+"""Encodes messages as frames: length, header (magic, version, kind, cluster), CRC-32C, MessagePack body."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 WIRE_VERSION = 1
 MAGIC = b"CF"
-FRAME_LENGTH = struct.Struct(">I")  # bytes that follow
+FRAME_LENGTH = struct.Struct(">I")  # number of bytes after this field
 FRAME_HEADER = struct.Struct(">2sBBI")  # magic, wire version, kind, cluster
-FRAME_CHECKSUM = struct.Struct(">I")  # of header and body
-_BODY_OFFSET = FRAME_HEADER.size + FRAME_CHECKSUM.size  # after the length
+FRAME_CHECKSUM = struct.Struct(">I")  # CRC-32C over header and body
+_BODY_OFFSET = FRAME_HEADER.size + FRAME_CHECKSUM.size  # distance from the end of the length field
 FRAME_OVERHEAD_BYTES = FRAME_LENGTH.size + _BODY_OFFSET
 MAX_FRAME_BYTES = MAX_BODY_BYTES
-PACKET_OVERHEAD_BYTES = 40  # of TCP and IP around a frame, counted against the byte budgets
+PACKET_OVERHEAD_BYTES = 40  # TCP and IP headers of a frame, which count towards the byte budgets
 MAX_HEADERS_PER_FRAME = 64
 
 
 def cluster_tag(cluster: str) -> int:
-    """Return the number by which frame headers name a cluster."""
+    """Return the number that identifies a cluster in frame headers."""
     return int(google_crc32c.value(cluster.encode()))
 
 
 def encode(message: Message, cluster: int) -> bytes:
-    """Return the frame of a message.  cluster: its `cluster_tag`."""
+    """Return the frame of a message.  cluster: the `cluster_tag` of its cluster."""
     body: bytes = msgpack.packb(message_row(message))
     header = FRAME_HEADER.pack(MAGIC, WIRE_VERSION, KINDS[type(message)], cluster)
     checksum = google_crc32c.extend(google_crc32c.value(header), body)
@@ -38,21 +38,21 @@
 
 
 def decode(frame: bytes, cluster: int | None) -> Message:
-    """Return the message of a frame without its length.  Raise FrameError for anything else.
+    """Return the message of a frame, given without its length field.  Raise FrameError if it is invalid.
 
     cluster: the accepted `cluster_tag`; None accepts messages of any cluster.
     """
     if len(frame) < _BODY_OFFSET:
-        raise FrameError("malformed", f"a frame of {len(frame)} bytes")
+        raise FrameError("malformed", f"a truncated frame of {len(frame)} bytes")
     magic, wire_version, kind, frame_cluster = FRAME_HEADER.unpack_from(frame)
     if magic != MAGIC:
         raise FrameError("magic", "bytes of another protocol")
     (checksum,) = FRAME_CHECKSUM.unpack_from(frame, FRAME_HEADER.size)
     body = frame[_BODY_OFFSET:]
     if google_crc32c.extend(google_crc32c.value(frame[: FRAME_HEADER.size]), body) != checksum:
-        raise FrameError("checksum", "a frame whose checksum is wrong")
+        raise FrameError("checksum", "a frame with a wrong checksum")
     if abs(wire_version - WIRE_VERSION) > 1:
-        raise FrameError("wire", f"wire version {wire_version}, this process speaks {WIRE_VERSION}")
+        raise FrameError("wire", f"wire version {wire_version}, this process uses {WIRE_VERSION}")
     if cluster is not None and frame_cluster != cluster:
         raise FrameError("cluster", "a message of another cluster")
     return _decode_body(kind, body)
@@ -73,7 +73,7 @@
 class FrameReader:
     """Splits a stream of bytes into messages.
 
-    cluster: the accepted `cluster_tag`, None for any; max_frame_bytes: of a frame without its length.
+    cluster: the accepted `cluster_tag`, None for any; max_frame_bytes: limit without the length field.
     """
 
     def __init__(self, cluster: int | None, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
@@ -83,9 +83,9 @@
         self._broken = False
 
     def feed(self, data: bytes) -> list[tuple[Message | FrameError, int]]:
-        """Return the messages that are complete by now, each with the size of its frame in bytes.
+        """Return the messages that are now complete, each with the size of its frame in bytes.
 
-        An invalid frame is returned as its FrameError; after one that is `fatal` nothing more is read.
+        An invalid frame is returned as a FrameError; after a `fatal` one no further data is read.
         """
         found: list[tuple[Message | FrameError, int]] = []
         if self._broken:
--- a/crowpost/config_feed/identity.py
+++ b/crowpost/config_feed/identity.py
@@ -1,4 +1,4 @@
-"""Who a process of the feed is."""
+"""The identity of a process of the feed."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessIdentity:
-    """The cluster, the name, the role and the place of a process, and the number of this instance of it."""
+    """Cluster, name, role and location of a process, and the number of this instance of it."""
 
     cluster: str
     name: str
     role: str = NODE_ROLE
     region: str = ""
     zone: str = ""
-    instance_id: int = 0  # random; tells two processes of one name apart
+    instance_id: int = 0  # random number that distinguishes processes of the same name
--- a/crowpost/config_feed/message_codec.py
+++ b/crowpost/config_feed/message_codec.py
@@ -1,6 +1,6 @@
-"""Messages as MessagePack rows, and back.
+"""Converts messages to and from rows of MessagePack values.
 
-Reading is strict about types and bounds, and ignores items that a neighbouring version appends to a row.
+Decoding checks types and bounds strictly, and ignores items that a newer wire version appends to a row.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 )
 from crowpost.config_feed.scopes import parse_scope
 
-MAX_BODY_BYTES = 4_000_000  # of a document in a message
+MAX_BODY_BYTES = 4_000_000  # limit for the data of a document in a message
 MAX_SCOPE_BYTES = 80
 MAX_PUBLISH_REJECTION_BYTES = 1_000
-_MAX_INTEGER = 2**63  # first integer that is out of bounds
+_MAX_INTEGER = 2**63  # exclusive bound of valid integers
 
 
 class MessageKind(IntEnum):
-    """The kind of a message, by its number in the frame header."""
+    """The kind of a message; the values are those in the frame header."""
 
     HELLO = 1
     DOCUMENT_HEADERS = 2
@@ -86,7 +86,7 @@
 
 
 def header_row(header: DocumentHeader) -> list[Any]:
-    """Return a header as the row that frames and files hold."""
+    """Return the row of a header in frames and files."""
     return [
         header.scope,
         header.epoch,
@@ -107,8 +107,8 @@
     return [_key_row(status.key), str(status.state), status.why]
 
 
-def message_row(message: Message) -> list[Any]:  # noqa: C901, PLR0911, PLR0912 - a case for each type
-    """Return a message as a row of plain values."""
+def message_row(message: Message) -> list[Any]:  # noqa: C901, PLR0911, PLR0912 - one case for each message type
+    """Return the row of plain values of a message."""
     match message:
         case Hello(name, role, region, zone, service, all_scopes, instance_id, version_vector):
             vector = [_key_row(key) for key in version_vector]
@@ -144,25 +144,25 @@
 
 def _read_text(value: Any, limit: int = MAX_NAME_BYTES) -> str:
     if not isinstance(value, str) or len(value.encode()) > limit:
-        raise FrameError("malformed", "a text of another type or beyond its bounds")
+        raise FrameError("malformed", "expected a text within its length limit")
     return value
 
 
 def _read_integer(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < _MAX_INTEGER:
-        raise FrameError("malformed", "a number of another type or beyond its bounds")
+        raise FrameError("malformed", "expected an integer within its bounds")
     return value
 
 
 def _read_bytes(value: Any, limit: int) -> bytes:
     if not isinstance(value, bytes) or len(value) > limit:
-        raise FrameError("malformed", "bytes of another type or beyond their bounds")
+        raise FrameError("malformed", "expected bytes within their length limit")
     return value
 
 
 def _read_list(value: Any, read: Callable[[Any], T]) -> tuple[T, ...]:
     if not isinstance(value, list):
-        raise FrameError("malformed", "a list of another type")
+        raise FrameError("malformed", "expected a list")
     return tuple(read(item) for item in value)
 
 
@@ -170,7 +170,7 @@
     scope, epoch, version, digest, *_ = row
     parse_scope(_read_text(scope, MAX_SCOPE_BYTES))
     if len(_read_bytes(digest, DIGEST_PREFIX_BYTES)) != DIGEST_PREFIX_BYTES:
-        raise FrameError("malformed", "a mark with a short digest")
+        raise FrameError("malformed", "a version key with a short digest")
     return VersionKey(scope, _read_integer(epoch), _read_integer(version), digest)
 
 
@@ -238,7 +238,7 @@
 
 def _read_status_response(row: Any) -> StatusResponse:
     if not isinstance(row[1], dict):
-        raise FrameError("malformed", "a status that is no map")
+        raise FrameError("malformed", "expected a status that is a map")
     return StatusResponse(_read_integer(row[0]), row[1])
 
 
--- a/crowpost/config_feed/messages.py
+++ b/crowpost/config_feed/messages.py
@@ -1,6 +1,6 @@
 """Messages between followers, distribution servers and commands; `message_codec` encodes them.
 
-The order of the fields is that of the wire format.
+The fields have the order of the wire format.
 """
 
 from __future__ import annotations
@@ -11,33 +11,33 @@
 from crowpost.config_feed.apply_status import ApplyStatus
 from crowpost.config_feed.documents import DocumentHeader, VersionKey
 
-ANY_VERSION = -1  # a publish request without a precondition
+ANY_VERSION = -1  # value of `if_version` for a publish request without a precondition
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message of either side; a follower sends it again whenever digests differ."""
+    """The first message of either side; a follower sends it again while the digests differ."""
 
     name: str
     role: str  # node, relay or publisher
     region: str = ""
     zone: str = ""
     service: str = ""
-    all_scopes: bool = False  # the follower watches all scopes
-    instance_id: int = 0  # random; tells two processes of one name apart
-    version_vector: tuple[VersionKey, ...] = ()  # what the follower has
+    all_scopes: bool = False  # whether the follower subscribes to all scopes
+    instance_id: int = 0  # random number that distinguishes processes of the same name
+    version_vector: tuple[VersionKey, ...] = ()  # keys of the documents that the follower has
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentHeaders:
-    """Documents that the server has and, as far as it knows, the follower has not."""
+    """Headers of documents that the server has and, to its knowledge, the follower lacks."""
 
     headers: tuple[DocumentHeader, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRequest:
-    """A request for these bytes of a body."""
+    """A request for a byte range of a body."""
 
     key: VersionKey
     offset: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyChunk:
-    """A chunk of a body."""
+    """A byte range of a body."""
 
     key: VersionKey
     offset: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyUnavailable:
-    """A fetch that is not served: the server has another document by now, or is overloaded."""
+    """The answer to a fetch that is not served: the server no longer has the document, or is overloaded."""
 
     key: VersionKey
     why: str  # "gone" or "busy"
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A sign of life, with a digest of the sender's versions of what the follower watches."""
+    """Shows that the sender is alive; has a digest of its versions of the follower's subscription."""
 
     digest: int
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyReport:
-    """The apply statuses of a follower; of two reports of one instance the higher counter is the later."""
+    """The apply statuses of a follower; the later of two reports of one instance has the higher counter."""
 
     name: str
     instance_id: int
@@ -80,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """A request for the documents, followers and apply statuses that a server knows of."""
+    """A request for the documents, followers and apply statuses known to a server."""
 
     number: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class StatusResponse:
-    """The answer to a status request: a map as `follower_status.server_status` makes it."""
+    """The answer to a status request; `follower_status.server_status` builds its value."""
 
     number: int
     value: dict[str, Any]
@@ -102,14 +102,16 @@
     body: bytes
     author: str
     reason: str
-    region: str = ""  # for the first document of a node's scope: the region that the node is configured for
-    if_version: int = ANY_VERSION  # publish only if this is the current version; 0: if there is none
+    # The region of the node, given with the first document of a node's scope.
+    region: str = ""
+    # Publish only if this is the current version; 0 requires that the scope has no document yet.
+    if_version: int = ANY_VERSION
     rollback: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class PublishAccepted:
-    """The document is durable: it survives a crash from now on."""
+    """The answer to a publish request whose document is now durable: it survives a crash."""
 
     number: int
     header: DocumentHeader
@@ -117,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishRejected:
-    """A request that is not met, and the reason in one line."""
+    """The answer to a rejected publish request, with the reason in one line."""
 
     number: int
     why: str
@@ -125,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goodbye:
-    """An orderly end of the connection: no failure of either side."""
+    """Announces an orderly close of the connection, which is no failure of either side."""
 
     why: str = ""
 
--- a/crowpost/config_feed/monotonic_clock.py
+++ b/crowpost/config_feed/monotonic_clock.py
@@ -1,4 +1,4 @@
-"""A clock for the cores that never goes back and notices when the process was suspended."""
+"""A clock that never goes back, and detects that the process was suspended."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class MonotonicClock:
-    """Turns the times that a core is given, in ms, into times that never go back.
+    """Converts the transport's times, in ms, into internal times that never go back.
 
-    Should the transport's clock go back, time continues from where it stood.
+    If the transport's clock goes back, the internal time continues from its last value.
     """
 
     __slots__ = ("_skew_ms", "_threshold_ms", "now")
@@ -19,10 +19,10 @@
         self._threshold_ms = suspend_threshold_ms
 
     def advance(self, external: float, due: float) -> float:
-        """Advance to an external time and return for how long the process was suspended, ordinarily 0.
+        """Advance to an external time.  Return the duration of a suspension in ms, or 0 if there was none.
 
-        due: when the core should have been called, in its own time.  That it was not called while nothing
-        was due is no suspension.
+        due: the internal time at which a call was due.  A gap without calls is no suspension while no call
+        was due.
         """
         now = external + self._skew_ms
         if now < self.now:
@@ -33,5 +33,5 @@
         return elapsed if min(elapsed, now - due) > self._threshold_ms else 0.0
 
     def to_external(self, internal: float) -> float:
-        """Convert a time of the core to the transport's clock; never earlier than exact, by rounding."""
+        """Convert an internal time to the transport's clock; rounding never makes it earlier."""
         return internal - self._skew_ms + ROUNDING_MS if self._skew_ms else internal
--- a/crowpost/config_feed/outputs.py
+++ b/crowpost/config_feed/outputs.py
@@ -1,4 +1,4 @@
-"""What the cores ask of their transport: connections to open, and events to log."""
+"""Output of Follower and DistributionServer, which their transport carries out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectRequest:
-    """Open a connection to an address; the connection has this number from now on."""
+    """A request to open a connection, which is identified by this number from now on."""
 
     connection_id: int
     address: str
@@ -18,29 +18,37 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedEvent:
-    """An event for the log; its values are plain and its kind and keys are part of the log format."""
+    """An event for the log; its kind and the keys of its plain values are part of the log format."""
 
-    kind: str  # linked, lost, whole, taken_over, conflict, dropped, slept, standing
-    at: float  # ms of the transport's monotonic clock
+    # One of linked, lost, whole, taken_over, conflict, dropped, slept, standing.
+    kind: str
+    # Time in ms of the transport's monotonic clock.
+    at: float
     values: dict[str, object]
 
 
 @dataclass
 class FollowerOutput:
-    """What a call of a Follower left for the transport to do, in the order of the fields."""
+    """What the transport must do for a Follower, in the order of the fields."""
 
     connects: list[ConnectRequest] = field(default_factory=list)
-    sends: list[tuple[int, bytes]] = field(default_factory=list)  # connection and frame
-    disconnects: list[int] = field(default_factory=list)  # connections to close once their data is sent
-    apply: list[Document] = field(default_factory=list)  # complete documents; see `Follower.apply_finished`
+    # Pairs of connection number and frame.
+    sends: list[tuple[int, bytes]] = field(default_factory=list)
+    # Connections to close once their data is sent.
+    disconnects: list[int] = field(default_factory=list)
+    # Complete documents, to be applied; see `Follower.apply_finished`.
+    apply: list[Document] = field(default_factory=list)
     events: list[FeedEvent] = field(default_factory=list)
 
 
 @dataclass
 class ServerOutput:
-    """What a call of a DistributionServer left for the transport to do, in the order of the fields."""
-
-    sends: list[tuple[int, bytes]] = field(default_factory=list)  # connection and frame
-    disconnects: list[int] = field(default_factory=list)  # connections to close once their data is sent
-    requests: list[tuple[int, PublishRequest]] = field(default_factory=list)  # to be answered by `answer`
+    """What the transport must do for a DistributionServer, in the order of the fields."""
+
+    # Pairs of connection number and frame.
+    sends: list[tuple[int, bytes]] = field(default_factory=list)
+    # Connections to close once their data is sent.
+    disconnects: list[int] = field(default_factory=list)
+    # Pairs of connection number and publish request; see `DistributionServer.answer`.
+    requests: list[tuple[int, PublishRequest]] = field(default_factory=list)
     events: list[FeedEvent] = field(default_factory=list)
--- a/crowpost/config_feed/outstanding_bytes.py
+++ b/crowpost/config_feed/outstanding_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes that were requested and paid for, and have not been received yet."""
+"""Counts bytes that were requested, and their tokens spent, but not received yet."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from crowpost.config_feed.documents import VersionKey
 from crowpost.config_feed.token_bucket import TokenBucket
 
-EXPIRY_MS = 30_000.0  # after which bytes that were requested are taken for lost
+EXPIRY_MS = 30_000.0  # requested bytes that are outstanding for longer count as lost
 
 
 @dataclass(slots=True)
 class _Request:
-    size: int  # bytes that are missing
+    size: int  # number of bytes still missing
     requested_at: float
 
 
 class OutstandingBytes:
-    """Counts outstanding bytes for each connection and document, and in all in the token bucket."""
+    """Counts outstanding bytes for each connection and document, and their sum in the token bucket."""
 
     def __init__(self, bucket: TokenBucket) -> None:
         self._bucket = bucket
@@ -42,18 +42,22 @@
             del self._requests[connection_id, key]
 
     def cancel(self, connection_id: int, key: VersionKey) -> None:
-        """Record that no more bytes of a document will come on a connection."""
+        """Record that no more bytes of a document are expected on a connection."""
         request = self._requests.pop((connection_id, key), None)
         if request is not None:
             self._bucket.outstanding -= request.size
 
     def cancel_connection(self, connection_id: int) -> None:
-        """Record that no more bytes will come on a connection."""
-        for owner, key in [request for request in self._requests if request[0] == connection_id]:
-            self.cancel(owner, key)
+        """Record that no more bytes are expected on a connection."""
+        for number, key in [request_key for request_key in self._requests if request_key[0] == connection_id]:
+            self.cancel(number, key)
 
     def expire(self, now: float) -> None:
-        """Cancel what was requested too long ago."""
-        old = [request for request, found in self._requests.items() if now - found.requested_at > EXPIRY_MS]
-        for owner, key in old:
-            self.cancel(owner, key)
+        """Cancel requests that are older than EXPIRY_MS."""
+        expired = [
+            request_key
+            for request_key, request in self._requests.items()
+            if now - request.requested_at > EXPIRY_MS
+        ]
+        for connection_id, key in expired:
+            self.cancel(connection_id, key)
--- a/crowpost/config_feed/publication_log.py
+++ b/crowpost/config_feed/publication_log.py
@@ -1,7 +1,7 @@
-"""The publications of a publisher as records for a store, without I/O.
+"""The publications of a publisher as records for a store.  It does no I/O.
 
-A document counts as published once its record is durable; until then no follower is told of it.  So a version
-that any process has seen is on the disk, and is never given to another body.
+A document counts as published once its record is durable; until then it is announced to no follower.  So a
+version that any process has seen is on the disk, and is never assigned to another body.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 FIRST_EPOCH = 1
 
 Check = Callable[[str, bytes], None]
-"""Validates scope and body; raises FeedError, in one line, for what no node could apply."""
+"""Validates scope and body; raises FeedError, in one line, for a document that no node could apply."""
 
 
 class PublicationLog:
-    """The current and the previous document of each scope, as of the last record.
+    """Keeps the current and the previous document of each scope, as of the last record.
 
-    records: those of a store, first those of its snapshot.  Raise FeedError for any that cannot be read.
+    records: the records of a store, beginning with its snapshot.  Raise FeedError for an unreadable record.
     """
 
     def __init__(
@@ -59,7 +59,8 @@
     def publish(self, request: PublishRequest, table: DocumentTable) -> tuple[bytes, Document]:
         """Return the record and the document of a request; announce it only once the record is durable.
 
-        table: all documents that this process knows.  Raise FeedError, in one line, to reject the request.
+        table: all documents that this process knows.  Raise FeedError, in one line, where the request is
+        rejected.
         """
         scope = request.scope
         newest = self._newest(scope, table)
@@ -88,11 +89,11 @@
 
     def _previous_body(self, scope: str) -> bytes:
         if scope not in self._previous:
-            raise FeedError(f"{scope} has no document before the one in force")
+            raise FeedError(f"{scope} has no previous document to roll back to")
         return self._previous[scope].body
 
     def _check_size(self, scope: str, body: bytes, table: DocumentTable) -> None:
-        """Raise FeedError where a table could not hold the document: what is accepted must be announced."""
+        """Raise FeedError if the tables have no room, as an accepted document must be announced."""
         tuning = self._tuning
         documents = {**table.documents, **self._current}
         if len(body) > tuning.max_document_bytes:
@@ -107,18 +108,19 @@
     # ------------------------------------------------------------ after a restore
 
     def begin_epoch(self) -> bytes:
-        """Begin the next epoch, in which all that is published is newer, and return its record.
+        """Begin the next epoch and return its record; documents of a later epoch are newer than all others.
 
-        Called where the state is from a backup.
+        Called when the state was restored from a backup.
         """
         self.epoch += 1
         return bytes(msgpack.packb([EPOCH_RECORD, self.epoch]))
 
     def adopt(self, document: Document) -> list[bytes]:
-        """Return records that adopt a document from other processes; none where there is nothing to adopt.
+        """Adopt a document received from other processes.  Return its records, or none if it is not adopted.
 
-        A document by this very publisher that is newer than its last means that the state was set back.  It
-        is adopted, and the next epoch begun, as there may have been more that nobody told of.
+        A received document of this publisher that is newer than its own last one shows that the state was
+        restored from an older backup.  The document is adopted and the next epoch begun, as further lost
+        documents may exist that were not received.
         """
         header = document.header
         current = self._current.get(header.scope)
@@ -135,7 +137,7 @@
     # ------------------------------------------------------------ records
 
     def snapshot(self) -> Iterator[bytes]:
-        """Return the present state as records; what is published meanwhile is not part of it."""
+        """Return the current state as records; later publications are not part of it."""
         return _snapshot(self.epoch, dict(self._previous), self.documents())
 
     def _append(self, document: Document) -> bytes:
@@ -161,11 +163,11 @@
             self.epoch = int(row[0])
             return
         if kind != DOCUMENT_RECORD:
-            raise FeedError(f"a record of kind {kind!r}: a newer version has been here")
+            raise FeedError(f"a record of unknown kind {kind!r}, written by a newer version")
         document = Document(DocumentHeader(*row[0]), row[1])
         if not document.is_intact:
             scope = document.header.scope
-            raise FeedError(f"{scope}: a record whose body is not the one that its head names")
+            raise FeedError(f"{scope}: a record whose body does not match its header")
         self._put(document)
 
 
--- a/crowpost/config_feed/publisher.py
+++ b/crowpost/config_feed/publisher.py
@@ -1,4 +1,4 @@
-"""A publisher: its publication log, the store that keeps it, and the transport that announces it."""
+"""A publisher: its publication log, the store for the log, and the transport that announces documents."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from crowpost.storage.runner import OpenedStore, StoreRunner, open_store
 from crowpost.storage.write_policy import WritePolicy
 
-SNAPSHOT_BYTES_PER_S = 4_000_000.0  # mean rate of snapshots; records of publications never wait
-MAX_REJECTION_CHARACTERS = 900  # of the reason in an answer
-CLOSE_TIMEOUT_S = 2.0  # for publications in progress
+SNAPSHOT_BYTES_PER_S = 4_000_000.0  # mean write rate of snapshots; publication records never wait for it
+MAX_REJECTION_CHARACTERS = 900  # limit for the reason in a PublishRejected
+CLOSE_TIMEOUT_S = 2.0  # limit for waiting until publications in progress are durable
 
 
 class Publisher:
-    """Accepts documents; each is acknowledged and announced only once it is durable.
+    """Accepts documents, and acknowledges and announces each of them only once it is durable.
 
-    check: rejects what no node could apply.  restored: the directory is from a backup.
+    check: rejects documents that no node could apply.  restored: whether the directory is from a backup.
     """
 
     def __init__(self, config: FeedConfig, check: Check, *, restored: bool = False) -> None:
@@ -40,7 +40,8 @@
             opened.disk.close()
             raise FeedError(f"feed.directory: {config.directory}: {error}") from error
         self._store_runner = StoreRunner(opened, WritePolicy(bytes_per_s=SNAPSHOT_BYTES_PER_S))
-        self._logged_at_snapshot = 0  # bytes of the store's log as of the last snapshot
+        # Bytes written to the store's log until the last snapshot.
+        self._logged_at_snapshot = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self.transport = FeedTransport(config, self._document_received, on_publish=self._publish)
 
@@ -53,7 +54,7 @@
             raise FeedError(f"feed.directory: {error}") from error
 
     async def start(self) -> str:
-        """Announce the published documents, watch the other publishers and accept documents.
+        """Announce the published documents, follow the other publishers and accept documents.
 
         Return the bound address.
         """
@@ -89,7 +90,7 @@
             await self._store_runner.wait_durable(sequence)
         except StoreError as error:
             self._mark_stopped()
-            why = f"{error}; after a restart it may be published or not: ask for status"
+            why = f"{error}; after a restart the document may or may not be published: check the status"
             self._reject(connection_id, request, why)
             return
         self.transport.log_event(
@@ -112,13 +113,14 @@
         self.transport.answer(connection_id, rejection)
 
     def _document_received(self, document: Document) -> None:
-        """Adopt a document of this publisher that its own state does not have."""
+        """Adopt a received document of this publisher that its own state lacks."""
         records = self.log.adopt(document)
         if not records:
             return
         header = document.header
         self.transport.log_event("set_back", scope=header.scope, version=header.version, era=self.log.epoch)
-        with suppress(StoreError):  # a failed store is reported with the next publish request
+        # A failed store is reported on the next publish request.
+        with suppress(StoreError):
             for record in records:
                 self._append(record)
 
@@ -129,10 +131,10 @@
         failed = self._store_runner.store.failure
         if failed:
             self._mark_stopped()
-            raise StoreError(f"writing has stopped: {failed}; what is in force goes on being told")
+            raise StoreError(f"writing has stopped: {failed}; published documents are still served")
 
     def _mark_stopped(self) -> None:
-        """Show in the status that documents are served and none are accepted."""
+        """Show in the status that documents are served but no longer accepted."""
         assert self.transport.distribution_server is not None
         self.transport.distribution_server.counts["stopped"] = 1
 
@@ -149,7 +151,7 @@
             self._store_runner.write_snapshot(self.log.snapshot())
 
     async def close(self) -> None:
-        """Say goodbye, and let what is being written become durable."""
+        """Wait until publications in progress are durable, then close all connections and the store."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT_S)
         await self.transport.close()
--- a/crowpost/config_feed/request_reply.py
+++ b/crowpost/config_feed/request_reply.py
@@ -1,4 +1,4 @@
-"""One request to a distribution server, and its answer, on a connection of its own."""
+"""Sends one request to a distribution server on a separate connection, and returns the answer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 async def request_reply(
     address: str, request: StatusRequest | PublishRequest, cluster: str, timeout_s: float
 ) -> Message:
-    """Return the answer of a relay or publisher.  Raise FeedError, in one line, where none comes in time."""
+    """Return the answer of a relay or publisher.  Raise FeedError, in one line, if there is none in time."""
     try:
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(*split_address(address))
@@ -53,4 +53,4 @@
                 return item
             if isinstance(item, Goodbye):
                 raise FeedError(f"{address}: {item.why}")
-    raise FeedError(f"{address}: closed without an answer")
+    raise FeedError(f"{address}: connection closed without an answer")
--- a/crowpost/config_feed/resync.py
+++ b/crowpost/config_feed/resync.py
@@ -1,4 +1,4 @@
-"""When a follower sends its version vector again, because its digest differs from a server's."""
+"""Decides when a follower sends its version vector again because its digest differs from a server's."""
 
 from __future__ import annotations
 
@@ -8,27 +8,28 @@
 
 @dataclass(slots=True)
 class ResyncTimer:
-    """Spaces the version vectors on one connection, with a wait that doubles each time.  Times in ms."""
+    """Sets the intervals between version vectors on a connection, which double each time.  Times in ms."""
 
     initial_wait_ms: float
     max_wait_ms: float
     _wait_ms: float = 0.0
     _due_at: float = -math.inf
-    _differed: bool = False  # at the last heartbeat
+    _differed: bool = False  # whether the digests differed at the last heartbeat
 
     def start(self, now: float) -> None:
-        """Begin with a version vector that was just sent."""
+        """Start the timer after the first version vector was sent."""
         self._wait_ms = self.initial_wait_ms
         self._due_at = now + self.initial_wait_ms
 
     def reset(self) -> None:
-        """Begin anew with the shortest wait, after news on the connection."""
+        """Return to the shortest interval, after a new document was offered on the connection."""
         self._wait_ms = self.initial_wait_ms
 
     def compare(self, differs: bool, now: float) -> bool:
         """Return whether a version vector is due, given whether the digests differ.
 
-        A single difference is news on its way.
+        The digests must differ in two successive heartbeats: at a single difference the headers of new
+        documents may still be in flight.
         """
         differed_before = self._differed
         self._differed = differs
--- a/crowpost/config_feed/scopes.py
+++ b/crowpost/config_feed/scopes.py
@@ -13,7 +13,7 @@
 
 
 def parse_scope(scope: str) -> tuple[str, str]:
-    """Return kind and name of a scope; the name of `all` is empty.  Raise FeedError for anything else."""
+    """Return kind and name of a scope; the name of `all` is empty.  Raise FeedError if it is invalid."""
     kind, slash, name = scope.partition("/")
     if scope == "all":
         return "all", ""
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscription:
-    """The documents that a follower watches: those that apply to one node, or all there are."""
+    """The documents that a follower receives: those that apply to one node, or all documents."""
 
     region: str = ""
     service: str = ""
@@ -48,5 +48,5 @@
     all_scopes: bool = False
 
     def includes(self, scope: str) -> bool:
-        """Return whether documents of a scope are watched."""
+        """Return whether documents of a scope belong to the subscription."""
         return self.all_scopes or applies_to_node(scope, self.region, self.service, self.node)
--- a/crowpost/config_feed/send_scheduler.py
+++ b/crowpost/config_feed/send_scheduler.py
@@ -1,4 +1,4 @@
-"""Shares what a distribution server may send among the connections that have data."""
+"""Shares the send rate of a distribution server among the connections that have data to send."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class SendScheduler:
-    """Serves connections in turn, a frame each, as long as the tokens last.
+    """Serves connections round robin, one frame each, while there are tokens.
 
-    bucket: limits what the server sends in all; max_serving: connections that are served in turn, while
-    others wait in the queue; send_next: sends one frame on a connection that has data.
+    bucket: limits the bytes that the server sends on all connections; max_serving: the number of connections
+    that are served round robin while others wait in the queue; send_next: sends one frame on a connection
+    that has data.
     """
 
     def __init__(
@@ -28,8 +29,10 @@
         self._bucket = bucket
         self._max_serving = max_serving
         self._send_next = send_next
-        self._queue: deque[FollowerConnection] = deque()  # with data, in the order of arrival
-        self._deferred: dict[int, FollowerConnection] = {}  # with data, but no tokens or a blocked socket
+        # Connections with data, in order of arrival.
+        self._queue: deque[FollowerConnection] = deque()
+        # Connections with data that have no tokens or a full write buffer.
+        self._deferred: dict[int, FollowerConnection] = {}
         self._deferred_until = math.inf
 
     @property
@@ -55,7 +58,7 @@
             self._queue.append(connection)
 
     def defer(self, connection: FollowerConnection, now: float) -> None:
-        """Keep a connection that cannot be sent to now for later."""
+        """Defer a connection on which no frame can be sent now."""
         if connection.is_queued:
             return
         self._deferred[connection.number] = connection
@@ -63,17 +66,17 @@
             self._deferred_until = min(self._deferred_until, self._ready_at(connection, now))
 
     def remove(self, connection: FollowerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self._deferred.pop(connection.number, None)
 
     def resume_deferred(self, now: float) -> None:
-        """Put the deferred connections into the queue, once it is time."""
+        """Put the deferred connections into the queue if they are due."""
         if now >= self._deferred_until:
             for connection in list(self._deferred.values()):
                 self.enqueue(connection)
 
     def run(self, now: float) -> None:
-        """Serve the queue."""
+        """Serve the queue until it is empty or all its connections are deferred."""
         serving: deque[FollowerConnection] = deque()
         while serving or self._queue:
             while self._queue and len(serving) < self._max_serving:
--- a/crowpost/config_feed/status_merge.py
+++ b/crowpost/config_feed/status_merge.py
@@ -1,4 +1,4 @@
-"""Merging the statuses that several distribution servers answered; the keys are those of the wire format."""
+"""Merges the statuses of several distribution servers; the keys are those of the wire format."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def merge_statuses(statuses: Iterable[StatusMap]) -> dict[str, Any]:
-    """Return one view of the statuses of several servers.
+    """Return the merged status of several servers.
 
-    Of a follower that several servers know, the report with the higher counter is valid; of two instances of
-    one name, the one that was heard from last.  Keys: `heads` by scope (the highest), `conflicts`,
-    `followers` by name, each with `lags` (scopes in which it has less than the highest header) and `refused`
-    (scope to reason).
+    If several servers know a follower, the report with the highest counter is valid; of two instances of one
+    name, the one that sent a message last.  Keys: `heads` by scope (the header of the highest rank),
+    `conflicts`, and `followers` by name, each with `lags` (scopes in which its document is not the one of the
+    highest rank) and `refused` (reason of the rejection by scope).
     """
     headers: dict[str, dict[str, Any]] = {}
     conflicts: list[Any] = []
--- a/crowpost/config_feed/transport.py
+++ b/crowpost/config_feed/transport.py
@@ -1,6 +1,7 @@
-"""The cores of one process on TCP: a follower, and a distribution server where the process has one.
+"""Connects the follower of one process, and its distribution server if it has one, to TCP.
 
-The transport moves bytes, runs timers and logs events; all decisions are the cores'.
+The transport moves bytes, runs timers and logs events; all decisions are made by the follower and the
+distribution server.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_BUFFER_BYTES = 1 << 16  # unsent bytes of a connection above which it counts as blocked
-CLOSE_TIMEOUT_S = 5.0  # to send what is buffered, once a connection is to be closed
-GOODBYE_TIMEOUT_S = 0.5  # for all connections together, at an orderly end
+WRITE_BUFFER_BYTES = 1 << 16  # a connection with more unsent bytes counts as blocked
+CLOSE_TIMEOUT_S = 5.0  # limit for sending the buffered bytes of a connection that is being closed
+GOODBYE_TIMEOUT_S = 0.5  # limit for closing all connections together at an orderly shutdown
 NEVER = float("inf")
 
 DocumentHandler = Callable[[Document], None]
@@ -33,12 +34,12 @@
 
 
 class FeedTransport:
-    """One process of the feed on the running event loop.
+    """Runs one process of the feed on the current event loop.
 
-    A node has a follower only; a relay or publisher, which listens, has a distribution server with the same
-    table as well.  on_document: called with each complete document, which a node answers with
-    `apply_finished` at any later time.  cached_documents: last good documents from disk.  on_publish: called
-    with each publish request, to be answered with `answer`.
+    A node has only a follower; a relay or publisher, which listens, also has a distribution server that
+    shares its table.  on_document: called with each complete document; a node calls `apply_finished` for it
+    at any later time.  cached_documents: last good documents from disk.  on_publish: called with each publish
+    request, which must be answered with `answer`.
     """
 
     def __init__(
@@ -53,8 +54,10 @@
         self._on_document = on_document
         self._on_publish = on_publish
         self._loop = asyncio.get_running_loop()
-        self._upstream: dict[int, _Connection] = {}  # connections of the follower
-        self._downstream: dict[int, _Connection] = {}  # connections of the distribution server
+        # Connections of the follower, by number.
+        self._upstream: dict[int, _Connection] = {}
+        # Connections of the distribution server, by number.
+        self._downstream: dict[int, _Connection] = {}
         self._connecting: dict[int, asyncio.Task[None]] = {}
         self._accepted = 0
         self._listener: asyncio.Server | None = None
@@ -94,7 +97,7 @@
         return 1000.0 * self._loop.time()
 
     async def listen(self) -> str:
-        """Accept connections of followers; return the bound address.  Raise OSError where it cannot be."""
+        """Accept connections of followers.  Return the bound address; raise OSError if it cannot be bound."""
         host, port = split_address(self._config.listen)
         self._listener = await self._loop.create_server(self._accept, host, port, reuse_address=True)
         bound = "{}:{}".format(*self._listener.sockets[0].getsockname()[:2])
@@ -102,18 +105,18 @@
         return bound
 
     def start(self) -> None:
-        """Begin to watch the upstream servers."""
+        """Connect to the upstream servers."""
         self._process()
 
-    # ------------------------------------------------------------ input of the cores
+    # ------------------------------------------------------------ input
 
     def apply_finished(self, header: DocumentHeader, rejection: str) -> None:
-        """Tell that a document is applied if `rejection` is empty, else why not, in one line."""
+        """Report the result of applying a document; a non-empty `rejection` is the reason, in one line."""
         self.follower.apply_finished(header, rejection, self.now())
         self._process()
 
     def announce(self, document: Document) -> None:
-        """Store a durable document of this publisher and announce it to all that watch it."""
+        """Store a durable document of this publisher and announce it to its subscribers."""
         assert self.distribution_server is not None
         self.distribution_server.announce(document, self.now())
         self._process()
@@ -129,7 +132,7 @@
         return _Connection(self, self._accepted, self._downstream, upstream=False)
 
     def opened(self, connection: _Connection) -> None:
-        """Tell that a connection is open."""
+        """Handle a connection that is now open."""
         if connection.upstream:
             self.follower.connected(connection.number, self.now())
         elif self.distribution_server is not None:
@@ -137,7 +140,7 @@
         self._process()
 
     def received(self, connection: _Connection, data: bytes) -> None:
-        """Tell that bytes were received."""
+        """Handle bytes received on a connection."""
         if connection.upstream:
             self.follower.received(connection.number, data, self.now())
         elif self.distribution_server is not None:
@@ -145,13 +148,13 @@
         self._process()
 
     def blocked(self, connection: _Connection, blocked: bool) -> None:
-        """Tell that a socket accepts no more for now, or does again."""
+        """Handle that the write buffer of a connection is full (`blocked`), or has space again."""
         if not connection.upstream and self.distribution_server is not None:
             self.distribution_server.blocked(connection.number, blocked, self.now())
             self._process()
 
     def lost(self, connection: _Connection) -> None:
-        """Tell that a connection is closed."""
+        """Handle the loss of a connection."""
         if connection.upstream:
             self.follower.lost(connection.number, self.now())
         elif self.distribution_server is not None:
@@ -167,10 +170,10 @@
             self.distribution_server.tick(now)
         self._process()
 
-    # ------------------------------------------------------------ output of the cores
+    # ------------------------------------------------------------ output
 
     def _process(self) -> None:
-        """Do all that the cores ask for, and what follows from that, before returning."""
+        """Carry out the output of follower and distribution server until both have none left."""
         if self._processing:
             return
         self._processing = True
@@ -182,7 +185,7 @@
         self._set_timer()
 
     def _process_follower(self) -> bool:
-        """Do what the follower asks for; return whether there was anything."""
+        """Carry out the output of the follower.  Return whether it may cause further output."""
         output = self.follower.take()
         for request in output.connects:
             if not self._closed:
@@ -202,7 +205,7 @@
         return bool(output.connects or output.sends or output.disconnects or output.apply)
 
     def _process_server(self) -> bool:
-        """Do what the distribution server asks for; return whether there was anything."""
+        """Carry out the output of the distribution server.  Return whether it may cause further output."""
         if self.distribution_server is None:
             return False
         output = self.distribution_server.take()
@@ -250,10 +253,10 @@
         if due < NEVER:
             self._timer = self._loop.call_at(due / 1000.0, self._tick)
 
-    # ------------------------------------------------------------ end and log
+    # ------------------------------------------------------------ shutdown and log
 
     async def close(self) -> None:
-        """Say goodbye on all connections, let that be sent, and close them."""
+        """Send Goodbye on all connections, wait until it is sent, and close them."""
         if self._closed:
             return
         now = self.now()
@@ -278,9 +281,9 @@
             connection.abort()
 
     def log_event(self, event: str, at: float | None = None, /, **values: object) -> None:
-        """Write one structured line; `at_ms` is the machine's monotonic clock, common to its processes.
+        """Write one structured log line; `at_ms` is the monotonic clock shared by all processes of a machine.
 
-        Event and time are positional-only, as a value may have either name.
+        `event` and `at` are positional-only, because a value may have either name.
         """
         at_ms = round(self.now() if at is None else at, 1)
         line = {"event": event, "at_ms": at_ms, "by": self._config.name, **values}
@@ -288,7 +291,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One TCP connection, by its number among those of the follower or of the distribution server."""
+    """A TCP connection of the follower or of the distribution server, which number it independently."""
 
     def __init__(
         self, feed: FeedTransport, number: int, connections: dict[int, _Connection], *, upstream: bool
@@ -304,25 +307,25 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
         self._transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._connections[self.number] = self
         self._feed.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass received bytes on, unless the connection is being closed."""
+        """Handle received bytes, unless the connection is being closed."""
         if not self._closing:
             self._feed.received(self, data)
 
     def pause_writing(self) -> None:
-        """Pass on that the write buffer is full."""
+        """Report that the write buffer is full."""
         self._feed.blocked(self, True)
 
     def resume_writing(self) -> None:
-        """Pass on that the write buffer has space."""
+        """Report that the write buffer has space again."""
         self._feed.blocked(self, False)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio calls it so
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio passes it
         """Unregister the connection."""
         self._transport = None
         self.closed.set()
@@ -337,7 +340,7 @@
             self._transport.write(data)
 
     def close(self) -> None:
-        """Close the connection once its buffer is sent, or after CLOSE_TIMEOUT_S."""
+        """Close the connection once its buffered bytes are sent, or after CLOSE_TIMEOUT_S."""
         if self._transport is not None and not self._closing:
             self._closing = True
             self._transport.close()
--- a/crowpost/config_feed/upstream_connections.py
+++ b/crowpost/config_feed/upstream_connections.py
@@ -1,4 +1,4 @@
-"""The connections of a follower: to the nearest few servers that answer, with jittered backoff on failure."""
+"""The connections of a follower to the nearest few available servers, with jittered backoff on failure."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
 from crowpost.config_feed.tuning import Tuning
 from crowpost.config_feed.upstream_server import UpstreamServer
 
-STABLE_AFTER_MS = 10_000.0  # a connection that lasted for so long clears earlier failures
-MAX_SERVER_FRAME_BYTES = 131_072  # of headers or of a chunk of a body
-MAX_FAILURES_COUNTED = 16  # doublings of the backoff; far beyond its maximum
-RECONNECT_SPREAD_FACTOR = 4.0  # of the backoff, while another connection is open
+STABLE_AFTER_MS = 10_000.0  # a connection that lasted this long clears earlier failures
+MAX_SERVER_FRAME_BYTES = 131_072  # limit for a frame of headers or of a body chunk
+MAX_FAILURES_COUNTED = 16  # limits the doublings of the backoff; its maximum is reached far earlier
+RECONNECT_SPREAD_FACTOR = 4.0  # multiplies the random wait while another connection is open
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamState:
-    """A server and its failures; `nearness` sorts the better servers first."""
+    """A server and its failures; servers are tried in ascending order of `nearness`."""
 
     server: UpstreamServer
-    nearness: tuple[int, int, float]  # tier, distance, and a random number that spreads followers
+    # Tier, distance, and a random number that spreads followers over equally near servers.
+    nearness: tuple[int, int, float]
     failures: int = 0
-    not_before: float = -math.inf  # ms; no connection is attempted earlier
+    # Earliest time of the next connection attempt in ms.
+    not_before: float = -math.inf
 
 
 @dataclass(slots=True, eq=False)
@@ -35,23 +37,26 @@
 
     number: int
     upstream: UpstreamState
-    since: float  # when it was requested, or opened
+    since: float  # time when the connection was requested, or opened
     reader: FrameReader
     resync: ResyncTimer
     open: bool = False
     handshake_done: bool = False  # the server's Hello was received
-    name: str = ""  # of the server
+    name: str = ""  # name of the server
     last_received_at: float = 0.0
     heartbeat_at: float = math.inf
     damaged_frames: int = 0
-    slow_until: float = -math.inf  # a body stalled: the server is asked last until then
-    offered_headers: dict[str, DocumentHeader] = field(default_factory=dict)  # newer than the stored ones
-    rejected_headers: dict[str, DocumentHeader] = field(default_factory=dict)  # without a usable body
+    # After a stalled or busy fetch the server is asked last until this time.
+    slow_until: float = -math.inf
+    # Offered documents that are newer than the stored ones, by scope.
+    offered_headers: dict[str, DocumentHeader] = field(default_factory=dict)
+    # Offered documents whose body is not usable, by scope.
+    rejected_headers: dict[str, DocumentHeader] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class _ConnectPlan:
-    """Servers that may be connected to, and how many of them."""
+    """Candidate servers, the number of connections to open, and when to open them."""
 
     candidates: list[UpstreamState]
     count: int
@@ -59,7 +64,7 @@
 
 
 class UpstreamConnections:
-    """Decides which servers to connect to and which connections to close; it sends nothing itself."""
+    """Decides which servers to connect to and which connections to close; it does no I/O."""
 
     def __init__(
         self,
@@ -82,7 +87,7 @@
         ]
         self._upstreams.sort(key=lambda upstream: upstream.nearness)
         self._plan: _ConnectPlan | None = None
-        # Jitter, as a fleet may start at once.
+        # Random delay, because all processes of a cluster may start at the same time.
         self._connect_not_before = now + rng.random() * tuning.backoff_ms
 
     def open_connections(self) -> list[UpstreamConnection]:
@@ -100,7 +105,7 @@
         self._plan = None
 
     def connect(self, now: float) -> list[UpstreamConnection]:
-        """Return new connections that are to be opened now."""
+        """Return new connections that must be opened now."""
         plan = self._current_plan()
         if now < plan.due:
             return []
@@ -119,13 +124,13 @@
         return connection
 
     def _current_plan(self) -> _ConnectPlan:
-        """Return the plan, which is made anew only after a change, as it is needed after every message."""
+        """Return the plan, which is cached until the next change because it is needed after every message."""
         if self._plan is None:
             self._plan = self._make_plan()
         return self._plan
 
     def _make_plan(self) -> _ConnectPlan:
-        """Plan the connections that are missing, or else one to a nearer server."""
+        """Plan the missing connections, or one to a nearer server if none are missing."""
         connected = {id(connection.upstream) for connection in self.connections.values()}
         candidates = [upstream for upstream in self._upstreams if id(upstream) not in connected]
         missing = self._tuning.upstream_connections - len(self.connections)
@@ -143,7 +148,7 @@
         return [upstream for upstream in candidates if upstream.nearness[:2] < farthest]
 
     def surplus(self) -> UpstreamConnection | None:
-        """Return the farthest connection, once a nearer one is ready and there is one too many."""
+        """Return the farthest connection if there is one too many and the nearer ones are ready."""
         limit = self._tuning.upstream_connections
         if len(self.connections) <= limit:
             return None
@@ -151,10 +156,10 @@
         return ready[-1] if len(ready) > limit else None
 
     def remove(self, connection: UpstreamConnection, now: float, failed: bool = True) -> None:
-        """Forget a connection; after a failure its server is not connected to for a while.
+        """Remove a connection; after a failure its server is in backoff for a while.
 
-        The other servers are connected to after a short random wait, as a server that fails takes many
-        connections with it.
+        Connections to other servers wait for a short random time, because a failing server loses many
+        connections at once.
         """
         self.connections.pop(connection.number, None)
         self._plan = None
@@ -173,27 +178,27 @@
         self._connect_not_before = max(self._connect_not_before, now + self._rng.random() * spread)
 
     def next_at(self) -> float:
-        """Return when a connection is to be opened or closed, or a heartbeat to be sent, in ms."""
+        """Return when the next connection must be opened or closed, or heartbeat sent, in ms."""
         due = self._current_plan().due
         for connection in self.connections.values():
             due = min(due, self.deadline(connection), connection.heartbeat_at)
         return due
 
     def deadline(self, connection: UpstreamConnection) -> float:
-        """Return when a connection is closed unless something is received on it."""
+        """Return when a connection is closed if nothing is received on it, in ms."""
         if not connection.handshake_done:
             return connection.since + self._tuning.connect_timeout_ms
         return connection.last_received_at + self._tuning.server_timeout_ms
 
     def shift(self, by_ms: float) -> None:
-        """Move all deadlines, after this process was suspended."""
+        """Move all deadlines by the time for which this process was suspended."""
         for connection in self.connections.values():
             connection.last_received_at += by_ms
             connection.since += by_ms
 
 
 def _distance(server: UpstreamServer, region: str, zone: str) -> int:
-    """Return 0 within a zone, 1 within a region, 2 between regions."""
+    """Return 0 for the same zone, 1 for another zone of the region, 2 for another region."""
     if server.region != region:
         return 2
     return 0 if server.zone == zone else 1
--- a/crowpost/config_feed/upstream_server.py
+++ b/crowpost/config_feed/upstream_server.py
@@ -1,4 +1,4 @@
-"""The address and the location of a distribution server that a follower may watch."""
+"""The address and the location of a distribution server that a follower may connect to."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamServer:
-    """A distribution server.  Servers of a lower tier are always tried first."""
+    """A distribution server; servers of a lower tier are always tried first."""
 
     address: str  # host:port
     region: str = ""
--- a/crowpost/config_feed/write_authority.py
+++ b/crowpost/config_feed/write_authority.py
@@ -1,4 +1,4 @@
-"""Which publisher may write which scope."""
+"""Defines which publisher may write which scope."""
 
 from __future__ import annotations
 
@@ -12,17 +12,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteAuthority:
-    """The publisher of a region writes the region and its nodes, that of the home region all else."""
+    """Checks the writer of a scope.
 
-    name: str  # of this publisher
+    The publisher of a region writes the scopes of the region and its nodes; the publisher of the home region
+    writes all others.
+    """
+
+    name: str  # name of this publisher
     home_region: str
-    publishers: Mapping[str, str]  # name by region
+    publishers: Mapping[str, str]  # names of the publishers by region
 
     def check(self, scope: str, current: DocumentHeader | None, region: str) -> None:
         """Raise FeedError, naming the right publisher, where this one may not write a scope.
 
-        current: the document of the scope, whose writer stays the writer of a node's scope; region: given
-        with the first document of a node's scope.
+        current: the current document of the scope; the writer of a node's scope never changes.  region: the
+        region of the node, given with the first document of its scope.
         """
         kind, name = parse_scope(scope)
         if kind == "node" and current is not None:
--- a/crowpost/feed/__init__.py
+++ b/crowpost/feed/__init__.py
@@ -1,1 +1,1 @@
-"""The earlier name of `crowpost.config_feed`, kept for the command `python -m crowpost.feed`."""
+"""Former name of the package `crowpost.config_feed`, kept for the command `python -m crowpost.feed`."""
--- a/tests/config_feed/test_distribution_server.py
+++ b/tests/config_feed/test_distribution_server.py
@@ -116,7 +116,7 @@
     s = PlayedServer()
     s.distribution_server.accepted(1, 0.0)
     s.say(1, PublishRequest(8, "all", b"", "me", ""))
-    assert s.said[1] == [PublishRejected(8, "a relay takes no documents; publish to a publisher")]
+    assert s.said[1] == [PublishRejected(8, "a relay accepts no documents; publish to a publisher")]
     s = PlayedServer(accepts_publishes=True)
     s.distribution_server.accepted(1, 0.0)
     s.distribution_server.received(1, encode(PublishRequest(8, "all", b"", "me", ""), CLUSTER_TAG), 0.0)
--- a/tests/config_feed/test_document_table.py
+++ b/tests/config_feed/test_document_table.py
@@ -16,7 +16,7 @@
 def test_a_table_is_bounded_and_replaces_documents_only_by_newer_ones() -> None:
     table = DocumentTable(Tuning(max_documents=2, max_table_bytes=100))
     assert table.put(doc(2, b"x" * 40)) and not table.put(doc(1, b"y")) and not table.put(doc(2, b"x" * 40))
-    with pytest.raises(FeedError, match="not the one"):
+    with pytest.raises(FeedError, match="the body does not match its header"):
         table.put(replace(doc(3, b"x"), body=b"y"))
     with pytest.raises(FeedError, match="full"):
         table.put(doc(1, b"x" * 61, scope="region/east"))
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -236,7 +236,7 @@
 @pytest.mark.parametrize(
     ("more", "said"),
     [
-        ({"role": '"relay"', "listen": '"h:1"'}, "feed.role: node here, not 'relay'"),
+        ({"role": '"relay"', "listen": '"h:1"'}, "feed.role: must be node here, not 'relay'"),
         ({"name": '"a/b"'}, "feed.name: letters, digits and ._- only, not 'a/b'"),
         ({"cluster": '""'}, "feed.cluster: is missing"),
         ({"region": "1"}, "feed.region: a text, not 1"),
--- a/tests/config_feed/test_publication_log.py
+++ b/tests/config_feed/test_publication_log.py
@@ -131,7 +131,7 @@
 
 def test_a_rollback_publishes_the_previous_body_as_a_new_version_and_can_be_rolled_back() -> None:
     book, table = ledger(), DocumentTable()
-    said = "all has no document before the one in force"
+    said = "all has no previous document to roll back to"
     assert refusal(book, table, rollback=True) == said
     publish(book, table, "all", b"1")
     assert refusal(book, table, rollback=True) == said
