--- a/tests/config_feed/test_command.py
+++ b/tests/config_feed/test_command.py
@@ -123,7 +123,10 @@
             'directory = "d"\nlisten = "h:1"\nhome = "east"',
             "feed.home: must be one of the regions in feed.publishers",
         ),
-        ('directory = "d"\nlisten = "h:1"\nhome = "south"', "feed.publishers.north: must be 'p', the publisher of"),
+        (
+            'directory = "d"\nlisten = "h:1"\nhome = "south"',
+            "feed.publishers.north: must be 'p', the publisher of",
+        ),
     ],
 )
 def test_what_a_publishers_file_cannot_mean_is_one_line_and_exit_code_2(
--- a/tests/config_feed/test_document_table.py
+++ b/tests/config_feed/test_document_table.py
@@ -1,4 +1,4 @@
-"""The table of documents."""
+"""The document table: limits, replacement by rank, and digests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.config_feed.harness import doc
 
 
-def test_a_table_is_bounded_and_replaces_documents_only_by_newer_ones() -> None:
+def test_table_is_limited_and_only_newer_documents_replace_others() -> None:
     table = DocumentTable(Tuning(max_documents=2, max_table_bytes=100))
     assert table.put(doc(2, b"x" * 40)) and not table.put(doc(1, b"y")) and not table.put(doc(2, b"x" * 40))
     with pytest.raises(FeedError, match="the body does not match its header"):
@@ -25,8 +25,8 @@
         table.put(doc(1, b"", scope="region/west"))
     assert table.put(doc(3, b"")) and table.bytes == 60
     other = DocumentTable()
-    for d in (doc(1, b"x" * 60, scope="region/east"), doc(3, b"")):
-        other.put(d)
+    for document in (doc(1, b"x" * 60, scope="region/east"), doc(3, b"")):
+        other.put(document)
     all_scopes = Subscription(all_scopes=True)
     assert table.digest(all_scopes) == other.digest(all_scopes) != 0
     assert table.digest(Subscription("west")) == DocumentTable().digest(Subscription()) ^ other.digest(
--- a/tests/config_feed/test_follower.py
+++ b/tests/config_feed/test_follower.py
@@ -1,4 +1,4 @@
-"""A follower whose servers the test plays."""
+"""The follower, with servers whose messages the tests send."""
 
 from __future__ import annotations
 
@@ -18,315 +18,345 @@
     Hello,
 )
 from crowpost.config_feed.tuning import Tuning
-from tests.config_feed.harness import CLUSTER_TAG, PlayedFollower, PlayedServer, doc
-
-
-def test_headers_come_from_both_servers_and_the_body_once_from_the_nearer() -> None:
-    p = PlayedFollower()
-    assert list(p.connection_ids) == ["a", "b"]
-    d = doc(1, b"body")
-    p.say("b", DocumentHeaders((d.header,)))
-    assert not p.fetches("b")  # the nearer is given time to tell of it as well
-    p.say("a", DocumentHeaders((d.header,)))
-    assert [f.length for f in p.fetches("a")] == [4] and not p.fetches("b")
-    p.say("a", BodyChunk(d.header.key, 0, b"body"))
-    assert p.applied == [d] and p.follower.applied_document("all") == d
-    p.wait(10_000.0)
-    assert not p.fetches("b") and len(p.fetches("a")) == 1
-
-
-def test_a_body_that_stalls_is_taken_over_where_it_stopped() -> None:
-    p = PlayedFollower()
-    d = doc(1, b"0123456789")
+from tests.config_feed.harness import CLUSTER_TAG, FollowerHarness, ServerHarness, doc
+
+
+def test_body_is_fetched_once_and_from_the_nearest_server() -> None:
+    harness = FollowerHarness()
+    assert list(harness.connection_ids) == ["a", "b"]
+    document = doc(1, b"body")
+    harness.send("b", DocumentHeaders((document.header,)))
+    assert not harness.fetches("b")  # the nearest server has time to offer the document, too
+    harness.send("a", DocumentHeaders((document.header,)))
+    assert [f.length for f in harness.fetches("a")] == [4] and not harness.fetches("b")
+    harness.send("a", BodyChunk(document.header.key, 0, b"body"))
+    assert harness.applied == [document] and harness.follower.applied_document("all") == document
+    harness.advance(10_000.0)
+    assert not harness.fetches("b") and len(harness.fetches("a")) == 1
+
+
+def test_stalled_fetch_continues_on_another_server_at_the_same_offset() -> None:
+    harness = FollowerHarness()
+    document = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.header,)))
-    p.say("a", BodyChunk(d.header.key, 0, b"0123"))
-    p.to(p.now + 990.0)
-    assert not p.fetches("b")
-    p.to(p.now + 20.0)
-    assert [(f.offset, f.length) for f in p.fetches("b")] == [(4, 6)]
-    p.say("b", BodyChunk(d.header.key, 4, b"456789"))
-    assert p.applied == [d] and p.follower.counts["taken_over"] == 1
-    # The one that stalled is asked last for a while.
-    e = doc(2, b"abc")
+        harness.send(server, DocumentHeaders((document.header,)))
+    harness.send("a", BodyChunk(document.header.key, 0, b"0123"))
+    harness.advance_to(harness.now + 990.0)
+    assert not harness.fetches("b")
+    harness.advance_to(harness.now + 20.0)
+    assert [(f.offset, f.length) for f in harness.fetches("b")] == [(4, 6)]
+    harness.send("b", BodyChunk(document.header.key, 4, b"456789"))
+    assert harness.applied == [document] and harness.follower.counts["taken_over"] == 1
+    # The stalled server is asked last for a while.
+    next_document = doc(2, b"abc")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((e.header,)))
-    assert len(p.fetches("a")) == 1 and len(p.fetches("b")) == 2
+        harness.send(server, DocumentHeaders((next_document.header,)))
+    assert len(harness.fetches("a")) == 1 and len(harness.fetches("b")) == 2
 
 
-def test_a_server_that_is_lost_amid_a_body_is_replaced_at_once() -> None:
-    p = PlayedFollower()
-    d = doc(1, b"0123456789")
+def test_fetch_continues_on_another_server_when_the_connection_is_lost() -> None:
+    harness = FollowerHarness()
+    document = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.header,)))
-    p.say("a", BodyChunk(d.header.key, 0, b"01"))
-    p.follower.lost(p.connection_ids["a"], p.now)
-    p._take()
-    assert [(f.offset, f.length) for f in p.fetches("b")] == [(2, 8)]
+        harness.send(server, DocumentHeaders((document.header,)))
+    harness.send("a", BodyChunk(document.header.key, 0, b"01"))
+    harness.follower.lost(harness.connection_ids["a"], harness.now)
+    harness._take_output()
+    assert [(f.offset, f.length) for f in harness.fetches("b")] == [(2, 8)]
 
 
-def test_a_body_that_does_not_match_its_header_is_never_applied_and_fetched_elsewhere() -> None:
-    p = PlayedFollower()
-    d = doc(1, b"0123456789")
+def test_body_with_wrong_digest_is_not_applied_and_is_fetched_from_another_server() -> None:
+    harness = FollowerHarness()
+    document = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.header,)))
-    p.say("a", BodyChunk(d.header.key, 0, b"0123456780"))
-    assert p.applied == [] and p.follower.counts["dropped_digest"] == 1
-    assert len(p.fetches("a")) == 1
-    p.to(p.now + 1_100.0)
-    assert [(f.offset, f.length) for f in p.fetches("b")] == [(0, 10)]
-    p.say("b", BodyChunk(d.header.key, 0, d.body))
-    assert p.applied == [d]
-
-
-def test_chunks_of_two_servers_that_do_not_fit_are_followed_by_a_body_from_one() -> None:
-    p = PlayedFollower()
-    d = doc(1, b"0123456789")
+        harness.send(server, DocumentHeaders((document.header,)))
+    harness.send("a", BodyChunk(document.header.key, 0, b"0123456780"))
+    assert harness.applied == [] and harness.follower.counts["dropped_digest"] == 1
+    assert len(harness.fetches("a")) == 1
+    harness.advance_to(harness.now + 1_100.0)
+    assert [(f.offset, f.length) for f in harness.fetches("b")] == [(0, 10)]
+    harness.send("b", BodyChunk(document.header.key, 0, document.body))
+    assert harness.applied == [document]
+
+
+def test_inconsistent_chunks_of_two_servers_restart_the_fetch_from_one_server() -> None:
+    harness = FollowerHarness()
+    document = doc(1, b"0123456789")
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.header,)))
-    p.say("a", BodyChunk(d.header.key, 0, b"xx"))  # wrong, though its checksum is right
-    p.to(p.now + 1_001.0)
-    p.say("b", BodyChunk(d.header.key, 2, b"23456789"))
-    assert p.applied == [] and p.follower.counts["dropped_digest"] == 1
-    p.wait(5_000.0)
-    asked = p.fetches("b")[-1]
-    assert (asked.offset, asked.length) == (0, 10)
-    p.say("b", BodyChunk(d.header.key, 0, d.body))
-    assert p.applied == [d]
-
-
-def test_a_header_whose_body_no_server_has_does_not_stop_an_honest_one() -> None:
-    p = PlayedFollower()
-    lie = DocumentHeader("all", 1, 99, b"\x01" * 32, 4, "x", "", "p-east")
-    p.say("a", DocumentHeaders((lie,)))
-    p.say("b", DocumentHeaders((doc(6, b"good").header,)))
-    p.say("a", BodyChunk(lie.key, 0, b"evil"))
-    p.to(p.now + 1_500.0)
-    p.say("b", BodyChunk(doc(6, b"good").header.key, 0, b"good"))
-    assert p.versions() == [6]
+        harness.send(server, DocumentHeaders((document.header,)))
+    harness.send("a", BodyChunk(document.header.key, 0, b"xx"))  # wrong data in a frame with a valid checksum
+    harness.advance_to(harness.now + 1_001.0)
+    harness.send("b", BodyChunk(document.header.key, 2, b"23456789"))
+    assert harness.applied == [] and harness.follower.counts["dropped_digest"] == 1
+    harness.advance(5_000.0)
+    request = harness.fetches("b")[-1]
+    assert (request.offset, request.length) == (0, 10)
+    harness.send("b", BodyChunk(document.header.key, 0, document.body))
+    assert harness.applied == [document]
+
+
+def test_header_without_a_matching_body_does_not_block_another_document() -> None:
+    harness = FollowerHarness()
+    false_header = DocumentHeader("all", 1, 99, b"\x01" * 32, 4, "x", "", "p-east")
+    harness.send("a", DocumentHeaders((false_header,)))
+    harness.send("b", DocumentHeaders((doc(6, b"good").header,)))
+    harness.send("a", BodyChunk(false_header.key, 0, b"evil"))
+    harness.advance_to(harness.now + 1_500.0)
+    harness.send("b", BodyChunk(doc(6, b"good").header.key, 0, b"good"))
+    assert harness.applied_versions() == [6]
 
 
 def test_damaged_frames_are_skipped_and_too_many_close_the_connection() -> None:
-    p = PlayedFollower()
+    harness = FollowerHarness()
     good = encode(DocumentHeaders((doc().header,)), CLUSTER_TAG)
     bad = good[:-3] + bytes([good[-3] ^ 16]) + good[-2:]
     for _ in range(2):
-        p.say("a", bad)
-    assert p.follower.counts["dropped_checksum"] == 2 and not p.disconnects
-    p.say("a", good)
-    assert p.fetches("a")
-    p.say("a", bad)
-    assert p.disconnects == [p.connection_ids["a"]]
+        harness.send("a", bad)
+    assert harness.follower.counts["dropped_checksum"] == 2 and not harness.disconnects
+    harness.send("a", good)
+    assert harness.fetches("a")
+    harness.send("a", bad)
+    assert harness.disconnects == [harness.connection_ids["a"]]
 
 
-def test_another_clusters_server_is_left_at_once() -> None:
-    p = PlayedFollower()
-    p.say("a", encode(DocumentHeaders((doc().header,)), cluster_tag("elsewhere")))
-    assert p.disconnects == [p.connection_ids["a"]] and p.follower.counts["dropped_cluster"] == 1
-    assert not p.fetches("a")
+def test_server_of_another_cluster_is_disconnected() -> None:
+    harness = FollowerHarness()
+    harness.send("a", encode(DocumentHeaders((doc().header,)), cluster_tag("elsewhere")))
+    assert (
+        harness.disconnects == [harness.connection_ids["a"]]
+        and harness.follower.counts["dropped_cluster"] == 1
+    )
+    assert not harness.fetches("a")
 
 
-def test_a_document_that_is_too_large_is_not_asked_for() -> None:
-    p = PlayedFollower(Tuning(max_document_bytes=1_000))
-    p.say("a", DocumentHeaders((doc(1, b"x" * 1_001).header,)))
-    p.wait(5_000.0)
-    assert not p.fetches("a") and p.follower.counts["dropped_too_large"] == 1
-    p.give("a", doc(2, b"x" * 1_000))
-    assert p.versions() == [2]
+def test_too_large_document_is_not_fetched() -> None:
+    harness = FollowerHarness(Tuning(max_document_bytes=1_000))
+    harness.send("a", DocumentHeaders((doc(1, b"x" * 1_001).header,)))
+    harness.advance(5_000.0)
+    assert not harness.fetches("a") and harness.follower.counts["dropped_too_large"] == 1
+    harness.deliver("a", doc(2, b"x" * 1_000))
+    assert harness.applied_versions() == [2]
 
 
-def test_older_and_repeated_documents_change_nothing() -> None:
-    p = PlayedFollower()
+def test_older_and_repeated_documents_are_ignored() -> None:
+    harness = FollowerHarness()
     old, new = doc(4, b"old"), doc(5, b"new")
-    p.give("a", new)
-    asked = len(p.fetches("a"))
+    harness.deliver("a", new)
+    fetch_count = len(harness.fetches("a"))
     for replay in (
         DocumentHeaders((old.header,)),
         BodyChunk(old.header.key, 0, b"old"),
         DocumentHeaders((new.header,)),
     ):
-        p.say("a", replay)
-    p.say("b", BodyChunk(new.header.key, 0, b"new"))
-    p.to(p.now + 3_000.0)
-    assert p.versions() == [5] and len(p.fetches("a")) == asked and not p.fetches("b")
-    counts = p.follower.counts
+        harness.send("a", replay)
+    harness.send("b", BodyChunk(new.header.key, 0, b"new"))
+    harness.advance_to(harness.now + 3_000.0)
+    assert (
+        harness.applied_versions() == [5]
+        and len(harness.fetches("a")) == fetch_count
+        and not harness.fetches("b")
+    )
+    counts = harness.follower.counts
     assert counts["dropped_older"] == 1 and counts["known"] == 1 and counts["dropped_unasked"] == 2
-    p.give("a", doc(1, b"restored", epoch=2))  # a publisher restored from a backup: a new era goes over it
-    assert p.follower.applied_document("all") == doc(1, b"restored", epoch=2)
+    # A publisher restored from a backup begins a new epoch, which is newer than any version before.
+    harness.deliver("a", doc(1, b"restored", epoch=2))
+    assert harness.follower.applied_document("all") == doc(1, b"restored", epoch=2)
 
 
-def test_a_newer_version_takes_the_place_of_one_under_way() -> None:
-    p = PlayedFollower()
-    p.say("a", DocumentHeaders((doc(1, b"0123").header,)))
-    p.say("a", BodyChunk(doc(1, b"0123").header.key, 0, b"01"))
-    p.say("a", DocumentHeaders((doc(2, b"4567").header,)))
-    p.say("a", BodyChunk(doc(1, b"0123").header.key, 2, b"23"))
-    assert p.applied == []
-    p.say("a", BodyChunk(doc(2, b"4567").header.key, 0, b"4567"))
-    assert p.versions() == [2] and p.follower.counts["coalesced"] == 1
+def test_newer_version_replaces_a_fetch_in_progress() -> None:
+    harness = FollowerHarness()
+    harness.send("a", DocumentHeaders((doc(1, b"0123").header,)))
+    harness.send("a", BodyChunk(doc(1, b"0123").header.key, 0, b"01"))
+    harness.send("a", DocumentHeaders((doc(2, b"4567").header,)))
+    harness.send("a", BodyChunk(doc(1, b"0123").header.key, 2, b"23"))
+    assert harness.applied == []
+    harness.send("a", BodyChunk(doc(2, b"4567").header.key, 0, b"4567"))
+    assert harness.applied_versions() == [2] and harness.follower.counts["coalesced"] == 1
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_conflicts_are_recorded_and_resolved_alike_in_either_order(first: int) -> None:
-    p = PlayedFollower()
-    answers = [doc(3, b"of the east", by="p-east"), doc(3, b"of the west", by="p-west")]
-    p.give("a", answers[first])
-    p.give("b", answers[1 - first])
-    assert p.follower.applied_document("all") == answers[1]
-    (conflict,) = p.follower.table.conflicts
-    assert (conflict.winner, conflict.loser) == (answers[1].header, answers[0].header)
-    assert conflict.rule == "writer" and p.follower.counts["conflicts"] == 1
+def test_conflict_is_recorded_and_resolved_independently_of_order(first: int) -> None:
+    harness = FollowerHarness()
+    documents = [doc(3, b"of the east", writer="p-east"), doc(3, b"of the west", writer="p-west")]
+    harness.deliver("a", documents[first])
+    harness.deliver("b", documents[1 - first])
+    assert harness.follower.applied_document("all") == documents[1]
+    (conflict,) = harness.follower.table.conflicts
+    assert (conflict.winner, conflict.loser) == (documents[1].header, documents[0].header)
+    assert conflict.rule == "writer" and harness.follower.counts["conflicts"] == 1
 
 
 def test_a_rejected_version_leaves_the_last_good_one_applied_until_a_new_version() -> None:
-    p = PlayedFollower()
-    p.give("a", doc(1, b"good"))
-    p.why = "no such key: speeed"
-    p.give("a", doc(2, b"bad"))
-    assert p.follower.applied_document("all") == doc(1, b"good")
-    (apply_status,) = p.follower.apply_statuses()
+    harness = FollowerHarness()
+    harness.deliver("a", doc(1, b"good"))
+    harness.rejection = "no such key: speeed"
+    harness.deliver("a", doc(2, b"bad"))
+    assert harness.follower.applied_document("all") == doc(1, b"good")
+    (apply_status,) = harness.follower.apply_statuses()
     assert (apply_status.key.version, apply_status.state, apply_status.why) == (
         2,
         ApplyState.REJECTED,
         "no such key: speeed",
     )
-    told = [m for _, m in p.seen if isinstance(m, ApplyReport)]
-    assert told[-1].apply_statuses == (apply_status,) and told[-1].counter > told[0].counter
-    p.why = ""
-    p.give("a", doc(3, b"good"))
-    assert p.follower.applied_document("all") == doc(3, b"good")
-
-
-def test_apply_statuses_go_to_both_servers_on_change_and_all_of_them_to_a_new_one() -> None:
-    p = PlayedFollower()
-    p.give("a", doc(1, b"x"))
-    p.give("a", doc(1, b"y", scope="service/s1"))
-    assert sorted(connection_id for connection_id, m in p.seen if isinstance(m, ApplyReport)) == sorted(
-        list(p.connection_ids.values()) * 2
+    reports = [m for _, m in harness.sent if isinstance(m, ApplyReport)]
+    assert reports[-1].apply_statuses == (apply_status,) and reports[-1].counter > reports[0].counter
+    harness.rejection = ""
+    harness.deliver("a", doc(3, b"good"))
+    assert harness.follower.applied_document("all") == doc(3, b"good")
+
+
+def test_apply_statuses_are_sent_to_all_servers_on_change_and_to_new_connections() -> None:
+    harness = FollowerHarness()
+    harness.deliver("a", doc(1, b"x"))
+    harness.deliver("a", doc(1, b"y", scope="service/s1"))
+    assert sorted(connection_id for connection_id, m in harness.sent if isinstance(m, ApplyReport)) == sorted(
+        list(harness.connection_ids.values()) * 2
     )
-    lost = p.connection_ids["b"]
-    p.follower.lost(lost, p.now)
-    p._take()
-    p.to(p.now + 2_000.0)
-    assert p.connection_ids["b"] != lost
-    p.follower.connected(p.connection_ids["b"], p.now)
-    p.say("b", Hello("b", "relay"))
+    lost = harness.connection_ids["b"]
+    harness.follower.lost(lost, harness.now)
+    harness._take_output()
+    harness.advance_to(harness.now + 2_000.0)
+    assert harness.connection_ids["b"] != lost
+    harness.follower.connected(harness.connection_ids["b"], harness.now)
+    harness.send("b", Hello("b", "relay"))
     (report,) = [
         m
-        for connection_id, m in p.seen
-        if isinstance(m, ApplyReport) and connection_id == p.connection_ids["b"]
+        for connection_id, m in harness.sent
+        if isinstance(m, ApplyReport) and connection_id == harness.connection_ids["b"]
     ]
     assert [s.key.scope for s in report.apply_statuses] == ["all", "service/s1"]
 
 
 def test_cached_documents_are_applied_without_any_server() -> None:
-    p = PlayedFollower(cached_documents=[doc(3, b"kept"), doc(1, b"of another", scope="node/other")])
+    harness = FollowerHarness(cached_documents=[doc(3, b"kept"), doc(1, b"of another", scope="node/other")])
     assert (
-        p.follower.applied_document("all") == doc(3, b"kept")
-        and p.follower.applied_document("node/other") is None
+        harness.follower.applied_document("all") == doc(3, b"kept")
+        and harness.follower.applied_document("node/other") is None
     )
-    hello = next(m for _, m in p.seen if isinstance(m, Hello))
+    hello = next(m for _, m in harness.sent if isinstance(m, Hello))
     assert hello.version_vector == (doc(3, b"kept").header.key,)
 
 
-def test_differing_digests_send_the_version_vector_less_and_less_often() -> None:
-    p = PlayedFollower()
-    hellos = len([m for _, m in p.seen if isinstance(m, Hello)])
+def test_version_vector_is_sent_at_increasing_intervals_while_digests_differ() -> None:
+    harness = FollowerHarness()
+    hellos = len([m for _, m in harness.sent if isinstance(m, Hello)])
     times = []
     for _ in range(60):
-        p.to(p.now + 2_000.0)
-        before = len(p.seen)
+        harness.advance_to(harness.now + 2_000.0)
+        before = len(harness.sent)
         for server in ("a", "b"):
-            p.say(server, Heartbeat(1 if server == "a" else 0))
-        times += [p.now for connection_id, m in p.seen[before:] if isinstance(m, Hello)]
-    assert hellos == 2 and 4 <= len(times) <= 7  # of 60 beats
+            harness.send(server, Heartbeat(1 if server == "a" else 0))
+        times += [harness.now for connection_id, m in harness.sent[before:] if isinstance(m, Hello)]
+    assert hellos == 2 and 4 <= len(times) <= 7  # of 60 heartbeats with a differing digest
     gaps = [after - before for before, after in pairwise(times)]
     assert gaps == sorted(gaps)
 
 
-def test_a_silent_server_is_disconnected_and_one_with_heartbeats_is_not() -> None:
-    p = PlayedFollower()
+def test_unresponsive_server_is_disconnected_and_one_with_heartbeats_is_not() -> None:
+    harness = FollowerHarness()
     for _ in range(4):
-        p.to(p.now + 1_400.0)
-        p.say("a", Heartbeat(0))
-    assert p.disconnects == [p.connection_ids["b"]]
+        harness.advance_to(harness.now + 1_400.0)
+        harness.send("a", Heartbeat(0))
+    assert harness.disconnects == [harness.connection_ids["b"]]
 
 
 def test_a_follower_that_was_suspended_disconnects_no_server() -> None:
-    p = PlayedFollower()
-    p.now += 15_000.0
-    p.follower.tick(p.now)
-    p._take()
-    assert not p.disconnects and p.follower.counts["slept"] == 1
-    p.give("a", doc(1, b"news"))
-    assert p.versions() == [1]
-
-
-def test_a_clock_that_goes_back_by_an_hour_stops_nothing() -> None:
-    p = PlayedFollower()
-    p.wait(5_000.0)
-    p.now -= 3_600_000.0
-    beats = len([m for _, m in p.seen if isinstance(m, Heartbeat)])
-    p.wait(10_000.0)
-    assert len([m for _, m in p.seen if isinstance(m, Heartbeat)]) >= beats + 8 and not p.disconnects
-    p.give("a", doc(1, b"news"))
-    assert p.versions() == [1]
-    p.to(p.now + 6_000.0)  # and who says nothing is still found out
-    assert len(p.disconnects) == 2
-    s = PlayedServer()
-    s.watch(1, "n1")
-    s.to(5_000.0)
-    s.now -= 3_600_000.0
-    s.say(1, Heartbeat(0))  # the first that it is given by the new time
-    beats = len([m for m in s.said[1] if isinstance(m, Heartbeat)])
-    s.to(s.now + 10_000.0)
-    assert len([m for m in s.said[1] if isinstance(m, Heartbeat)]) >= beats + 4
-    s.to(s.now + 15_000.0)
-    assert s.disconnects == [1]
-
-
-def test_no_more_is_requested_than_the_tokens_allow() -> None:
+    harness = FollowerHarness()
+    harness.now += 15_000.0
+    harness.follower.tick(harness.now)
+    harness._take_output()
+    assert not harness.disconnects and harness.follower.counts["slept"] == 1
+    harness.deliver("a", doc(1, b"news"))
+    assert harness.applied_versions() == [1]
+
+
+def test_clock_set_back_by_an_hour_interrupts_neither_follower_nor_server() -> None:
+    harness = FollowerHarness()
+    harness.advance(5_000.0)
+    harness.now -= 3_600_000.0
+    heartbeats = len([m for _, m in harness.sent if isinstance(m, Heartbeat)])
+    harness.advance(10_000.0)
+    assert (
+        len([m for _, m in harness.sent if isinstance(m, Heartbeat)]) >= heartbeats + 8
+        and not harness.disconnects
+    )
+    harness.deliver("a", doc(1, b"news"))
+    assert harness.applied_versions() == [1]
+    # Unresponsive servers are still detected.
+    harness.advance_to(harness.now + 6_000.0)
+    assert len(harness.disconnects) == 2
+    server_harness = ServerHarness()
+    server_harness.connect(1, "n1")
+    server_harness.advance_to(5_000.0)
+    server_harness.now -= 3_600_000.0
+    server_harness.send(1, Heartbeat(0))  # the first call with the new time
+    heartbeats = len([m for m in server_harness.sent[1] if isinstance(m, Heartbeat)])
+    server_harness.advance_to(server_harness.now + 10_000.0)
+    assert len([m for m in server_harness.sent[1] if isinstance(m, Heartbeat)]) >= heartbeats + 4
+    server_harness.advance_to(server_harness.now + 15_000.0)
+    assert server_harness.disconnects == [1]
+
+
+def test_requested_bytes_stay_within_the_token_bucket() -> None:
     tuning = Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0)
-    p = PlayedFollower(tuning)
+    harness = FollowerHarness(tuning)
     body = random.Random(1).randbytes(30_000)
-    d = doc(1, body)
-    p.say("a", DocumentHeaders((d.header,)))
-    began, given = p.now, 0
-    while not p.applied:
+    document = doc(1, body)
+    harness.send("a", DocumentHeaders((document.header,)))
+    started_at, answered = harness.now, 0
+    while not harness.applied:
         for server in ("a", "b"):
-            p.say(server, Heartbeat(0))
-        asked = p.fetches("a")
-        if given < len(asked):
-            f = asked[given]
-            given += 1
-            p.say("a", BodyChunk(f.key, f.offset, body[f.offset : f.offset + f.length]))
-        total = sum(f.length for f in asked)
-        assert total <= 10_000 + (p.now - began) / 1000.0 * 1_000.0
-        p.to(p.now + 500.0)
-    assert 18_000.0 < p.now - began < 40_000.0
-
-
-def test_requested_bytes_that_arrive_late_and_at_once_stay_within_the_tokens() -> None:
-    p = PlayedFollower(Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0))
-    d = doc(1, b"x" * 3_000)
-    p.say("a", DocumentHeaders((d.header,)))
-    p.wait(25_000.0)  # alive, and no body: it is asked for again as far as may be
-    asked = p.fetches("a")
-    assert len(asked) > 1 and sum(f.length for f in asked) <= 10_000
-    for f in asked:
-        p.say("a", BodyChunk(f.key, f.offset, d.body[f.offset : f.offset + f.length]))
-    assert p.versions() == [1]
-
-
-def test_a_server_whose_outstanding_bytes_leave_no_tokens_for_another_is_disconnected() -> None:
-    p = PlayedFollower(Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0))
-    d, first = doc(1, b"x" * 8_000), p.connection_ids["a"]
+            harness.send(server, Heartbeat(0))
+        requests = harness.fetches("a")
+        if answered < len(requests):
+            request = requests[answered]
+            answered += 1
+            harness.send(
+                "a",
+                BodyChunk(
+                    request.key, request.offset, body[request.offset : request.offset + request.length]
+                ),
+            )
+        total = sum(request.length for request in requests)
+        assert total <= 10_000 + (harness.now - started_at) / 1000.0 * 1_000.0
+        harness.advance_to(harness.now + 500.0)
+    assert 18_000.0 < harness.now - started_at < 40_000.0
+
+
+def test_repeated_requests_for_late_bytes_stay_within_the_token_bucket() -> None:
+    harness = FollowerHarness(Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0))
+    document = doc(1, b"x" * 3_000)
+    harness.send("a", DocumentHeaders((document.header,)))
+    # No bytes of the body arrive, so it is requested again as far as the tokens allow.
+    harness.advance(25_000.0)
+    requests = harness.fetches("a")
+    assert len(requests) > 1 and sum(request.length for request in requests) <= 10_000
+    for request in requests:
+        harness.send(
+            "a",
+            BodyChunk(
+                request.key, request.offset, document.body[request.offset : request.offset + request.length]
+            ),
+        )
+    assert harness.applied_versions() == [1]
+
+
+def test_stalled_server_whose_outstanding_bytes_exhaust_the_tokens_is_disconnected() -> None:
+    harness = FollowerHarness(Tuning(bytes_per_s=1_000.0, burst_bytes=10_000.0))
+    document, first = doc(1, b"x" * 8_000), harness.connection_ids["a"]
     for server in ("a", "b"):
-        p.say(server, DocumentHeaders((d.header,)))
-    p.wait(12_000.0)
-    assert p.disconnects[0] == first
-    while not p.applied and p.now < 60_000.0:
-        for f in p.fetches("b"):
-            p.say("b", BodyChunk(f.key, f.offset, d.body[f.offset : f.offset + f.length]))
-        p.wait(1_000.0)
-    assert p.versions() == [1]
+        harness.send(server, DocumentHeaders((document.header,)))
+    harness.advance(12_000.0)
+    assert harness.disconnects[0] == first
+    while not harness.applied and harness.now < 60_000.0:
+        for request in harness.fetches("b"):
+            harness.send(
+                "b",
+                BodyChunk(
+                    request.key,
+                    request.offset,
+                    document.body[request.offset : request.offset + request.length],
+                ),
+            )
+        harness.advance(1_000.0)
+    assert harness.applied_versions() == [1]
--- a/tests/config_feed/test_frames.py
+++ b/tests/config_feed/test_frames.py
@@ -1,4 +1,4 @@
-"""Messages as frames, and what is rejected."""
+"""Frames: encoding of all messages, and rejection of invalid ones."""
 
 from __future__ import annotations
 
@@ -44,27 +44,27 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_messages_survive_a_round_trip_and_damaged_frames_are_rejected(message: Message) -> None:
+def test_messages_are_decoded_as_encoded_and_damaged_frames_are_rejected(message: Message) -> None:
     frame = encode(message, CLUSTER_TAG)
     reader = FrameReader(CLUSTER_TAG)
     found = [item for byte in frame for item in reader.feed(bytes([byte]))]
     assert found == [(message, len(frame))]
     body = frame[FRAME_LENGTH.size :]
-    for at in range(len(body)):
+    for offset in range(len(body)):
         for bit in (0, 3, 7):
-            damaged = body[:at] + bytes([body[at] ^ (1 << bit)]) + body[at + 1 :]
+            damaged = body[:offset] + bytes([body[offset] ^ (1 << bit)]) + body[offset + 1 :]
             with pytest.raises(FrameError):
                 decode(damaged, CLUSTER_TAG)
-    for cut in range(len(body)):
+    for length in range(len(body)):
         with pytest.raises(FrameError):
-            decode(body[:cut], CLUSTER_TAG)
+            decode(body[:length], CLUSTER_TAG)
 
 
 def test_every_kind_of_message_is_covered() -> None:
     assert len({type(m) for m in MESSAGES}) == len(MessageKind)
 
 
-def test_each_kind_of_invalid_frame_is_named() -> None:
+def test_each_invalid_frame_is_reported_with_its_kind() -> None:
     good = encode(Heartbeat(1), CLUSTER_TAG)
     cases = {
         "cluster": encode(Heartbeat(1), cluster_tag("other")),
@@ -77,5 +77,5 @@
         reader = FrameReader(CLUSTER_TAG, 1_000_000)
         found = [item for item, _ in reader.feed(data + good)]
         assert isinstance(found[0], FrameError) and found[0].kind == kind
-        # After a frame that is merely damaged the stream goes on; otherwise nothing more is believed.
+        # Reading continues after a damaged frame, but not after a fatal error.
         assert found[1:] == ([Heartbeat(1)] if not found[0].fatal else [])
--- a/tests/config_feed/test_scopes.py
+++ b/tests/config_feed/test_scopes.py
@@ -1,4 +1,4 @@
-"""Scopes of documents."""
+"""Scopes of documents: order, nodes that they apply to, and invalid scopes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from crowpost.config_feed.scopes import applies_to_node, order_scopes, parse_scope
 
 
-def test_scopes() -> None:
+def test_scope_order_applicability_and_validation() -> None:
     assert order_scopes(["node/n1", "all", "service/b", "region/r", "service/a"]) == [
         "all",
         "region/r",
--- a/tests/config_feed/test_status_merge.py
+++ b/tests/config_feed/test_status_merge.py
@@ -1,4 +1,4 @@
-"""Statuses of several servers, merged."""
+"""Merging the statuses of several servers."""
 
 from __future__ import annotations
 
@@ -9,28 +9,32 @@
     StatusResponse,
 )
 from crowpost.config_feed.status_merge import merge_statuses
-from tests.config_feed.harness import PlayedServer, doc
+from tests.config_feed.harness import ServerHarness, doc
 
 
 def test_statuses_of_two_servers_are_merged_by_counter_and_age() -> None:
-    one, two = PlayedServer(), PlayedServer()
+    first, second = ServerHarness(), ServerHarness()
     new, old = doc(2, b"new"), doc(1, b"old")
-    one.announce(new)
-    two.announce(old)
-    for s in (one, two):
-        s.watch(1, "n1")
-        s.watch(2, "n2")
-        s.watch(3, "gone")
-    for s, d, counter in ((one, new, 5), (two, old, 4)):
-        s.say(1, ApplyReport("n1", 1, counter, (ApplyStatus(d.header.key, ApplyState.APPLIED),)))
-    two.say(2, ApplyReport("n2", 2, 1, (ApplyStatus(new.header.key, ApplyState.REJECTED, "no"),)))
-    two.say(2, ApplyReport("n2", 2, 0, (ApplyStatus(old.header.key, ApplyState.APPLIED),)))  # an older report
-    two.say(2, ApplyReport("n1", 1, 9, ()))  # it speaks for another
-    for s in (one, two):
-        s.distribution_server.lost(3, 10.0)
+    first.announce(new)
+    second.announce(old)
+    for harness in (first, second):
+        harness.connect(1, "n1")
+        harness.connect(2, "n2")
+        harness.connect(3, "gone")
+    for harness, document, counter in ((first, new, 5), (second, old, 4)):
+        harness.send(
+            1, ApplyReport("n1", 1, counter, (ApplyStatus(document.header.key, ApplyState.APPLIED),))
+        )
+    second.send(2, ApplyReport("n2", 2, 1, (ApplyStatus(new.header.key, ApplyState.REJECTED, "no"),)))
+    second.send(
+        2, ApplyReport("n2", 2, 0, (ApplyStatus(old.header.key, ApplyState.APPLIED),))
+    )  # an older report of the same instance
+    second.send(2, ApplyReport("n1", 1, 9, ()))  # a report in the name of another follower
+    for harness in (first, second):
+        harness.distribution_server.lost(3, 10.0)
     for statuses in (
-        [one.distribution_server.status(20.0), two.distribution_server.status(20.0)],
-        [two.distribution_server.status(20.0), one.distribution_server.status(20.0)],
+        [first.distribution_server.status(20.0), second.distribution_server.status(20.0)],
+        [second.distribution_server.status(20.0), first.distribution_server.status(20.0)],
     ):
         found = merge_statuses(statuses)
         assert found["heads"]["all"]["version"] == 2
@@ -38,10 +42,10 @@
         assert n1["lags"] == [] and n1["standings"][0]["version"] == 2
         assert n2["refused"] == {"all": "no"} and n2["lags"] == []
         assert gone["lags"] == ["all"] and not gone["linked"]
-    # It is also what goes over the wire.
-    one.distribution_server.accepted(9, 20.0)
-    one.say(9, StatusRequest(4))
-    answer = one.said[9][0]
+    # A status response on the wire has the same content.
+    first.distribution_server.accepted(9, 20.0)
+    first.send(9, StatusRequest(4))
+    answer = first.sent[9][0]
     assert (
         isinstance(answer, StatusResponse)
         and merge_statuses([answer.value])["followers"]["n1"]["counter"] == 5
--- a/tests/config_feed/test_transport.py
+++ b/tests/config_feed/test_transport.py
@@ -1,4 +1,4 @@
-"""The transport of the feed: what it logs."""
+"""The log events of the transport."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from tests.node.stubs import run
 
 
-def test_an_event_whose_values_hold_a_time_or_an_event_of_their_own_is_logged(
+def test_event_with_values_named_like_the_parameters_of_log_event_is_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # As `taken_over` does, with the offset at which a body is taken over.
-    async def play() -> None:
+    # The event `taken_over` has a value `at`: the offset from which another server sends the body.
+    async def scenario() -> None:
         transport = FeedTransport(FeedConfig("c", "n1"), lambda document: None)
         transport.log_event("taken_over", 5.0, scope="all", at=7, server="r1")
         await transport.close()
 
     with caplog.at_level(logging.INFO):
-        run(play())
+        run(scenario())
     event = json.loads(caplog.messages[0].removeprefix("feed "))
     assert event == {"event": "taken_over", "at_ms": 5.0, "by": "n1", "scope": "all", "at": 7, "server": "r1"}
