--- a/tests/config_feed/test_command.py
+++ b/tests/config_feed/test_command.py
@@ -13,7 +13,7 @@
 from crowpost.cli.feed import STATUS_TIMEOUT_S
 from crowpost.cli.feed_status import StatusAnswers, collect_statuses, summarize
 from crowpost.config_feed.command import main as feed_main
-from tests.config_feed.fleet import CLUSTER, connect, fleet, version
+from tests.config_feed.fleet import CLUSTER, connect_timeout_patch, published_version, running_fleet
 from tests.node.stubs import HOST, run
 from tests.test_cli import crowpost
 
@@ -24,9 +24,9 @@
         writer.close()
 
     async def play() -> None:
-        async with fleet(tmp_path, 1) as (world, started):
+        async with running_fleet(tmp_path, 1) as (world, started):
             for number in range(1, 3):
-                assert version(await world.publish(connect(100.0 + number))) == number
+                assert published_version(await world.publish(connect_timeout_patch(100.0 + number))) == number
             await world.status(lambda f: f["whole"])
             servers = [await asyncio.start_server(silent, HOST, 0) for _ in range(3)]
             asked = [f"{HOST}:{server.sockets[0].getsockname()[1]}" for server in servers]
--- a/tests/config_feed/test_processes.py
+++ b/tests/config_feed/test_processes.py
@@ -22,7 +22,13 @@
 from crowpost.config_feed.upstream_server import UpstreamServer
 from crowpost.storage.disk import Disk
 from crowpost.storage.operations import Append, Operation
-from tests.config_feed.fleet import CLUSTER, connect, fleet, in_force, version
+from tests.config_feed.fleet import (
+    CLUSTER,
+    connect_timeout_patch,
+    published_version,
+    running_fleet,
+    wait_until_applied,
+)
 from tests.node.stubs import (
     HOST,
     PATIENCE_S,
@@ -40,7 +46,7 @@
 def test_changes_under_traffic_cost_no_call_and_no_connection(tmp_path: Path) -> None:
     async def play() -> None:
         new = StubServer([reply("200 OK", b"new")])
-        async with fleet(tmp_path, 2) as (world, started), StubDiscovery() as moved, new:
+        async with running_fleet(tmp_path, 2) as (world, started), StubDiscovery() as moved, new:
             clients = [await Client.connect(address) for _, address in started for _ in range(3)]
             processes = [process for process, _ in started]
             bodies: list[bytes] = []
@@ -55,23 +61,28 @@
 
             calling = [asyncio.create_task(call(client)) for client in clients]
             for number in range(1, 10):
-                assert version(await world.publish(connect(100.0 + number), if_version=number - 1)) == number
+                assert (
+                    published_version(
+                        await world.publish(connect_timeout_patch(100.0 + number), if_version=number - 1)
+                    )
+                    == number
+                )
                 answered = len(bodies) + len(clients)
                 while len(bodies) < answered:  # calls end between any two changes
                     assert not any(task.done() for task in calling)
                     await asyncio.sleep(0.005)
             # Some may come as one, and the last of them must come.
-            told = await in_force(processes, 9)
+            told = await wait_until_applied(processes, 9)
             assert not world.server.left.is_set(), "a connection to a server was closed"
-            assert version(await world.publish({"discovery": moved.address}, "service/cart")) == 1
-            told += await in_force(processes, 1, "service/cart")
+            assert published_version(await world.publish({"discovery": moved.address}, "service/cart")) == 1
+            told += await wait_until_applied(processes, 1, "service/cart")
             for _ in processes:
                 tell(await moved.watch(), listing(2, row("b", new.address)))
             while any(task.done() for task in calling) or bodies[-1] != b"new":
                 assert not any(task.done() for task in calling)
                 await asyncio.sleep(0.01)
             refused = await world.publish({"settings": {"tickMs": 9.0}}, "node/n0", region="north")
-            assert version(refused) == 1
+            assert published_version(refused) == 1
             why = "settings.tickMs cannot change while the node runs"
             await processes[0].event("standing", scope="node/n0", refused=why)
             over.set()
@@ -87,35 +98,35 @@
             assert answer.body == b"new", "the connection still stands"
             for client in clients:
                 client.close()
-            await asyncio.gather(*(process.end() for process in processes))
+            await asyncio.gather(*(process.terminate() for process in processes))
 
     run(play())
 
 
 def test_a_publisher_killed_and_a_relay_stopped_and_killed_amid_changes(tmp_path: Path) -> None:
     async def play() -> None:
-        async with fleet(tmp_path, 2) as (world, started):
+        async with running_fleet(tmp_path, 2) as (world, started):
             processes = [process for process, _ in started]
-            assert version(await world.publish(connect(101.0))) == 1
-            await in_force(processes, 1)
+            assert published_version(await world.publish(connect_timeout_patch(101.0))) == 1
+            await wait_until_applied(processes, 1)
             await world.processes["p"].kill()
             with pytest.raises(FeedError):
-                await world.publish(connect(102.0))
+                await world.publish(connect_timeout_patch(102.0))
             await world.start_server("p", [])
-            answer = await world.publish(connect(102.0), if_version=0)
+            answer = await world.publish(connect_timeout_patch(102.0), if_version=0)
             assert isinstance(answer, PublishRejected) and answer.why == "all is at version 1 and not at 0"
-            assert version(await world.publish(connect(102.0), if_version=1)) == 2
-            await in_force(processes, 2)
+            assert published_version(await world.publish(connect_timeout_patch(102.0), if_version=1)) == 2
+            await wait_until_applied(processes, 2)
             nearest = world.processes["r0"]
-            nearest.signal(signal.SIGSTOP)
-            assert version(await world.publish(connect(103.0))) == 3
-            await in_force(processes, 3)
-            nearest.signal(signal.SIGCONT)
-            await nearest.event("whole", version=3)
-            assert version(await world.publish(connect(104.0))) == 4
+            nearest.send_signal(signal.SIGSTOP)
+            assert published_version(await world.publish(connect_timeout_patch(103.0))) == 3
+            await wait_until_applied(processes, 3)
+            nearest.send_signal(signal.SIGCONT)
+            await nearest.wait_for_event("whole", version=3)
+            assert published_version(await world.publish(connect_timeout_patch(104.0))) == 4
             await nearest.kill()
-            assert version(await world.publish({}, rollback=True)) == 5
-            await in_force(processes, 5)
+            assert published_version(await world.publish({}, rollback=True)) == 5
+            await wait_until_applied(processes, 5)
             found = await world.status(lambda f: f["heads"]["all"]["in_force"] == 2)
             assert list(found["silent"]) == [world.addresses["r0"]] and not found["whole"]
             assert found["heads"]["all"]["version"] == 5
@@ -125,34 +136,34 @@
 
 def test_a_node_restarted_while_all_others_are_away_has_what_was_in_force(tmp_path: Path) -> None:
     async def play() -> None:
-        async with fleet(tmp_path, 1) as (world, started), StubDiscovery() as moved:
+        async with running_fleet(tmp_path, 1) as (world, started), StubDiscovery() as moved:
             process = started[0][0]
-            assert version(await world.publish({"discovery": moved.address}, "region/north")) == 1
+            assert published_version(await world.publish({"discovery": moved.address}, "region/north")) == 1
             await moved.watch()
-            await process.event("standing", scope="region/north", version=1)
-            answer = await world.publish({**connect(9.0), "seed": "2"}, "region/north")
-            assert version(answer) == 2
-            await process.event("standing", scope="region/north", version=2)
+            await process.wait_for_event("standing", scope="region/north", version=1)
+            answer = await world.publish({**connect_timeout_patch(9.0), "seed": "2"}, "region/north")
+            assert published_version(answer) == 2
+            await process.wait_for_event("standing", scope="region/north", version=2)
             # Amid the next change: the publisher has it on disk, and nobody else was told.
             for name in ("r0", "r1"):
-                world.processes[name].signal(signal.SIGSTOP)
-            assert version(await world.publish(connect(105.0), "region/north")) == 3
+                world.processes[name].send_signal(signal.SIGSTOP)
+            assert published_version(await world.publish(connect_timeout_patch(105.0), "region/north")) == 3
             await asyncio.gather(*(p.kill() for p in world.processes.values()))
             process, address = await world.start_node("n0")
-            await process.event("kept", scope="region/north", version=1)
+            await process.wait_for_event("kept", scope="region/north", version=1)
             await moved.watch()
             client = await Client.connect(address)
             assert (await client.ask("look")).body == b"old"
             for name in ("p", "r0", "r1"):
                 await world.start_server(name, [] if name == "p" else ["p"])
-            await process.event("in force", scope="region/north", version=3)
+            await process.wait_for_event("in force", scope="region/north", version=3)
             assert (await client.ask("look")).status == 200
             client.close()
             config = tmp_path / "n0.json"
             config.write_text(json.dumps({**json.loads(config.read_text()), "discovery": moved.address}))
-            process.signal(signal.SIGHUP)
+            process.send_signal(signal.SIGHUP)
             await moved.watch()
-            await process.end()
+            await process.terminate()
 
     run(play())
 
@@ -161,23 +172,25 @@
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
-        async with fleet(tmp_path, 1) as (world, started):
+        async with running_fleet(tmp_path, 1) as (world, started):
             for number in range(1, 4):
-                assert version(await world.publish(connect(100.0 + number))) == number
-            await in_force([started[0][0]], 3)
+                assert published_version(await world.publish(connect_timeout_patch(100.0 + number))) == number
+            await wait_until_applied([started[0][0]], 3)
             await world.processes["p"].kill()
             (tmp_path / "ledger").rename(tmp_path / "lost")
             publisher = await world.start_server("p", ["r0", "r1"])
-            await publisher.event("set_back", scope="all", version=3, era=2)
-            answer = await world.publish(connect(200.0), if_version=3)
+            await publisher.wait_for_event("set_back", scope="all", version=3, era=2)
+            answer = await world.publish(connect_timeout_patch(200.0), if_version=3)
             assert isinstance(answer, PublishAccepted) and (answer.header.epoch, answer.header.version) == (
                 2,
                 4,
             )
-            await in_force([started[0][0]], 4)
+            await wait_until_applied([started[0][0]], 4)
             await publisher.kill()
             publisher = await world.start_server("p", ["r0", "r1"])
-            assert version(await world.publish({}, rollback=True)) == 5, "both are in the new directory"
+            assert (
+                published_version(await world.publish({}, rollback=True)) == 5
+            ), "both are in the new directory"
 
     run(play())
 
@@ -202,7 +215,7 @@
                 at, PublishRequest(1, "all", body, "ann", "why not"), CLUSTER, PATIENCE_S
             )
 
-        assert version(await publish(b"1")) == 1
+        assert published_version(await publish(b"1")) == 1
         perform = Disk.perform
 
         def full(disk: Disk, operation: Operation) -> int:
@@ -229,7 +242,7 @@
             lambda scope, body: None,
         )
         at = await publisher.start()
-        assert version(await publish(b"3")) == 2
+        assert published_version(await publish(b"3")) == 2
         await publisher.close()
 
     run(play())
--- a/tests/config_feed/test_status_merge.py
+++ b/tests/config_feed/test_status_merge.py
@@ -26,9 +26,8 @@
             1, ApplyReport("n1", 1, counter, (ApplyStatus(document.header.key, ApplyState.APPLIED),))
         )
     second.send(2, ApplyReport("n2", 2, 1, (ApplyStatus(new.header.key, ApplyState.REJECTED, "no"),)))
-    second.send(
-        2, ApplyReport("n2", 2, 0, (ApplyStatus(old.header.key, ApplyState.APPLIED),))
-    )  # an older report of the same instance
+    # An older report of the same instance.
+    second.send(2, ApplyReport("n2", 2, 0, (ApplyStatus(old.header.key, ApplyState.APPLIED),)))
     second.send(2, ApplyReport("n1", 1, 9, ()))  # a report in the name of another follower
     for harness in (first, second):
         harness.distribution_server.lost(3, 10.0)
