--- a/crowpost/config_feed/fetch_scheduler.py
+++ b/crowpost/config_feed/fetch_scheduler.py
@@ -95,7 +95,8 @@
         self._max_concurrent = max_concurrent
         self._send_request = send_request
         self._emit = emit
-        self.pending: dict[str, PendingFetch] = {}  # by scope
+        # The fetches in progress or waiting, by scope.
+        self.pending: dict[str, PendingFetch] = {}
         self.stalled_connections: list[UpstreamConnection] = []
         """Connections to close, because their outstanding bytes leave no tokens to ask another server."""
         self._outstanding = OutstandingBytes(bucket)
--- a/crowpost/config_feed/follower.py
+++ b/crowpost/config_feed/follower.py
@@ -1,6 +1,7 @@
 """The follower of a node, a relay, or a publisher that follows other publishers.  It does no I/O.
 
-The transport calls it with events, received bytes and the time; `take` returns what the transport must do.
+The transport calls it with events, received bytes and times that do not go back (`monotonic_clock` copes with
+a clock that does); `take` returns what the transport must do.
 The follower assigns a number to each connection that it requests with a ConnectRequest; the transport
 connects, calls `connected` or `lost`, and passes on received bytes.
 
@@ -74,7 +75,12 @@
         self.tuning = tuning
         self.table = DocumentTable(tuning) if table is None else table
         self.counts: Counter[str] = Counter()
-        """Counters: bytes_in, bytes_out, bodies, fetches, taken_over, coalesced, dropped_KIND, dials ..."""
+        """Counters by name.
+
+        They include bytes_in, bytes_out, bodies (completed), fetches (requests sent), taken_over (fetches
+        continued on another server), coalesced (fetches replaced by a newer version), dropped_KIND, dials
+        (connection attempts), lost, vectors (version vectors sent again) and slept (suspensions).
+        """
         self._requires_apply = identity.role == NODE_ROLE
         self._rng = rng
         self._cluster = cluster_tag(identity.cluster)
--- a/crowpost/config_feed/messages.py
+++ b/crowpost/config_feed/messages.py
@@ -102,7 +102,7 @@
     body: bytes
     author: str
     reason: str
-    # The region of the node, given with the first document of a node's scope.
+    # The region that the node is configured for; only needed with the first document of a node's scope.
     region: str = ""
     # Publish only if this is the current version; 0 requires that the scope has no document yet.
     if_version: int = ANY_VERSION
--- a/crowpost/config_feed/outputs.py
+++ b/crowpost/config_feed/outputs.py
@@ -20,7 +20,10 @@
 class FeedEvent:
     """An event for the log; its kind and the keys of its plain values are part of the log format."""
 
-    # One of linked, lost, whole, taken_over, conflict, dropped, slept, standing.
+    # linked: a connection completed its handshake; lost: a connection failed or closed; whole: a document was
+    # received completely; taken_over: another server continues a stalled body; conflict: see `conflicts`;
+    # dropped: a frame or document was discarded; slept: this process was suspended; standing: a document was
+    # applied or rejected.
     kind: str
     # Time in ms of the transport's monotonic clock.
     at: float
--- a/crowpost/config_feed/transport.py
+++ b/crowpost/config_feed/transport.py
@@ -307,7 +307,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._connections[self.number] = self
         self._feed.opened(self)
--- a/crowpost/config_feed/write_authority.py
+++ b/crowpost/config_feed/write_authority.py
@@ -26,7 +26,7 @@
         """Raise FeedError, naming the right publisher, where this one may not write a scope.
 
         current: the current document of the scope; the writer of a node's scope never changes.  region: the
-        region of the node, given with the first document of its scope.
+        region that the node is configured for, given with the first document of its scope.
         """
         kind, name = parse_scope(scope)
         if kind == "node" and current is not None:
--- a/tests/config_feed/test_follower.py
+++ b/tests/config_feed/test_follower.py
@@ -247,7 +247,8 @@
         for server in ("a", "b"):
             harness.send(server, Heartbeat(1 if server == "a" else 0))
         times += [harness.now for connection_id, m in harness.sent[before:] if isinstance(m, Hello)]
-    assert hellos == 2 and 4 <= len(times) <= 7  # of 60 heartbeats with a differing digest
+    # The server sent 60 heartbeats with a differing digest.
+    assert hellos == 2 and 4 <= len(times) <= 7
     gaps = [after - before for before, after in pairwise(times)]
     assert gaps == sorted(gaps)
 
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -231,7 +231,9 @@
     cache = DocumentCache(tmp_path / "feed", OWNER)
     assert load(variables).discovery == FILE_DISCOVERY
     cache.store(document(discovery_patch(8501), "service/cart"))
-    cache.store(document(discovery_patch(8502), "service/other"))  # from an earlier service of the node
+    cache.store(
+        document(discovery_patch(8502), "service/other")
+    )  # cached while the node belonged to another service
     config = load(variables)
     assert config.feed is not None and config.overlays is not None
     assert (
@@ -246,7 +248,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "expected_error"),
+    ("options", "expected_error"),
     [
         ({"role": '"relay"', "listen": '"h:1"'}, "feed.role: must be node here, not 'relay'"),
         ({"name": '"a/b"'}, "feed.name: letters, digits and ._- only, not 'a/b'"),
@@ -258,9 +260,9 @@
     ],
 )
 def test_invalid_feed_file_is_reported_with_file_and_key(
-    tmp_path: Path, more: dict[str, str], expected_error: str
+    tmp_path: Path, options: dict[str, str], expected_error: str
 ) -> None:
-    path = feed_file(tmp_path, **more)
+    path = feed_file(tmp_path, **options)
     with pytest.raises(ConfigError) as error:
         load(environment(tmp_path, path))
     assert str(error.value).startswith(f"NODE_FEED: {path}: {expected_error}")
