--- a/crowpost/config_feed/documents.py
+++ b/crowpost/config_feed/documents.py
@@ -59,7 +59,7 @@
             and 0 <= self.size < _MAX_INTEGER
         )
         if not in_bounds:
-            raise FeedError(f"{self.scope}: epoch, version or size out of bounds")
+            raise FeedError(f"{self.scope}: era, version or size out of bounds")
 
     @property
     def rank(self) -> tuple[int, int, str, bytes]:
--- a/crowpost/config_feed/publication_log.py
+++ b/crowpost/config_feed/publication_log.py
@@ -89,7 +89,7 @@
 
     def _previous_body(self, scope: str) -> bytes:
         if scope not in self._previous:
-            raise FeedError(f"{scope} has no previous document to roll back to")
+            raise FeedError(f"{scope} has no document before the one in force")
         return self._previous[scope].body
 
     def _check_size(self, scope: str, body: bytes, table: DocumentTable) -> None:
--- a/crowpost/config_feed/publisher.py
+++ b/crowpost/config_feed/publisher.py
@@ -90,7 +90,7 @@
             await self._store_runner.wait_durable(sequence)
         except StoreError as error:
             self._mark_stopped()
-            why = f"{error}; after a restart the document may or may not be published: check the status"
+            why = f"{error}; after a restart it may be published or not: ask for status"
             self._reject(connection_id, request, why)
             return
         self.transport.log_event(
@@ -131,7 +131,7 @@
         failed = self._store_runner.store.failure
         if failed:
             self._mark_stopped()
-            raise StoreError(f"writing has stopped: {failed}; published documents are still served")
+            raise StoreError(f"writing has stopped: {failed}; what is in force goes on being told")
 
     def _mark_stopped(self) -> None:
         """Show in the status that documents are served but no longer accepted."""
--- a/tests/config_feed/test_publication_log.py
+++ b/tests/config_feed/test_publication_log.py
@@ -137,7 +137,7 @@
 
 def test_a_rollback_publishes_the_previous_body_as_a_new_version_and_can_be_rolled_back() -> None:
     log, table = open_log(), DocumentTable()
-    expected_error = "all has no previous document to roll back to"
+    expected_error = "all has no document before the one in force"
     assert rejection_reason(log, table, rollback=True) == expected_error
     publish(log, table, "all", b"1")
     assert rejection_reason(log, table, rollback=True) == expected_error
