--- a/crowpost/membership/__main__.py
+++ b/crowpost/membership/__main__.py
@@ -1,4 +1,4 @@
-"""python -m crowpost.membership FILE: run a member that does nothing else until SIGTERM."""
+"""python -m crowpost.membership FILE: run a standalone member until SIGTERM."""
 
 from __future__ import annotations
 
--- a/crowpost/membership/broadcast_queue.py
+++ b/crowpost/membership/broadcast_queue.py
@@ -1,4 +1,4 @@
-"""The queue of updates to broadcast by gossip, within a budget of bytes."""
+"""The queue of state updates to broadcast by gossip, with a byte budget."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from crowpost.membership.settings import ProtocolSettings
 from crowpost.membership.wire import encode_update, pack
 
-OVERDRAWN_BYTES = 200  # of updates that a datagram carries though the budget is overdrawn
+OVERDRAWN_BYTES = 200  # Maximum size of the updates in a datagram while the budget is overdrawn
 MIN_TRANSMITS = 2
 
 
@@ -18,14 +18,14 @@
 class _Broadcast:
     name: str
     encoded: bytes
-    remaining: int  # transmissions; 0 also once a later update on the same member replaced this one
+    remaining: int  # Transmissions left; 0 also after a later update on the same member replaced this one
 
 
 class BroadcastQueue:
-    """Updates that are each sent a limited number of times, and a token bucket of bytes.
+    """A queue of updates, each sent a limited number of times, with a token bucket in bytes.
 
-    Deaths, departures and refutations go before suspicions: when many members are suspected at once, the
-    updates that end the suspicions must still get through.
+    Deaths, departures and refutations are sent before suspicions: when many members are suspected at once,
+    the updates that end these suspicions must not be delayed.
     """
 
     def __init__(self, settings: ProtocolSettings) -> None:
@@ -42,7 +42,7 @@
     def enqueue(self, update: StateUpdate, member_count: int, transmit_fraction: float = 1.0) -> None:
         """Queue an update in place of any earlier one on the same member.
 
-        `transmit_fraction` is the part of the usual number of transmissions.
+        `transmit_fraction` scales the usual number of transmissions.
         """
         replaced = self._latest.get(update.name)
         if replaced is not None:
@@ -56,26 +56,26 @@
         queue.appendleft(broadcast)
 
     def has_budget(self, now: float) -> bool:
-        """Return whether the budget allows for datagrams that carry nothing but gossip."""
+        """Return whether the budget allows datagrams that carry only gossip."""
         self._refill(now)
         return self._tokens > 0.0
 
     def record_sent(self, size: int, now: float) -> None:
-        """Take the bytes of a datagram off the budget."""
+        """Deduct the bytes of a sent datagram from the budget."""
         self._refill(now)
         self._tokens -= size
 
     def _refill(self, now: float) -> None:
         elapsed_ms = now - self._refilled_at_ms
-        earned = elapsed_ms * self._settings.send_rate_bytes_per_s / 1000.0
-        self._tokens = min(self._settings.burst_bytes, self._tokens + earned)
+        added_tokens = elapsed_ms * self._settings.send_rate_bytes_per_s / 1000.0
+        self._tokens = min(self._settings.burst_bytes, self._tokens + added_tokens)
         self._refilled_at_ms = now
 
     def take(self, max_bytes: int, now: float) -> list[bytes]:
-        """Return encoded updates that fit into so many bytes, and count one transmission of each.
+        """Return encoded updates that fit into `max_bytes`, and count one transmission of each.
 
-        While the budget is overdrawn only a few are returned, but never none: a datagram that is sent
-        anyway carries them at little cost, and probes alone may use up the budget.
+        While the budget is overdrawn a few updates are still returned: a datagram that is sent anyway carries
+        them at little cost, and probes alone may use up the budget.
         """
         taken: list[bytes] = []
         if not self._latest:
@@ -90,7 +90,7 @@
 
     def _take_from(self, queue: deque[_Broadcast], max_bytes: int) -> list[bytes]:
         taken: list[bytes] = []
-        again: list[_Broadcast] = []
+        requeued: list[_Broadcast] = []
         while queue and len(queue[0].encoded) <= max_bytes:
             broadcast = queue.popleft()
             if not broadcast.remaining:
@@ -99,8 +99,8 @@
             taken.append(broadcast.encoded)
             broadcast.remaining -= 1
             if broadcast.remaining:
-                again.append(broadcast)
+                requeued.append(broadcast)
             else:
                 del self._latest[broadcast.name]
-        queue.extend(again)
+        queue.extend(requeued)
         return taken
--- a/crowpost/membership/command.py
+++ b/crowpost/membership/command.py
@@ -1,6 +1,6 @@
-"""The command that runs a member which does nothing else.
+"""The command that runs a standalone member.
 
-It runs until SIGTERM or SIGINT, or until it is asked to leave.
+The member runs until SIGTERM or SIGINT, or until it receives a leave request.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from crowpost.membership.transport import MembershipTransport
 
 EXIT_OK = 0
-EXIT_UNUSABLE = 2
-COMMAND = "crowpost.members"  # as operators know it: part of the texts on standard error
+EXIT_INVALID_CONFIGURATION = 2
+COMMAND = "crowpost.members"  # The command's public name, part of the texts on standard error
 
 
 async def serve(config: MembershipConfig) -> None:
-    """Join the cluster, be present until asked to stop, and leave."""
+    """Join the cluster, stay present until a signal or a leave request arrives, and leave."""
     transport = MembershipTransport(config)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, transport.leave_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, transport.leave_requested.set)
     await transport.start()
     transport.announce_phase(Phase.PRESENT)
     await transport.leave_requested.wait()
@@ -36,17 +36,17 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Return exit code 0 after a regular end, 2 with one line on standard error for unusable arguments."""
+    """Return exit code 0 after a regular stop, or 2 and print one line for invalid arguments or settings."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     if len(arguments) != 1:
         print(f"usage: python -m {COMMAND} FILE", file=sys.stderr)
-        return EXIT_UNUSABLE
+        return EXIT_INVALID_CONFIGURATION
     try:
         uvloop.run(serve(load(arguments[0], os.environ.get("NODE_NAME", ""))))
     except MembershipError as error:
         print(f"{COMMAND}: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE
+        return EXIT_INVALID_CONFIGURATION
     except OSError as error:
         print(f"{COMMAND}: members.listen cannot be used: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE
+        return EXIT_INVALID_CONFIGURATION
     return EXIT_OK
--- a/crowpost/membership/configuration.py
+++ b/crowpost/membership/configuration.py
@@ -1,4 +1,7 @@
-"""The membership configuration of a process, read from a TOML file; errors name file and key in one line."""
+"""The membership configuration of a process, read from a TOML file.
+
+The text of each error is one line that names the file and the key.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 DEFAULT_ROLE = "node"
 MAX_SETTLE_MS = 3_600_000.0
 
-# The keys of the table [members], in the order in which errors list them.
+# Keys of the table [members], in the order in which error messages list them.
 TABLE_KEYS = (
     "cluster",
     "name",
@@ -30,7 +33,7 @@
     "tuning",
 )
 
-# The keys of the table [members.tuning], by the fields of ProtocolSettings.
+# Keys of the table [members.tuning], by the fields of ProtocolSettings that they set.
 TUNING_KEYS = {
     "probe_interval_ms": "probe_ms",
     "indirect_probes": "helpers",
@@ -54,16 +57,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
-    """The table [members].  Addresses are host:port; `listen` may name port 0."""
+    """The table [members].  Addresses are host:port; the port of `listen` may be 0."""
 
     cluster: str
     name: str
     listen: str
-    advertise: str = ""  # the address at which others reach this process; empty: where it listens
+    advertise: str = ""  # Address at which others reach this process; empty: the bound address
     join: tuple[str, ...] = ()
     zone: str = ""
     role: str = DEFAULT_ROLE
-    share_work: bool = False  # whether the nodes present replace the counts in the settings
+    share_work: bool = False  # Whether node count and index follow the members that are present
     settle_ms: float = DEFAULT_SETTLE_MS
     min_node_fraction: float = DEFAULT_MIN_NODE_FRACTION
     facts: dict[str, str] = field(default_factory=dict)
@@ -71,9 +74,9 @@
 
 
 def load(path: str, default_name: str = "") -> MembershipConfig:
-    """Return the file's configuration; raise MembershipError if it cannot be used.
+    """Return the configuration from a file; raise MembershipError if it is invalid.
 
-    `default_name` is the name of the process where the file has none.
+    `default_name` is the name of the process if the file does not set one.
     """
     try:
         return _read(read_file(path), default_name)
@@ -98,7 +101,7 @@
         protocol=_read_tuning(table.get("tuning")),
     )
     _check_addresses(config)
-    # The profile checks the bounds of what the process will carry.
+    # Creating the profile checks its limits.
     Profile(config.name, config.advertise or config.listen, config.zone, config.role, facts=config.facts)
     return config
 
--- a/crowpost/membership/core.py
+++ b/crowpost/membership/core.py
@@ -1,10 +1,11 @@
 """The membership protocol of one process, without I/O.
 
-Datagrams and times go in; datagrams to send, addresses to sync with and changes of the view come out.
+Its input is received datagrams and the current time.  Its output is datagrams to send, addresses to sync
+with, and changes of the membership view.
 
-Sources: SWIM (Das, Gupta, Motivala, 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018).  Added to them: a
-member is suspected only after a second failed probe, and a process that was stopped postpones its timers by
-as long as it stood still, so that it suspects nobody when it runs again.
+Sources: SWIM (Das, Gupta, Motivala, 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018).  Two rules are
+added: a member is suspected only after a second failed probe, and a process that was paused postpones its
+timers by the length of the pause, so that it suspects no member when it runs again.
 """
 
 from __future__ import annotations
@@ -27,11 +28,14 @@
 from crowpost.membership.view import MembershipView
 from crowpost.membership.wire import Message, MessageKind, Sender, cluster_tag, decode_datagram
 
-MAX_TIMER_DELAY_FRACTION = 0.5  # of a period; a timer that is later shows that this process did not run
-REPLAY_WINDOW = 512  # datagrams of a sender that may overtake each other; older ones are replays
-MIN_NOTIFY_INTERVAL_MS = 1_000.0  # between two datagrams that tell a member what is held of it
+# In protocol periods.  A timer that runs later than this shows that the process was paused.
+MAX_TIMER_DELAY_FRACTION = 0.5
+# Datagrams from one sender may be reordered within this many; older ones are treated as replays.
+REPLAY_WINDOW = 512
+# Between two datagrams that notify a member of its recorded state.
+MIN_NOTIFY_INTERVAL_MS = 1_000.0
 REMOVE_EXPIRED_INTERVAL_MS = 60_000.0
-MAX_LEAVE_RECIPIENTS = 8  # members to which a leave message is sent directly
+MAX_LEAVE_RECIPIENTS = 8  # Members that receive the leave message directly
 FIRST_JOIN_RETRY_MS = 500.0
 JOIN_BACKOFF_FACTOR = 1.5
 CONTACTS_PER_JOIN = 2
@@ -39,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """What is to be done after calls of the core."""
+    """The actions and events that the core has produced since the last `take_output`."""
 
     datagrams: list[OutgoingDatagram]
     sync_addresses: list[str]
@@ -50,12 +54,13 @@
 class MembershipCore:
     """The protocol state of one process.
 
-    Call `handle_datagram`, and `tick` when `next_due_ms` has come; then do what `take_output` returns.  Times
-    are in ms and never go back.
+    Call `handle_datagram` for each received datagram, and `tick` at the time that `next_due_ms` returns; then
+    carry out what `take_output` returns.  Times are in ms and monotonic.
 
     contacts: addresses of members to join through, any of which may be down.
     instance_id: 32 random bits, new for each process.
-    incarnation: the first; where it is beyond that of the predecessor, the others accept it at once.
+    incarnation: the initial incarnation.  If it is higher than that of the process that had this name before,
+        the other members accept this process at once.
     """
 
     def __init__(
@@ -83,12 +88,12 @@
             profile.name, instance_id, incarnation, Phase.JOINING, Liveness.ALIVE, profile.name, "", profile
         )
         local_member = self.view.add(profile, own_update, now)
-        assert local_member is not None  # the view is empty
+        assert local_member is not None  # An empty view has room for it
         self.local_member = local_member
-        shared = (self.settings, self.rng, self.counts, self._timers)
-        self.updates = UpdateProcessor(own_update, local_member, self.view, *shared, now)
+        shared_state = (self.settings, self.rng, self.counts, self._timers)
+        self.updates = UpdateProcessor(own_update, local_member, self.view, *shared_state, now)
         self._outbox = Outbox(self.updates, self.settings, self.counts, self._tag)
-        self.detector = FailureDetector(self.view, local_member, *shared, self._outbox.send)
+        self.detector = FailureDetector(self.view, local_member, *shared_state, self._outbox.send)
         self.updates.detector = self.detector
         self.updates.joined = not self._contacts
         self._schedule_first_timers(now)
@@ -112,37 +117,37 @@
 
     @property
     def own_update(self) -> StateUpdate:
-        """What this process announces of itself."""
+        """The state update that this process announces about itself."""
         return self.updates.own_update
 
     @property
     def joined(self) -> bool:
-        """Whether this process has synced with another, or is the first of its cluster."""
+        """Whether this process has synced with another member, or is the first member of its cluster."""
         return self.updates.joined
 
     @property
     def superseded(self) -> bool:
-        """Whether a newer process of the same name has taken this one's place."""
+        """Whether a newer process of the same name has replaced this one."""
         return self.updates.superseded
 
     @property
     def left(self) -> bool:
-        """Whether this process has announced that it left."""
+        """Whether this process has announced that it has left."""
         return self.updates.left
 
     @property
     def local_health_score(self) -> int:
-        """How slow this process takes itself to be, from 0 (healthy) to 4."""
+        """The local health score, from 0 (healthy) to 4 (this process appears to be slow)."""
         return self.detector.local_health_score
 
     # ------------------------------------------------------------ input and output
 
     def next_due_ms(self) -> float:
-        """Return when `tick` must be called next."""
+        """Return the time at which `tick` must be called next."""
         return self._timers.next_due_ms()
 
     def take_output(self) -> Output:
-        """Return all that is to be done since the last call."""
+        """Return the output produced since the last call."""
         if self.updates.needs_sync:
             self.updates.needs_sync = False
             self._sync_planner.request_with(self.detector.random_peer())
@@ -193,7 +198,7 @@
                 self.view.remove_expired(now, self.local_member.name)
 
     def handle_datagram(self, data: bytes, now: float) -> None:
-        """Process a received datagram; one that is not valid in this cluster is counted and dropped."""
+        """Process a received datagram; count and drop it if it is invalid or from another cluster."""
         self._detect_pause(now)
         self.counts[counters.BYTES_IN] += len(data)
         self.counts[counters.DATAGRAMS_IN] += 1
@@ -205,15 +210,15 @@
         self._process_message(message, now)
 
     def apply_update(self, update: StateUpdate, now: float, *, from_sync: bool = False) -> None:
-        """Apply an update; `from_sync` says that it comes from a sync and not from a datagram."""
+        """Apply a state update; `from_sync` tells updates from a sync apart from those in a datagram."""
         self.updates.apply(update, now, from_sync=from_sync)
 
     def mark_joined(self) -> None:
-        """Note that this process has synced with another member."""
+        """Record that this process has synced with another member."""
         self.updates.joined = True
 
     def preload_members(self, updates: Iterable[StateUpdate], now: float) -> None:
-        """Know these members from the start, as long after a join; for simulations."""
+        """Start with these members already known, as if the join were long ago; for simulations."""
         for update in updates:
             if update.name == self.local_member.name or update.profile is None:
                 continue
@@ -222,10 +227,10 @@
         self.rng.shuffle(self.detector.probe_order)
         self.mark_joined()
         self.take_output()
-        self.updates.broadcasts = BroadcastQueue(self.settings)  # the others know all of it, too
+        self.updates.broadcasts = BroadcastQueue(self.settings)  # The others know these members, too
 
     def _detect_pause(self, now: float) -> None:
-        """Postpone all timers if one is so late that this process cannot have run."""
+        """Postpone all timers if the next one is so late that this process must have been paused."""
         delay = now - self.next_due_ms()
         if delay >= MAX_TIMER_DELAY_FRACTION * self.settings.probe_interval_ms:
             self.counts[counters.LATE] += 1
@@ -247,17 +252,17 @@
     # ------------------------------------------------------------ announcements
 
     def announce_phase(self, phase: Phase, now: float, reason: str = "") -> None:
-        """Announce the phase of this process, if it is another one than before."""
+        """Announce the phase of this process if it has changed."""
         if phase is not self.own_update.phase and not self.left:
             self.updates.announce(now, phase=phase, reason=reason)
 
     def set_facts(self, facts: dict[str, str], now: float) -> None:
-        """Replace the facts of this process; raise MembershipError beyond the bounds."""
+        """Replace the facts of this process; raise MembershipError if they exceed the limits."""
         profile = self.own_update.profile or self.local_member.profile
         self.updates.announce(now, profile=replace(profile, facts=facts))
 
     def leave(self, now: float, reason: str = "in order") -> None:
-        """Announce that this process leaves, so that its end is not taken for a death."""
+        """Announce that this process leaves, so that the others do not declare it dead when it exits."""
         if self.superseded or self.left:
             return
         self.updates.announce(now, liveness=Liveness.LEFT, reason=reason)
@@ -283,7 +288,7 @@
         self._sync_planner.compare_digest(sender.view_digest, member, now)
 
     def _accept_sender(self, sender: Sender, member: Member | None, reply_to: str, now: float) -> bool:
-        """Record what a datagram says of its sender; return False if the datagram is to be dropped."""
+        """Record the sender's own state from a datagram; return False if the datagram must be dropped."""
         if member is not None and member.instance_id == sender.instance_id:
             if sender.datagram_counter + REPLAY_WINDOW <= member.datagram_counter:
                 self.counts[counters.DROPPED_REPLAYED] += 1
@@ -295,25 +300,25 @@
                 self.apply_update(sender.to_update(), now)
             return True
         if member is not None:
-            held = (member.incarnation, member.instance_id)
-            if (sender.incarnation, sender.instance_id) < held:
-                # A process that was replaced, one that has yet to learn of its predecessor, or a replay.
+            recorded = (member.incarnation, member.instance_id)
+            if (sender.incarnation, sender.instance_id) < recorded:
+                # The sender was replaced by a newer process, does not know its predecessor's incarnation yet,
+                # or the datagram is a replay.
                 self.counts[counters.DROPPED_OUTDATED] += 1
                 self._notify(member, reply_to, now)
                 return False
-        self._sync_planner.request_limited(reply_to, now)  # the sender's profile is not known
+        self._sync_planner.request_limited(reply_to, now)  # To learn the sender's profile
         return True
 
     def _respond(self, message: Message, member: Member | None, reply_to: str, now: float) -> None:
-        """Handle the kind of a datagram, and tell its sender what it has yet to refute."""
+        """Handle a datagram by its kind, and notify its sender of a state that it has not refuted yet."""
         match message.kind:
             case MessageKind.PING if reply_to:
                 if message.target == self.local_member.name:
                     self._send_ack(message, member, reply_to, now)
                     return
-                self.counts[counters.DROPPED_MISDIRECTED] += (
-                    1  # the address belonged to another member before
-                )
+                # Another member had this address before.
+                self.counts[counters.DROPPED_MISDIRECTED] += 1
             case MessageKind.PING_REQ if reply_to:
                 self.detector.on_ping_req(message, reply_to, now)
             case MessageKind.ACK:
@@ -331,13 +336,13 @@
         self._outbox.send(reply_to, MessageKind.ACK, now, message.number, target, to_refute)
 
     def _notify(self, member: Member, address: str, now: float) -> None:
-        """Send a process what is held of it, so that it can refute that or learn whom it replaces."""
+        """Send a process its recorded state, so that it can refute it or learn which process it replaces."""
         if address and now - member.notified_at_ms >= MIN_NOTIFY_INTERVAL_MS:
             member.notified_at_ms = now
             self._outbox.send(address, MessageKind.GOSSIP, now, 0, "", [member.to_update()])
 
     def _send_gossip(self, now: float) -> None:
-        """Send queued broadcasts to a few random members, and schedule the next round."""
+        """Send queued broadcasts to a few random members, and schedule the next gossip round."""
         broadcasts = self.updates.broadcasts
         self.updates.gossip_scheduled = len(broadcasts) > 0 and not self.superseded
         if not self.updates.gossip_scheduled:
@@ -353,7 +358,7 @@
     # ------------------------------------------------------------ joins
 
     def _join(self, attempts: int, now: float) -> None:
-        """Sync with some of the contacts, with a growing pause, until one has answered."""
+        """Sync with some of the contacts, with exponential backoff, until one has answered."""
         if self.joined:
             return
         for contact in self.rng.sample(self._contacts, min(len(self._contacts), CONTACTS_PER_JOIN)):
@@ -364,9 +369,10 @@
         self._timers.schedule(now + delay, TimerKind.JOIN, "", attempts + 1)
 
     def _probe_dead_member(self, now: float) -> None:
-        """Ping a member that is held dead: after a partition nothing else would bring both sides together."""
+        """Ping a dead member: after a network partition nothing else reconnects the two sides."""
         if self.superseded:
-            self._sync_planner.request_with(self.detector.random_peer())  # is the newer process alive?
+            # The sync shows whether the newer process is still alive.
+            self._sync_planner.request_with(self.detector.random_peer())
             return
         members = self.view.members.values()
         dead = [m for m in members if m.liveness is Liveness.DEAD and m is not self.local_member]
@@ -377,5 +383,5 @@
 
 
 def _must_refute(sender: Sender, member: Member) -> bool:
-    """Return whether something is held of a datagram's sender that it has yet to refute."""
+    """Return whether a sender is recorded as not alive and has not refuted that yet."""
     return member.liveness is not Liveness.ALIVE and sender.incarnation <= member.incarnation
--- a/crowpost/membership/counters.py
+++ b/crowpost/membership/counters.py
@@ -1,44 +1,44 @@
 """Names of the counters of a member.
 
-They are an external format: `crowpost members --json` and records of the lab print them.
+The names are an external format: `crowpost members --json` and the records of the lab contain them.
 """
 
 from __future__ import annotations
 
 from crowpost.membership.errors import InvalidMessageReason
 
-# Traffic.  Bytes include TCP; datagrams do not.
+# Traffic.  Byte counters include TCP; datagram counters are UDP only.
 BYTES_IN = "bytes_in"
 BYTES_OUT = "bytes_out"
 DATAGRAMS_IN = "datagrams_in"
 DATAGRAMS_OUT = "datagrams_out"
-UNSENDABLE = "unsendable"  # datagrams to addresses that cannot exist
+UNSENDABLE = "unsendable"  # Datagrams that could not be sent, because the address is invalid
 
-# Dropped datagrams and sync requests: DROPPED_PREFIX with a reason of InvalidMessageReason, or one of these.
+# Dropped datagrams and sync requests: DROPPED_PREFIX plus an InvalidMessageReason, or one of these.
 DROPPED_PREFIX = "dropped_"
 DROPPED_REPLAYED = "dropped_replayed"
-DROPPED_OUTDATED = "dropped_outdated"  # from a process that a newer one of its name has replaced
-DROPPED_MISDIRECTED = "dropped_misdirected"  # pings for a member that had this address before
-FRAMES_DROPPED = "frames_dropped"  # invalid frames on TCP
+DROPPED_OUTDATED = "dropped_outdated"  # From a process that a newer one of its name has replaced
+DROPPED_MISDIRECTED = "dropped_misdirected"  # Pings for a member that had this address before
+FRAMES_DROPPED = "frames_dropped"  # Invalid frames on TCP
 
 # Failure detection.
 PROBES = "probes"
 PROBES_FAILED = "probes_failed"
-LATE = "late"  # timers that were so late that this process cannot have run
-SUSPICIONS = "suspicions"  # that this process raised
-FALSE_SUSPICIONS = "false_suspicions"  # suspicions by any process that were refuted
-DECLARED_DEAD = "declared_dead"  # by this process
-RETURNED = "returned"  # members that were held dead and are alive
+LATE = "late"  # Timers so late that this process must have been paused
+SUSPICIONS = "suspicions"  # Raised by this process
+FALSE_SUSPICIONS = "false_suspicions"  # Suspicions by any process that were refuted
+DECLARED_DEAD = "declared_dead"  # Deaths declared by this process
+RETURNED = "returned"  # Members that were considered dead and turned out to be alive
 
 # State updates and anti-entropy.
-REFUTED = "refuted"  # updates on this process
-SUPERSEDED = "yielded"  # how often a newer process took this one's place
-LACKING = "lacking"  # updates on new processes that came without their profiles
+REFUTED = "refuted"  # Updates on this process that it refuted
+SUPERSEDED = "yielded"  # How often a newer process replaced this one
+MISSING_PROFILE = "lacking"  # Updates on unknown processes that came without a profile
 SYNCS = "exchanges"
 SYNCS_FAILED = "exchanges_failed"
 SYNCS_REFUSED = "exchanges_refused"
 
 
 def dropped(reason: InvalidMessageReason) -> str:
-    """Return the counter of messages that were dropped for a reason."""
+    """Return the name of the counter of messages dropped for a reason."""
     return f"{DROPPED_PREFIX}{reason.value}"
--- a/crowpost/membership/errors.py
+++ b/crowpost/membership/errors.py
@@ -6,11 +6,11 @@
 
 
 class MembershipError(ValueError):
-    """A member, message or setting that cannot be used."""
+    """A member, message or setting is invalid."""
 
 
 class InvalidMessageReason(StrEnum):
-    """Why received bytes are no valid message; the values are parts of counter names (`dropped_...`)."""
+    """Why received bytes are not a valid message; the values are part of counter names (`dropped_...`)."""
 
     SHORT = "short"
     MAGIC = "magic"
@@ -23,12 +23,12 @@
 
 
 class InvalidMessageError(MembershipError):
-    """Received bytes are no valid message of this cluster."""
+    """Received bytes are not a valid message of this cluster."""
 
     def __init__(self, reason: InvalidMessageReason, text: str) -> None:
         super().__init__(text)
         self.reason = reason
 
 
-class SyncRefusedError(MembershipError):
-    """The other process refused an anti-entropy sync; the text is its reason."""
+class SyncRejectedError(MembershipError):
+    """The other process rejected an anti-entropy sync; the text is its reason."""
--- a/crowpost/membership/framing.py
+++ b/crowpost/membership/framing.py
@@ -1,4 +1,4 @@
-"""Frames on TCP streams: a length and that many bytes."""
+"""Framing on TCP streams: a length prefix followed by that many bytes."""
 
 from __future__ import annotations
 
@@ -7,26 +7,27 @@
 from crowpost.membership.errors import MembershipError
 from crowpost.membership.wire import LENGTH_PREFIX, MAX_FRAME_BYTES
 
-FRAME_TIMEOUT_S = 3.0  # for each frame, and for a connection
+FRAME_TIMEOUT_S = 3.0  # Time limit for reading a frame, and for opening a connection
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
-    """Return the next frame.
+    """Read and return the next frame.
 
-    Raise MembershipError if it is too long, TimeoutError if it is late, EOFError if the stream ends.
+    Raise MembershipError if it is too long, TimeoutError if it is incomplete after FRAME_TIMEOUT_S, EOFError
+    if the stream ends.
     """
     async with asyncio.timeout(FRAME_TIMEOUT_S):
         (size,) = LENGTH_PREFIX.unpack(await reader.readexactly(LENGTH_PREFIX.size))
         if size > MAX_FRAME_BYTES:
-            raise MembershipError(f"a frame of {size} bytes")
+            raise MembershipError(f"a frame of {size} bytes exceeds the limit of {MAX_FRAME_BYTES}")
         return await reader.readexactly(size)
 
 
 def write_frame(writer: asyncio.StreamWriter, frame: bytes) -> None:
-    """Write a frame; the caller drains the stream."""
+    """Write a frame without draining the stream."""
     writer.write(LENGTH_PREFIX.pack(len(frame)) + frame)
 
 
 def stream_bytes(frame: bytes) -> int:
-    """Return the size of a frame on a stream."""
+    """Return the size of a frame on a stream, length prefix included."""
     return LENGTH_PREFIX.size + len(frame)
--- a/crowpost/membership/model.py
+++ b/crowpost/membership/model.py
@@ -1,9 +1,9 @@
 """Members, their states, and the updates that change them.
 
-A process announces its own phase; what others hold of it is its liveness.  Every announcement raises the
-incarnation of the process.  Of two updates the one with the higher (incarnation, liveness) wins, so a
-suspicion or a death is refuted by a higher incarnation only (SWIM, section 4.2).  No wall clock is used:
-`started_s` is only shown.
+A process announces its own phase; its liveness is determined by the other members.  Every announcement raises
+the incarnation of the process.  Of two updates the one with the higher (incarnation, liveness) wins, so only
+a higher incarnation refutes a suspicion or a death (SWIM, section 4.2).  The protocol does not depend on the
+wall clock: `started_s` is for display only.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from crowpost.membership.errors import MembershipError
 
-WIRE_VERSION = 1  # of the messages; a neighbouring version is understood
+WIRE_VERSION = 1  # Messages of the previous and the next version are accepted, too
 
-# Bounds on what a member carries, so that one update always fits into a datagram.
+# Limits on the contents of a member's profile, so that one update always fits into a datagram.
 MAX_NAME_BYTES = 64
 MAX_ADDRESS_BYTES = 21
 MAX_ZONE_BYTES = 32
@@ -32,7 +32,7 @@
 
 
 class Phase(IntEnum):
-    """The life cycle phase that a process announces of itself."""
+    """The life cycle phase that a process announces about itself."""
 
     JOINING = 0
     PRESENT = 1
@@ -40,12 +40,12 @@
 
     @property
     def label(self) -> str:
-        """The word for this phase in views, metrics and logs."""
+        """The name of this phase in views, metrics and logs."""
         return _PHASE_LABELS[self]
 
 
 class Liveness(IntEnum):
-    """What the others hold of a process, in the order of precedence at one incarnation."""
+    """The liveness of a process as seen by the others, in order of precedence within one incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -54,7 +54,7 @@
 
     @property
     def label(self) -> str:
-        """The word for this liveness in views, metrics and logs."""
+        """The name of this liveness in views, metrics and logs."""
         return _LIVENESS_LABELS[self]
 
 
@@ -69,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """The description of a process that travels with its updates; raises MembershipError beyond a bound."""
+    """The description of a process, sent with its updates; raises MembershipError if it exceeds a limit."""
 
     name: str
-    address: str  # host:port at which others reach it, by UDP and TCP
+    address: str  # host:port at which others reach the process, by UDP and TCP
     zone: str = ""
     role: str = "node"
     wire_version: int = WIRE_VERSION
-    started_s: float = 0.0  # Unix time, only shown
+    started_s: float = 0.0  # Unix time, for display only
     facts: dict[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -95,17 +95,17 @@
 
     def _check_facts(self) -> None:
         if len(self.facts) > MAX_FACTS:
-            raise MembershipError(f"{len(self.facts)} facts, {MAX_FACTS} at the most")
+            raise MembershipError(f"{len(self.facts)} facts, {MAX_FACTS} at most")
         for key, value in self.facts.items():
             if len(key.encode()) > MAX_FACT_KEY_BYTES or len(value.encode()) > MAX_FACT_VALUE_BYTES:
-                bounds = f"{MAX_FACT_KEY_BYTES} and {MAX_FACT_VALUE_BYTES} bytes"
-                raise MembershipError(f"fact {key[:40]!r} is longer than {bounds}")
+                limits = f"{MAX_FACT_KEY_BYTES} and {MAX_FACT_VALUE_BYTES} bytes"
+                raise MembershipError(f"fact {key[:40]!r} is longer than {limits}")
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of 'host:port'; raise MembershipError if the host is no IPv4 address.
+    """Return host and port of 'host:port'; raise MembershipError unless the host is an IPv4 address.
 
-    Names are not accepted: addresses come from other members, and sending must not wait for a look-up.
+    Host names are rejected: addresses come from other members, and sending must not wait for a DNS lookup.
     """
     host, _, port = address.rpartition(":")
     parts = host.split(".")
@@ -118,26 +118,26 @@
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """One statement about a member, as it travels; `profile` is added where others may not know it."""
+    """An update of a member's state as it is sent; includes the profile if others may not know it yet."""
 
     name: str
-    instance_id: int  # 32 random bits that tell two processes of one name apart
+    instance_id: int  # 32 random bits that distinguish processes of the same name
     incarnation: int
     phase: Phase
     liveness: Liveness
-    origin: str  # the member that said so first
+    origin: str  # The member that issued the update
     reason: str = ""
     profile: Profile | None = None
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """The key by which one of two updates on the same process wins."""
+        """The sort key of updates on the same process: the higher one wins."""
         return self.incarnation, int(self.liveness)
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """The state of one member as this process holds it; times are ms on its own monotonic clock."""
+    """The state of one member as recorded by this process; times are ms on its monotonic clock."""
 
     profile: Profile
     instance_id: int
@@ -147,13 +147,13 @@
     origin: str
     reason: str
     state_since_ms: float
-    last_heard_ms: float = -math.inf  # of a datagram from the member itself
-    datagram_counter: int = -1  # the highest that was received
-    failed_probes: int = 0  # in a row
+    last_heard_ms: float = -math.inf  # When a datagram from the member itself arrived last
+    datagram_counter: int = -1  # Highest counter received from the member
+    failed_probes: int = 0  # Consecutive ones
     suspected_by: frozenset[str] = frozenset()
-    suspicion_generation: int = 0  # timers of an earlier generation are void
-    death_due_ms: float = math.inf  # when a death declared by another takes effect, unless refuted
-    notified_at_ms: float = -math.inf  # when it was last sent what is held of it
+    suspicion_generation: int = 0  # Timers of an earlier generation are ignored
+    death_due_ms: float = math.inf  # When a death declared by another takes effect, unless refuted
+    notified_at_ms: float = -math.inf  # When the member was last sent its recorded state
     death_count: int = 0
 
     @property
@@ -168,11 +168,11 @@
 
     @property
     def state(self) -> str:
-        """The member's state in one word: joining, present, leaving, suspected, dead or left."""
+        """The member's state as a single name: joining, present, leaving, suspected, dead or left."""
         return self.phase.label if self.liveness is Liveness.ALIVE else self.liveness.label
 
     def to_update(self, *, include_profile: bool = True) -> StateUpdate:
-        """Return an update that says what is held of this member."""
+        """Return an update with the recorded state of this member."""
         return StateUpdate(
             self.name,
             self.instance_id,
@@ -187,11 +187,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A member came into another state in the view of this process."""
+    """A change of a member's state in the view of this process."""
 
     at_ms: float
     name: str
-    before: str  # "" for a member that was not known
+    before: str  # Empty for a member that was not known
     after: str
     origin: str
     reason: str
--- a/crowpost/membership/outbox.py
+++ b/crowpost/membership/outbox.py
@@ -1,4 +1,4 @@
-"""The datagrams that this process sends: encoded, filled up with broadcasts, and counted."""
+"""Encodes the datagrams that this process sends, adds queued broadcasts, and counts them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from crowpost.membership.updates import UpdateProcessor
 from crowpost.membership.wire import Message, MessageKind, Sender, encode_datagram, encode_update, pack
 
-DATAGRAM_OVERHEAD_BYTES = 270  # kept for header and sender; enough for the longest names and addresses
+# Reserved for header and sender; enough for the longest names and addresses.
+DATAGRAM_OVERHEAD_BYTES = 270
 _COUNTER_END = 2**32
 
 
@@ -23,7 +24,7 @@
 
 
 class Outbox:
-    """Encodes datagrams, and holds them until they are taken."""
+    """Encodes datagrams, and queues them until `take` is called."""
 
     def __init__(
         self, updates: UpdateProcessor, settings: ProtocolSettings, counts: Counter[str], tag: int
@@ -36,7 +37,7 @@
         self._datagrams: list[OutgoingDatagram] = []
 
     def take(self) -> list[OutgoingDatagram]:
-        """Return the datagrams since the last call."""
+        """Return the datagrams queued since the last call."""
         datagrams = self._datagrams
         self._datagrams = []
         return datagrams
@@ -50,9 +51,9 @@
         target: str = "",
         first_updates: list[StateUpdate] | None = None,
     ) -> None:
-        """Add a datagram with these updates and as many queued broadcasts as fit.
+        """Queue a datagram with `first_updates` and as many queued broadcasts as fit.
 
-        Nothing is sent while this process is superseded: the newer process speaks for its name.
+        Nothing is sent while this process is superseded: the newer process acts under the name.
         """
         updates = self._updates
         if updates.superseded:
@@ -70,7 +71,7 @@
         self._datagrams.append(OutgoingDatagram(address, data))
 
     def _next_sender(self) -> Sender:
-        """Return the sender of the next datagram, under the next counter."""
+        """Return the sender of the next datagram, with the next datagram counter."""
         self._datagram_counter = (self._datagram_counter + 1) % _COUNTER_END
         own = self._updates.own_update
         return Sender(
--- a/crowpost/membership/query.py
+++ b/crowpost/membership/query.py
@@ -1,4 +1,4 @@
-"""Requests of the command line to running members: their views, and to leave."""
+"""Requests of the command line to running members: to return their view, or to leave."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 async def query(address: str, kind: MessageKind, cluster: str, timeout_s: float = FRAME_TIMEOUT_S) -> Any:
     """Return a member's answer to a message of kind VIEW or LEAVE.
 
-    Raise MembershipError, whose text is one line with the address, if there is no valid answer in time.
+    Raise MembershipError if no valid answer arrives in time; its text is one line and contains the address.
     """
     host, port = split_address(address)
     try:
@@ -35,11 +35,11 @@
 
 
 async def query_views(addresses: dict[str, str], timeout_s: float) -> dict[str, dict[str, Any] | str]:
-    """Return the views of many members by name; for one that does not answer the reason, in one line."""
-    gate = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
+    """Return the views of many members by name; if a member does not answer, its value is the reason."""
+    query_slots = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
     async def query_view(address: str) -> dict[str, Any] | str:
-        async with gate:
+        async with query_slots:
             try:
                 view: dict[str, Any] = await query(address, MessageKind.VIEW, "", timeout_s)
             except MembershipError as error:
--- a/crowpost/membership/snapshot.py
+++ b/crowpost/membership/snapshot.py
@@ -1,4 +1,4 @@
-"""The view of a process as plain values, for `crowpost members` and for other processes.
+"""The view of a process as JSON-compatible values, for `crowpost members` and for other processes.
 
 The keys are an external format: they are sent to other versions and printed as JSON.
 """
@@ -12,7 +12,7 @@
 
 
 def view_snapshot(core: MembershipCore, now: float) -> dict[str, Any]:
-    """Return the whole view; times are ages in ms."""
+    """Return the whole view; times are ages in ms, except for `started_s`."""
     members = sorted(core.view.members.values(), key=lambda member: member.name)
     return {
         "cluster": core.cluster,
@@ -27,7 +27,7 @@
 
 def _member_snapshot(member: Member, now: float) -> dict[str, Any]:
     profile = member.profile
-    heard = member.last_heard_ms >= 0
+    was_heard = member.last_heard_ms >= 0
     return {
         "name": member.name,
         "state": member.state,
@@ -43,6 +43,6 @@
         "said_by": member.origin,
         "why": member.reason,
         "since_ms": round(now - member.state_since_ms, 1),
-        "heard_ms": round(now - member.last_heard_ms, 1) if heard else None,
+        "heard_ms": round(now - member.last_heard_ms, 1) if was_heard else None,
         "accusers": sorted(member.suspected_by) if member.liveness is Liveness.SUSPECT else [],
     }
--- a/crowpost/membership/sync.py
+++ b/crowpost/membership/sync.py
@@ -1,10 +1,10 @@
-"""Anti-entropy sync of the views of two processes, as three frames; without I/O.
+"""Anti-entropy sync of the views of two processes, in three frames and without I/O.
 
 1. The initiator sends a request with the digests of its buckets.
 2. The responder answers with its digests and its updates on the buckets that differ.
 3. The initiator completes the sync with its own updates on these buckets.
 
-Equal views cost a few hundred bytes whatever the size of the cluster.
+A sync of equal views takes a few hundred bytes, regardless of the size of the cluster.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from crowpost.membership import counters
 from crowpost.membership.core import MembershipCore
-from crowpost.membership.errors import InvalidMessageError, InvalidMessageReason, SyncRefusedError
+from crowpost.membership.errors import InvalidMessageError, InvalidMessageReason, SyncRejectedError
 from crowpost.membership.model import StateUpdate
 from crowpost.membership.view import BUCKET_COUNT
 from crowpost.membership.wire import (
@@ -28,7 +28,7 @@
     unpack,
 )
 
-MAX_REFUSAL_CHARS = 200
+MAX_REJECTION_CHARS = 200
 MAX_SHOWN_CLUSTER_CHARS = 64
 
 
@@ -40,11 +40,11 @@
 
 
 def handle_request(core: MembershipCore, frame: bytes, now: float) -> bytes:
-    """Apply the initiator's request; return the response, or a refusal with its reason."""
+    """Apply the initiator's request; return the response, or a rejection with its reason."""
     try:
         differing, updates = _decode_request(core, frame)
     except (InvalidMessageError, TypeError, ValueError) as error:
-        return _refuse(core, error)
+        return _reject(core, error)
     rows = [encode_update(update) for update in core.view.updates_in(differing)]
     response = _encode(core, MessageKind.SYNC_RESPONSE, [core.view.bucket_digests, rows])
     for update in updates:
@@ -56,7 +56,7 @@
     """Return the buckets that differ, and the initiator's own update."""
     kind, body = decode_frame(frame, None)
     if kind is not MessageKind.SYNC_REQUEST:
-        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is no hello")
+        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} cannot start a sync")
     cluster, digests, rows, *_ = _decode_list(body)
     if cluster != core.cluster:
         other = str(cluster)[:MAX_SHOWN_CLUSTER_CHARS]
@@ -66,22 +66,23 @@
     return differing, [decode_update(row) for row in rows]
 
 
-def _refuse(core: MembershipCore, error: Exception) -> bytes:
+def _reject(core: MembershipCore, error: Exception) -> bytes:
     reason = error.reason if isinstance(error, InvalidMessageError) else InvalidMessageReason.MALFORMED
     core.counts[counters.dropped(reason)] += 1
-    return _encode(core, MessageKind.SYNC_REFUSED, [str(error)[:MAX_REFUSAL_CHARS]])
+    return _encode(core, MessageKind.SYNC_REJECTED, [str(error)[:MAX_REJECTION_CHARS]])
 
 
 def handle_response(core: MembershipCore, frame: bytes, now: float) -> bytes:
     """Apply the response; return the initiator's completion.
 
-    Raise SyncRefusedError if the responder refused, InvalidMessageError if the frame is no response.
+    Raise SyncRejectedError if the responder rejected the sync, InvalidMessageError if the frame is not a
+    response.
     """
     kind, body = decode_frame(frame, None)
-    if kind is MessageKind.SYNC_REFUSED:
-        raise SyncRefusedError(str(_decode_list(body)[0])[:MAX_REFUSAL_CHARS])
+    if kind is MessageKind.SYNC_REJECTED:
+        raise SyncRejectedError(str(_decode_list(body)[0])[:MAX_REJECTION_CHARS])
     if kind is not MessageKind.SYNC_RESPONSE:
-        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is no table")
+        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is not a sync response")
     digests, rows, *_ = _decode_list(body)
     differing = core.view.differing_buckets(_decode_digests(digests))
     own_updates = [] if core.superseded else core.view.updates_in(differing)
@@ -94,17 +95,17 @@
 
 
 def handle_completion(core: MembershipCore, frame: bytes, now: float) -> None:
-    """Apply the initiator's completion; raise InvalidMessageError if the frame is none."""
+    """Apply the initiator's completion; raise InvalidMessageError if the frame is of another kind."""
     kind, body = decode_frame(frame, cluster_tag(core.cluster))
     if kind is not MessageKind.SYNC_COMPLETION:
-        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is no rest")
+        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is not a sync completion")
     _apply(core, _decode_list(body)[0], now)
     core.counts[counters.SYNCS] += 1
 
 
 def _apply(core: MembershipCore, rows: Any, now: float) -> None:
     if not isinstance(rows, list):
-        raise malformed("a table that is no list")
+        raise malformed("the state updates are not a list")
     updates = [decode_update(row) for row in rows]
     for update in updates:
         core.apply_update(update, now, from_sync=True)
@@ -117,11 +118,11 @@
 def _decode_list(body: bytes) -> list[Any]:
     value = unpack(body)
     if not isinstance(value, list) or not value:
-        raise malformed("a frame that holds no list")
+        raise malformed("the body of the frame is not a list, or is empty")
     return value
 
 
 def _decode_digests(digests: Any) -> list[int]:
     if not isinstance(digests, list) or len(digests) not in (0, BUCKET_COUNT):
-        raise malformed("digests of another number")
+        raise malformed("the number of bucket digests is wrong")
     return [int(digest) for digest in digests]
--- a/crowpost/membership/timers.py
+++ b/crowpost/membership/timers.py
@@ -9,7 +9,7 @@
 
 
 class TimerKind(IntEnum):
-    """What is to be done when a timer is due."""
+    """The action that is performed when a timer is due."""
 
     PROBE_ROUND = 0
     INDIRECT_PROBE = 1
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """What a timer is for; `name` and `number` say which member and probe, where it concerns one."""
+    """The action of a timer; `name` and `number` identify the member and the probe or attempt, if any."""
 
     kind: TimerKind
     name: str = ""
@@ -33,19 +33,19 @@
 
 
 class TimerQueue:
-    """A heap of timers; those due at the same time come in the order in which they were scheduled."""
+    """A heap of timers; timers due at the same time are returned in the order of scheduling."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Timer]] = []
-        self._scheduled = 0
+        self._schedule_count = 0
 
     def schedule(self, due_ms: float, kind: TimerKind, name: str = "", number: int = 0) -> None:
         """Add a timer."""
-        self._scheduled += 1
-        heapq.heappush(self._heap, (due_ms, self._scheduled, Timer(kind, name, number)))
+        self._schedule_count += 1
+        heapq.heappush(self._heap, (due_ms, self._schedule_count, Timer(kind, name, number)))
 
     def next_due_ms(self) -> float:
-        """Return when the next timer is due; infinity if there is none."""
+        """Return the due time of the next timer; infinity if there is none."""
         return self._heap[0][0] if self._heap else math.inf
 
     def pop_due(self, now: float) -> Timer | None:
@@ -56,5 +56,5 @@
         return timer
 
     def postpone_all(self, delay_ms: float) -> None:
-        """Postpone every timer by the same time; their order stays, so the list stays a heap."""
+        """Postpone every timer by the same delay; this keeps their order, so the list remains a heap."""
         self._heap = [(due_ms + delay_ms, order, timer) for due_ms, order, timer in self._heap]
--- a/crowpost/membership/transport.py
+++ b/crowpost/membership/transport.py
@@ -1,6 +1,6 @@
-"""The protocol core on sockets: datagrams on UDP and frames on TCP, at one address.
+"""The protocol core on sockets: UDP datagrams and TCP frames, at one address.
 
-The transport decides nothing: it passes on what is received, and does what the core asks for.
+The transport takes no decisions: it passes received messages to the core, and performs the core's output.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from crowpost.membership import counters, sync
 from crowpost.membership.configuration import MembershipConfig
 from crowpost.membership.core import MembershipCore, Output
-from crowpost.membership.errors import MembershipError, SyncRefusedError
+from crowpost.membership.errors import MembershipError, SyncRejectedError
 from crowpost.membership.framing import FRAME_TIMEOUT_S, read_frame, stream_bytes, write_frame
 from crowpost.membership.model import Phase, Profile, StateChange, split_address
 from crowpost.membership.snapshot import view_snapshot
@@ -25,11 +25,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_INBOUND_CONNECTIONS = 16  # answered at once; more wait in the listener's queue
-MAX_OUTBOUND_SYNCS = 4  # at once; more are dropped, since the next sync brings the same
-LEAVE_DELAY_S = 0.3  # for a leave message to be passed on
-MAX_BIND_ATTEMPTS = 20  # to find one port that is free on UDP and TCP
-RECEIVE_BUFFER_BYTES = 1 << 18  # of datagrams, kept for a process that hardly runs
+MAX_INBOUND_CONNECTIONS = 16  # Handled concurrently; further connections wait for a slot
+MAX_OUTBOUND_SYNCS = 4  # Concurrent ones; more are dropped, since a later sync brings the same updates
+LEAVE_DELAY_S = 0.3  # Time for a leave message to be passed on
+MAX_BIND_ATTEMPTS = 20  # Attempts to find a port that is free on both UDP and TCP
+RECEIVE_BUFFER_BYTES = 1 << 18  # Buffers datagrams while this process gets little CPU time
 INSTANCE_ID_BITS = 32
 SEED_BITS = 64
 
@@ -37,7 +37,7 @@
 class MembershipTransport:
     """One member on the running event loop.
 
-    `on_change` is called after every change of the view.
+    `on_change` is called with the changes of the view after each processing step that made any.
     """
 
     def __init__(
@@ -54,11 +54,11 @@
         self._syncs: set[asyncio.Task[None]] = set()
         self._inbound_slots = asyncio.Semaphore(MAX_INBOUND_CONNECTIONS)
         self._core: MembershipCore | None = None
-        self.leave_requested = asyncio.Event()  # by an operator
+        self.leave_requested = asyncio.Event()  # Set by a leave request of an operator
 
     @property
     def core(self) -> MembershipCore:
-        """The protocol core, which exists from `start` on."""
+        """The protocol core; available after `start`."""
         assert self._core is not None
         return self._core
 
@@ -67,7 +67,7 @@
         return 1000.0 * self._loop.time()
 
     async def start(self, facts: dict[str, str] | None = None, incarnation: int = 1) -> str:
-        """Bind and begin to join; return the bound address.  Raise OSError if it cannot be bound."""
+        """Bind, begin to join, and return the bound address; raise OSError if it cannot be bound."""
         config = self._config
         self._host, port = split_address(config.listen)
         await self._bind(self._host, port)
@@ -97,7 +97,7 @@
         return bound
 
     async def _bind(self, host: str, port: int) -> None:
-        """Bind one port on UDP and TCP; port 0 stands for any that is free on both."""
+        """Bind the same port on UDP and TCP; port 0 selects any port that is free on both."""
         for attempt in range(1, MAX_BIND_ATTEMPTS + 1):
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
@@ -122,7 +122,7 @@
     # ------------------------------------------------------------ input and output of the core
 
     def handle_datagram(self, data: bytes) -> None:
-        """Pass on a received datagram."""
+        """Pass a received datagram to the core."""
         self.core.handle_datagram(data, self.now())
         self._process_output()
 
@@ -138,7 +138,7 @@
         self._process_output()
 
     def _process_output(self) -> None:
-        """Do what the core asks for, and set the timer to its next due time."""
+        """Perform the output of the core, and set the timer to its next due time."""
         output = self.core.take_output()
         for address, data in output.datagrams:
             self._send(address, data)
@@ -155,7 +155,8 @@
         try:
             self._datagrams.sendto(data, split_address(address))
         except (OSError, ValueError):
-            self.core.counts[counters.UNSENDABLE] += 1  # an address that cannot exist: its probes will fail
+            # The address is invalid; probes of the member will fail.
+            self.core.counts[counters.UNSENDABLE] += 1
 
     def _set_timer(self, due_ms: float) -> None:
         if self._datagrams is None or due_ms >= self._timer_due_ms:
@@ -187,8 +188,8 @@
             response = await self._read(reader)
             self._write(writer, sync.handle_response(self.core, response, self.now()))
             self._process_output()
-            await self._read(reader)  # the responder has applied all of it
-        except SyncRefusedError as error:
+            await self._read(reader)  # The responder confirms that it has applied the completion
+        except SyncRejectedError as error:
             self.core.counts[counters.SYNCS_REFUSED] += 1
             self._log_event("refused", self.now(), address=address, text=str(error))
         except (OSError, EOFError, TimeoutError, MembershipError):
@@ -197,7 +198,7 @@
             writer.close()
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer a connection of another process; errors end this connection only."""
+        """Answer a connection of another process; an error ends only this connection."""
         async with self._inbound_slots:
             try:
                 await self._answer(reader, writer)
@@ -205,7 +206,7 @@
                 pass
             except MembershipError:
                 self.core.counts[counters.FRAMES_DROPPED] += 1
-            except Exception:  # nothing that one connection brings may end the process
+            except Exception:  # No input on one connection may end the process
                 log.exception("unexpected error on a membership connection")
             finally:
                 writer.close()
@@ -256,12 +257,12 @@
     # ------------------------------------------------------------ end
 
     def leave(self, reason: str = "in order") -> None:
-        """Announce that this process leaves, so that its end is not taken for a death."""
+        """Announce that this process leaves, so that the others do not declare it dead when it exits."""
         self.core.leave(self.now(), reason)
         self._process_output()
 
     async def close(self, reason: str = "in order") -> None:
-        """Leave, wait until that has been passed on, and close."""
+        """Leave, wait until the leave message has been passed on, and close."""
         self.leave(reason)
         await asyncio.sleep(LEAVE_DELAY_S)
         self.abort()
@@ -297,7 +298,7 @@
             )
 
     def _log_event(self, event: str, at_ms: float, **values: object) -> None:
-        """Log one line of JSON; `at_ms` is the monotonic clock that all processes of a machine share."""
+        """Log one JSON line; `at_ms` is the monotonic clock that all processes of a machine share."""
         line = {"event": event, "at_ms": round(at_ms, 1), "member": self._config.name, **values}
         log.info("members %s", json.dumps(line))
 
@@ -306,8 +307,8 @@
     def __init__(self, transport: MembershipTransport) -> None:
         self._transport = transport
 
-    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:  # noqa: ARG002 - asyncio's
+    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:  # noqa: ARG002 - asyncio
         self._transport.handle_datagram(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an address where nobody listens: the probe that is not answered shows it."""
+        """Ignore an unreachable address: the probe that is not answered shows it."""
--- a/crowpost/membership/updates.py
+++ b/crowpost/membership/updates.py
@@ -1,4 +1,4 @@
-"""State updates: the announcements of this process, and how it applies the updates of others."""
+"""State updates: the announcements of this process, and the updates received from other members."""
 
 from __future__ import annotations
 
@@ -16,19 +16,24 @@
 from crowpost.membership.timers import TimerKind, TimerQueue
 from crowpost.membership.view import MembershipView
 
-IMMEDIATE_PROBERS = 5.0  # members, in the mean, that probe a newly suspected member at once
-CONFIRMATION_TRANSMIT_FRACTION = 0.5  # of the usual transmissions, for a confirmation of a suspicion
-MIN_SUSPICION_MS = 1_000.0  # that a member is suspected here before another's word makes it dead
-STARTUP_GRACE_MS = 5_000.0  # after its start a process takes over its name; later a newer one replaces it
-NON_ACCUSER_FACTOR = 1.5  # of a suspicion's timeout, at a process that has not accused the member itself
+IMMEDIATE_PROBERS = 5.0  # Mean number of members that probe a newly suspected member at once
+# A confirmation of a suspicion is sent this fraction of the usual number of times.
+CONFIRMATION_TRANSMIT_FRACTION = 0.5
+# A member is suspected here for at least this long before a death declared by another takes effect.
+MIN_SUSPICION_MS = 1_000.0
+# For this long after its start a process takes over its name from another process of that name.  After that
+# it is the one that is replaced by a newer process.
+STARTUP_GRACE_MS = 5_000.0
+# Multiple of the suspicion timeout at a process that has not accused the member itself.
+NON_ACCUSER_FACTOR = 1.5
 NON_ACCUSER_JITTER = 0.5
 
 
 class UpdateProcessor:
     """Applies state updates on this process and on all other members.
 
-    joined: this process has synced with another, or is the first of its cluster.
-    superseded: a newer process of the same name has taken its place.
+    joined: this process has synced with another member, or is the first member of its cluster.
+    superseded: a newer process of the same name has replaced it.
     needs_sync: an update arrived that cannot be applied without a sync.
     """
 
@@ -52,7 +57,7 @@
         self.needs_sync = False
         self.gossip_scheduled = False
         self.log_messages: list[str] = []
-        self.detector: FailureDetector  # set by the owner of both
+        self.detector: FailureDetector  # Set by MembershipCore after construction
         self._started_ms = now
         self._settings = settings
         self._rng = rng
@@ -61,7 +66,7 @@
 
     @property
     def left(self) -> bool:
-        """Whether this process has announced that it left."""
+        """Whether this process has announced that it has left."""
         return self.own_update.liveness is Liveness.LEFT
 
     # ------------------------------------------------------------ updates on this process
@@ -76,7 +81,7 @@
         reason: str = "",
         profile: Profile | None = None,
     ) -> None:
-        """Announce another state of this process, under the next incarnation or `min_incarnation`."""
+        """Announce a new state of this process, with the next incarnation or at least `min_incarnation`."""
         own = self.own_update
         self.own_update = replace(
             own,
@@ -91,21 +96,21 @@
             self.broadcast(self.own_update, now)
 
     def _apply_to_self(self, update: StateUpdate, now: float) -> None:
-        """Apply an update on this process's name: refute it, or yield to a newer process of that name."""
+        """Apply an update on this process's name: refute it, or become superseded by a newer process."""
         own = self.own_update
         about_successor = update.instance_id == self.local_member.instance_id
         if self.superseded and about_successor and update.liveness >= Liveness.DEAD:
-            self._take_place_back(update, now)
+            self._resume_after_successor(update, now)
         elif self.left or update.incarnation < own.incarnation:
             return
         elif update.instance_id == own.instance_id:
             if not self.superseded and (update.liveness, update.phase) != (Liveness.ALIVE, own.phase):
                 self._refute(update, now)
         elif update.liveness >= Liveness.DEAD or now - self._started_ms < STARTUP_GRACE_MS:
-            # The predecessor is gone, or this process is about to take over its name.
+            # The other process has ended, or this one has just started and takes over the name.
             self.announce(now, update.incarnation + 1)
         elif (update.incarnation, update.instance_id) > (own.incarnation, own.instance_id):
-            self._yield_to(update, now)
+            self._become_superseded(update, now)
         else:
             self.announce(now, update.incarnation + 1)
 
@@ -114,14 +119,14 @@
         self.detector.adjust_local_health(1)
         self.announce(now, update.incarnation + 1)
 
-    def _take_place_back(self, update: StateUpdate, now: float) -> None:
+    def _resume_after_successor(self, update: StateUpdate, now: float) -> None:
         name = self.own_update.name
         self.log_messages.append(f"{name}: the newer process is {update.liveness.label}; active again")
         self.superseded = False
-        # Announcements that were made while superseded were not sent to anybody.
+        # Announcements made while superseded were not sent.
         self.announce(now, update.incarnation + 1)
 
-    def _yield_to(self, update: StateUpdate, now: float) -> None:
+    def _become_superseded(self, update: StateUpdate, now: float) -> None:
         if update.profile is None and update.instance_id != self.local_member.instance_id:
             self.needs_sync = True
             return
@@ -137,8 +142,8 @@
     def apply(self, update: StateUpdate, now: float, *, from_sync: bool = False) -> None:
         """Apply an update.
 
-        A death that comes from a sync is applied as a suspicion: after a network partition each side holds
-        the other dead, and each member must first get the chance to refute that.
+        A death learned by a sync is applied as a suspicion: after a network partition each side considers the
+        other dead, and each member must first get the chance to refute that.
         """
         if update.name == self.local_member.name:
             self._apply_to_self(update, now)
@@ -160,7 +165,7 @@
         elif same_process or update.profile is not None:
             self._accept(member, update, now)
         else:
-            self._counts[counters.LACKING] += 1
+            self._counts[counters.MISSING_PROFILE] += 1
 
     @staticmethod
     def _is_same_suspicion(update: StateUpdate, member: Member) -> bool:
@@ -172,10 +177,10 @@
         return member.liveness is Liveness.ALIVE or now - member.state_since_ms < MIN_SUSPICION_MS
 
     def _defer_death(self, member: Member, update: StateUpdate, now: float) -> None:
-        """Suspect a member that another declared dead; the death takes effect if it does not refute that.
+        """Suspect a member that another declared dead; the death takes effect unless the member refutes it.
 
-        Without this a death that was declared behind a partition, just before its end, held at all members
-        until it was refuted, though all of them could reach the member.
+        Without this a death declared on the other side of a partition, just before the partition ended,
+        was accepted by all members until it was refuted, although all of them could reach the member.
         """
         if update.incarnation < member.incarnation:
             return
@@ -187,7 +192,7 @@
 
     def _add_member(self, update: StateUpdate, now: float) -> None:
         if update.profile is None:
-            self._counts[counters.LACKING] += 1
+            self._counts[counters.MISSING_PROFILE] += 1
             return
         if update.liveness < Liveness.DEAD and self.view.alive_count >= self._settings.max_members:
             self.view.rejected_updates += 1
@@ -206,7 +211,7 @@
         self._on_liveness(member, before, now)
 
     def _on_liveness(self, member: Member, before: Liveness, now: float) -> None:
-        """Begin or end a suspicion, and the probes of a member, after an update was accepted."""
+        """Start or end a suspicion, and start to probe a returned member, after an update was accepted."""
         member.suspicion_generation += 1
         if member.liveness is Liveness.SUSPECT:
             self._begin_suspicion(member, now)
@@ -228,7 +233,7 @@
         self._schedule_suspicion_timeout(member, now)
         by_another = member.origin != self.local_member.name
         if by_another and self._rng.random() * self.view.alive_count < IMMEDIATE_PROBERS:
-            # A few of all members probe it at once, so that confirmations need not wait for its turn.
+            # A few members probe it at once: confirmations must not wait for its turn in the probe order.
             self.detector.probe(member, now)
 
     def suspect(self, member: Member, now: float) -> None:
@@ -243,9 +248,9 @@
         self.apply(update, now)
 
     def confirm_suspicion(self, member: Member, accuser: str, now: float) -> None:
-        """Count an independent accuser of a suspected member, which shortens the suspicion's timeout."""
-        enough = len(member.suspected_by) > self._settings.expected_confirmations
-        if accuser in member.suspected_by or enough:
+        """Record an independent accuser of a suspected member, which shortens the suspicion timeout."""
+        fully_confirmed = len(member.suspected_by) > self._settings.expected_confirmations
+        if accuser in member.suspected_by or fully_confirmed:
             return
         member.suspected_by |= {accuser}
         member.suspicion_generation += 1
@@ -261,7 +266,7 @@
             self.detector.local_health_score,
         )
         if self.local_member.name not in member.suspected_by:
-            # The final probes are left to the accusers, as long as they act.
+            # The accusers send the final probes; this process does so only if they do not.
             timeout *= NON_ACCUSER_FACTOR + NON_ACCUSER_JITTER * self._rng.random()
         due = max(now, min(member.state_since_ms + timeout, member.death_due_ms))
         generation = member.suspicion_generation
@@ -270,7 +275,7 @@
     def on_suspicion_timeout(self, name: str, generation: int, now: float) -> None:
         """End a suspicion: the member is dead unless it answers the final probes of this process.
 
-        The refutation may have missed just this process, for example if it hardly ran meanwhile.
+        The refutation may have reached all members but this one, for example if it got little CPU time.
         """
         member = self.view.get(name)
         if member is None or member.suspicion_generation != generation:
@@ -284,7 +289,7 @@
             self.detector.probe_before_death(member, now)
 
     def declare_dead(self, member: Member, now: float) -> None:
-        """Declare a member dead that did not answer the final probes of this process."""
+        """Declare a member dead after it has not answered the final probes of this process."""
         self._counts[counters.DECLARED_DEAD] += 1
         reason = f"no answer, accused by {len(member.suspected_by)}"
         self._mark_dead(member, now, self.local_member.name, reason)
@@ -296,7 +301,7 @@
     # ------------------------------------------------------------ dissemination
 
     def broadcast(self, update: StateUpdate, now: float, transmit_fraction: float = 1.0) -> None:
-        """Queue an update for gossip, and schedule a round of gossip if none is."""
+        """Queue an update for gossip, and schedule a gossip round unless one is scheduled."""
         self.broadcasts.enqueue(update, self.view.alive_count, transmit_fraction)
         if not self.gossip_scheduled:
             self.gossip_scheduled = True
--- a/crowpost/membership/view.py
+++ b/crowpost/membership/view.py
@@ -1,4 +1,4 @@
-"""The view of one process: what it holds of each member, a digest of that, and the changes."""
+"""The membership view of one process: the recorded state of each member, digests, and the changes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from crowpost.membership.settings import ProtocolSettings
 from crowpost.membership.wire import pack
 
-BUCKET_COUNT = 64  # parts of the view that are compared and synced separately
+BUCKET_COUNT = 64  # Parts of the view that are compared and synced separately
 
 
 class MembershipView:
-    """Members by name.
+    """The members by name, with digests to compare views.
 
-    Equal digests mean that the same processes are held to be alive, in the same phases.  Dead and left
-    members are not part of the digest: two processes need not forget a death at the same time.
+    Equal digests mean that both views have the same processes alive, in the same phases.  Dead and left
+    members are not part of the digest, because two processes may remove them at different times.
     """
 
     def __init__(self, settings: ProtocolSettings) -> None:
@@ -24,12 +24,12 @@
         self.members: dict[str, Member] = {}
         self.bucket_digests = [0] * BUCKET_COUNT
         self.digest = 0
-        self.alive_count = 0  # members that are neither dead nor left
+        self.alive_count = 0  # Members that are neither dead nor left
         self.changes: list[StateChange] = []
-        self.rejected_updates = 0  # on new members, while the view was full
+        self.rejected_updates = 0  # Updates on new members that arrived while the view was full
 
     def get(self, name: str) -> Member | None:
-        """Return the member of this name in whatever state; None if it is not known."""
+        """Return the member of this name, in any state; None if it is not known."""
         return self.members.get(name)
 
     def add(self, profile: Profile, update: StateUpdate, now: float) -> Member | None:
@@ -53,7 +53,7 @@
         return member
 
     def apply(self, member: Member, update: StateUpdate, now: float) -> None:
-        """Set the state of a member to that of an update, whatever was held before."""
+        """Set the state of a member to that of an update, whatever its recorded state is."""
         before = member.state
         was_alive = member.alive
         self._count(member, -1)
@@ -77,10 +77,10 @@
 
     @staticmethod
     def supersedes(update: StateUpdate, member: Member) -> bool:
-        """Return whether an update wins against what is held of a member."""
+        """Return whether an update takes precedence over the recorded state of a member."""
         if update.instance_id != member.instance_id:
-            held = (member.incarnation, member.instance_id)
-            return (update.incarnation, update.instance_id) > held
+            recorded = (member.incarnation, member.instance_id)
+            return (update.incarnation, update.instance_id) > recorded
         return update.precedence > (member.incarnation, int(member.liveness))
 
     def _record_change(self, member: Member, before: str, now: float) -> None:
@@ -98,7 +98,7 @@
         self.changes.append(change)
 
     def _count(self, member: Member, delta: int) -> None:
-        """Count an alive member in (1) or out (-1); the digests are XOR sums, so both are the same there."""
+        """Add (1) or remove (-1) an alive member from count and digests; XOR is the same for both."""
         if not member.alive:
             return
         self.alive_count += delta
@@ -111,25 +111,25 @@
 
     def updates_in(self, buckets: Iterable[int]) -> list[StateUpdate]:
         """Return updates with profiles on all members of these buckets."""
-        wanted = set(buckets)
-        return [member.to_update() for member in self.members.values() if bucket_of(member.name) in wanted]
+        requested = set(buckets)
+        return [member.to_update() for member in self.members.values() if bucket_of(member.name) in requested]
 
     def differing_buckets(self, other_digests: list[int]) -> list[int]:
-        """Return the buckets in which another view differs; all of them if it names no digests."""
+        """Return the buckets in which another view differs; all of them if it sent no digests."""
         if len(other_digests) != BUCKET_COUNT:
             return list(range(BUCKET_COUNT))
         return [index for index, own in enumerate(self.bucket_digests) if own != other_digests[index]]
 
     def remove_expired(self, now: float, keep: str) -> None:
-        """Remove members that died or left long ago, and the oldest of them beyond the bound."""
-        gone = [member for member in self.members.values() if not member.alive and member.name != keep]
-        gone.sort(key=lambda member: member.state_since_ms)
-        excess = len(gone) - self._settings.max_dead_members
-        for index, member in enumerate(gone):
+        """Remove members that died or left long ago, and the oldest of them beyond the maximum number."""
+        inactive = [member for member in self.members.values() if not member.alive and member.name != keep]
+        inactive.sort(key=lambda member: member.state_since_ms)
+        excess = len(inactive) - self._settings.max_dead_members
+        for index, member in enumerate(inactive):
             if index < excess or now - member.state_since_ms >= self._settings.dead_retention_ms:
                 del self.members[member.name]
 
 
 def bucket_of(name: str) -> int:
-    """Return the bucket that a member belongs to."""
+    """Return the bucket of a member name."""
     return zlib.crc32(name.encode()) % BUCKET_COUNT
--- a/tests/membership/__init__.py
+++ b/tests/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of crowpost.membership and of its simulation."""
+"""Tests of crowpost.membership, partly on its simulation."""
--- a/tests/membership/files.py
+++ b/tests/membership/files.py
@@ -1,4 +1,4 @@
-"""A file that configures a member, for the tests."""
+"""A minimal membership configuration file for the tests."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_broadcast_queue.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -1,4 +1,4 @@
-"""The queue of updates to broadcast."""
+"""Tests of the broadcast queue."""
 
 from __future__ import annotations
 
@@ -7,46 +7,46 @@
 from crowpost.membership.settings import ProtocolSettings
 from crowpost.membership.wire import encode_update, pack
 
-MEMBERS = 9  # with it each update is sent as often as the multiplier says
+MEMBERS = 9  # At this number each update is sent exactly `retransmit_multiplier` times
 SETTINGS = ProtocolSettings(retransmit_multiplier=3.0, send_rate_bytes_per_s=1_000.0, burst_bytes=100.0)
 
 
-def update(name: str, liveness: Liveness = Liveness.ALIVE, incarnation: int = 1) -> StateUpdate:
+def make_update(name: str, liveness: Liveness = Liveness.ALIVE, incarnation: int = 1) -> StateUpdate:
     return StateUpdate(name, 7, incarnation, Phase.PRESENT, liveness, name)
 
 
-def encoded(item: StateUpdate) -> bytes:
-    return pack(encode_update(item))
+def packed(update: StateUpdate) -> bytes:
+    return pack(encode_update(update))
 
 
 def test_an_update_is_sent_a_limited_number_of_times() -> None:
     queue = BroadcastQueue(SETTINGS)
-    queue.enqueue(update("a"), MEMBERS)
-    assert [queue.take(1_000, 0.0) for _ in range(4)] == [[encoded(update("a"))]] * 3 + [[]]
+    queue.enqueue(make_update("a"), MEMBERS)
+    assert [queue.take(1_000, 0.0) for _ in range(4)] == [[packed(make_update("a"))]] * 3 + [[]]
     assert len(queue) == 0
 
 
 def test_a_later_update_on_a_member_replaces_the_earlier_one() -> None:
     queue = BroadcastQueue(SETTINGS)
-    queue.enqueue(update("a"), MEMBERS)
-    queue.enqueue(update("a", incarnation=2), MEMBERS)
+    queue.enqueue(make_update("a"), MEMBERS)
+    queue.enqueue(make_update("a", incarnation=2), MEMBERS)
     assert len(queue) == 1
-    assert queue.take(1_000, 0.0) == [encoded(update("a", incarnation=2))]
+    assert queue.take(1_000, 0.0) == [packed(make_update("a", incarnation=2))]
 
 
 def test_deaths_and_refutations_are_sent_before_suspicions() -> None:
     queue = BroadcastQueue(SETTINGS)
-    items = [update("a", Liveness.DEAD), update("b", Liveness.SUSPECT), update("c")]
-    for item in items:
-        queue.enqueue(item, MEMBERS)
-    assert queue.take(1_000, 0.0) == [encoded(items[2]), encoded(items[0]), encoded(items[1])]
+    updates = [make_update("a", Liveness.DEAD), make_update("b", Liveness.SUSPECT), make_update("c")]
+    for update in updates:
+        queue.enqueue(update, MEMBERS)
+    assert queue.take(1_000, 0.0) == [packed(updates[2]), packed(updates[0]), packed(updates[1])]
 
 
-def test_no_more_bytes_are_taken_than_fit() -> None:
+def test_updates_are_taken_only_up_to_the_maximum_size() -> None:
     queue = BroadcastQueue(SETTINGS)
     for name in "abc":
-        queue.enqueue(update(name), MEMBERS)
-    size = len(encoded(update("a")))
+        queue.enqueue(make_update(name), MEMBERS)
+    size = len(packed(make_update("a")))
     assert len(queue.take(2 * size + 1, 0.0)) == 2
 
 
@@ -60,9 +60,9 @@
     assert not queue.has_budget(10_000.0)
 
 
-def test_few_updates_are_still_sent_while_the_budget_is_overdrawn() -> None:
+def test_a_few_updates_are_still_sent_while_the_budget_is_overdrawn() -> None:
     queue = BroadcastQueue(SETTINGS)
     for index in range(50):
-        queue.enqueue(update(f"n{index}"), MEMBERS)
+        queue.enqueue(make_update(f"n{index}"), MEMBERS)
     queue.record_sent(1_000, 0.0)
     assert 0 < len(queue.take(1_200, 0.0)) < 20
--- a/tests/membership/test_command.py
+++ b/tests/membership/test_command.py
@@ -1,4 +1,4 @@
-"""`crowpost members`: its errors, and the comparison of views."""
+"""Tests of `crowpost members`: its errors, and the comparison of views."""
 
 from __future__ import annotations
 
@@ -16,32 +16,35 @@
 
 
 def test_an_unreachable_member_is_reported_in_one_line() -> None:
-    done = crowpost("members", "--at", f"{HOST}:1")
-    assert done.returncode == 2 and done.stderr.startswith(f"crowpost: {HOST}:1: ")
-    done = crowpost("members", "--at", "nowhere")
-    assert (done.returncode, done.stderr) == (2, "crowpost: not an IPv4 address and a port: 'nowhere'\n")
+    result = crowpost("members", "--at", f"{HOST}:1")
+    assert result.returncode == 2 and result.stderr.startswith(f"crowpost: {HOST}:1: ")
+    result = crowpost("members", "--at", "nowhere")
+    assert (result.returncode, result.stderr) == (
+        2,
+        "crowpost: not an IPv4 address and a port: 'nowhere'\n",
+    )
 
 
-def test_a_comparison_names_the_observers_that_disagree() -> None:
+def test_a_comparison_lists_the_observers_that_disagree_with_the_majority() -> None:
     def view(**states: str) -> dict[str, Any]:
-        more = {"since_ms": 5.0, "said_by": "x", "why": "w"}
-        return {"members": [{"name": n, "state": s, **more} for n, s in states.items()]}
+        details = {"since_ms": 5.0, "said_by": "x", "why": "w"}
+        return {"members": [{"name": name, "state": state, **details} for name, state in states.items()]}
 
     views = {
         "a": view(a="present", b="present", gone="dead"),
         "b": view(a="present", b="present"),
         "c": view(a="dead", b="present"),
     }
-    found = find_disagreements(views)
-    assert [(one.about, one.most, one.holders) for one in found] == [("a", "present", 2)]
-    assert [(o.observer, o.state, o.since_ms) for o in found[0].others] == [("c", "dead", 5.0)]
-    printed = json.loads(json.dumps([asdict(one) for one in found]))
-    other = {"observer": "c", "state": "dead", "since_ms": 5.0, "said_by": "x", "why": "w"}
-    assert printed == [{"about": "a", "most": "present", "holders": 2, "others": [other]}]
+    disagreements = find_disagreements(views)
+    assert [(one.about, one.most, one.holders) for one in disagreements] == [("a", "present", 2)]
+    assert [(o.observer, o.state, o.since_ms) for o in disagreements[0].others] == [("c", "dead", 5.0)]
+    printed = json.loads(json.dumps([asdict(one) for one in disagreements]))
+    minority = {"observer": "c", "state": "dead", "since_ms": 5.0, "said_by": "x", "why": "w"}
+    assert printed == [{"about": "a", "most": "present", "holders": 2, "others": [minority]}]
 
 
 @pytest.mark.parametrize("package", ["crowpost.membership", "crowpost.members"])
-def test_a_member_is_started_by_the_packages_name_and_by_its_earlier_one(package: str) -> None:
-    done = subprocess.run([sys.executable, "-m", package], capture_output=True, text=True, check=False)
-    assert done.returncode == 2
-    assert done.stderr == "usage: python -m crowpost.members FILE\n"
+def test_a_member_can_be_started_by_the_current_and_the_former_package_name(package: str) -> None:
+    result = subprocess.run([sys.executable, "-m", package], capture_output=True, text=True, check=False)
+    assert result.returncode == 2
+    assert result.stderr == "usage: python -m crowpost.members FILE\n"
--- a/tests/membership/test_configuration.py
+++ b/tests/membership/test_configuration.py
@@ -1,4 +1,4 @@
-"""The file that configures a member."""
+"""Tests of the membership configuration file."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
         MINIMAL_FILE
         + 'join = ["127.0.0.1:1"]\nfeed = true\n[members.facts]\nrack = "7"\n[members.tuning]\nhelpers = 2\n'
     )
-    found = load(str(file))
-    assert (found.join, found.share_work, found.facts, found.protocol.indirect_probes) == (
+    loaded = load(str(file))
+    assert (loaded.join, loaded.share_work, loaded.facts, loaded.protocol.indirect_probes) == (
         ("127.0.0.1:1",),
         True,
         {"rack": "7"},
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "error"),
     [
         ("", "members: the table is missing"),
         ("x", "Expected '='"),
@@ -48,16 +48,16 @@
         (MINIMAL_FILE.replace('"n"', f'"{"n" * 65}"'), "name is longer than 64 bytes"),
     ],
 )
-def test_an_invalid_file_is_reported_with_its_path_and_key(tmp_path: Path, text: str, said: str) -> None:
+def test_an_invalid_file_is_reported_with_its_path_and_key(tmp_path: Path, text: str, error: str) -> None:
     file = tmp_path / "m.toml"
     file.write_text(text)
-    done = crowpost("members", "run", str(file))
-    assert done.returncode == 2 and said in done.stderr and str(file) in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+    result = crowpost("members", "run", str(file))
+    assert result.returncode == 2 and error in result.stderr and str(file) in result.stderr
+    assert len(result.stderr.splitlines()) == 1
 
 
-def test_the_keys_of_the_file_and_their_fields() -> None:
-    """The keys are a format of operators' files: they stay when fields are renamed."""
+def test_the_keys_of_the_file_are_fixed() -> None:
+    """Guards the keys of operators' files against changes when fields are renamed."""
     assert (
         *("cluster", "name", "listen", "advertise", "join", "zone", "role"),
         *("feed", "settle_ms", "least_part", "facts", "tuning"),
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(("field", "key"), TUNING_KEYS.items())
-def test_each_key_of_the_tuning_sets_its_field(tmp_path: Path, field: str, key: str) -> None:
+def test_each_tuning_key_sets_its_field(tmp_path: Path, field: str, key: str) -> None:
     file = tmp_path / "m.toml"
     file.write_text(f"{MINIMAL_FILE}[members.tuning]\n{key} = 7\n")
     assert load(str(file)).protocol == ProtocolSettings(**{field: 7})
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -1,4 +1,4 @@
-"""Membership on sockets: real transports, and a real node."""
+"""Tests of membership on sockets: real transports, and a real node."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from tests.membership.files import MINIMAL_FILE
 from tests.node.stubs import HOST, PATIENCE_S, StubServer, reply, row, run, world
 
-QUICK = ProtocolSettings(
+FAST_PROTOCOL = ProtocolSettings(
     probe_interval_ms=40.0, gossip_interval_ms=15.0, sync_interval_ms=500.0, dead_probe_interval_ms=200.0
 )
 
 
-def config(name: str, join: tuple[str, ...] = (), **more: Any) -> MembershipConfig:
-    return MembershipConfig("t", name, f"{HOST}:0", join=join, protocol=QUICK, **more)
+def config(name: str, join: tuple[str, ...] = (), **options: Any) -> MembershipConfig:
+    return MembershipConfig("t", name, f"{HOST}:0", join=join, protocol=FAST_PROTOCOL, **options)
 
 
 class Cluster:
-    """Members on one loop, which wait for what they are to hold by their own events."""
+    """Members on one event loop; tests wait for a state by the members' own change events."""
 
     def __init__(self) -> None:
         self.transports: list[MembershipTransport] = []
@@ -46,14 +46,14 @@
         transport.announce_phase(Phase.PRESENT)
         return address
 
-    async def until(self, name: str, state: str) -> None:
-        """Until all others hold this of a member."""
+    async def wait_for_state(self, name: str, state: str) -> None:
+        """Wait until all other members have recorded this state of a member."""
 
-        def all_hold_it() -> bool:
-            views = [c.core.view.members for c in self.transports if c.core.local_member.name != name]
-            return all(name in v and v[name].state == state for v in views)
+        def all_views_match() -> bool:
+            views = [t.core.view.members for t in self.transports if t.core.local_member.name != name]
+            return all(name in view and view[name].state == state for view in views)
 
-        while not all_hold_it():
+        while not all_views_match():
             self.changed.clear()
             await asyncio.wait_for(self.changed.wait(), PATIENCE_S)
 
@@ -62,7 +62,7 @@
             transport.abort()
 
 
-def test_members_on_sockets_join_see_a_death_and_a_leave_and_answer_queries() -> None:
+def test_members_on_sockets_join_detect_a_death_and_a_leave_and_answer_queries() -> None:
     async def main() -> None:
         cluster = Cluster()
         try:
@@ -70,14 +70,14 @@
             for name in "bcd":
                 await cluster.add(name, (f"{HOST}:1", first))
             for name in "abcd":
-                await cluster.until(name, "present")
+                await cluster.wait_for_state(name, "present")
             dead = cluster.transports.pop()
             dead.abort()
-            await cluster.until("d", "dead")
+            await cluster.wait_for_state("d", "dead")
             view = await query(first, MessageKind.VIEW, "")
             assert {m["name"]: m["state"] for m in view["members"]}["d"] == "dead"
             await query(cluster.transports[1].core.local_member.profile.address, MessageKind.LEAVE, "t")
-            await cluster.until("b", "left")
+            await cluster.wait_for_state("b", "left")
             assert cluster.transports[1].leave_requested.is_set()
         finally:
             cluster.close()
@@ -85,7 +85,7 @@
     run(main())
 
 
-def test_bytes_that_are_no_frame_end_only_their_connection() -> None:
+def test_an_invalid_frame_ends_only_its_connection() -> None:
     async def main() -> None:
         cluster = Cluster()
         try:
@@ -100,52 +100,58 @@
             with pytest.raises(MembershipError, match="closed|bytes read"):
                 await query(first, MessageKind.LEAVE, "another cluster")
             await cluster.add("b", (first,))
-            await cluster.until("b", "present")
+            await cluster.wait_for_state("b", "present")
         finally:
             cluster.close()
 
     run(main())
 
 
-def test_a_node_announces_when_it_is_ready_and_when_it_drains(tmp_path: Path) -> None:
+def test_a_node_announces_that_it_is_ready_and_that_it_drains(tmp_path: Path) -> None:
     async def main() -> None:
         cluster = Cluster()
         try:
             first = await cluster.add("a")
             member = MembershipConfig(
-                "t", "node", f"{HOST}:0", join=(first,), protocol=QUICK, share_work=True, settle_ms=1.0
+                "t",
+                "node",
+                f"{HOST}:0",
+                join=(first,),
+                protocol=FAST_PROTOCOL,
+                share_work=True,
+                settle_ms=1.0,
             )
             async with StubServer([reply("200 OK")]) as server:
-                async with world(row("s", server.address), members=member) as w:
-                    await cluster.until("node", "present")
-                    figures = (await w.manage("GET", "/api/telemetry")).body.decode()
-                    assert 'edge_node_members{state="present"} 2\n' in figures
-                    await w.manage("POST", "/api/evacuate")
-                    await cluster.until("node", "leaving")
-                    await w.manage("POST", "/api/rejoin")
-                    await cluster.until("node", "present")
-                await cluster.until("node", "left")
+                async with world(row("s", server.address), members=member) as node_world:
+                    await cluster.wait_for_state("node", "present")
+                    telemetry = (await node_world.manage("GET", "/api/telemetry")).body.decode()
+                    assert 'edge_node_members{state="present"} 2\n' in telemetry
+                    await node_world.manage("POST", "/api/evacuate")
+                    await cluster.wait_for_state("node", "leaving")
+                    await node_world.manage("POST", "/api/rejoin")
+                    await cluster.wait_for_state("node", "present")
+                await cluster.wait_for_state("node", "left")
         finally:
             cluster.close()
 
     run(main())
 
 
-def test_with_membership_off_nothing_of_it_is_imported() -> None:
+def test_no_membership_module_is_imported_while_membership_is_off() -> None:
     names = ("membership", "members", "msgpack")
     loaded = f"[m for m in sys.modules if any(name in m for name in {names})]"
     code = f"import sys, crowpost.__main__; print({loaded})"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
-def test_a_node_whose_file_for_membership_cannot_be_used_says_so_and_ends_with_2(tmp_path: Path) -> None:
+def test_a_node_with_an_invalid_membership_file_reports_it_and_exits_with_2(tmp_path: Path) -> None:
     raw = json.dumps(node_config(0, 2))
     (tmp_path / "c.json").write_text(raw)
     (tmp_path / "m.toml").write_text(
         MINIMAL_FILE.replace("127.0.0.1:0", "203.0.113.1:7946")
-    )  # no address of this machine
-    for members, said in (
+    )  # Not an address of this machine
+    for members, error in (
         ("none.toml", "NODE_MEMBERS: "),
         ("m.toml", "NODE_MEMBERS: members.listen cannot be used: "),
     ):
@@ -157,7 +163,7 @@
             "NODE_CONFIG": str(tmp_path / "c.json"),
             "NODE_MEMBERS": str(tmp_path / members),
         }
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "crowpost"],
             env=environment,
             capture_output=True,
@@ -165,4 +171,4 @@
             timeout=60,
             check=False,
         )
-        assert done.returncode == 2 and done.stderr.splitlines()[-1].startswith(f"crowpost: {said}")
+        assert result.returncode == 2 and result.stderr.splitlines()[-1].startswith(f"crowpost: {error}")
--- a/tests/membership/test_work_share.py
+++ b/tests/membership/test_work_share.py
@@ -1,4 +1,4 @@
-"""The share of the work that a view gives."""
+"""Tests of the work share that follows from a view."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     assert {n for n in preferred if after[n] != preferred[n]} == {"n38", "n39"}
     without_preference = assign_indexes({f"m{i}": None for i in range(50)})
     assert sorted(without_preference.values()) == list(range(50))
-    fewer = assign_indexes({f"m{i}": None for i in range(50) if i != 7})
-    assert sum(fewer[n] != without_preference[n] for n in fewer) < 25
+    without_m7 = assign_indexes({f"m{i}": None for i in range(50) if i != 7})
+    assert sum(without_m7[n] != without_preference[n] for n in without_m7) < 25
 
 
 class TrackedView:
-    """A view that is changed by hand, and the tracker that follows it."""
+    """A view that tests modify directly, and a tracker of it."""
 
-    def __init__(self, nodes: int, **more: float) -> None:
+    def __init__(self, nodes: int, **options: float) -> None:
         self.core = MembershipCore(
             "t", Profile("n0", "127.0.0.1:1", facts={"ordinal": "0"}), (), seed=1, instance_id=1, now=0.0
         )
         self.core.announce_phase(Phase.PRESENT, 0.0)
-        self.tracker = WorkShareTracker("node", "0", WorkShare(nodes, 0), **more)
+        self.tracker = WorkShareTracker("node", "0", WorkShare(nodes, 0), **options)
         for i in range(1, nodes):
             self.set_member(f"n{i}", 1, Liveness.ALIVE, 0.0)
 
@@ -61,10 +61,10 @@
     assert view.update(1_040.0) == WorkShare(7, 0)
 
 
-def test_a_flapping_node_counts_later_each_time() -> None:
+def test_the_hold_time_of_a_flapping_node_doubles_with_each_death() -> None:
     view = TrackedView(4)
     view.update(0.0)
-    waits = []
+    hold_times = []
     now, incarnation = 0.0, 1
     for _ in range(5):
         view.set_member("n3", incarnation, Liveness.DEAD, now)
@@ -73,14 +73,14 @@
         incarnation, now = incarnation + 1, now + 2_000.0
         view.set_member("n3", incarnation, Liveness.ALIVE, now)
         share = view.update(now)
-        waits.append(0.0 if share else view.tracker.next_due_ms - now)
+        hold_times.append(0.0 if share else view.tracker.next_due_ms - now)
         if share is None:
             now = view.tracker.next_due_ms
             assert view.update(now) == WorkShare(4, 0)
-    assert waits == [0.0, 4_000.0, 8_000.0, 16_000.0, 32_000.0]
+    assert hold_times == [0.0, 4_000.0, 8_000.0, 16_000.0, 32_000.0]
 
 
-def test_a_view_that_shrinks_too_far_is_taken_for_a_partition() -> None:
+def test_a_view_that_shrinks_below_the_minimum_fraction_is_treated_as_a_partition() -> None:
     view = TrackedView(40)
     view.update(0.0)
     for i in range(1, 40):
@@ -89,9 +89,9 @@
     assert view.update(5_000.0) == WorkShare(10, 0)
 
 
-def test_other_roles_and_stages_do_not_count() -> None:
+def test_members_of_other_roles_and_tiers_do_not_count() -> None:
     view = TrackedView(3)
-    for name, role, stage in (("x", "directory", "0"), ("y", "node", "1")):
-        profile = Profile(name, "127.0.0.1:1", role=role, facts={"stage": stage})
+    for name, role, tier in (("x", "directory", "0"), ("y", "node", "1")):
+        profile = Profile(name, "127.0.0.1:1", role=role, facts={"stage": tier})
         view.core.apply_update(StateUpdate(name, 7, 1, Phase.PRESENT, Liveness.ALIVE, name, "", profile), 0.0)
     assert view.update(1.0) is None and view.tracker.share == WorkShare(3, 0)
