--- a/crowpost/drill.py
+++ b/crowpost/drill.py
@@ -1,4 +1,4 @@
-"""python -m crowpost.drill: the earlier name of `python -m crowpost.simulator`."""
+"""python -m crowpost.drill: the former name of `python -m crowpost.simulator`."""
 
 import sys
 
--- a/crowpost/members/__main__.py
+++ b/crowpost/members/__main__.py
@@ -1,4 +1,4 @@
-"""python -m crowpost.members FILE: `crowpost.membership` under the name by which operators start it."""
+"""python -m crowpost.members FILE: run a standalone member (`crowpost.membership`) until SIGTERM."""
 
 from __future__ import annotations
 
--- a/crowpost/simulator/__init__.py
+++ b/crowpost/simulator/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter that runs the decision module on the simulator's wire."""
+"""Adapter that connects the decision module to the simulator by its wire protocol."""
 
 from crowpost.simulator.decoding import Decoder as Decoder
 from crowpost.simulator.decoding import Record as Record
--- a/crowpost/simulator/__main__.py
+++ b/crowpost/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""python -m crowpost.simulator: answer the simulator on standard input and output."""
+"""python -m crowpost.simulator: serve the simulator on standard input and output."""
 
 import sys
 
--- a/crowpost/simulator/decoding.py
+++ b/crowpost/simulator/decoding.py
@@ -1,6 +1,6 @@
-"""Read frames, records and settings of the simulator's wire as the decision module's own types.
+"""Decode batches, records and settings of the simulator's wire protocol to types of the decision module.
 
-No decision is taken here.  Layouts follow the operators' wire description.
+The layouts follow the operators' description of the wire protocol.  No decision is taken here.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 class RecordCode(IntEnum):
-    """The kinds of records that a batch holds."""
+    """The kinds of records in a batch."""
 
     START = 1
     ENDPOINT_LIST = 2
@@ -74,7 +74,7 @@
 
 
 class RequestFlag(IntFlag):
-    """Marks of a request that arrives."""
+    """Flags of a request that arrives."""
 
     HAS_COST_HINT = 1
     IS_REPEAT = 2
@@ -94,15 +94,15 @@
     """An instance was killed."""
 
 
-Record = tuple[int, Event | Start | Stop]  # the instance's number, and what happened to it
+Record = tuple[int, Event | Start | Stop]  # Instance number and event
 
 
 def parse_settings(text: str) -> Settings:
-    """Return the settings that the wire's path=value lines hold; raise WireError where they do not."""
+    """Return the settings from path=value lines; raise WireError if they are invalid."""
     values: dict[str, str] = {}
     for line in text.splitlines():
-        path, found, value = line.partition("=")
-        if found:
+        path, separator, value = line.partition("=")
+        if separator:
             values[path.strip()] = value.strip()
     try:
         return read_settings(values)
@@ -111,7 +111,7 @@
 
 
 class Decoder:
-    """Reads batches in event order; keeps the numbered tables, which belong to the whole process."""
+    """Decodes batches; keeps the numbered endpoint tables, which all instances of the process share."""
 
     def __init__(self) -> None:
         self._tables: dict[int, tuple[EndpointEntry, ...]] = {}
@@ -129,28 +129,28 @@
         }
 
     def records(self, body: bytes, count: int) -> Iterator[Record]:
-        """Yield the records of one batch, one at a time, so that a reused table number is read in order."""
-        at = 0
+        """Yield the records of one batch in order: a later table may reuse the number of an earlier one."""
+        offset = 0
         for _ in range(count):
-            if at + RECORD_HEADER.size > len(body):
+            if offset + RECORD_HEADER.size > len(body):
                 raise WireError("a batch ends before its last record")
-            code, length = RECORD_HEADER.unpack_from(body, at)
-            at += RECORD_HEADER.size
-            if at + length > len(body):
-                raise WireError(f"record {code} is cut short")
-            fields = body[at : at + length]
-            at += length
+            code, length = RECORD_HEADER.unpack_from(body, offset)
+            offset += RECORD_HEADER.size
+            if offset + length > len(body):
+                raise WireError(f"record {code} is truncated")
+            fields = body[offset : offset + length]
+            offset += length
             try:
                 record = self._read(code, fields)
             except (struct.error, ValueError, KeyError) as error:
-                raise WireError(f"record {code} cannot be read: {error}") from error
+                raise WireError(f"record {code} cannot be decoded: {error}") from error
             if record is not None:
                 yield record
-        if at != len(body):
-            raise WireError("a batch holds more bytes than its records")
+        if offset != len(body):
+            raise WireError("a batch has extra bytes after its last record")
 
     def _read(self, code: int, body: bytes) -> Record | None:
-        """Return a record; None for a table, which is kept."""
+        """Return a decoded record; None for a table, which is stored."""
         if code == RecordCode.TABLE:
             self._read_table(body)
             return None
@@ -172,13 +172,13 @@
         return node, EndpointList(kind, entries, version)
 
 
-# ---------------------------------------------------------------- single records
+# ---------------------------------------------------------------- record bodies
 
 
-def _read_floats(body: bytes, at: int, count: int) -> tuple[float, ...]:
+def _read_floats(body: bytes, offset: int, count: int) -> tuple[float, ...]:
     if not count:
         return ()
-    values: tuple[float, ...] = struct.unpack_from(f"<{count}f", body, at)
+    values: tuple[float, ...] = struct.unpack_from(f"<{count}f", body, offset)
     return values
 
 
@@ -188,28 +188,36 @@
         raise WireError("a table is shorter than its number of entries")
     entries = []
     for row in range(count):
-        at = _TABLE.size + row * _TABLE_ROW.size
-        hint, kind, endpoint, zone, cell, readiness, started = _TABLE_ROW.unpack_from(body, at)
-        entries.append(EndpointEntry(endpoint, Readiness(readiness), hint, kind, zone, cell, started))
+        offset = _TABLE.size + row * _TABLE_ROW.size
+        capacity_hint, kind, endpoint, zone, cell, readiness, started_ms = _TABLE_ROW.unpack_from(
+            body, offset
+        )
+        entries.append(
+            EndpointEntry(endpoint, Readiness(readiness), capacity_hint, kind, zone, cell, started_ms)
+        )
     return tuple(entries)
 
 
 def _read_attempt_ended(body: bytes) -> Record:
-    node, request, attempt, endpoint, outcome, elapsed, finished, columns = _ATTEMPT_ENDED.unpack_from(body)
+    node, request, attempt, endpoint, outcome, elapsed_ms, finished, columns = _ATTEMPT_ENDED.unpack_from(
+        body
+    )
     load = _read_floats(body, _ATTEMPT_ENDED.size, columns)
-    ended = AttemptEnded(request, attempt, endpoint, _OUTCOMES[outcome], elapsed, bool(finished), load)
+    ended = AttemptEnded(request, attempt, endpoint, _OUTCOMES[outcome], elapsed_ms, bool(finished), load)
     return node, ended
 
 
 def _read_request_arrived(body: bytes) -> Record:
-    node, request, class_index, tenant, key, budget, cost, flags = _REQUEST_ARRIVED.unpack_from(body)
+    node, request, class_index, tenant, key, budget_ms, cost_hint_ms, flags = _REQUEST_ARRIVED.unpack_from(
+        body
+    )
     arrived = RequestArrived(
         request,
         class_index,
-        budget,
+        budget_ms,
         tenant,
         key,
-        cost_hint_ms=cost if flags & RequestFlag.HAS_COST_HINT else None,
+        cost_hint_ms=cost_hint_ms if flags & RequestFlag.HAS_COST_HINT else None,
         is_repeat=bool(flags & RequestFlag.IS_REPEAT),
         is_write=bool(flags & RequestFlag.IS_WRITE),
     )
@@ -227,20 +235,20 @@
 
 
 def _read_health_check_ended(body: bytes) -> Record:
-    node, endpoint, outcome, elapsed, columns = _HEALTH_CHECK_ENDED.unpack_from(body)
+    node, endpoint, outcome, elapsed_ms, columns = _HEALTH_CHECK_ENDED.unpack_from(body)
     load = _read_floats(body, _HEALTH_CHECK_ENDED.size, columns)
-    return node, HealthCheckEnded(endpoint, _OUTCOMES[outcome], elapsed, load)
+    return node, HealthCheckEnded(endpoint, _OUTCOMES[outcome], elapsed_ms, load)
 
 
 def _read_response_started(body: bytes) -> Record:
-    node, request, attempt, elapsed, endpoint = _RESPONSE_STARTED.unpack_from(body)
-    return node, ResponseStarted(request, attempt, endpoint, elapsed)
+    node, request, attempt, elapsed_ms, endpoint = _RESPONSE_STARTED.unpack_from(body)
+    return node, ResponseStarted(request, attempt, endpoint, elapsed_ms)
 
 
 def _read_peer_message(body: bytes) -> Record:
     node, sender, length = _PEER_MESSAGE.unpack_from(body)
     if len(body) < _PEER_MESSAGE.size + length:
-        raise WireError("a message is cut short")
+        raise WireError("a peer message is truncated")
     return node, PeerMessage(sender, body[_PEER_MESSAGE.size : _PEER_MESSAGE.size + length])
 
 
@@ -252,5 +260,5 @@
     node, seed, length = _START.unpack_from(body)
     text = body[_START.size : _START.size + length]
     if len(text) < length:
-        raise WireError("settings are cut short")
+        raise WireError("settings are truncated")
     return node, Start(seed, parse_settings(text.decode()))
--- a/crowpost/simulator/encoding.py
+++ b/crowpost/simulator/encoding.py
@@ -1,4 +1,4 @@
-"""Write actions as records of the simulator's wire, and records as reply frames."""
+"""Encode actions as records of the simulator's wire protocol, and records as reply frames."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 )
 from crowpost.simulator.framing import RECORD_HEADER, REPLY_HEADER
 
-_MAX_TEXT = 1000  # bytes
+_MAX_TEXT_BYTES = 1000
 
-# Each layout begins with the record's header.
+# Each layout includes the record header.
 _SEND = struct.Struct("<BIII6sd")
 _REJECT = struct.Struct("<BIIId")
 _FAIL = struct.Struct("<BIII")
@@ -35,7 +35,7 @@
 
 
 class RecordCode(IntEnum):
-    """The kinds of records that a reply holds."""
+    """The kinds of records in a reply."""
 
     SEND = 65
     REJECT = 66
@@ -51,16 +51,16 @@
 
 def encode(node: int, action: Action) -> bytes:
     """Return one action of one instance as a record."""
-    return _WRITERS[type(action)](node, action)
+    return _ENCODERS[type(action)](node, action)
 
 
 def encode_fault(node: int, text: str) -> bytes:
-    """Return the record that declares an instance's decision code broken."""
+    """Return the record that reports an exception in the decision code of an instance."""
     return _text(RecordCode.FAULT, node, text)
 
 
 def reply(records: list[bytes]) -> bytes:
-    """Return a whole reply frame."""
+    """Return a reply frame that contains these records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), len(body)) + body
 
@@ -70,7 +70,7 @@
 
 
 def _text(code: RecordCode, node: int, text: str) -> bytes:
-    body = text.encode("utf-8", "replace")[:_MAX_TEXT]
+    body = text.encode("utf-8", "replace")[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, _length(_TEXT) + len(body), node, len(body)) + body
 
 
@@ -110,7 +110,7 @@
     return _text(RecordCode.LOG, node, action.text)
 
 
-_WRITERS: dict[type[Action], Callable[[int, Any], bytes]] = {
+_ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
     Send: _send,
     SetTimer: _set_timer,
     Reject: _reject,
--- a/crowpost/simulator/host.py
+++ b/crowpost/simulator/host.py
@@ -1,4 +1,4 @@
-"""Host many independent instances of the decision module on the simulator's wire."""
+"""Run many independent instances of the decision module for the simulator."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Host:
-    """The instances of one process; they share nothing but the reading of the wire."""
+    """The instances of one process; they share only the decoder of the wire protocol."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         self._instances: dict[int, Balancer] = {}
 
     def answer(self, body: bytes, count: int, now: float) -> bytes:
-        """Return the reply to one batch; raise WireError where it cannot be read."""
+        """Return the reply to one batch; raise WireError if it is invalid."""
         records: list[bytes] = []
         for node, event in self._decoder.records(body, count):
             if isinstance(event, Stop):
@@ -33,34 +33,34 @@
         return reply(records)
 
     def _handle(self, node: int, event: Event | Start, now: float) -> list[bytes]:
-        """Return the records that follow from an event of one instance."""
+        """Return the reply records for an event of one instance."""
         if not isinstance(event, Start) and node not in self._instances:
-            raise WireError(f"an event for instance {node}, which has not started")
+            raise WireError(f"event for instance {node}, which is not running")
         try:
             if isinstance(event, Start):
                 self._instances[node] = Balancer(event.settings, event.seed)
                 return []
             actions = self._instances[node].handle(event, now)
-        except Exception as error:  # noqa: BLE001  # an instance's fault is reported on the wire
+        except Exception as error:  # noqa: BLE001  # Reported to the simulator as a fault of the instance
             return [encode_fault(node, f"{type(error).__name__}: {error}")]
         return [encode(node, action) for action in actions]
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
-    """Return so many bytes, or less where the input ends."""
-    parts: list[bytes] = []
-    left = size
-    while left:
-        part = source.read(left)
-        if not part:
+    """Return `size` bytes, or fewer if the input ends."""
+    chunks: list[bytes] = []
+    remaining = size
+    while remaining:
+        chunk = source.read(remaining)
+        if not chunk:
             break
-        parts.append(part)
-        left -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        remaining -= len(chunk)
+    return b"".join(chunks)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raise WireError where it cannot be read."""
+    """Answer batches until the input ends; raise WireError if the input is invalid."""
     host = Host()
     while header := _read(source, BATCH_HEADER.size):
         if len(header) < BATCH_HEADER.size:
@@ -74,7 +74,7 @@
 
 
 def main(program: str) -> int:
-    """Return 0 at the end of input, 2 with one plain line on standard error for bad input."""
+    """Return exit code 0 at the end of input, or 2 and print one line on standard error for invalid input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/tests/replay_stream.py
+++ b/tests/replay_stream.py
@@ -1,11 +1,11 @@
-"""Plays the recorded batches of tests/data/stream.bin through the command that deploy/balancer.toml names.
+"""Replays the recorded batches of tests/data/stream.bin through the command in deploy/balancer.toml.
 
-    python tests/replay_stream.py             play them, from the root of the repository
-    python tests/replay_stream.py --record    write the recording anew (its events depend on no decision)
+    python tests/replay_stream.py             replay the recording; run it in the root of the repository
+    python tests/replay_stream.py --record    rewrite the recording (its events do not depend on decisions)
 
-Instance 1 knows one idle server, so each of its calls has to be sent there at once; instance 2 has several
-servers that come, drain and restart, gets no outcomes and is killed in between.  The frames are packed and
-read here without the package's codec.
+Instance 1 has one idle server, so each of its requests must be sent there at once.  Instance 2 has several
+servers that start, drain and restart; it gets no outcomes, and is killed and started again.  The frames are
+encoded and decoded here independently of crowpost.simulator.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 ROOT = Path(__file__).parent.parent
 STREAM = ROOT / "tests" / "data" / "stream.bin"
-FORWARD, REFUSE, LOSE, BUG = 65, 66, 67, 74
-SETUP = """azs=north,south
+SEND, REJECT, FAIL, FAULT = 65, 66, 67, 74  # Record codes of replies
+SETTINGS = """azs=north,south
 balancers=2
 guarantees.answerSlackMs=8.0
 guarantees.coldMs=4000.0
@@ -56,40 +56,47 @@
 
 
 def _rows(rows: list[tuple[int, int, float]]) -> bytes:
+    """Return table rows from (server number, readiness, start time)."""
     return b"".join(struct.pack("<fH6sBHBd", 1.0, 0, _server(n), n % 2, n // 3, r, t) for n, r, t in rows)
 
 
-def _enlist(node: int, seed: int) -> bytes:
-    return _record(1, "IQI", node, seed, len(SETUP), tail=SETUP.encode())
+def _start_instance(node: int, seed: int) -> bytes:
+    return _record(1, "IQI", node, seed, len(SETTINGS), tail=SETTINGS.encode())
 
 
-def _sync(node: int, table: int, kind: int, rows: list[tuple[int, int, float]]) -> bytes:
+def _endpoint_list(node: int, table: int, kind: int, rows: list[tuple[int, int, float]]) -> bytes:
+    """Return a table record followed by the endpoint list record that refers to it."""
     return _record(11, "II", table, len(rows), tail=_rows(rows)) + _record(2, "IIIB", node, 1, table, kind)
 
 
 def _batches() -> Iterator[tuple[float, list[bytes]]]:
-    """(clock, records) of the recording; a sync is two records."""
-    several = [(n, 1, 0.0) for n in range(2, 8)]
-    yield 100.0, [_enlist(1, 11), *_split(_sync(1, 0, 2, [(1, 1, 0.0)]))]
-    yield 105.0, [_enlist(2, 12), *_split(_sync(2, 1, 2, several))]
+    """Yield (time in ms, records) of each batch of the recording."""
+    several_servers = [(n, 1, 0.0) for n in range(2, 8)]
+    yield 100.0, [_start_instance(1, 11), *_split(_endpoint_list(1, 0, 2, [(1, 1, 0.0)]))]
+    yield 105.0, [_start_instance(2, 12), *_split(_endpoint_list(2, 1, 2, several_servers))]
     now, request = 110.0, 0
     for step in range(60):
         now += 10.0
         request += 2
-        mine = [_record(3, "IIHHQddH", 1, request, step % 2, 0, 0, 900.0, 0.0, 0)]
-        mine.append(_record(3, "IIHHQddH", 2, request + 1, step % 2, 0, 0, 300.0, 0.0, 0))
+        records = [_record(3, "IIHHQddH", 1, request, step % 2, 0, 0, 900.0, 0.0, 0)]
+        records.append(_record(3, "IIHHQddH", 2, request + 1, step % 2, 0, 0, 300.0, 0.0, 0))
         if step == 20:
-            mine += _split(_sync(2, 3, 1, [(2, 2, 0.0), (3, 1, now - 50.0)]))
+            records += _split(_endpoint_list(2, 3, 1, [(2, 2, 0.0), (3, 1, now - 50.0)]))
         if step == 40:
-            mine += [_record(10, "I", 2), _enlist(2, 13), *_split(_sync(2, 4, 2, several[2:]))]
-        yield now, mine
+            records += [
+                _record(10, "I", 2),
+                _start_instance(2, 13),
+                *_split(_endpoint_list(2, 4, 2, several_servers[2:])),
+            ]
+        yield now, records
         now += 10.0
-        done = _record(5, "IIH6sHdBB", 1, request, 0, _server(1), 200, 10.0, 1, 0)
-        yield now, [done, _record(6, "II", 2, request - 59)] if request > 62 else [done]
+        ended = _record(5, "IIH6sHdBB", 1, request, 0, _server(1), 200, 10.0, 1, 0)
+        yield now, [ended, _record(6, "II", 2, request - 59)] if request > 62 else [ended]
     yield now + 1000.0, []
 
 
 def _split(pair: bytes) -> list[bytes]:
+    """Split two concatenated records."""
     size = 5 + struct.unpack_from("<BI", pair)[1]
     return [pair[:size], pair[size:]]
 
@@ -103,29 +110,29 @@
 
 
 def _frames(stream: bytes) -> Iterator[bytes]:
-    at = 0
-    while at < len(stream):
-        size = 16 + struct.unpack_from("<I", stream, at)[0]
-        yield stream[at : at + size]
-        at += size
+    offset = 0
+    while offset < len(stream):
+        size = 16 + struct.unpack_from("<I", stream, offset)[0]
+        yield stream[offset : offset + size]
+        offset += size
 
 
 def _actions(output: bytes) -> Iterator[list[tuple[int, bytes]]]:
-    """(code, fields) of each reply."""
-    at = 0
-    while at < len(output):
-        count, size = struct.unpack_from("<II", output, at)
-        at, end = at + 8, at + 8 + size
+    """Yield the (code, fields) of all records of each reply."""
+    offset = 0
+    while offset < len(output):
+        count, size = struct.unpack_from("<II", output, offset)
+        offset, end = offset + 8, offset + 8 + size
         reply = []
         for _ in range(count):
-            code, length = struct.unpack_from("<BI", output, at)
-            reply.append((code, output[at + 5 : at + 5 + length]))
-            at += 5 + length
-        assert at == end, "a reply's length does not fit its records"
+            code, length = struct.unpack_from("<BI", output, offset)
+            reply.append((code, output[offset + 5 : offset + 5 + length]))
+            offset += 5 + length
+        assert offset == end, "the length of a reply does not match its records"
         yield reply
 
 
-def play(command: str, stream: bytes, hash_seed: str) -> bytes:
+def replay(command: str, stream: bytes, hash_seed: str) -> bytes:
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
     run = subprocess.run(
         ["/bin/sh", "-c", command], input=stream, capture_output=True, cwd=ROOT, env=environment, check=False
@@ -141,23 +148,21 @@
         return 0
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
     stream = STREAM.read_bytes()
-    output = play(command, stream, "1")
-    assert output == play(command, stream, "2"), "replies depend on the order of a hash table"
+    output = replay(command, stream, "1")
+    assert output == replay(command, stream, "2"), "replies depend on PYTHONHASHSEED"
     replies = list(_actions(output))
-    assert len(replies) == sum(1 for _ in _frames(stream)), "not one reply for each batch"
-    told: dict[int, set[int]] = {FORWARD: set(), REFUSE: set(), LOSE: set()}
+    assert len(replies) == sum(1 for _ in _frames(stream)), "there is not one reply for each batch"
+    answered: dict[int, set[int]] = {SEND: set(), REJECT: set(), FAIL: set()}
     for reply in replies:
         for code, fields in reply:
-            assert code != BUG, f"an instance failed: {fields[6:].decode()}"
-            if code in told:
-                told[code].add(struct.unpack_from("<I", fields, 4)[0])
-    mine = set(range(2, 122, 2))
-    assert mine <= told[FORWARD], f"not sent at once: {sorted(mine - told[FORWARD])}"
-    assert not mine & (told[REFUSE] | told[LOSE]), "a served request got another answer"
-    assert len(told[FORWARD] - mine) > 20, "the second instance hardly sends"
-    print(
-        f"recorded stream: {len(replies)} replies, {sum(len(r) for r in replies)} actions, as they should be"
-    )
+            assert code != FAULT, f"an instance failed: {fields[6:].decode()}"
+            if code in answered:
+                answered[code].add(struct.unpack_from("<I", fields, 4)[0])
+    first_requests = set(range(2, 122, 2))  # Requests of instance 1
+    assert first_requests <= answered[SEND], f"not sent at once: {sorted(first_requests - answered[SEND])}"
+    assert not first_requests & (answered[REJECT] | answered[FAIL]), "a sent request got another answer"
+    assert len(answered[SEND] - first_requests) > 20, "instance 2 sends too few requests"
+    print(f"recorded stream: {len(replies)} replies, {sum(len(r) for r in replies)} actions, as expected")
     return 0
 
 
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter to the simulator."""
+"""Tests of crowpost.simulator, the adapter to the simulator."""
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -1,4 +1,4 @@
-"""Frames to the byte, settings, and the adapter at its edges."""
+"""Tests of the simulator adapter: frames byte by byte, settings, and invalid input."""
 
 from __future__ import annotations
 
@@ -53,13 +53,16 @@
     "profiles.0.deadlineMs": "3000.0",
     "profiles.0.effect": "safe",
 }
-A = bytes.fromhex("0a124a078b13")
-B = bytes.fromhex("0a9011f2b413")
+SERVER_A = bytes.fromhex("0a124a078b13")
+SERVER_B = bytes.fromhex("0a9011f2b413")
 
 
-def setup(**changes: str | None) -> str:
-    values: dict[str, str | None] = {**MINIMAL, **{k.replace("__", "."): v for k, v in changes.items()}}
-    return "\n".join(f"{k}={v}" for k, v in values.items() if v is not None)
+def settings_text(**changes: str | None) -> str:
+    values: dict[str, str | None] = {
+        **MINIMAL,
+        **{key.replace("__", "."): value for key, value in changes.items()},
+    }
+    return "\n".join(f"{key}={value}" for key, value in values.items() if value is not None)
 
 
 def record(code: int, fields: bytes) -> bytes:
@@ -75,7 +78,7 @@
     return list(Decoder().records(b"".join(records), len(records)))
 
 
-def enlist(node: int, text: str) -> bytes:
+def start_instance(node: int, text: str) -> bytes:
     raw = text.encode()
     return record(1, struct.pack("<IQI", node, 5, len(raw)) + raw)
 
@@ -84,58 +87,58 @@
     return record(11, struct.pack("<II", number, len(rows)) + b"".join(rows))
 
 
-def row(server: bytes, state: int = 1, hint: float = 1.5, started: float = 0.0) -> bytes:
-    return struct.pack("<fH6sBHBd", hint, 2, server, 1, 7, state, started)
+def row(server: bytes, readiness: int = 1, hint: float = 1.5, started: float = 0.0) -> bytes:
+    return struct.pack("<fH6sBHBd", hint, 2, server, 1, 7, readiness, started)
 
 
-def sync(node: int, number: int, mode: int) -> bytes:
-    return record(2, struct.pack("<IIIB", node, 41, number, mode))
+def endpoint_list(node: int, table_number: int, kind: int) -> bytes:
+    return record(2, struct.pack("<IIIB", node, 41, table_number, kind))
 
 
-def arrival(node: int, request: int, marks: int = 1) -> bytes:
-    return record(3, struct.pack("<IIHHQddH", node, request, 0, 1, 9, 240.0, 12.0, marks))
+def request_arrived(node: int, request: int, flags: int = 1) -> bytes:
+    return record(3, struct.pack("<IIHHQddH", node, request, 0, 1, 9, 240.0, 12.0, flags))
 
 
-def play(*batches: bytes) -> bytes:
+def serve_batches(*batches: bytes) -> bytes:
     sink = BytesIO()
     serve(BytesIO(b"".join(batches)), sink)
     return sink.getvalue()
 
 
 def replies(raw: bytes) -> list[list[tuple[int, bytes]]]:
-    found, at = [], 0
-    while at < len(raw):
-        count, size = struct.unpack_from("<II", raw, at)
-        at += 8
-        end, records = at + size, []
-        while at < end:
-            code, length = struct.unpack_from("<BI", raw, at)
-            records.append((code, raw[at + 5 : at + 5 + length]))
-            at += 5 + length
-        assert at == end and len(records) == count
-        found.append(records)
-    return found
-
-
-def test_events_are_read_field_by_field() -> None:
+    decoded, offset = [], 0
+    while offset < len(raw):
+        count, size = struct.unpack_from("<II", raw, offset)
+        offset += 8
+        end, records = offset + size, []
+        while offset < end:
+            code, length = struct.unpack_from("<BI", raw, offset)
+            records.append((code, raw[offset + 5 : offset + 5 + length]))
+            offset += 5 + length
+        assert offset == end and len(records) == count
+        decoded.append(records)
+    return decoded
+
+
+def test_each_field_of_an_event_is_decoded() -> None:
     assert decode(
-        arrival(3, 99),
-        arrival(3, 100, 6),
-        record(5, struct.pack("<IIH6sHdBB2f", 3, 99, 1, A, 200, 18.5, 1, 2, 0.5, 3.0)),
-        record(4, struct.pack("<IIHd6s", 3, 99, 1, 18.5, A)),
+        request_arrived(3, 99),
+        request_arrived(3, 100, 6),
+        record(5, struct.pack("<IIH6sHdBB2f", 3, 99, 1, SERVER_A, 200, 18.5, 1, 2, 0.5, 3.0)),
+        record(4, struct.pack("<IIHd6s", 3, 99, 1, 18.5, SERVER_A)),
         record(6, struct.pack("<II", 3, 99)),
         record(7, struct.pack("<IQ", 3, 77)),
-        record(8, struct.pack("<I6sHdB", 3, B, 521, 1.5, 0)),
+        record(8, struct.pack("<I6sHdB", 3, SERVER_B, 521, 1.5, 0)),
         record(9, struct.pack("<IHH", 3, 2, 4) + b"hi 7"),
         record(10, struct.pack("<I", 3)),
     ) == [
         (3, RequestArrived(99, 0, 240.0, 1, 9, 12.0, False, False)),
         (3, RequestArrived(100, 0, 240.0, 1, 9, None, True, True)),
-        (3, AttemptEnded(99, 1, A, Outcome.OK, 18.5, True, (0.5, 3.0))),
-        (3, ResponseStarted(99, 1, A, 18.5)),
+        (3, AttemptEnded(99, 1, SERVER_A, Outcome.OK, 18.5, True, (0.5, 3.0))),
+        (3, ResponseStarted(99, 1, SERVER_A, 18.5)),
         (3, RequestAbandoned(99)),
         (3, TimerFired(77)),
-        (3, HealthCheckEnded(B, Outcome.CONNECT_FAILED, 1.5)),
+        (3, HealthCheckEnded(SERVER_B, Outcome.CONNECT_FAILED, 1.5)),
         (3, PeerMessage(2, b"hi 7")),
         (3, Stop()),
     ]
@@ -154,27 +157,37 @@
         (409, Outcome.NOT_SENT),
     ],
 )
-def test_every_outcome(code: int, outcome: Outcome) -> None:
-    ((_, event),) = decode(record(5, struct.pack("<IIH6sHdBB", 3, 9, 0, A, code, 1.0, 0, 0)))
+def test_each_outcome_code_is_decoded(code: int, outcome: Outcome) -> None:
+    ((_, event),) = decode(record(5, struct.pack("<IIH6sHdBB", 3, 9, 0, SERVER_A, code, 1.0, 0, 0)))
     assert isinstance(event, AttemptEnded) and event.outcome is outcome
 
 
 def test_a_reused_table_number_is_read_in_order() -> None:
     events = [
-        e
-        for _, e in decode(
-            table(0, row(A)),
-            sync(1, 0, 2),
-            table(0, row(B, 2, started=8.0)),
-            sync(2, 0, 3),
-            sync(1, 0, 1),
-            sync(1, 9, 0),
+        event
+        for _, event in decode(
+            table(0, row(SERVER_A)),
+            endpoint_list(1, 0, 2),
+            table(0, row(SERVER_B, 2, started=8.0)),
+            endpoint_list(2, 0, 3),
+            endpoint_list(1, 0, 1),
+            endpoint_list(1, 9, 0),
         )
     ]
-    assert all(isinstance(e, EndpointList) for e in events)
-    lists = [e for e in events if isinstance(e, EndpointList)]
-    assert [x.kind for x in lists] == [ListKind.CACHED, ListKind.FULL, ListKind.CHANGES, ListKind.FAILED]
-    assert [tuple(r.server for r in x.entries) for x in lists] == [(A,), (B,), (B,), ()]
+    assert all(isinstance(event, EndpointList) for event in events)
+    lists = [event for event in events if isinstance(event, EndpointList)]
+    assert [item.kind for item in lists] == [
+        ListKind.CACHED,
+        ListKind.FULL,
+        ListKind.CHANGES,
+        ListKind.FAILED,
+    ]
+    assert [tuple(entry.server for entry in item.entries) for item in lists] == [
+        (SERVER_A,),
+        (SERVER_B,),
+        (SERVER_B,),
+        (),
+    ]
     entry = lists[1].entries[0]
     assert (entry.readiness, entry.capacity_hint, entry.kind, entry.zone, entry.cell, entry.started_ms) == (
         Readiness.DRAINING,
@@ -189,22 +202,22 @@
 @pytest.mark.parametrize(
     ("action", "expected"),
     [
-        (Send(0x5D3A91C4, A, 80.0), "41 16000000 03000000 c4913a5d 0a124a07 8b13 0000000000005440"),
+        (Send(0x5D3A91C4, SERVER_A, 80.0), "41 16000000 03000000 c4913a5d 0a124a07 8b13 0000000000005440"),
         (Cancel(0x5D3A91C4, 0), "44 0a000000 03000000 c4913a5d 0000"),
-        (CloseIdle(B), "47 0a000000 03000000 0a9011f2 b413"),
+        (CloseIdle(SERVER_B), "47 0a000000 03000000 0a9011f2 b413"),
         (Log("two servers known"), "49 17000000 03000000 1100 74776f2073657276657273206b6e6f776e"),
         (Fail(0x0E6F2B19), "43 08000000 03000000 192b6f0e"),
         (Reject(0x0E6F2B19, 250.0), "42 10000000 03000000 192b6f0e 0000000000406f40"),
-        (HealthCheck(B), "46 0a000000 03000000 0a9011f2 b413"),
+        (HealthCheck(SERVER_B), "46 0a000000 03000000 0a9011f2 b413"),
         (Subscribe(), "4b 05000000 03000000 01"),
         (SetTimer(0x4D, 8413.25), "45 14000000 03000000 4d00000000000000 00000000a06ec040"),
     ],
 )
-def test_actions_to_the_byte(action: Action, expected: str) -> None:
+def test_each_action_is_encoded_byte_by_byte(action: Action, expected: str) -> None:
     assert encode(3, action) == bytes.fromhex(expected)
 
 
-def test_fault_and_reply_frames() -> None:
+def test_fault_records_and_reply_frames() -> None:
     fault = encode_fault(3, "index out of range")
     assert fault == bytes.fromhex("4a 18000000 03000000 1200") + b"index out of range"
     assert reply([]) == bytes(8)
@@ -212,8 +225,10 @@
     assert len(encode(3, Log("x" * 100_000))) < 2000
 
 
-def test_settings_with_unknown_and_absent_keys() -> None:
-    settings = parse_settings(setup(new__key="7", familyInfo__passesDeadline="", layers="a,b,c", stage="1"))
+def test_unknown_keys_are_ignored_and_missing_keys_get_defaults() -> None:
+    settings = parse_settings(
+        settings_text(new__key="7", familyInfo__passesDeadline="", layers="a,b,c", stage="1")
+    )
     assert (
         settings.classes[0].effect is Effect.SAFE
         and settings.classes[0].idempotency_scope is IdempotencyScope.ALL
@@ -239,82 +254,95 @@
         ("guarantees.coldMs", "nan"),
     ],
 )
-def test_impossible_settings_name_the_key(key: str, value: str | None) -> None:
+def test_an_invalid_setting_is_reported_with_its_key(key: str, value: str | None) -> None:
     with pytest.raises(WireError, match=key.replace(".", r"\.")):
-        parse_settings(setup(**{key.replace(".", "__"): value}))
+        parse_settings(settings_text(**{key.replace(".", "__"): value}))
 
 
-def test_a_keyed_class_needs_its_window() -> None:
+def test_a_keyed_class_requires_an_idempotency_window() -> None:
     with pytest.raises(WireError, match="windowMs"):
-        parse_settings(setup(profiles__0__effect="keyed"))
+        parse_settings(settings_text(profiles__0__effect="keyed"))
 
 
 def test_an_instance_starts_is_killed_and_starts_again_in_one_batch() -> None:
-    out = replies(
-        play(
+    instance_replies = replies(
+        serve_batches(
             batch(),
-            batch(enlist(4, setup()), table(0, row(A)), sync(4, 0, 2), arrival(4, 1)),
+            batch(
+                start_instance(4, settings_text()),
+                table(0, row(SERVER_A)),
+                endpoint_list(4, 0, 2),
+                request_arrived(4, 1),
+            ),
             batch(
                 record(10, struct.pack("<I", 4)),
-                enlist(4, setup()),
-                table(1, row(B)),
-                sync(4, 1, 2),
-                arrival(4, 2),
+                start_instance(4, settings_text()),
+                table(1, row(SERVER_B)),
+                endpoint_list(4, 1, 2),
+                request_arrived(4, 2),
             ),
         )
     )
-    assert out[0] == []
-    sends = [[fields for code, fields in records if code == 65] for records in out]
-    assert [s[0][8:14] for s in sends[1:]] == [A, B]
-
-
-def test_a_fault_of_one_instance_is_reported_and_the_rest_go_on() -> None:
-    bad = record(5, struct.pack("<IIH6sHdBB", 4, 55, 0, A, 200, 1.0, 1, 0))
-    start = (enlist(4, setup()), enlist(5, setup()), table(0, row(A)), sync(4, 0, 2), sync(5, 0, 2))
-    (records,) = replies(play(batch(*start, bad, arrival(5, 7))))
-    assert [c for c, _ in records if c in (74, 65)] == [74, 65]
-    assert b"attempt 0 of request 55 was not out" in next(f for c, f in records if c == 74)
+    assert instance_replies[0] == []
+    sends = [[fields for code, fields in records if code == 65] for records in instance_replies]
+    assert [fields[0][8:14] for fields in sends[1:]] == [SERVER_A, SERVER_B]
+
+
+def test_a_fault_of_one_instance_is_reported_and_does_not_affect_the_others() -> None:
+    unexpected_end = record(5, struct.pack("<IIH6sHdBB", 4, 55, 0, SERVER_A, 200, 1.0, 1, 0))
+    start = (
+        start_instance(4, settings_text()),
+        start_instance(5, settings_text()),
+        table(0, row(SERVER_A)),
+        endpoint_list(4, 0, 2),
+        endpoint_list(5, 0, 2),
+    )
+    (records,) = replies(serve_batches(batch(*start, unexpected_end, request_arrived(5, 7))))
+    assert [code for code, _ in records if code in (74, 65)] == [74, 65]
+    assert b"attempt 0 of request 55 was not out" in next(fields for code, fields in records if code == 74)
 
 
-def test_a_very_large_batch() -> None:
-    start = batch(enlist(4, setup()), table(0, row(A), row(B)), sync(4, 0, 2))
-    _, records = replies(play(start, batch(*(arrival(4, i) for i in range(1, 3001)))))
+def test_a_batch_of_3000_requests_is_served() -> None:
+    start = batch(
+        start_instance(4, settings_text()), table(0, row(SERVER_A), row(SERVER_B)), endpoint_list(4, 0, 2)
+    )
+    _, records = replies(serve_batches(start, batch(*(request_arrived(4, i) for i in range(1, 3001)))))
     assert any(code == 65 for code, _ in records)
 
 
-def run_drill(raw: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_command(raw: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         [sys.executable, "-m", "crowpost.drill"], input=raw, capture_output=True, check=False
     )
 
 
-def test_the_command_ends_quietly_at_the_end_of_input() -> None:
-    done = run_drill(batch())
-    assert (done.returncode, done.stdout, done.stderr) == (0, bytes(8), b"")
+def test_the_command_exits_without_errors_at_the_end_of_input() -> None:
+    result = run_command(batch())
+    assert (result.returncode, result.stdout, result.stderr) == (0, bytes(8), b"")
 
 
 @pytest.mark.parametrize(
     "raw",
     [
         b"\x01\x02\x03",
-        batch(arrival(4, 1))[:-3],
+        batch(request_arrived(4, 1))[:-3],
         struct.pack("<IdI", 0, 1.0, 1),
         batch(record(99, b"")),
         batch(record(6, b"\x01")),
-        batch(record(5, struct.pack("<IIH6sHdBB", 4, 5, 0, A, 777, 1.0, 1, 0))),
-        batch(sync(4, 3, 2)),
-        batch(arrival(4, 1)),
-        batch(enlist(4, setup(profiles__count="0"))),
-        batch(enlist(4, setup())) + b"\x00",
+        batch(record(5, struct.pack("<IIH6sHdBB", 4, 5, 0, SERVER_A, 777, 1.0, 1, 0))),
+        batch(endpoint_list(4, 3, 2)),
+        batch(request_arrived(4, 1)),
+        batch(start_instance(4, settings_text(profiles__count="0"))),
+        batch(start_instance(4, settings_text())) + b"\x00",
     ],
 )
-def test_malformed_input_ends_the_command_with_one_plain_line(raw: bytes) -> None:
-    done = run_drill(raw)
-    text = done.stderr.decode()
-    assert done.returncode == 2
+def test_malformed_input_ends_the_command_with_a_one_line_error(raw: bytes) -> None:
+    result = run_command(raw)
+    text = result.stderr.decode()
+    assert result.returncode == 2
     assert text.startswith("crowpost.drill: ") and text.count("\n") == 1 and "Traceback" not in text
 
 
-def test_start_carries_seed_and_settings() -> None:
-    ((node, start),) = decode(enlist(6, setup()))
+def test_a_start_record_is_decoded_to_seed_and_settings() -> None:
+    ((node, start),) = decode(start_instance(6, settings_text()))
     assert node == 6 and isinstance(start, Start) and start.seed == 5
