--- a/crowpost/membership/core.py
+++ b/crowpost/membership/core.py
@@ -210,7 +210,7 @@
         self._process_message(message, now)
 
     def apply_update(self, update: StateUpdate, now: float, *, from_sync: bool = False) -> None:
-        """Apply a state update; `from_sync` tells updates from a sync apart from those in a datagram."""
+        """Apply a state update; `from_sync` marks one received by a sync and not in a datagram."""
         self.updates.apply(update, now, from_sync=from_sync)
 
     def mark_joined(self) -> None:
--- a/crowpost/membership/failure_detector.py
+++ b/crowpost/membership/failure_detector.py
@@ -20,7 +20,7 @@
 from crowpost.membership.view import MembershipView
 from crowpost.membership.wire import Message, MessageKind
 
-MAX_LOCAL_HEALTH_SCORE = 4  # Periods and timeouts are up to five times as long
+MAX_LOCAL_HEALTH_SCORE = 4  # Protocol periods and probe timeouts are up to five times as long
 # Fractions of a period after which other members are asked to probe.
 INDIRECT_PROBE_FRACTIONS = (0.3, 0.6)
 # Fraction of a period after which a helper reports that its ping was not answered.
--- a/crowpost/membership/updates.py
+++ b/crowpost/membership/updates.py
@@ -24,7 +24,7 @@
 # For this long after its start a process takes over its name from another process of that name.  After that
 # it is the one that is replaced by a newer process.
 STARTUP_GRACE_MS = 5_000.0
-# Multiple of the suspicion timeout at a process that has not accused the member itself.
+# Multiple of the suspicion timeout, plus jitter, at a process that has not accused the member itself.
 NON_ACCUSER_FACTOR = 1.5
 NON_ACCUSER_JITTER = 0.5
 
--- a/crowpost/membership/wire.py
+++ b/crowpost/membership/wire.py
@@ -120,7 +120,7 @@
     if magic != MAGIC:
         raise InvalidMessageError(InvalidMessageReason.MAGIC, "the bytes belong to another protocol")
     if abs(wire_version - WIRE_VERSION) > 1:
-        text = f"wire version {wire_version}, this process speaks {WIRE_VERSION}"
+        text = f"wire version {wire_version}, this process uses {WIRE_VERSION}"
         raise InvalidMessageError(InvalidMessageReason.WIRE, text)
     if tag is not None and sender_tag != tag:
         raise InvalidMessageError(InvalidMessageReason.CLUSTER, "the message belongs to another cluster")
--- a/crowpost/membership/work_share.py
+++ b/crowpost/membership/work_share.py
@@ -64,8 +64,8 @@
             assigned[name] = index
     unassigned = sorted((_hash(name), name) for name in preferred if name not in assigned)
     # Double hashing: each name probes the indexes in its own order, by an odd step modulo a power of two,
-    # which reaches all of them.  Indexes out of range are skipped, so the order depends on the
-    # number of nodes through the modulus only.
+    # which reaches all of them.  Indexes out of range are skipped, so the order depends on the number of
+    # nodes through the modulus only.
     modulus = 1 << max(count - 1, 0).bit_length()
     for name_hash, name in unassigned:
         index = name_hash % modulus
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -285,7 +285,7 @@
     )
     assert instance_replies[0] == []
     sends = [[fields for code, fields in records if code == 65] for records in instance_replies]
-    assert [fields[0][8:14] for fields in sends[1:]] == [SERVER_A, SERVER_B]
+    assert [sent[0][8:14] for sent in sends[1:]] == [SERVER_A, SERVER_B]
 
 
 def test_a_fault_of_one_instance_is_reported_and_does_not_affect_the_others() -> None:
