--- a/crowpost/lab/membership/simulation.py
+++ b/crowpost/lab/membership/simulation.py
@@ -234,7 +234,7 @@
             completion = sync.handle_response(initiator.core, response, now)
             sync.handle_completion(responder.core, completion, now)
         except MembershipError:
-            initiator.core.counts[counters.SYNCS_REFUSED] += 1
+            initiator.core.counts[counters.SYNCS_REJECTED] += 1
         sent_bytes = ((initiator, len(request) + len(completion)), (responder, len(response)))
         for process, size in sent_bytes:
             process.core.counts[counters.BYTES_OUT] += size + SYNC_OVERHEAD_BYTES
--- a/crowpost/membership/counters.py
+++ b/crowpost/membership/counters.py
@@ -36,7 +36,7 @@
 MISSING_PROFILE = "lacking"  # Updates on unknown processes that came without a profile
 SYNCS = "exchanges"
 SYNCS_FAILED = "exchanges_failed"
-SYNCS_REFUSED = "exchanges_refused"
+SYNCS_REJECTED = "exchanges_refused"
 
 
 def dropped(reason: InvalidMessageReason) -> str:
--- a/crowpost/membership/transport.py
+++ b/crowpost/membership/transport.py
@@ -190,7 +190,7 @@
             self._process_output()
             await self._read(reader)  # The responder confirms that it has applied the completion
         except SyncRejectedError as error:
-            self.core.counts[counters.SYNCS_REFUSED] += 1
+            self.core.counts[counters.SYNCS_REJECTED] += 1
             self._log_event("refused", self.now(), address=address, text=str(error))
         except (OSError, EOFError, TimeoutError, MembershipError):
             self.core.counts[counters.SYNCS_FAILED] += 1
