--- a/crowpost/membership/core.py
+++ b/crowpost/membership/core.py
@@ -227,7 +227,7 @@
         self.rng.shuffle(self.detector.probe_order)
         self.mark_joined()
         self.take_output()
-        self.updates.broadcasts = BroadcastQueue(self.settings)  # The others know these members, too
+        self.updates.broadcasts = BroadcastQueue(self.settings)  # Empty: the others know all of it
 
     def _detect_pause(self, now: float) -> None:
         """Postpone all timers if the next one is so late that this process must have been paused."""
