--- a/crowpost/membership/sync.py
+++ b/crowpost/membership/sync.py
@@ -56,7 +56,7 @@
     """Return the buckets that differ, and the initiator's own update."""
     kind, body = decode_frame(frame, None)
     if kind is not MessageKind.SYNC_REQUEST:
-        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} cannot start a sync")
+        raise InvalidMessageError(InvalidMessageReason.KIND, f"{kind.label} is no hello")
     cluster, digests, rows, *_ = _decode_list(body)
     if cluster != core.cluster:
         other = str(cluster)[:MAX_SHOWN_CLUSTER_CHARS]
@@ -118,11 +118,11 @@
 def _decode_list(body: bytes) -> list[Any]:
     value = unpack(body)
     if not isinstance(value, list) or not value:
-        raise malformed("the body of the frame is not a list, or is empty")
+        raise malformed("a frame that holds no list")
     return value
 
 
 def _decode_digests(digests: Any) -> list[int]:
     if not isinstance(digests, list) or len(digests) not in (0, BUCKET_COUNT):
-        raise malformed("the number of bucket digests is wrong")
+        raise malformed("digests of another number")
     return [int(digest) for digest in digests]
--- a/crowpost/membership/wire.py
+++ b/crowpost/membership/wire.py
@@ -115,22 +115,22 @@
     `tag` is the tag of the cluster that the message must belong to; None accepts any cluster.
     """
     if len(data) < HEADER.size:
-        raise InvalidMessageError(InvalidMessageReason.SHORT, f"{len(data)} bytes are too few for a message")
+        raise InvalidMessageError(InvalidMessageReason.SHORT, f"{len(data)} bytes are no message")
     magic, wire_version, kind, sender_tag, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise InvalidMessageError(InvalidMessageReason.MAGIC, "the bytes belong to another protocol")
+        raise InvalidMessageError(InvalidMessageReason.MAGIC, "bytes of another protocol")
     if abs(wire_version - WIRE_VERSION) > 1:
-        text = f"wire version {wire_version}, this process uses {WIRE_VERSION}"
+        text = f"wire version {wire_version}, this process speaks {WIRE_VERSION}"
         raise InvalidMessageError(InvalidMessageReason.WIRE, text)
     if tag is not None and sender_tag != tag:
-        raise InvalidMessageError(InvalidMessageReason.CLUSTER, "the message belongs to another cluster")
+        raise InvalidMessageError(InvalidMessageReason.CLUSTER, "a message of another cluster")
     body = data[HEADER.size :]
     if zlib.crc32(body) != checksum:
-        raise InvalidMessageError(InvalidMessageReason.CHECKSUM, "the checksum of the message is wrong")
+        raise InvalidMessageError(InvalidMessageReason.CHECKSUM, "a message whose checksum is wrong")
     try:
         return MessageKind(kind), body
     except ValueError as error:
-        text = f"unknown message kind {kind}"
+        text = f"a message of unknown kind {kind}"
         raise InvalidMessageError(InvalidMessageReason.KIND, text) from error
 
 
@@ -145,7 +145,7 @@
     try:
         return msgpack.unpackb(body, max_map_len=1_000, max_array_len=100_000, max_bin_len=MAX_FRAME_BYTES)
     except (ValueError, RecursionError, msgpack.exceptions.UnpackException) as error:
-        raise malformed(f"the body cannot be decoded: {error}") from error
+        raise malformed(f"a body that cannot be read: {error}") from error
 
 
 def malformed(text: str) -> InvalidMessageError:
@@ -189,18 +189,18 @@
     except InvalidMessageError:
         raise
     except (TypeError, ValueError, AttributeError, UnicodeError) as error:
-        raise malformed(f"the state update cannot be decoded: {error}") from error
+        raise malformed(f"a claim that cannot be read: {error}") from error
 
 
 def _decode_update(row: Any) -> StateUpdate:
     name, instance_id, incarnation, phase, liveness, origin, reason, *optional_items = row
     if not (isinstance(name, str) and isinstance(origin, str) and isinstance(reason, str)):
-        raise malformed("name, origin or reason of a state update is not a string")
+        raise malformed("a claim whose names are no text")
     in_bounds = _is_uint32(instance_id) and _is_uint32(incarnation)
     if not in_bounds or len(reason.encode()) > MAX_REASON_BYTES:
-        raise malformed("a number or the reason of a state update exceeds its limit")
+        raise malformed("a claim out of its bounds")
     if len(origin.encode()) > MAX_NAME_BYTES or not 0 < len(name.encode()) <= MAX_NAME_BYTES:
-        raise malformed("name or origin of a state update has an invalid length")
+        raise malformed("a claim with a name out of its bounds")
     profile = _decode_profile(name, optional_items[0]) if optional_items else None
     return StateUpdate(
         name, instance_id, incarnation, Phase(phase), Liveness(liveness), origin, reason, profile
@@ -211,7 +211,7 @@
     address, zone, role, wire_version, started_s, facts, *_ = row
     texts = (address, zone, role, *facts.keys(), *facts.values())
     if not all(isinstance(text, str) for text in texts) or not _is_uint32(wire_version):
-        raise malformed("a value of a profile has the wrong type")
+        raise malformed("a profile of other types")
     return Profile(name, address, zone, role, wire_version, float(started_s), facts)
 
 
