--- a/crowpost/node/attempt.py
+++ b/crowpost/node/attempt.py
@@ -1,4 +1,4 @@
-"""Attempts: what the decision module's `Send` action does on the network, and what it reports of it."""
+"""Attempts: carry out the `Send` actions of the decision module on the network, and report the outcomes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class AttemptSender:
-    """Starts attempts; holds what all of them use."""
+    """Starts attempts, and holds the objects that all of them share."""
 
     __slots__ = ("clock", "events", "load_report_columns", "metrics", "pool", "requests")
 
@@ -41,29 +41,29 @@
         self.load_report_columns = load_report_columns
 
     def send(self, action: Send) -> None:
-        """Start one attempt, or report at once that it was not sent."""
+        """Start one attempt, or report immediately that it was not sent."""
         request = action.request
         server = action.server
         pending = self.requests.find_with_client(request)
         if pending is None:
-            # Its client left while this was decided, and the module does not know yet.
+            # The client disconnected while the module was deciding; the module has not been notified yet.
             closed = self.requests.just_closed[request]
             self.events.post(AttemptEnded(request, closed.attempts, server, Outcome.NOT_SENT, 0.0, True))
             closed.attempts += 1
             return
         number = pending.attempts
         pending.attempts += 1
-        left_ms = pending.deadline_ms - self.clock.now()
-        if left_ms <= 0.0:
+        remaining_ms = pending.deadline_ms - self.clock.now()
+        if remaining_ms <= 0.0:
             self.events.post(AttemptEnded(request, number, server, Outcome.NOT_SENT, 0.0, False))
             return
-        timeout_ms = min(action.timeout_ms, left_ms) if action.timeout_ms > 0 else left_ms
+        timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms > 0 else remaining_ms
         attempt = Attempt(self, action, pending, number)
         self.requests.calls[request, number] = attempt.start(timeout_ms / 1000.0)
 
 
 class Attempt:
-    """One attempt of a request at one endpoint: renders it, has it written, and reports how it ended."""
+    """One attempt of a request at one endpoint: renders it, starts its call and reports the outcome."""
 
     __slots__ = ("_action", "_call", "_number", "_pending", "_sender", "_sent_at_ms", "_upload")
 
@@ -77,7 +77,7 @@
         self._call: Call | None = None
 
     def start(self, timeout_s: float) -> Call:
-        """Hand the attempt to the connection pool and return its call."""
+        """Start the attempt on the connection pool and return its call."""
         upload = self._upload
         call = Call(
             self._render,
@@ -93,14 +93,14 @@
         self._sender.pool.start(call, self._action.server, idempotent=idempotent)
         return call
 
-    def _render(self, left_s: float) -> bytes:
-        """Return the bytes of the request, without a long body."""
+    def _render(self, remaining_s: float) -> bytes:
+        """Return the bytes of the request; the body only if it is not streamed."""
         pending = self._pending
-        wait_s = left_s if self._upload is None else pending.budget_ms / 1000.0
-        return b"%sX-Deadline: %.3f\r\n\r\n%s" % (pending.head, wait_s, pending.message.body)
+        deadline_s = remaining_s if self._upload is None else pending.budget_ms / 1000.0
+        return b"%sX-Deadline: %.3f\r\n\r\n%s" % (pending.head, deadline_s, pending.message.body)
 
     def _may_write(self) -> bool:
-        """Return whether a client waits, nothing was answered, and the window for a retry is open."""
+        """Return whether the client still waits, no response has started, and the retry window is open."""
         pending = self._pending
         found = self._sender.requests.find_with_client(self._action.request)
         wanted = found is pending and pending.streaming_attempt is None
@@ -109,11 +109,12 @@
     def _on_written(self) -> None:
         self._sender.metrics.attempt_written()
         if self._upload is not None and self._pending.streaming_attempt is None:
-            self._sent_at_ms = self._sender.clock.now()  # before that its server had no work to do
+            # The server has no work to do before the body is complete: its latency counts from here.
+            self._sent_at_ms = self._sender.clock.now()
             self._sender.events.post(BodySent(self._action.request, self._number))
 
     def _on_response_start(self, response: Message, set_reading: SetReading) -> BodySink | None:
-        """Begin to stream this attempt's response to the client, unless another attempt's has begun."""
+        """Start streaming this response to the client, unless the response of another attempt has started."""
         request = self._action.request
         elapsed_ms = self._elapsed_ms()
         pending = self._sender.requests.pending.get(request)
--- a/crowpost/node/dispatcher.py
+++ b/crowpost/node/dispatcher.py
@@ -1,4 +1,7 @@
-"""The only caller of the decision module: events in, actions out."""
+"""The event dispatcher: passes events to the decision module and carries out the actions it returns.
+
+No other part of the node passes events to the module.
+"""
 
 from __future__ import annotations
 
@@ -70,7 +73,7 @@
 
 
 class Dispatcher:
-    """Hands each event to the decision module, and carries out the actions that it returns.
+    """Passes each event to the decision module, and carries out the actions that it returns.
 
     subscribe: opens a watch of the endpoint list.
     """
@@ -93,13 +96,14 @@
         self._health_checker = health_checker
         self._subscribe = subscribe
         self._loop = asyncio.get_running_loop()
-        # Once all events are handled, the module knows of every closed request.
+        # Once all events are handled, the module has been notified of every closed request.
         events.connect(self._handle, self._requests.just_closed.clear)
 
     def _handle(self, event: Event) -> None:
         try:
             actions = self._balancer.handle(event, self._clock.now())
-        except Exception:  # a fault of the module on one event must cost one request alone
+        except Exception:
+            # A fault of the module on one event must fail no more than one request.
             log.exception("the decision module failed on %s", type(event).__name__)
             if isinstance(event, RequestArrived | AttemptEnded):
                 self._requests.respond_internal_error(event.request)
@@ -107,7 +111,8 @@
         for action in actions:
             try:
                 self._perform(action)
-            except Exception:  # a fault in one action must cost one request alone
+            except Exception:
+                # A fault in one action must fail no more than one request.
                 log.exception("fault while carrying out %s", type(action).__name__)
                 if isinstance(action, Send | Reject | Fail):
                     self._requests.respond_internal_error(action.request)
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -1,7 +1,7 @@
 """A node: its life cycle and its signals.
 
-The decision module takes every decision.  The node turns what happens on sockets into the module's events and
-carries out the module's actions; `dispatcher`, `request_table` and `attempt` do that work.
+The decision module makes every decision.  The node translates socket activity into events for the module and
+carries out the actions of the module; `dispatcher`, `request_table` and `attempt` do that work.
 """
 
 from __future__ import annotations
@@ -39,28 +39,31 @@
 
 log = logging.getLogger(__name__)
 
-# Of the time between two polls of the list: a call for it has failed before the next one is made.
+# Timeout of a request for the endpoint list, as a fraction of the interval between two of them: a request has
+# failed before the next one starts.
 LIST_CALL_FRACTION = 0.4
-# Whatever the settings allow after a failed call, a change of the list must be known 6 s after discovery
-# could be reached: a call that is given up then (FIRST_LINE_TIMEOUT_S) and the longest pause, half of this,
-# must be over before.
+# Upper bound of the polling interval, whatever the settings allow.  A change of the list must be known 6 s
+# after discovery becomes reachable; by then a request that times out (FIRST_LINE_TIMEOUT_S) and the longest
+# pause, which is half of this interval, must be over.
 MAX_LIST_POLL_MS = 5_200.0
 
-# Of all descriptors; the rest is left for new connections, discovery and the process itself.
+# Fractions of all descriptors; the rest remains for new connections, discovery and the process itself.
 CLIENT_SOCKET_FRACTION = 0.4
 ENDPOINT_SOCKET_FRACTION = 0.45
-ADMIN_SOCKET_FRACTION = 1 / 12  # dozens of its peers may be silent
+# Dozens of clients of the admin server may hold connections without sending anything.
+ADMIN_SOCKET_FRACTION = 1 / 12
 MIN_ADMIN_CONNECTIONS = 2
-# Of the memory, for the bodies of pending requests; as much again may be in buffers.
+# Fraction of the memory for the bodies of pending requests; as much again may be in buffers.
 BODY_MEMORY_FRACTION = 0.25
-# Of the limits, for each of two processes that are one node during an upgrade.
+# Fraction of the limits for each of the two processes that form one node during an upgrade.
 SHARED_LIMIT_FRACTION = 0.5
 
-FIRST_LIST_TIMEOUT_S = 1.0  # for discovery's first list, before an inherited listener is accepted from
+# Maximum wait for the first list from discovery before an inherited listening socket is accepted from.
+FIRST_LIST_TIMEOUT_S = 1.0
 
 
 class Node:
-    """One real node."""
+    """A load balancer node: one process with its listeners, connection pool and decision module."""
 
     def __init__(self, config: Config) -> None:
         self._config = config
@@ -69,7 +72,7 @@
         self._events = EventQueue()
         self._done = asyncio.Event()
         self._address = config.listen
-        self._discovery_heard = False  # discovery has sent a list, or has had its time
+        self._initial_list_done = False  # discovery has sent a list, or FIRST_LIST_TIMEOUT_S is over
         self._membership: Membership | None = None
         self._state_writer: NodeStateWriter | None = None
         self._config_feed: NodeConfigFeed | None = None
@@ -170,7 +173,7 @@
             self._events.post(self._state_writer.state.restored_event(self._clock.now()))
         self._discovery.start(known.version if known is not None else 0)
         self._start_feed()
-        self._follow_replaced_file()
+        self._reload_if_replaced()
         if self._config.management is not None:
             try:
                 self.admin_address = await self._admin.listen(self._config.management)
@@ -180,15 +183,16 @@
         await self._start_membership()
         if self._config.accept_fd is None:
             await self._accept(self._config.listen)
-        elif self._inherited_socket is not None:  # else discovery has sent a list meanwhile
+        elif self._inherited_socket is not None:
+            # The socket is None if discovery has already sent a list and the socket is accepted from.
             self._address = self._inherited_socket.getsockname()[:2]
-            self._loop.call_later(FIRST_LIST_TIMEOUT_S, self._on_discovery_heard)
+            self._loop.call_later(FIRST_LIST_TIMEOUT_S, self._on_initial_list_done)
         return self._address
 
     def _open_state(self, known: Listing | None) -> Listing | None:
-        """Open the state directory, where it is configured.
+        """Open the state directory, if one is configured.
 
-        Return the newer of its endpoint list and the configuration's.
+        Return the newer of the endpoint lists in the state directory and in the configuration.
         """
         if self._config.state is None:
             return known
@@ -213,7 +217,7 @@
         return stored
 
     async def _start_membership(self) -> None:
-        """Join the cluster, where membership is configured; else nothing of it is imported."""
+        """Join the cluster if membership is configured; otherwise no membership module is imported."""
         if self._config.members is None:
             return
         from crowpost.membership.model import Phase as MemberPhase
@@ -237,21 +241,21 @@
             raise ConfigError(f"NODE_MEMBERS: members.listen cannot be used: {error}") from error
 
     def _start_feed(self) -> None:
-        """Follow the configuration feed, where there is one; else nothing of it is imported."""
+        """Follow the configuration feed if there is one; otherwise no feed module is imported."""
         if self._config.feed is None or self._config.overlays is None:
             return
         from crowpost.node.config_feed import NodeConfigFeed
 
-        self._config_feed = NodeConfigFeed(self._config.feed, self._config.overlays, self._apply_live)
+        self._config_feed = NodeConfigFeed(self._config.feed, self._config.overlays, self._apply_reloadable)
         self._config_feed.start()
 
     async def _accept(self, at: tuple[str, int] | socket.socket) -> None:
         self._address = await self._listener.listen(at)
         log.info("node %s listens on %s:%d", self._config.name, *self._address)
 
-    def _on_discovery_heard(self) -> None:
-        """Accept from an inherited socket, as what discovery knows at the start is here."""
-        self._discovery_heard = True
+    def _on_initial_list_done(self) -> None:
+        """Accept from an inherited socket, now that discovery has sent its first list or has had its time."""
+        self._initial_list_done = True
         leaving = self._drain.phase is Phase.TERMINATING
         if self._inherited_socket is not None and self._pool.has_endpoints() and not leaving:
             inherited = self._inherited_socket
@@ -259,12 +263,12 @@
             self._accept_task = self._loop.create_task(self._accept(inherited))
 
     def ready(self) -> bool:
-        """Return whether clients may be sent here."""
+        """Return whether the node is ready for client traffic."""
         serving = self._drain.phase is Phase.SERVING
         return serving and self._listener.listening() and self._pool.has_endpoints()
 
     def stop(self) -> None:
-        """End now, whatever is open; nothing more is read from clients, as nobody would answer it."""
+        """End now, whatever is open; stop reading from clients, since no new request would get a response."""
         self._listener.close()
         self._done.set()
 
@@ -283,31 +287,32 @@
             await self._state_writer.close()
 
     def reconfigure(self) -> None:
-        """Follow a replaced configuration file (SIGHUP): discovery may have another address."""
+        """Reload a replaced configuration file (SIGHUP): discovery may have another address."""
         try:
             address = read_discovery(self._config.path)
         except ConfigError as error:
-            text = "the new configuration cannot be used, discovery stays where it was: %s"
-            log.error(text, error)  # noqa: TRY400  the error's text says all
+            text = "the new configuration cannot be used, the discovery address is unchanged: %s"
+            log.error(text, error)  # noqa: TRY400  the text of the error is sufficient
             return
         if self._config_feed is not None:
             address = self._config_feed.rebase(address)
-        log.info("discovery is at %s:%d now", *address)
+        log.info("discovery address changed to %s:%d", *address)
         self._discovery.move(address)
 
-    def _apply_live(self, live: ReloadableSettings) -> None:
-        """Apply the values that may change while the node runs, from a document of the feed."""
-        self._pool.connect_timeout_s = live.connect_timeout_ms / 1000.0
-        if live.discovery != self._discovery.address:
-            log.info("discovery is at %s:%d now, as the feed says", *live.discovery)
-            self._discovery.move(live.discovery)
+    def _apply_reloadable(self, reloadable: ReloadableSettings) -> None:
+        """Apply the reloadable settings from a document of the feed."""
+        self._pool.connect_timeout_s = reloadable.connect_timeout_ms / 1000.0
+        if reloadable.discovery != self._discovery.address:
+            log.info("discovery address changed to %s:%d by the configuration feed", *reloadable.discovery)
+            self._discovery.move(reloadable.discovery)
 
-    def _follow_replaced_file(self) -> None:
-        """Follow a configuration file that was replaced while this process started and took no signals."""
+    def _reload_if_replaced(self) -> None:
+        """Reload a configuration file that was replaced during the start, before signals were handled."""
         try:
             address = read_discovery(self._config.path)
         except ConfigError:
-            return  # only the environment names discovery, or the file is being written: its signal follows
+            # Only the environment names discovery, or the file is still being written and SIGHUP follows.
+            return
         if address != self._config.discovery:
             log.info("the configuration was replaced during the start")
             self.reconfigure()
@@ -317,7 +322,7 @@
         self._events.post(listing.event())
         if self._state_writer is not None:
             self._state_writer.record_list(listing.complete, listing.version, listing.raw)
-        self._on_discovery_heard()
+        self._on_initial_list_done()
 
     def _evacuate(self) -> AdminResponse | Awaitable[AdminResponse]:
         return self._respond_to_drain(done=self._drain.evacuate(), evacuated=True)
@@ -354,7 +359,8 @@
         return AdminResponse(200, figures)
 
     def terminate(self) -> None:
-        """Begin the graceful shutdown (SIGTERM): no longer ready, respond to what still comes, then end."""
+        """Begin the graceful shutdown (SIGTERM): no longer ready, respond to remaining requests, then end."""
         self._drain.terminate()
         if self._state_writer is not None:
-            self._state_writer.close()  # at once, as another process of this node may wait for the directory
+            # Not at the end: another process of this node may be waiting for the directory.
+            self._state_writer.close()
--- a/crowpost/node/request_table.py
+++ b/crowpost/node/request_table.py
@@ -1,4 +1,4 @@
-"""The table of pending requests: each is owed exactly one response, before its deadline."""
+"""The table of pending requests; each gets exactly one response, before its deadline."""
 
 from __future__ import annotations
 
@@ -19,34 +19,36 @@
 
 log = logging.getLogger(__name__)
 
-# The client's time counts from its send: this much of it is left for the network and a busy processor.
+# The client's deadline counts from when it sent the request: this part of the budget is reserved for the
+# network and for delays on a busy processor.
 RESPONSE_RESERVE_MS = 25.0
-MAX_RESERVE_FRACTION = 0.2  # of a short budget
-# After the budget's end, within the reserve: the decision module must have answered by then.
+# The reserve is at most this fraction of the budget, so that a short budget is not used up by it.
+MAX_RESERVE_FRACTION = 0.2
+# The decision module must have responded this long after the end of the budget; this is part of the reserve.
 OVERDUE_GRACE_MS = 10.0
 
-# A request and the number of one of its attempts, from 0 on.
+# A request, and the number of one of its attempts, counted from 0.
 AttemptKey = tuple[RequestId, int]
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that a client waits for."""
+    """A request that a client is waiting for."""
 
     message: Message
     exchange: Exchange
     effect: Effect
-    budget_ms: float  # from its last byte on
-    head: bytes  # of each attempt, without the deadline
-    deadline_ms: float = math.inf  # of the node's clock; without end while a long body comes in
+    budget_ms: float  # counted from the last byte of the request
+    head: bytes  # request head sent with each attempt, without X-Deadline
+    deadline_ms: float = math.inf  # node clock; infinite while a long body is being received
     timer: asyncio.TimerHandle | None = None
-    attempts: int = 0  # made so far
-    streaming_attempt: int | None = None  # the attempt whose long response the client is getting
-    time_to_response_ms: float = 0.0  # of that attempt, until its response began
+    attempts: int = 0  # number of attempts so far
+    streaming_attempt: int | None = None  # attempt whose long response is streamed to the client
+    time_to_response_ms: float = 0.0  # latency of `streaming_attempt` until its response started
 
     @property
     def uploading(self) -> bool:
-        """Whether a long body is still coming in."""
+        """Whether a long body is still being received."""
         return self.message.upload is not None and not self.message.upload.received
 
 
@@ -65,8 +67,8 @@
     ) -> None:
         self.time_left_s: Callable[[], float] = lambda: math.inf
         self.pending: dict[RequestId, PendingRequest] = {}
-        self.calls: dict[AttemptKey, Call] = {}  # also those of closed requests
-        # Closed during the delivery of events: the decision module may not know yet.
+        self.calls: dict[AttemptKey, Call] = {}  # calls in flight, also those of closed requests
+        # Requests closed while events are delivered: the decision module may not have been notified yet.
         self.just_closed: dict[RequestId, PendingRequest] = {}
         self._settings = settings
         self._clock = clock
@@ -76,11 +78,11 @@
         self._last_id = 0
 
     def active_count(self) -> int:
-        """Return the number of pending requests that have come in completely."""
+        """Return the number of pending requests that have been received completely."""
         return sum(not pending.uploading for pending in self.pending.values())
 
     def add(self, request: ClientRequest, exchange: Exchange) -> None:
-        """Add a valid request of a client; from now on it is owed one response."""
+        """Add a valid request of a client, which must get exactly one response."""
         self._last_id += 1
         request_id = self._last_id
         budget_ms = self._budget_ms(request.budget_ms)
@@ -111,7 +113,7 @@
         )
 
     def _budget_ms(self, requested_ms: float) -> float:
-        """Return the time that the module has for a request whose last byte has come."""
+        """Return the time that the module has for a request whose last byte was received."""
         budget_ms = min(requested_ms, 1000.0 * self.time_left_s())
         return max(1.0, budget_ms - min(RESPONSE_RESERVE_MS, MAX_RESERVE_FRACTION * budget_ms))
 
@@ -122,7 +124,7 @@
         )
 
     def _on_body_received(self, request: RequestId, requested_ms: float) -> None:
-        """Start the time of a request whose long body is complete."""
+        """Start the deadline of a request whose long body is complete."""
         pending = self.pending.get(request)
         if pending is not None and pending.streaming_attempt is None:
             pending.budget_ms = self._budget_ms(requested_ms)
@@ -132,14 +134,14 @@
                 call.set_timeout(pending.budget_ms / 1000.0)
 
     def find_with_client(self, request: RequestId) -> PendingRequest | None:
-        """Return a pending request, None if it is closed or its client is found to have left."""
+        """Return a pending request; None if it is closed or its client has disconnected."""
         pending = self.pending.get(request)
         if pending is not None:
             pending.exchange.check_client()
         return self.pending.get(request)
 
     def close(self, request: RequestId) -> PendingRequest | None:
-        """Remove a request and return it; None if it was closed before."""
+        """Remove a request and return it; None if it was already closed."""
         pending = self.pending.pop(request, None)
         if pending is not None:
             if pending.timer is not None:
@@ -170,14 +172,14 @@
         pending.exchange.respond(status, body, extra)
 
     def respond_internal_error(self, request: RequestId) -> None:
-        """Close a request after a fault, and tell the module that nobody waits for it."""
+        """Close a request after a fault, and notify the module that no client waits for it."""
         if request in self.pending:
             self.respond(request, 500)
             self._events.post(RequestAbandoned(request))
 
     def fail_remaining(self) -> None:
-        """Respond to all requests without a response, shortly before the process is killed."""
-        waiting = [r for r, pending in self.pending.items() if pending.streaming_attempt is None]
+        """Respond with an error to all requests without a response, shortly before the process is killed."""
+        waiting = [request for request, pending in self.pending.items() if pending.streaming_attempt is None]
         for request in waiting:
             self.respond_internal_error(request)
 
@@ -187,11 +189,11 @@
             return
         self._events.post(RequestAbandoned(request))
         if pending.uploading or pending.streaming_attempt is not None:
-            # Neither can become complete any more, whatever the module may cancel.
+            # The body or response can no longer become complete, whether or not the module cancels it.
             for key in [key for key in self.calls if key[0] == request]:
                 self.calls[key].abort(Outcome.CANCELLED)
 
     def _on_overdue(self, request: RequestId) -> None:
-        """Respond to a request that the module should have answered by now."""
+        """Respond to a request that the module has left without a response for too long."""
         log.error("request %d was not answered in time", request)
         self.respond_internal_error(request)
--- a/crowpost/node/upstream/__init__.py
+++ b/crowpost/node/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint side of a node: connection pool, connections and calls."""
+"""The upstream side of a node: connection pool, connections to endpoints, and calls."""
--- a/crowpost/node/upstream/call.py
+++ b/crowpost/node/upstream/call.py
@@ -1,7 +1,7 @@
 """One call to an endpoint, with exactly one outcome.
 
-No request is ever sent twice here.  Whatever ends after the request was handed to the socket may have run;
-only a call that ended before that is reported as `CONNECT_FAILED` or `NOT_SENT`.
+This module never sends a request twice.  A request that was handed to the socket may have run, however its
+call ends; only a call that ended before that is reported as `CONNECT_FAILED` or `NOT_SENT`.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 if TYPE_CHECKING:
     from crowpost.node.upstream.interfaces import CallConnection
 
-# Returns whether the request may still be written; asked immediately before the write.
+# Returns whether the request may still be written; called immediately before the write.
 MayWrite = Callable[[], bool]
-# Called once, with the outcome and the response, if there is one.
+# Called once, with the outcome and with the response if there is one.
 OnFinished = Callable[[Outcome, Message | None], None]
-# Returns the bytes of the request, given the seconds that are left for it.
+# Returns the bytes of the request, given the seconds until its deadline.
 RenderRequest = Callable[[float], bytes]
 # Pauses (False) or resumes (True) reading from a connection.
 SetReading = Callable[[bool], None]
-# Called with the head of a long response; returns where its body goes, None if it is not wanted.
+# Called with the head of a long response; returns the sink of its body, or None to discard the response.
 OnResponseStart = Callable[[Message, SetReading], BodySink | None]
 
 
 class Call:
-    """One request to an endpoint: an attempt or a health check.  It finishes once, with one outcome."""
+    """One request to an endpoint: an attempt or a health check; finishes exactly once, with one outcome."""
 
     __slots__ = (
         "_loop",
@@ -63,14 +63,15 @@
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self.render = render
-        self.may_write = may_write  # a dial or a probe may have passed since the decision
+        # Checked again before the write: a dial or a probe may have taken time since the decision.
+        self.may_write = may_write
         self.connection: CallConnection | None = None
-        self.written = False  # its last byte may have reached the server
-        self.response_started = False  # a long response has begun
+        self.written = False  # whether the last byte may have reached the server
+        self.response_started = False  # whether a long response has started
         self.on_written = on_written
-        self.on_response_start = on_response_start  # None where only the status counts
+        self.on_response_start = on_response_start  # None for a probe or health check
         self.upload = upload
-        self.connection_note = "not written"  # for the log: which connection carried it
+        self.connection_note = "not written"  # log text that describes the connection of the call
         self.finished = False
         self._on_finished = on_finished
         self._timer: asyncio.TimerHandle | None = None
@@ -79,15 +80,15 @@
             self.set_timeout(timeout_s)
 
     def set_timeout(self, timeout_s: float) -> None:
-        """Set the deadline to so many seconds from now."""
+        """Set the deadline to `timeout_s` seconds from now."""
         self.deadline = self._loop.time() + timeout_s
         if not self.finished and not self.response_started:
             self._timer = self._loop.call_later(timeout_s, self._on_timeout)
 
     def start_response(self, message: Message, set_reading: SetReading) -> BodySink | None:
-        """Begin a long response, which has no deadline.
+        """Start a long response, which has no deadline.
 
-        Return where its body goes, or None if it is not wanted.
+        Return the sink of its body, or None to discard the response.
         """
         self.response_started = True
         self._stop_timer()
@@ -107,7 +108,7 @@
         self._on_finished(outcome, response)
 
     def abort(self, outcome: Outcome) -> None:
-        """Finish at once and close the connection, so that its late bytes reach no other request."""
+        """Finish immediately and close the connection, so that late bytes on it reach no other request."""
         connection = self.connection
         if not self.finished and connection is not None:
             connection.abort()
@@ -118,7 +119,10 @@
         return self.upload is not None and self.upload.length is None
 
     def discard_response(self, outcome: Outcome) -> None:
-        """Finish at once, but read the response away: a new connection would cost more than its bytes."""
+        """Finish immediately, but read and discard the response.
+
+        Replacing the connection would cost more than reading the rest of the response.
+        """
         if self.response_started or (self.connection is not None and not self.written):
             self.abort(outcome)
             return
--- a/crowpost/node/upstream/connection.py
+++ b/crowpost/node/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint; carries one call at a time."""
+"""A connection to an endpoint, which carries one call at a time."""
 
 from __future__ import annotations
 
@@ -20,57 +20,62 @@
 
 log = logging.getLogger(__name__)
 
-# A close this soon after an event follows from it: no work and no idle time is so short.
+# A close this soon after an event is caused by it, since no work and no idle timeout is this short.
 IMMEDIATE_CLOSE_S = 0.05
-# Without a byte of a long body, or room for one: a slow peer may pause for seconds.
+# A long body has stalled after this time without a byte, or without room for one: a slow peer may pause for
+# seconds.
 STREAM_STALL_TIMEOUT_S = 30.0
-# A response of unknown length is buffered for so long, or up to MAX_BODY, before it is streamed.
+# A response of unknown length is buffered for this long, or up to MAX_BODY, before it is streamed.
 STREAM_BUFFER_DELAY_S = 0.25
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to an endpoint; carries one call at a time.
+    """A connection to an endpoint, which carries one call at a time.
 
-    It is the sink of a long request body, and the source of a long response body.
+    It is the sink of a long request body and the source of a long response body.
     """
 
     def __init__(self, endpoint: Endpoint, pool: ConnectionOwner) -> None:
         self.endpoint = endpoint
         self.idle_since = 0.0
         self._response: Message | None = None
-        self._malformed = False  # more came in than was asked for: it carries no further call
-        self._call_count = 0  # so far
-        self._idle_before_call_s = 0.0  # before the present call
+        self._malformed = False  # unexpected bytes were received: the connection carries no further call
+        self._call_count = 0  # number of calls so far
+        self._idle_before_call_s = 0.0  # idle time before the current call
         self._call_started_at = 0.0
         self._pool = pool
         self._call: Call | None = None
-        self._discard_timer: asyncio.TimerHandle | None = None  # ends the reading of an unwanted response
+        self._discard_timer: asyncio.TimerHandle | None = (
+            None  # limits the time to read and discard a response
+        )
         self._parser = MessageParser(self, requests=False)
         self._transport: asyncio.Transport | None = None
-        self._sink: BodySink | None = None  # of a long response
-        self._reading_paused = False  # its client does not read
-        self._write_paused = False  # the endpoint does not read
+        self._sink: BodySink | None = None  # receives the body of a long response
+        self._reading_paused = False  # whether the client has stopped reading
+        self._write_paused = False  # whether the endpoint has stopped reading
         self._on_flushed: Callable[[], None] | None = None  # called once the write buffer is empty
         self._buffer_timer: asyncio.TimerHandle | None = None
-        self._progress_at = 0.0  # a part of a long body was last passed on
-        self.on_lost: Callable[[], None] | None = None  # for a call that waits for this connection
+        self._progress_at = 0.0  # when part of a long body was last passed on
+        self.on_lost: Callable[[], None] | None = None  # set by a call that waits for this connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the new connection."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        """Register the new connection with the pool."""
+        self._transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop transports are not a subclass of asyncio.Transport
         self._pool.opened(self)
 
     @property
     def used(self) -> bool:
-        """Return whether it has carried a call."""
+        """Whether the connection has carried a call."""
         return self._call_count > 0
 
     def usable(self) -> bool:
-        """Return whether it is open and not closing."""
+        """Return whether the connection is open and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     def carry(self, call: Call) -> None:
-        """Write the call's request; from now on it may have run."""
+        """Write the request of a call; from now on the request may have run."""
         assert self._transport is not None
         now = asyncio.get_running_loop().time()
         self._call = call
@@ -93,7 +98,7 @@
             call.on_written()
 
     def write_body(self, data: bytes) -> None:
-        """Write a part of a long request body."""
+        """Write part of a long request body."""
         if self._transport is not None and self._call is not None:
             self._progress_at = asyncio.get_running_loop().time()
             self._transport.write(render_chunk(data) if self._call.is_chunked() else data)
@@ -105,7 +110,8 @@
             return
         if call.is_chunked():
             self._transport.write(render_chunk(b""))
-        call.written = True  # in doubt it ran; on_written waits until the kernel has all of it
+        # From here the request may have run.  `on_written` waits until the kernel has the whole body.
+        call.written = True
         self._on_flushed = call.on_written
         self._transport.set_write_buffer_limits(0)
         if not self._transport.get_write_buffer_size():
@@ -120,13 +126,13 @@
             on_flushed()
 
     def pause_writing(self) -> None:
-        """Note that the peer does not read."""
+        """Pause the upload, as the endpoint has stopped reading."""
         self._write_paused = True
         if self._call is not None and self._call.upload is not None:
             self._call.upload.set_sink_ready(False)
 
     def resume_writing(self) -> None:
-        """Note that the peer reads again."""
+        """Resume the upload, as the endpoint reads again."""
         self._write_paused = False
         self._progress_at = asyncio.get_running_loop().time()
         if self._call is not None and self._call.upload is not None:
@@ -135,7 +141,7 @@
                 self._flushed()
 
     def set_reading(self, reading: bool) -> None:
-        """Resume or pause reading a long response, as its client takes what was read."""
+        """Resume or pause reading a long response, at the pace of its client."""
         if self._transport is None or self._transport.is_closing() or self._reading_paused is not reading:
             return
         self._reading_paused = not reading
@@ -146,14 +152,14 @@
             self._transport.pause_reading()
 
     def is_stalled(self, now: float) -> bool:
-        """Return whether a long body has made no progress for long because of the endpoint."""
+        """Return whether the endpoint has let a long body stall for `STREAM_STALL_TIMEOUT_S`."""
         if self._call is None or now - self._progress_at <= STREAM_STALL_TIMEOUT_S:
             return False
         uploading = self._call.upload is not None and not self._call.written
         return (self._sink is not None and not self._reading_paused) or (uploading and self._write_paused)
 
     def on_head(self, message: Message) -> None:
-        """Buffer a response of unknown length for a moment before it is streamed."""
+        """Buffer a response of unknown length for `STREAM_BUFFER_DELAY_S` before it is streamed."""
         if message.status == 200 and message.content_length is None and self._call is not None:
             self._buffer_timer = asyncio.get_running_loop().call_later(
                 STREAM_BUFFER_DELAY_S, self._on_buffer_delay, message
@@ -168,7 +174,7 @@
             self.on_head(message)
 
     def on_stream_start(self, message: Message) -> None:
-        """Begin a long response."""
+        """Start a long response."""
         call = self._call
         if call is not None and message.status == 200 and call.on_response_start is not None:
             self._progress_at = asyncio.get_running_loop().time()
@@ -178,29 +184,32 @@
             elif message.body:
                 self._sink.write_body(message.body)
         else:
-            # Only the status counts: reading on would cost more than a new connection.
+            # Only the status is needed: reading the rest would cost more than a new connection.
             self._response = message
             self._malformed = True
 
     def on_stream_data(self, data: bytes) -> None:
-        """Pass a part of a long response on."""
+        """Pass on part of a long response."""
         if self._sink is not None and not self._malformed:
             self._progress_at = asyncio.get_running_loop().time()
             self._sink.write_body(data)
 
     def on_stream_end(self, message: Message) -> None:
-        """Note that a long response is complete."""
+        """Record that a long response is complete."""
         if self._sink is not None:
             self._response = message
 
     def discard_response(self, deadline: float) -> None:
-        """Read the response of the current call away until the deadline; no other call is carried before."""
+        """Read and discard the response of the current call; no other call is carried until then.
+
+        deadline: in the loop's time; the connection is closed then.
+        """
         self._call = None
         self._discard_timer = asyncio.get_running_loop().call_at(deadline, self.abort)
         self._pool.discarding.add(self)
 
     def _cancel_timers(self) -> None:
-        """Stop buffering a response, and stop reading one away."""
+        """Cancel the timers of a buffered and of a discarded response."""
         if self._buffer_timer is not None:
             self._buffer_timer.cancel()
             self._buffer_timer = None
@@ -210,7 +219,7 @@
             self._pool.discarding.discard(self)
 
     def abort(self) -> None:
-        """Close at once, without reading what still comes in."""
+        """Close immediately, without reading further."""
         self._cancel_timers()
         self._call = None
         self._sink = None
@@ -218,9 +227,10 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what comes in."""
+        """Parse received bytes."""
         if self._call is None and self._discard_timer is None:
-            self.abort()  # nothing was asked: these bytes must not be taken for the next response
+            # No request is in flight: these bytes must not be taken for the response to the next one.
+            self.abort()
             return
         try:
             self._parser.feed(data)
@@ -230,17 +240,17 @@
         self._finish_call()
 
     def eof_received(self) -> bool:
-        """Close, as the peer has ended its side; return False."""
+        """Close the connection, as the endpoint has closed its side; return False."""
         self._parser.feed_eof()
         if self._response is not None:
             self._finish_call()
         return False
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio passes it
-        """Forget the connection, and end what was under way on it."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  required by asyncio
+        """Remove the connection from the pool, and fail the call in flight on it."""
         now = asyncio.get_running_loop().time()
         if self in self.endpoint.idle:
-            # One that closed sooner was closed with the response, not for being idle.
+            # A connection that closed sooner was closed after its response, not because it was idle.
             if now - self.idle_since > IMMEDIATE_CLOSE_S:
                 self._pool.keep_alive.record_early_close(now - self.idle_since, now)
         elif self._was_closed_before_call(now):
@@ -251,29 +261,29 @@
             self.on_lost()
 
     def _was_closed_before_call(self, now: float) -> bool:
-        """Return whether the call broke so soon that the connection must have been closed before it."""
+        """Return whether the call failed so soon that the connection must have been closed before it."""
         reused = self._call is not None and self._call_count > 1
         return reused and now - self._call_started_at < IMMEDIATE_CLOSE_S
 
     def fail(self) -> None:
-        """Close at once; the current call ends without a response."""
+        """Close immediately; the current call ends without a response."""
         call = self._call
         self.abort()
         if call is not None:
             call.finish(Outcome.RESET if call.written else Outcome.CONNECT_FAILED)
 
     def on_message(self, message: Message) -> None:
-        """Keep a complete response until all that came with it is read."""
+        """Keep a complete response until all bytes received with it are parsed."""
         if self._response is None:
             self._response = message
         else:
             self._malformed = True
 
     def _finish_call(self) -> None:
-        """Finish the call once all that came in is read.
+        """Finish the call after all received bytes are parsed.
 
-        Not while it is being read: whatever follows a response in the same read would be taken for the next
-        response, as the next request may be written to this connection as soon as the call has finished.
+        The next request may be written to this connection as soon as the call has finished.  If that happened
+        during parsing, bytes that follow the response in the same read would be taken for the next response.
         """
         response = self._response
         call = self._call
@@ -293,7 +303,7 @@
         if call is None:
             return
         outcome = _outcome_of(response)
-        is_probe = call.on_response_start is None  # which takes no work
+        is_probe = call.on_response_start is None  # a probe costs the server no work
         if outcome is Outcome.OK and not is_probe:
             self.endpoint.record_response_time(asyncio.get_running_loop().time() - self._call_started_at)
         call.finish(outcome, response)
@@ -302,23 +312,24 @@
         """Return whether another call may be carried after this response to this call."""
         return (
             response.keep_alive
-            and (call is None or call.written)  # else the rest of the request has nowhere to go
+            and (call is None or call.written)  # else part of the request is still unsent
             and not self._malformed
             and not self._parser.in_message
             and self.usable()
         )
 
 
-# An endpoint as the pool keeps it.
+# An endpoint, with the idle connections that the pool keeps to it.
 Endpoint = EndpointConnections[UpstreamConnection]
 
 
 def _outcome_of(message: Message) -> Outcome:
-    """Return the outcome of an attempt by its response, as the protocol's table has it."""
+    """Return the outcome of an attempt for its response, by the table of the protocol."""
     if message.status == 200:
         return Outcome.OK
     if message.status in (503, 504) and message.headers.get(NOT_RUN) == b"1":
         return Outcome.FULL
-    if 400 <= message.status < 500 and message.status not in (408, 429):  # these two tell about the endpoint
+    # 408 and 429 are about the state of the endpoint rather than about the request.
+    if 400 <= message.status < 500 and message.status not in (408, 429):
         return Outcome.REJECTED
     return Outcome.ERROR
--- a/crowpost/node/upstream/endpoint.py
+++ b/crowpost/node/upstream/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint as it is listed, and the idle connections to it."""
+"""A listed endpoint and the idle connections to it."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 if TYPE_CHECKING:
     from crowpost.node.upstream.interfaces import IdleConnection
 
-# Of an endpoint's smoothed response time: a call that would wait longer for an idle connection dials beside
-# it.
+# A call that would wait for an idle connection longer than this fraction of the endpoint's smoothed response
+# time dials a new connection in parallel.
 MAX_WAIT_FRACTION = 0.1
-SMOOTHING_FACTOR = 0.125  # of the response time, as for TCP's smoothed round-trip time (RFC 6298, section 2)
+# Weight of a new response time, as for the smoothed round-trip time of TCP (RFC 6298, section 2).
+SMOOTHING_FACTOR = 0.125
 
 
 ConnectionT = TypeVar("ConnectionT", bound="IdleConnection")
@@ -31,9 +32,9 @@
     address: tuple[str, int]
     started_ms: float
     idle: list[ConnectionT] = field(default_factory=list)
-    listed: bool = True  # False once it drains, is gone or was restarted: its connections are closed
-    response_time_s: float | None = None  # smoothed, of good responses; None before the first
-    extra_dials: int = 0  # dials under way beside a wait for an idle connection
+    listed: bool = True  # False once it drains, is removed or has restarted: its connections are closed
+    response_time_s: float | None = None  # smoothed, of successful responses; None before the first
+    extra_dials: int = 0  # dials in progress in parallel to a wait for an idle connection
 
     def most_recent(self, before: float) -> ConnectionT:
         """Return the connection idle for the shortest time among those idle since `before` or earlier.
@@ -44,11 +45,11 @@
         return self.idle[max(0, position - 1)]
 
     def add_idle(self, connection: ConnectionT) -> None:
-        """Keep one more idle connection."""
+        """Add an idle connection."""
         bisect.insort(self.idle, connection, key=_idle_since)
 
     def record_response_time(self, elapsed_s: float) -> None:
-        """Record that a good response came so long after its call was written."""
+        """Record the time from the write of a call to its successful response."""
         smoothed = elapsed_s if self.response_time_s is None else self.response_time_s
         self.response_time_s = smoothed + SMOOTHING_FACTOR * (elapsed_s - smoothed)
 
--- a/crowpost/node/upstream/interfaces.py
+++ b/crowpost/node/upstream/interfaces.py
@@ -1,6 +1,6 @@
-"""What calls, connections, races and the connection pool need of each other.
+"""Protocols between calls, connections, races and the connection pool.
 
-For type checkers only: nothing here is imported while a node runs.
+For type checkers only: no module imports this one at run time.
 """
 
 from __future__ import annotations
@@ -14,58 +14,58 @@
 
 
 class IdleConnection(Protocol):
-    """A connection that can be kept idle."""
+    """A connection that the pool can keep idle."""
 
-    idle_since: float  # seconds, in the loop's time
+    idle_since: float  # in seconds, in the loop's time
 
 
 class CallConnection(Protocol):
-    """What a call needs of the connection that carries it."""
+    """The methods of a connection that a call uses."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately."""
 
     def discard_response(self, deadline: float) -> None:
-        """Read the response away until the deadline, in the loop's time."""
+        """Read and discard the response until the deadline, in the loop's time."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that opened it."""
+    """The attributes of the pool that a connection uses."""
 
     keep_alive: KeepAlive
     discarding: set[UpstreamConnection]
 
     def opened(self, connection: UpstreamConnection) -> None:
-        """Count a connection that has come up."""
+        """Register a connection that was established."""
 
     def closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that was closed."""
 
     def release(self, connection: UpstreamConnection) -> None:
         """Keep a connection for the next call."""
 
 
 class RacePool(Protocol):
-    """What a race needs of the connection pool."""
+    """The methods of the connection pool that a race uses."""
 
     def dial(
         self,
         endpoint: Endpoint,
         on_dialled: OnDialled,
     ) -> None:
-        """Open a connection and pass it on; None if it does not come up in time."""
+        """Open a connection and pass it to `on_dialled`; pass None if it is not established in time."""
 
     def dial_for(self, endpoint: Endpoint, call: Call) -> None:
-        """Have the call carried by a new connection."""
+        """Carry the call on a new connection."""
 
     def dispatch(self, call: Call, connection: UpstreamConnection) -> None:
-        """Have the connection carry the call, if it still may."""
+        """Carry the call on the connection, if the call may still be sent."""
 
     def release(self, connection: UpstreamConnection) -> None:
         """Keep a connection for the next call."""
 
     def return_unused(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that was taken up and carried nothing."""
+        """Keep a connection that was taken from the pool and carried no call."""
 
     def has_spare_capacity(self) -> bool:
-        """Return whether one more connection may be opened."""
+        """Return whether one more connection may be opened without closing another."""
--- a/crowpost/node/upstream/pool.py
+++ b/crowpost/node/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connection pool: open connections to all listed endpoints, and the choice of one for each call."""
+"""The connection pool: holds connections to all listed endpoints and selects one for each call."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 
 log = logging.getLogger(__name__)
 
-# Of the time after which servers close idle connections: a request must never cross that close.
+# The pool closes idle connections after this fraction of the time after which servers close them: a request
+# must never be in flight when the server closes the connection.
 IDLE_TIMEOUT_FRACTION = 0.5
 SWEEP_INTERVAL_S = 1.0
-# Between a response and the next call on its connection: what some servers send unasked comes sooner.
+# Minimum time between a response and the next call on its connection: unsolicited bytes that some servers
+# send after a response arrive within this time.
 REUSE_DELAY_S = 0.01
 
 
 class ConnectionPool:
-    """All listed endpoints, and every open connection to them.
+    """All listed endpoints and every open connection to them.
 
-    probe_request: a request that tells whether an idle connection still works; None where health checks are
-    not allowed.
+    probe_request: a request that shows whether an idle connection still works; None if health checks are not
+    allowed.
     """
 
     def __init__(
@@ -40,21 +42,21 @@
         probe_request: bytes | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self.connect_timeout_s = connect_timeout_s  # may be changed at any time, for later dials
+        self.connect_timeout_s = connect_timeout_s  # may be changed at any time; applies to later dials
         self._idle_timeout_s = IDLE_TIMEOUT_FRACTION * idle_timeout_s
         self.keep_alive = KeepAlive(self._idle_timeout_s)
         self._max_connections = max_connections
         self._probe_request = probe_request
         self._endpoints: dict[EndpointId, Endpoint] = {}
         self._connections: set[UpstreamConnection] = set()
-        self.discarding: set[UpstreamConnection] = set()  # read a response that nobody wants
+        self.discarding: set[UpstreamConnection] = set()  # connections that read and discard a response
         self._dial_tasks: set[asyncio.Task[None]] = set()
         self._sweeper = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def update(self, listing: Listing) -> None:
         """Apply an endpoint list or a change of it.
 
-        A new address or start time of an endpoint means that its old connections lead to a dead process.
+        If the address or start time of an endpoint has changed, its old connections belong to a dead process.
         """
         if listing.complete:
             for server in self._endpoints.keys() - {entry.server for entry in listing.entries}:
@@ -82,10 +84,10 @@
         return bool(self._endpoints)
 
     def start(self, call: Call, server: EndpointId, *, idempotent: bool = True) -> None:
-        """Start a call; it finishes at the earliest after this returns.
+        """Start a call; it does not finish before this returns.
 
-        A call that is not idempotent goes on an idle connection that may have been dropped only if a probe on
-        it is answered first: that costs the server less than the handshake of a new connection.
+        A call that is not idempotent is carried on an idle connection that the server may have dropped only
+        after a probe on that connection succeeds: a probe costs the server less than a new handshake.
         """
         endpoint = self._endpoints.get(server)
         if endpoint is None:
@@ -96,13 +98,13 @@
         while endpoint.idle:
             connection = endpoint.most_recent(reusable_since)
             idle_s = now - connection.idle_since
-            doubtful = not idempotent and idle_s > self.keep_alive.trusted_s(now)
-            if doubtful and self._probe_request is None:
+            may_be_stale = not idempotent and idle_s > self.keep_alive.trusted_s(now)
+            if may_be_stale and self._probe_request is None:
                 break
             endpoint.idle.remove(connection)
             if not connection.usable():
                 continue
-            if doubtful and self._probe_request is not None:
+            if may_be_stale and self._probe_request is not None:
                 self._probe_then_carry(connection, call, self._probe_request)
             elif connection.idle_since <= reusable_since:
                 connection.carry(call)
@@ -112,7 +114,7 @@
         self.dial_for(endpoint, call)
 
     def _probe_then_carry(self, connection: UpstreamConnection, call: Call, probe: bytes) -> None:
-        """Carry the call on this connection once a probe on it is answered, else on a new connection."""
+        """Carry the call on this connection if a probe on it gets a response, else on a new connection."""
         endpoint = connection.endpoint
 
         def on_probed(_: Outcome, response: Message | None) -> None:
@@ -129,8 +131,9 @@
     def _carry_after_delay(self, connection: UpstreamConnection, call: Call) -> None:
         """Carry the call once the connection has been idle for `REUSE_DELAY_S`.
 
-        A second response, or whatever else a server sends unasked behind a response, would be taken for the
-        response to a call that was written before it came.  While no call is out it closes the connection.
+        A second response, or other unsolicited bytes that a server sends after a response, would be taken for
+        the response to a call that is written before they arrive.  While no call is in flight, they close the
+        connection instead.
         """
         wait_s = connection.idle_since + REUSE_DELAY_S - self._loop.time()
         if wait_s <= 0.0:
@@ -141,7 +144,7 @@
     def dial_for(self, endpoint: Endpoint, call: Call) -> None:
         """Carry the call on a new connection."""
         if not self._make_room():
-            log.warning("no descriptor left for a connection to %s", endpoint.name)
+            log.warning("connection limit reached, cannot connect to %s", endpoint.name)
             self._loop.call_soon(call.finish, Outcome.CONNECT_FAILED)
             return
 
@@ -154,7 +157,7 @@
         self.dial(endpoint, on_dialled)
 
     def dial(self, endpoint: Endpoint, on_dialled: OnDialled) -> None:
-        """Open a connection and pass it on; None if it does not come up in time."""
+        """Open a connection and pass it to `on_dialled`; pass None if it is not established in time."""
         task = self._loop.create_task(self._connect(endpoint, on_dialled))
         self._dial_tasks.add(task)
         task.add_done_callback(self._dial_tasks.discard)
@@ -172,10 +175,10 @@
         on_dialled(connection)
 
     def dispatch(self, call: Call, connection: UpstreamConnection) -> None:
-        """Carry the call on a connection that has just come up or was just checked, if it may still be sent.
+        """Carry the call on a connection that was just established or checked, if the call may still be sent.
 
-        What allowed the call when it was decided may have changed: its endpoint drains or was restarted, its
-        request has its response or its client has left, or the window for a retry has passed.
+        Conditions may have changed since the decision: the endpoint drains or has restarted, the request has
+        its response or its client has disconnected, or the retry window has passed.
         """
         if not connection.endpoint.listed:
             connection.abort()
@@ -189,24 +192,24 @@
             connection.carry(call)
 
     def opened(self, connection: UpstreamConnection) -> None:
-        """Count a connection that has come up."""
+        """Register a connection that was established."""
         self._connections.add(connection)
 
     def closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that was closed."""
         self._connections.discard(connection)
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next call, if its endpoint is still the same process."""
+        """Keep a connection for the next call if its endpoint is still the same process, else close it."""
         now = self._loop.time()
-        # A connection that has carried no call yet cannot have a second response on its way.
+        # No unsolicited response can arrive on a connection that has not carried a call.
         connection.idle_since = now if connection.used else now - REUSE_DELAY_S
         self.return_unused(connection)
 
     def return_unused(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that was taken and carried nothing; it stays idle since the same time."""
+        """Keep a connection that was taken from the pool and carried no call; `idle_since` is unchanged."""
         if connection.endpoint.listed and connection.usable():
             connection.endpoint.add_idle(connection)
         else:
@@ -234,16 +237,16 @@
             connection.abort()
 
     def _idle_connections(self) -> list[UpstreamConnection]:
-        return [c for endpoint in self._endpoints.values() for c in endpoint.idle]
+        return [connection for endpoint in self._endpoints.values() for connection in endpoint.idle]
 
     def has_spare_capacity(self) -> bool:
         """Return whether one more connection may be opened without closing another."""
         return len(self._connections) + len(self._dial_tasks) < self._max_connections
 
     def _make_room(self) -> bool:
-        """Return whether one more connection may be opened, closing another one if need be.
+        """Return whether one more connection may be opened, closing another one if necessary.
 
-        One that reads an unwanted response goes first, then the one that has been idle longest.
+        A connection that discards a response is closed first, else the one that has been idle longest.
         """
         if self.has_spare_capacity():
             return True
--- a/crowpost/node/upstream/race.py
+++ b/crowpost/node/upstream/race.py
@@ -13,17 +13,18 @@
 if TYPE_CHECKING:
     from crowpost.node.upstream.interfaces import RacePool
 
-# Dials beside a wait, at once to one endpoint: each costs it a handshake, and may never come up.
+# Maximum number of concurrent dials to one endpoint in parallel to waits: each costs the endpoint a
+# handshake, and may never be established.
 MAX_EXTRA_DIALS = 4
 
-# Called with a new connection; with None if it did not come up in time.
+# Called with a new connection, or with None if it was not established in time.
 OnDialled = Callable[[UpstreamConnection | None], None]
 
 
 class ConnectionRace:
-    """A call that waits for an idle connection to become reusable, possibly with a dial beside the wait.
+    """A call that waits for an idle connection to become reusable, possibly with a dial in parallel.
 
-    Whichever connection is ready first carries the call; the other one is kept for the next call.
+    The connection that is ready first carries the call; the other one is kept for a later call.
     """
 
     def __init__(self, pool: RacePool, connection: UpstreamConnection, call: Call, wait_s: float) -> None:
@@ -45,7 +46,7 @@
         return wanted and self._endpoint.extra_dials < MAX_EXTRA_DIALS and self._pool.has_spare_capacity()
 
     def _stop_waiting(self) -> UpstreamConnection | None:
-        """Stop waiting for the idle connection and return it; None if there is none any more."""
+        """Stop waiting for the idle connection and return it; None if it is closed."""
         self._timer.cancel()
         connection = self._idle_connection
         self._idle_connection = None
@@ -60,7 +61,7 @@
         self._pool.dispatch(self._call, connection)
 
     def _on_idle_lost(self) -> None:
-        """Handle that the idle connection was closed or received bytes that nobody had asked for."""
+        """Handle that the idle connection was closed, or received bytes while no call was in flight."""
         self._stop_waiting()
         if self._call.finished or not self._endpoint.listed:
             self._decided = True
