--- a/crowpost/node/config_feed.py
+++ b/crowpost/node/config_feed.py
@@ -1,7 +1,7 @@
 """The node as a follower of the configuration feed.
 
 A received document is validated, applied as a whole or rejected, and cached on disk.  This module is imported
-only where the feed is on.
+only if a feed is configured.
 """
 
 from __future__ import annotations
@@ -41,20 +41,21 @@
             config, self._document_received, cached_documents=overlays.cached_documents
         )
         self._cache: DocumentCache | None = None
-        self._writer: ThreadPoolExecutor | None = (
-            None  # one thread, so that a newer document is written later
-        )
+        # A single thread, so that documents are written in order.
+        self._writer: ThreadPoolExecutor | None = None
         if config.directory is not None:
             self._cache = DocumentCache(config.directory, (config.cluster, config.name))
             self._writer = ThreadPoolExecutor(1, thread_name_prefix="feed")
-        self._rejected_versions: dict[str, int] = {}  # by scope, until a document is applied
+        self._rejected_versions: dict[
+            str, int
+        ] = {}  # by scope; removed when a document of the scope is applied
         self._applied_count = 0
         self._uncached_count = 0  # applied documents that could not be written to disk
-        self._longest_us = 0  # for which a document has held up the event loop
-        self._longest_cpu_us = 0  # the same in processor time of the loop's thread
+        self._longest_us = 0  # longest time that a document has blocked the event loop
+        self._longest_cpu_us = 0  # the same in CPU time of the loop's thread
 
     def start(self) -> None:
-        """Begin to watch; the cached documents are applied already."""
+        """Start to follow the feed; the cached documents are already applied."""
         for note in self._overlays.notes:
             self._transport.log_event("note", text=note)
         for header in self._overlays.headers():
@@ -62,18 +63,18 @@
         self._transport.start()
 
     def rebase(self, discovery: tuple[str, int]) -> tuple[str, int]:
-        """Return the valid discovery address after the file changed to name this one.
+        """Return the effective discovery address after the file has changed to `discovery`.
 
-        An applied document that names discovery takes precedence over the file.
+        An applied document that sets discovery takes precedence over the file.
         """
-        valid = self._overlays.rebase(discovery).discovery
-        if valid != discovery:
-            text = "a document of the feed names discovery and goes before the file"
+        effective = self._overlays.rebase(discovery).discovery
+        if effective != discovery:
+            text = "a document of the feed sets discovery and takes precedence over the file"
             self._transport.log_event("note", text=text)
-        return valid
+        return effective
 
     def _document_received(self, document: Document) -> None:
-        """Apply a document from here on, or reject it with a reason in one line."""
+        """Apply a document, or reject it with a reason in one line."""
         header = document.header
         started = time.perf_counter()
         cpu_started = time.thread_time()
@@ -98,7 +99,7 @@
         self._write_to_cache(document)
 
     def _apply(self, document: Document) -> str:
-        """Return "" once a document is applied, else the reason why it is not."""
+        """Apply a document; return "" if that succeeded, else the reason why it did not."""
         try:
             proposal = self._overlays.propose(document)
             self._reload(proposal.reloadable)
@@ -108,7 +109,7 @@
         return ""
 
     def _write_to_cache(self, document: Document) -> None:
-        """Report a document as applied once it also survives a restart."""
+        """Cache a document on disk, and report it as applied once it survives a restart."""
         if self._cache is None or self._writer is None:
             self._transport.apply_finished(document.header, "")
             return
@@ -144,11 +145,11 @@
             'feed_bytes{way="in"}': counts["bytes_in"],
             'feed_bytes{way="out"}': counts["bytes_out"],
             "feed_dials": counts["dials"],
-            "feed_dropped": sum(n for name, n in counts.items() if name.startswith("dropped_")),
+            "feed_dropped": sum(count for name, count in counts.items() if name.startswith("dropped_")),
         }
 
     async def close(self) -> None:
-        """Finish writing to the cache, and stop watching."""
+        """Finish writing to the cache, and stop following the feed."""
         if self._writer is not None:
             self._writer.shutdown(wait=True)
         await self._transport.close()
--- a/crowpost/node/configuration.py
+++ b/crowpost/node/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration of a node: its environment and its configuration file, checked.
+"""The configuration of a node: reads and validates its environment and its configuration file.
 
-Errors name the field.
+Errors name the invalid field.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
     from crowpost.storage.config import StateConfig
 
 DEFAULT_CONN_IDLE_MS = 15_000.0
-# With fewer no request can be served.  A tight limit is the platform's to set, and no reason not to start:
-# a node that wanted 64 MB at the least did not come up on a machine of 48.
+# With fewer sockets no request can be served.  Other tight limits are accepted, as the platform sets them: a
+# node that required at least 64 MB did not start on a machine with 48 MB.
 _MIN_SOCKETS = 16
 _SEED_MASK = 2**64 - 1
 
 
 class ConfigError(NodeError):
-    """A configuration that cannot be used; its text names the field."""
+    """The configuration is invalid; the text names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the platform allows one node."""
+    """The resource limits that the platform sets for one node."""
 
     memory_mb: int
     sockets: int
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that a node knows when it starts."""
+    """The configuration that a node starts with."""
 
     name: str
     listen: tuple[str, int]
@@ -52,75 +52,76 @@
     naming: Naming
     known: Listing | None
     conn_idle_ms: float
-    path: str  # of the file, which the platform may replace while the node runs
+    path: str  # configuration file, which the platform may replace while the node runs
     management: tuple[str, int] | None = None
-    accept_fd: int | None = None  # of the clients' listening socket, where the platform holds it
-    members: MembershipConfig | None = None  # None: no membership
-    state: StateConfig | None = None  # None: nothing is stored
-    feed: FeedConfig | None = None  # None: no configuration feed
-    overlays: ConfigurationOverlays | None = None  # the documents of the feed on the file, where there is one
+    accept_fd: int | None = None  # listening socket for clients, if it is inherited from the platform
+    members: MembershipConfig | None = None  # None: membership is off
+    state: StateConfig | None = None  # None: no state is stored
+    feed: FeedConfig | None = None  # None: the configuration feed is off
+    overlays: ConfigurationOverlays | None = None  # feed documents applied to the file; None without a feed
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Return the configuration of this process; raise ConfigError that names the field."""
-    path = _variable(environment, "NODE_CONFIG")
+    """Return the configuration of this process; raise ConfigError, which names the invalid field."""
+    path = _required_variable(environment, "NODE_CONFIG")
     raw = read_file(path)
     name = environment.get("NODE_NAME") or str(raw.get("name", ""))
-    feed = _feed(environment, name)
+    feed = _load_feed(environment, name)
     overlays = None
     if feed is not None:
-        overlays = _overlays(environment, raw, path, feed)
+        overlays = _load_overlays(environment, raw, path, feed)
         inputs = overlays.start_inputs
         environment = inputs.environment
         raw = inputs.raw
     config = read_config(environment, raw, path)
     return replace(
         config,
-        members=_members(environment, name),
-        state=_state(environment, name),
+        members=_load_membership(environment, name),
+        state=_load_state(environment, name),
         feed=feed,
         overlays=overlays,
     )
 
 
 def read_config(environment: Mapping[str, str], raw: Mapping[str, Any], path: str) -> Config:
-    """Return what the environment and the file's object say, without the parts that have files of their own.
+    """Return the configuration in the environment and the file, without the parts that have their own files.
 
-    Raise ConfigError that names the field.
+    Raise ConfigError, which names the invalid field.
     """
-    settings_raw = _member(raw, "settings", dict)
+    settings_raw = _required_field(raw, "settings", dict)
     values = dict(flat(settings_raw))
     try:
         settings = read_settings(values)
     except (SettingsError, InvalidSettingsError) as error:
         raise ConfigError(str(error)) from error
-    naming = Naming(_names(settings_raw, "azs"), _names(settings_raw, "models"))
-    limits = _member(raw, "limits", dict)
+    naming = Naming(_name_list(settings_raw, "azs"), _name_list(settings_raw, "models"))
+    limits = _required_field(raw, "limits", dict)
     return Config(
-        name=environment.get("NODE_NAME") or _member(raw, "name", str),
+        name=environment.get("NODE_NAME") or _required_field(raw, "name", str),
         listen=_address(environment, raw, "NODE_LISTEN", "listen"),
         discovery=_address(environment, raw, "NODE_DISCOVERY", "discovery"),
-        seed=_seed(_member(raw, "seed", str)),
+        seed=_seed(_required_field(raw, "seed", str)),
         limits=Limits(_limit(limits, "memory_mb", 1), _limit(limits, "sockets", _MIN_SOCKETS)),
         settings=settings,
         naming=naming,
-        known=_known(raw.get("known"), naming),
-        conn_idle_ms=_conn_idle(values),
+        known=_known_endpoints(raw.get("known"), naming),
+        conn_idle_ms=_conn_idle_timeout(values),
         path=path,
         management=_management(environment, raw),
-        accept_fd=_descriptor(environment.get("NODE_ACCEPT_FD", "")),
+        accept_fd=_accept_descriptor(environment.get("NODE_ACCEPT_FD", "")),
     )
 
 
 def read_discovery(path: str) -> tuple[str, int]:
-    """Return discovery's address in a configuration file that was replaced.
+    """Return the discovery address in a replaced configuration file.
 
-    The environment has only the address at the start.  Raise ConfigError if there is none.
+    The environment is not read, as it contains only the address at the start.  Raise ConfigError if the file
+    has no valid address.
     """
     return _address({}, read_file(path), "discovery", "discovery")
 
 
-def _variable(environment: Mapping[str, str], name: str) -> str:
+def _required_variable(environment: Mapping[str, str], name: str) -> str:
     value = environment.get(name, "")
     if not value:
         raise ConfigError(f"{name} is not set")
@@ -128,18 +129,18 @@
 
 
 def read_file(path: str) -> dict[str, Any]:
-    """Return the object that a configuration file holds; raise ConfigError if it holds none."""
+    """Return the JSON object in a configuration file; raise ConfigError if there is none."""
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
     except (OSError, ValueError) as error:
         raise ConfigError(f"NODE_CONFIG: {path} cannot be read: {error}") from error
     if not isinstance(raw, dict):
-        raise ConfigError(f"NODE_CONFIG: {path} holds no object")
+        raise ConfigError(f"NODE_CONFIG: {path} does not contain a JSON object")
     return raw
 
 
-def _member(raw: Mapping[str, Any], name: str, kind: type) -> Any:
+def _required_field(raw: Mapping[str, Any], name: str, kind: type) -> Any:
     value = raw.get(name)
     if not isinstance(value, kind):
         raise ConfigError(f"{name} is missing or not of type {kind.__name__}: {value!r}")
@@ -161,9 +162,9 @@
 
 
 def _address(
-    environment: Mapping[str, str], raw: Mapping[str, Any], variable: str, member: str
+    environment: Mapping[str, str], raw: Mapping[str, Any], variable: str, field: str
 ) -> tuple[str, int]:
-    text = environment.get(variable) or _member(raw, member, str)
+    text = environment.get(variable) or _required_field(raw, field, str)
     try:
         return parse_address(text)
     except ValueError as error:
@@ -171,14 +172,14 @@
 
 
 def _management(environment: Mapping[str, str], raw: Mapping[str, Any]) -> tuple[str, int] | None:
-    """Return the address of the admin server; None if the platform names none."""
+    """Return the address of the admin server; None if none is configured."""
     if not environment.get("NODE_MANAGEMENT") and raw.get("management") is None:
         return None
     return _address(environment, raw, "NODE_MANAGEMENT", "management")
 
 
-def _members(environment: Mapping[str, str], name: str) -> MembershipConfig | None:
-    """Return the configuration of membership, if a file for it is named."""
+def _load_membership(environment: Mapping[str, str], name: str) -> MembershipConfig | None:
+    """Return the configuration of membership; None if NODE_MEMBERS is not set."""
     path = environment.get("NODE_MEMBERS", "")
     if not path:
         return None
@@ -191,8 +192,8 @@
         raise ConfigError(f"NODE_MEMBERS: {error}") from error
 
 
-def _state(environment: Mapping[str, str], name: str) -> StateConfig | None:
-    """Return the configuration of the state directory, if a file for it is named."""
+def _load_state(environment: Mapping[str, str], name: str) -> StateConfig | None:
+    """Return the configuration of the state directory; None if NODE_STATE is not set."""
     path = environment.get("NODE_STATE", "")
     if not path:
         return None
@@ -205,8 +206,8 @@
         raise ConfigError(f"NODE_STATE: {error}") from error
 
 
-def _feed(environment: Mapping[str, str], name: str) -> FeedConfig | None:
-    """Return the configuration of the configuration feed, if a file for it is named."""
+def _load_feed(environment: Mapping[str, str], name: str) -> FeedConfig | None:
+    """Return the configuration of the configuration feed; None if NODE_FEED is not set."""
     path = environment.get("NODE_FEED", "")
     if not path:
         return None
@@ -219,10 +220,10 @@
         raise ConfigError(f"NODE_FEED: {error}") from error
 
 
-def _overlays(
+def _load_overlays(
     environment: Mapping[str, str], raw: dict[str, Any], path: str, feed: FeedConfig
 ) -> ConfigurationOverlays:
-    """Return the file with the documents that were last in force on it."""
+    """Return the file with the cached documents of the feed applied."""
     from crowpost.config_feed.document_cache import DocumentCache
     from crowpost.config_feed.errors import FeedError
     from crowpost.node.configuration_overlays import ConfigurationOverlays
@@ -240,7 +241,7 @@
     return overlays
 
 
-def _descriptor(text: str) -> int | None:
+def _accept_descriptor(text: str) -> int | None:
     if not text:
         return None
     if not (text.isascii() and text.isdigit()):
@@ -249,7 +250,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return host and port of 'host:port'; raise ValueError if the text is not of this form."""
+    """Return host and port of 'host:port'; raise ValueError if the text does not have this form."""
     host, _, port = text.rpartition(":")
     number = int(port)
     if not host or not 0 <= number < 65536:
@@ -257,7 +258,7 @@
     return host, number
 
 
-def _known(raw: Any, naming: Naming) -> Listing | None:
+def _known_endpoints(raw: Any, naming: Naming) -> Listing | None:
     if raw is None:
         return None
     try:
@@ -266,7 +267,7 @@
         raise ConfigError(f"known: {error}") from error
 
 
-def _conn_idle(values: Mapping[str, str]) -> float:
+def _conn_idle_timeout(values: Mapping[str, str]) -> float:
     text = values.get("policyLimits.connIdleMs", str(DEFAULT_CONN_IDLE_MS))
     try:
         idle = float(text)
@@ -277,7 +278,7 @@
     return idle
 
 
-def _names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
+def _name_list(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
     value = settings.get(key, [])
     if not isinstance(value, list):
         raise ConfigError(f"settings: {key} is not a list: {value!r}")
@@ -285,10 +286,10 @@
 
 
 def flat(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yield nested JSON as the path and value pairs of the simulator's first message."""
+    """Yield nested JSON as pairs of path and value, in the form of the first message of the simulator."""
     if isinstance(value, dict):
-        for name, member in value.items():
-            yield from flat(member, f"{path}.{name}" if path else name)
+        for name, nested in value.items():
+            yield from flat(nested, f"{path}.{name}" if path else name)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
         for i, item in enumerate(value):
--- a/crowpost/node/configuration_overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -1,8 +1,8 @@
-"""Documents of the feed as overlays on a node's configuration file, applied as a whole or not at all.
+"""Documents of the feed as overlays on a node's configuration file, each applied as a whole or rejected.
 
-The body of a document is a JSON object, merged onto the file as a JSON merge patch (RFC 7396: objects are
-merged, null removes, any other value replaces), in the order all, region, service, node.  Nothing here does
-I/O, except that `make_check` reads a file.
+The body of a document is a JSON object, applied to the file as a JSON merge patch (RFC 7396: objects are
+merged, null removes a key, any other value replaces), in the order all, region, service, node.  Nothing here
+does I/O, except that `make_check` reads a file.
 """
 
 from __future__ import annotations
@@ -17,16 +17,17 @@
 from crowpost.config_feed.scopes import order_scopes
 from crowpost.node.configuration import Config, ConfigError, read_config, read_file
 
-MAX_DOCUMENT_BYTES = 32_768  # validating it holds up the event loop, and may not for 5 ms
-MAX_KEY_CHARACTERS = 120  # of a key in an error
+# Validation blocks the event loop, which must not be blocked for 5 ms.
+MAX_DOCUMENT_BYTES = 32_768
+MAX_KEY_CHARACTERS = 120  # longer keys are cut in error messages
 CONNECT_TIMEOUT_KEY = "settings.policyLimits.connectTimeoutMs"
 DISCOVERY_KEY = "discovery"
 DISCOVERY_VARIABLE = "NODE_DISCOVERY"
 KNOWN_ENDPOINTS_KEY = "known"
-# What a running node can change without effect on a request.  All other settings belong to the decision
-# module from its first event on, or are sizes of what is open.
+# Settings that a running node can change without affecting a request.  All others are fixed in the decision
+# module from its first event on, or are sizes of resources that are already open.
 RELOADABLE_KEYS = frozenset({DISCOVERY_KEY, CONNECT_TIMEOUT_KEY})
-# The smallest configuration of a node, for a publisher that has no node's file to validate with.
+# The smallest valid configuration, for a publisher that has no sample file of a node to validate with.
 _MINIMAL_PROFILE = {"name": "any", "effect": "safe", "aimMs": 1.0, "deadlineMs": 1.0}
 _MINIMAL_CONFIGURATION: dict[str, Any] = {
     "seed": "0",
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Overlay:
-    """The header of an applied document, and the object that its body holds."""
+    """The header and the decoded body of an applied document."""
 
     header: DocumentHeader
     patch: JsonObject
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposedConfiguration:
-    """A valid document, and the configuration of the node once it is applied."""
+    """A valid document, and the configuration of the node with the document applied."""
 
     overlay: Overlay
     merged: JsonObject
@@ -74,7 +75,8 @@
 class ConfigurationOverlays:
     """The configuration that a node started with, and the documents applied to it.
 
-    raw: the content of the file; cached_documents: those applied when the node's last process ended.
+    raw: the content of the file.  cached_documents: the documents that were applied when the previous process
+    of the node ended.
     """
 
     def __init__(
@@ -89,17 +91,17 @@
         self._path = path
         self._applied: dict[str, Overlay] = {}  # by scope
         self._running = raw
-        self.cached_documents: list[Document] = []  # those that are used
-        self.notes: list[str] = []  # to be logged once the node's log is open
+        self.cached_documents: list[Document] = []  # cached documents that are applied
+        self.notes: list[str] = []  # log lines, to be written once the log of the node is open
         self._apply_cached(list(cached_documents))
         config = self._read(self._running)
-        self._file_discovery = config.discovery  # valid while no overlay names discovery
-        if self._overlays_name_discovery():
+        self._file_discovery = config.discovery  # used while no overlay sets discovery
+        if self._overlays_set_discovery():
             self._file_discovery = self._read_file_discovery(config)
         self.reloadable = ReloadableSettings(config.discovery, config.settings.connect_timeout_ms)
 
     def _apply_cached(self, documents: list[Document]) -> None:
-        """Apply the cached documents, or none of them where they no longer fit the file."""
+        """Apply the cached documents, or none of them if they are no longer valid with the file."""
         try:
             overlays = {
                 document.header.scope: Overlay(document.header, parse(document.body))
@@ -117,7 +119,7 @@
         self.cached_documents = documents
 
     def _read_file_discovery(self, config: Config) -> tuple[str, int]:
-        """Return the discovery address without the overlays; the present one where there is none."""
+        """Return the discovery address without the overlays; the effective one if there is none."""
         try:
             return read_config(self._environment, self._file, self._path).discovery
         except ConfigError:
@@ -138,7 +140,7 @@
         self._applied = proposed
         try:
             config = self._read(merged)
-            discovery = config.discovery if self._overlays_name_discovery() else self._file_discovery
+            discovery = config.discovery if self._overlays_set_discovery() else self._file_discovery
         finally:
             self._applied = applied
         reloadable = ReloadableSettings(discovery, config.settings.connect_timeout_ms)
@@ -150,46 +152,49 @@
                 raise ConfigError(f"{key[:MAX_KEY_CHARACTERS]} cannot change while the node runs")
 
     def apply(self, proposal: ProposedConfiguration) -> None:
-        """Record that a proposal is applied."""
+        """Make a proposed configuration the current one."""
         self._applied[proposal.overlay.header.scope] = proposal.overlay
         self._running = proposal.merged
         self.reloadable = proposal.reloadable
 
     def headers(self) -> list[DocumentHeader]:
-        """Return the headers of the applied documents, from the widest scope."""
+        """Return the headers of the applied documents, widest scope first."""
         return [self._applied[scope].header for scope in order_scopes(self._applied)]
 
     # ------------------------------------------------------------ the file
 
     def rebase(self, discovery: tuple[str, int]) -> ReloadableSettings:
-        """Change the discovery address of the file (SIGHUP); an applied document takes precedence."""
+        """Change the discovery address of the file (SIGHUP); an applied document takes precedence over it."""
         self._file_discovery = discovery
-        if not self._overlays_name_discovery():
+        if not self._overlays_set_discovery():
             self.reloadable = ReloadableSettings(discovery, self.reloadable.connect_timeout_ms)
         return self.reloadable
 
-    def _overlays_name_discovery(self) -> bool:
+    def _overlays_set_discovery(self) -> bool:
         return DISCOVERY_KEY in _merge({}, self._applied)
 
     @property
     def start_inputs(self) -> StartInputs:
-        """What the node starts with."""
+        """The environment and the merged configuration that the node starts with."""
         return StartInputs(self._effective_environment(), self._running)
 
     def _effective_environment(self) -> Mapping[str, str]:
-        """The environment takes precedence over the file, and a document over both."""
-        if not self._overlays_name_discovery():
+        """Return the environment without discovery if a document sets it.
+
+        The environment takes precedence over the file, and a document over both.
+        """
+        if not self._overlays_set_discovery():
             return self._environment
         return {key: value for key, value in self._environment.items() if key != DISCOVERY_VARIABLE}
 
     def _read(self, merged: JsonObject) -> Config:
-        """Validate as the node does, without the file's endpoint list, which no document changes."""
+        """Return a merged configuration, validated without the endpoint list, which no document changes."""
         raw = {key: value for key, value in merged.items() if key != KNOWN_ENDPOINTS_KEY}
         return read_config(self._effective_environment(), raw, self._path)
 
 
 def parse(body: bytes) -> JsonObject:
-    """Return the object that the body of a document holds.  Raise ConfigError for anything else."""
+    """Return the JSON object in the body of a document.  Raise ConfigError for anything else."""
     if len(body) > MAX_DOCUMENT_BYTES:
         raise ConfigError(
             f"the document has {len(body)} bytes, and a node takes {MAX_DOCUMENT_BYTES} at the most"
@@ -210,7 +215,7 @@
 def patched(target: Any, patch: Any) -> Any:
     """Return a target with a JSON merge patch (RFC 7396) applied.
 
-    What the patch does not name is shared with the target; nothing is changed in place.
+    Values that the patch does not contain are shared with the target; nothing is changed in place.
     """
     if not isinstance(patch, dict):
         return patch
@@ -231,7 +236,7 @@
 
 
 def differences(before: Any, after: Any, path: str = "") -> Iterator[str]:
-    """Yield the dotted names of what differs, in their order; 1 and 1.0 do not differ."""
+    """Yield the dotted paths of values that differ, in order; 1 and 1.0 do not differ."""
     if before is after:
         return
     if isinstance(before, dict) and isinstance(after, dict):
@@ -253,10 +258,11 @@
 
 
 def make_check(sample_file: str = "") -> Callable[[str, bytes], None]:
-    """Return a publisher's check of scope and body; it raises FeedError with the line of a node's rejection.
+    """Return a check of scope and body for a publisher; it raises FeedError with the reason a node would log.
 
-    sample_file: a node's configuration file, which a document must fit as it must at a running node; without
-    one only what no node could read is rejected.  Raise FeedError where the file is invalid.
+    sample_file: configuration file of a node; a document is validated against it as a running node would.
+    Without a file, only documents that no node could read are rejected.  Raise FeedError if the file is
+    invalid.
     """
     try:
         raw = {**_SAMPLE_ADDRESSES, **(read_file(sample_file) if sample_file else _MINIMAL_CONFIGURATION)}
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -1,7 +1,7 @@
 """The node as a member of its cluster.
 
-It announces the node's phase, and tells the decision module how many nodes share the work.  The module is
-imported only where membership is configured.
+Announces the phase of the node, and notifies the decision module of how many nodes share the work.  This
+module is imported only if membership is configured.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from crowpost.membership.transport import MembershipTransport
 from crowpost.membership.work_share import INDEX_FACT, STAGE_FACT, WorkShare, WorkShareTracker
 
-CHECK_INTERVAL_S = 0.25  # between checks of the node's phase and of the share of the work
+CHECK_INTERVAL_S = 0.25  # interval between checks of the phase of the node and of its share of the work
 
-# The states of members that are reported as metrics.
+# Member states that are reported as metrics.
 REPORTED_STATES = ("joining", "present", "suspected", "leaving", "left", "dead")
 
 
@@ -27,8 +27,8 @@
     """Joins this node to its cluster.
 
     current_phase: returns the phase of the node.
-    post: takes events for the decision module.
-    on_incarnation: is called with each new incarnation, which the next process must exceed.
+    post: posts events for the decision module.
+    on_incarnation: called with each new incarnation, which the next process must exceed.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self, incarnation: int = 1) -> None:
-        """Bind and begin to join; raise OSError if the address cannot be bound."""
+        """Bind and start to join; raise OSError if the address cannot be bound."""
         await self._transport.start(self._facts, incarnation)
         self._check()
 
@@ -76,7 +76,8 @@
         phase = self._current_phase()
         announced = self._transport.core.own_update.phase
         if phase is Phase.JOINING and announced is not Phase.JOINING:
-            phase = Phase.PRESENT  # a node that was ready once does not join again when its list runs empty
+            # A node that has been ready does not go back to joining when its endpoint list becomes empty.
+            phase = Phase.PRESENT
         if phase is not announced:
             self._transport.announce_phase(phase)
 
@@ -88,7 +89,8 @@
         if not self._config.share_work or core.superseded or core.left:
             return
         if not core.joined:
-            return  # before it has met the others, a node would take itself for the only one
+            # Before the join, the view contains only this node, which would take all of the work.
+            return
         share = self._share_tracker.update(core.view.members, core.local_member.name, self._transport.now())
         if share is not None:
             self._post(NodesPresent(share.node_count, share.node_index))
@@ -115,7 +117,7 @@
         }
 
     async def close(self) -> None:
-        """Leave the cluster, and close."""
+        """Leave the cluster and close the transport."""
         if self._timer is not None:
             self._timer.cancel()
         await self._transport.close()
--- a/crowpost/node/state/__init__.py
+++ b/crowpost/node/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state that a node writes for its next process: records, the state they make up, and the writer."""
+"""The state that a node stores for its next process: records, the state built from them, and the writer."""
--- a/crowpost/node/state/node_state.py
+++ b/crowpost/node/state/node_state.py
@@ -1,7 +1,7 @@
-"""The state of a node that its next process starts from: the result of applying its records in order.
+"""The state that the next process of a node starts from: the result of applying the records in order.
 
-A record from the future, as after a clock that went back, is of unknown age and not used; the endpoint list
-and the evacuation are used whatever their age.
+A record with a future time, as after the clock was set back, has an unknown age and is not used; the endpoint
+list and the evacuation are used whatever their age.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 )
 from crowpost.storage.model import RecoveredState
 
-CLOCK_TOLERANCE_MS = 1_000.0  # by which a record may seem to come from the future
-UNLISTED_TOLERANCE = 100  # endpoints beyond twice the list that are remembered before they are pruned
+CLOCK_TOLERANCE_MS = 1_000.0  # a record may lie this far in the future and still be used
+UNLISTED_TOLERANCE = 100  # learned endpoints beyond twice the length of the list, before they are pruned
 NO_LIMIT = LearnedLimit(at_ms=0.0, per_unit=0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class DatedEndpoint:
-    """What was learned of an endpoint, and when."""
+    """Learned values of an endpoint, and the time of the record."""
 
     at_ms: float
     endpoint: RememberedEndpoint
@@ -43,24 +43,27 @@
 
 @dataclass(slots=True)
 class NodeState:
-    """The state after some records."""
+    """The state after a sequence of records."""
 
-    generation: int = 0  # of the endpoint list; 0: there is none
-    # Each encoded by itself: ten thousand dictionaries would cost every full garbage collection milliseconds.
+    generation: int = 0  # version of the endpoint list; 0 if there is none
+    # Each is kept encoded: ten thousand dictionaries would add milliseconds to every full garbage
+    # collection.
     instances: dict[str, bytes] = field(default_factory=dict)
     learned: dict[EndpointId, DatedEndpoint] = field(default_factory=dict)
     limit: LearnedLimit = NO_LIMIT
     evacuated: bool = False
     incarnation: int = 0
-    staged: dict[str, bytes] | None = None  # the list that is in force once its last part was applied
+    staged: dict[str, bytes] | None = None  # incomplete list, in force once its last part is applied
 
     def apply(self, record: NodeRecord) -> None:
-        """Apply one more record."""
+        """Apply the next record."""
         match record:
             case EndpointListPart():
                 self._apply_list(record)
             case LearnedEndpoints(at_ms, endpoints):
-                self.learned.update((e.server, DatedEndpoint(at_ms, e)) for e in endpoints)
+                self.learned.update(
+                    (endpoint.server, DatedEndpoint(at_ms, endpoint)) for endpoint in endpoints
+                )
             case LearnedLimit():
                 self.limit = record
             case Evacuation(active):
@@ -87,7 +90,7 @@
         self._prune_learned()
 
     def _prune_learned(self) -> None:
-        """Forget endpoints that are not listed, once there are many of them."""
+        """Remove learned values of endpoints that are not listed, once there are many of them."""
         if len(self.learned) <= 2 * len(self.instances) + UNLISTED_TOLERANCE:
             return
         listed = {name.encode() for name in self.instances}
@@ -96,17 +99,20 @@
     # ------------------------------------------------------------ for the next process
 
     def endpoint_list(self) -> dict[str, Any] | None:
-        """Return the whole list in the form of discovery; None if there is none."""
+        """Return the complete list in the format of discovery; None if there is none."""
         if not self.generation:
             return None
         return {"generation": self.generation, "reset": True, "instances": self.decoded_instances()}
 
     def decoded_instances(self) -> list[Instance]:
-        """Return the endpoints of the list in the form of discovery."""
+        """Return the endpoints of the list in the format of discovery."""
         return [msgpack.unpackb(packed) for packed in self.instances.values()]
 
     def restored_event(self, now: float) -> StateRestored:
-        """Return the event for the balancer: what was learned, with its age at a Unix time in ms."""
+        """Return the event for the balancer: the learned values with their age.
+
+        now: Unix time in ms.
+        """
         latest = now + CLOCK_TOLERANCE_MS
         endpoints = tuple(
             replace(dated.endpoint, age_ms=max(0.0, now - dated.at_ms))
@@ -117,9 +123,9 @@
         return StateRestored(endpoints, per_unit, max(0.0, now - self.limit.at_ms))
 
     def snapshot_pieces(self) -> Iterator[bytes]:
-        """Return the state as records of a snapshot.
+        """Return the state as the records of a snapshot.
 
-        The state is copied by this call; the iterator may be used on any thread.
+        This call copies the state; the iterator may be used on any thread.
         """
         head: list[NodeRecord] = [Evacuation(self.evacuated), self.limit, Incarnation(self.incarnation)]
         instances = list(self.instances.values())
@@ -142,7 +148,7 @@
 
 
 def _encode_list(generation: int, instances: list[bytes]) -> Iterator[bytes]:
-    """Yield the list in parts; each is decoded only when it is asked for."""
+    """Yield the list in parts; each is decoded only when it is consumed."""
     for start in range(0, max(len(instances), 1), ENDPOINTS_PER_RECORD):
         end = start + ENDPOINTS_PER_RECORD
         decoded = [msgpack.unpackb(packed) for packed in instances[start:end]]
@@ -150,7 +156,7 @@
 
 
 def read_node_state(recovered: RecoveredState) -> NodeState:
-    """Return the state that a store holds.
+    """Return the state in a store.
 
     Raise NodeRecordError, a StoreError, with the sequence number of a record that no node has written.
     """
@@ -159,7 +165,7 @@
         _apply_payload(state, payload, f"snapshot {recovered.snapshot_sequence}, piece {number}")
     for record in recovered.records:
         _apply_payload(state, record.payload, f"record {record.sequence}")
-    state.staged = None  # of a list whose last part was never written
+    state.staged = None  # parts of a list whose last part was never written
     return state
 
 
--- a/crowpost/node/state/records.py
+++ b/crowpost/node/state/records.py
@@ -1,7 +1,7 @@
 """The records that a node writes to its state directory, and their encoding.
 
-Times are Unix time in ms, since they are compared across a restart.  The tags and the order of the values of
-each record are the format on disk, a msgpack array; they must not change.
+Times are Unix time in ms, since they are compared across a restart.  A record is stored as a msgpack array:
+the tags and the order of the values are the format on disk and must not change.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from crowpost.decision_api import RememberedEndpoint
 from crowpost.storage.errors import StoreError
 
-ENDPOINTS_PER_RECORD = 250  # encoding them takes less than a millisecond
-DELETED = "DELETED"  # the lifecycle of an endpoint that a change of the list removes
+ENDPOINTS_PER_RECORD = 250  # encoding this many takes less than a millisecond
+DELETED = "DELETED"  # lifecycle of an endpoint that a list change removes
 
 _LIST_TAG = "list"
 _ENDPOINTS_TAG = "servers"
@@ -24,13 +24,13 @@
 _EVACUATION_TAG = "drain"
 _INCARNATION_TAG = "incarnation"
 
-Instance = dict[str, Any]  # an endpoint in the form of discovery
+Instance = dict[str, Any]  # an endpoint in the format of discovery
 
 
 class NodeRecordError(StoreError):
     """A record was not written by a node.
 
-    reason: what is wrong with it.  position: which record it is; empty if it was read by itself.
+    reason: what is invalid.  position: identifies the record in its store; empty if it was decoded alone.
     """
 
     def __init__(self, reason: str, position: str = "") -> None:
@@ -40,7 +40,7 @@
         self.position = position
 
     def at(self, position: str) -> NodeRecordError:
-        """Return the same error with the position of the record."""
+        """Return the same error with a position."""
         return NodeRecordError(self.reason, position)
 
 
@@ -49,9 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListPart:
-    """Part of an endpoint list or of a change of it; the list is in force once its last part was applied."""
+    """Part of an endpoint list or of a change of it; the list is in force once its last part is applied."""
 
-    reset: bool  # it replaces the list before
+    reset: bool  # whether it replaces the previous list
     generation: int
     instances: list[Instance]
     has_more: bool = False
@@ -63,14 +63,23 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedEndpoints:
-    """What was learned of some endpoints up to a time."""
+    """Learned values of some endpoints at a time."""
 
     at_ms: float
     endpoints: Sequence[RememberedEndpoint]
 
     def encode(self) -> bytes:
-        """Return the record; the age of what was learned is not written, since it follows from the time."""
-        rows = [(e.server, e.started_ms, e.share_ratio, e.average_ms, e.ejected) for e in self.endpoints]
+        """Return the record; the age of the learned values is not stored, since it follows from the time."""
+        rows = [
+            (
+                endpoint.server,
+                endpoint.started_ms,
+                endpoint.share_ratio,
+                endpoint.average_ms,
+                endpoint.ejected,
+            )
+            for endpoint in self.endpoints
+        ]
         return _pack(_ENDPOINTS_TAG, self.at_ms, rows)
 
 
@@ -130,7 +139,7 @@
 
 
 def decode_record(payload: bytes) -> NodeRecord:
-    """Return the record of a payload.  Raise NodeRecordError if no node has written it."""
+    """Decode a record.  Raise NodeRecordError if no node has written it."""
     try:
         tag, *values = msgpack.unpackb(payload, raw=False)
         decode = _DECODERS.get(tag)
--- a/crowpost/node/state/writer.py
+++ b/crowpost/node/state/writer.py
@@ -1,8 +1,8 @@
-"""The writer of a node's state directory, which also restores what the process before has left.
+"""The writer of the state directory of a node, which also restores the state of the previous process.
 
-It is only imported where it is configured.  One process writes at a time.  A second one of the same node, as
-in an upgrade, reads what the first has written so far, and takes over once the first has released the
-directory.
+This module is imported only if a state directory is configured.  One process writes at a time.  A second
+process of the same node, as in an upgrade, reads what the first has written so far, and takes over once the
+first has released the directory.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAITING_LIST_PARTS = 400  # beyond these the list is written as a snapshot
+MAX_WAITING_LIST_PARTS = 400  # with more parts queued, the list is written as a snapshot
 BURST_BYTES = 1 << 20
-POLL_INTERVAL_S = 0.1  # between checks of what is to be written, and of a locked directory
-ACKNOWLEDGE_TIMEOUT_S = 1.0  # that an operator waits for an evacuation to be durable
+POLL_INTERVAL_S = 0.1  # interval between writes, and between attempts to lock the directory
+ACKNOWLEDGE_TIMEOUT_S = 1.0  # longest wait of an operator for an evacuation to be durable
 
 
 class LearnedStateSource(Protocol):
-    """The part of the balancer that returns what it has learned."""
+    """The part of the balancer that returns learned values."""
 
     @property
     def pool_size(self) -> int:
@@ -53,14 +53,14 @@
         """The concurrency limit for each unit of capacity."""
 
     def remember(self, first: int, most: int) -> list[RememberedEndpoint]:
-        """Return what was learned of at most so many endpoints from a position on."""
+        """Return the learned values of at most `most` endpoints, starting at position `first` of the pool."""
 
 
 class NodeStateWriter:
-    """Restores the state of the node's last process, and writes that of this one.
+    """Restores the state of the previous process of the node, and writes the state of this one.
 
-    clock: returns Unix time in ms.  on_evacuation: called with the evacuation that an operator asked of the
-    process before, while this one was starting.
+    clock: returns Unix time in ms.  on_evacuation: called if an operator has changed the evacuation at the
+    previous process while this one was starting.
     """
 
     def __init__(
@@ -75,26 +75,26 @@
         self._clock = clock
         self._on_evacuation = on_evacuation
         self._loop = asyncio.get_running_loop()
-        self._runner: StoreRunner | None = None  # None until this process has the directory
+        self._runner: StoreRunner | None = None  # None until this process has locked the directory
         self._waiting_list_parts: deque[EndpointListPart] = deque()
         self._timer: asyncio.TimerHandle | None = None
         self._next_learned_at = 0.0
-        self._position = 0  # in the pool, of the endpoints that are written next
-        self._last_sequence = 0  # of the last record appended
-        self._evacuation_set = False  # an operator has set it in this process
+        self._position = 0  # position in the pool of the endpoints to be written next
+        self._last_sequence = 0  # sequence number of the last record appended
+        self._evacuation_set = False  # whether an operator has set the evacuation in this process
         self._closing: asyncio.Task[None] | None = None
         self._take_over_task: asyncio.Task[None] | None = None
         self._log_bytes_at_snapshot = 0
-        self.damage = ""  # why the directory is not used
+        self.damage = ""  # why the directory is not used; empty if it is
         self.state = NodeState()
 
     # ------------------------------------------------------------ opening
 
     def open(self) -> None:
-        """Read the directory, which blocks, and lock it, or wait until another process releases it.
+        """Lock and read the directory, which blocks, or poll until another process has released it.
 
         Raise StoreError if the directory belongs to another owner, or if it is damaged and the configuration
-        refuses to start then.
+        forbids a start in that case.
         """
         config = self._config
         try:
@@ -117,7 +117,7 @@
         self._use(opened, state)
 
     def _open_and_read(self) -> tuple[OpenedStore, NodeState]:
-        """Lock and read the directory, which blocks."""
+        """Lock and read the directory; this blocks."""
         opened = open_store(self._config.directory, self._config.owner)
         try:
             return opened, read_node_state(opened.recovered)
@@ -132,7 +132,7 @@
         self.state = state
 
     async def _take_over(self) -> None:
-        """Continue from the state that the process before wrote last, with what this one knows itself."""
+        """Continue from the last state of the previous process, with the newer values of this one."""
         try:
             opened, state = await self._loop.run_in_executor(None, self._open_and_read)
         except DirectoryLockedError:
@@ -155,12 +155,12 @@
     def _continue_without_state(self, error: StoreError) -> None:
         self.damage = str(error)
         path = str(self._config.directory)
-        log_event("unusable", path=path, why=str(error), text="going on without the state")
+        log_event("unusable", path=path, why=str(error), text="continuing without the state")
 
     # ------------------------------------------------------------ recording
 
     def record_list(self, reset: bool, generation: int, instances: Sequence[Instance]) -> None:
-        """Record a list from discovery or a change of it; it is written in parts, one in each poll."""
+        """Record a list from discovery or a change of it; one part of it is written in each poll."""
         if self.damage or self._closing is not None:
             return
         if self._runner is not None and self._runner.store.failure:
@@ -172,12 +172,12 @@
                 self._waiting_list_parts.append(part)
 
     def record_incarnation(self, number: int) -> None:
-        """Record this node's incarnation number in the membership."""
+        """Record the incarnation number of this node in the membership."""
         if number > self.state.incarnation:
             self._append(Incarnation(number))
 
     async def record_evacuation(self, active: bool) -> str:
-        """Record what an operator asked for; return why that is not durable, or an empty text if it is."""
+        """Record an evacuation or its end; return why it is not durable, or an empty text if it is."""
         self._evacuation_set = True
         if self._closing is not None:
             return "the node is ending"
@@ -211,12 +211,12 @@
             self._take_over_task = None if self.damage else self._loop.create_task(self._take_over())
 
     def _write_next(self, runner: StoreRunner) -> None:
-        """Write the next part of a list, or else of what was learned; and a snapshot if one is due."""
+        """Write the next part of a list, or else of the learned values, and a snapshot if one is due."""
         store = runner.store
         if len(self._waiting_list_parts) > MAX_WAITING_LIST_PARTS:
             self._collapse_list_parts()
         if store.failure or store.durable_sequence < self._last_sequence:
-            return  # the budget is used up, or the disk is slow
+            return  # the write budget is used up, or the disk is slow
         if self._waiting_list_parts:
             self._append(self._waiting_list_parts.popleft())
         else:
@@ -225,17 +225,17 @@
         is_due = log_bytes - self._log_bytes_at_snapshot >= self._config.snapshot_bytes
         if is_due and self.state.staged is None:
             runner.write_snapshot(self.state.snapshot_pieces())
-            # Read again: the job of the snapshot may have sealed a segment.
+            # Read the counter again, as the job of the snapshot may have sealed a segment.
             self._log_bytes_at_snapshot = store.counters.log_bytes
 
     def _collapse_list_parts(self) -> None:
-        """Changes arrive faster than they may be written: apply them all, and make a snapshot due."""
+        """Apply all queued list parts and make a snapshot due: parts are queued faster than written."""
         while self._waiting_list_parts:
             self.state.apply(self._waiting_list_parts.popleft())
         self._log_bytes_at_snapshot = -self._config.snapshot_bytes
 
     def _write_learned(self) -> None:
-        """Write what was learned of the next endpoints of the pool; and the limit, once in each round."""
+        """Write the learned values of the next endpoints; also the limit, once per pass over the pool."""
         now = self._clock()
         if now < self._next_learned_at:
             return
@@ -251,7 +251,7 @@
     # ------------------------------------------------------------ closing
 
     def close(self) -> asyncio.Task[None]:
-        """Write what was learned last, seal the log and release the directory."""
+        """Write the latest learned values, seal the log and release the directory."""
         if self._closing is None:
             if self._timer is not None:
                 self._timer.cancel()
@@ -264,7 +264,8 @@
         runner = self._runner
         if runner is None:
             return
-        with suppress(StoreError):  # that writing has stopped was logged when it did
+        # An error that stopped writing was logged when it occurred.
+        with suppress(StoreError):
             while self._waiting_list_parts:
                 runner.append(self._waiting_list_parts.popleft().encode(), Durability.DELAYED)
                 await asyncio.sleep(0)
@@ -275,7 +276,7 @@
         await runner.close()
 
     def figures(self) -> dict[str, float]:
-        """Return metrics by name, for /api/telemetry."""
+        """Return the metrics of the state directory by name, for /api/telemetry."""
         store = self._runner.store if self._runner is not None else None
         counters = store.counters if store is not None else None
         return {
