--- a/tests/node/skipping_clock.py
+++ b/tests/node/skipping_clock.py
@@ -1,7 +1,7 @@
-"""A loop on real sockets whose clock skips the time in which nothing happens.
+"""An event loop on real sockets whose clock skips the time in which nothing happens.
 
-Terms of many seconds are tried in little more than the time that the work in them takes.  The clock runs at
-least as fast as the system's, so that a test that waits for what never comes still ends.
+Timeouts of many seconds are tested in little more time than the work during them takes.  The clock runs at
+least as fast as the system clock, so that a test that waits for an event that never occurs still ends.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from typing import Any
 from unittest import mock
 
-QUIET_S = 0.0005  # real time without an event, after which nothing is held to be on its way
-MIN_SKIP_S = 0.02  # skipped at once: timers may be late by so much
-MAX_TEST_S = 600.0  # of the skipping clock, for one test
+QUIET_S = 0.0005  # real time without an event, after which no event is assumed to be in transit
+MIN_SKIP_S = 0.02  # shortest skip; timers may be late by this much
+MAX_TEST_S = 600.0  # time limit of a test, by the skipping clock
 
 
 class _Clock:
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -1,4 +1,4 @@
-"""What a node is told, and what it says when that cannot be used."""
+"""Reading the configuration of a node, and the errors for an invalid one."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
     return {"NODE_NAME": "n3", "NODE_LISTEN": "127.0.0.1:0", "NODE_CONFIG": str(path)}
 
 
-def test_environment_and_file_become_settings(tmp_path: Path) -> None:
+def test_load_reads_environment_and_file(tmp_path: Path) -> None:
     config = load(_environment(tmp_path, _config()))
-    assert config.listen == ("127.0.0.1", 0), "the environment goes before the file"
+    assert config.listen == ("127.0.0.1", 0), "the environment takes precedence over the file"
     assert config.discovery == ("127.0.0.1", 8500)
     assert config.seed == 0x8C1F30D27A5BE964
     assert config.settings.classes[1].effect is Effect.KEYED
@@ -65,19 +65,19 @@
         ({"known": {"generation": 1}}, "known"),
     ],
 )
-def test_a_bad_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], field: str) -> None:
+def test_error_names_the_invalid_field(tmp_path: Path, changes: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError, match=field):
         load(_environment(tmp_path, _config(**changes)))
 
 
-def test_a_missing_file_names_the_variable(tmp_path: Path) -> None:
+def test_error_for_a_missing_file_names_the_variable(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="NODE_CONFIG"):
         load({"NODE_CONFIG": str(tmp_path / "none.json")})
     with pytest.raises(ConfigError, match="NODE_CONFIG"):
         load({})
 
 
-def test_tight_limits_are_taken_as_they_are(tmp_path: Path) -> None:
+def test_tight_limits_are_accepted(tmp_path: Path) -> None:
     limits = {"cores": 0.5, "memory_mb": 48.0, "sockets": 32}
     got = load(_environment(tmp_path, _config(limits=limits))).limits
     assert (got.memory_mb, got.sockets) == (48, 32)
@@ -94,12 +94,12 @@
         {"generation": 1, "reset": True, "instances": [row("a", "nowhere")]},
     ],
 )
-def test_a_bad_list_is_an_error_of_its_own(raw: Any) -> None:
+def test_invalid_endpoint_list_raises_list_error(raw: Any) -> None:
     with pytest.raises(ListError):
         Naming((), ()).read(raw)
 
 
-def test_names_become_their_place_in_the_settings() -> None:
+def test_names_are_read_as_their_index_in_the_settings() -> None:
     naming = Naming(("north", "south"), ("std", "slow"))
     rows = [{**row("a", "h:1"), "zone": "south", "machineType": kind} for kind in ("slow", "odd", "std")]
     entries = naming.read(listing(1, *rows)).entries
@@ -108,8 +108,8 @@
     assert (entries[0].kind, entries[2].kind) == (1, 0)
 
 
-def test_the_clock_reads_unix_time_and_ignores_a_step_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Start times of servers are Unix time; a set-back system clock must not make a cold server colder."""
+def test_clock_reads_unix_time_and_ignores_a_step_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Start times of servers are Unix time: a system clock set back must not make a server appear younger."""
     clock = Clock()
     assert abs(clock.now() - 1000.0 * time.time()) < 1000.0
     before = clock.now()
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -1,4 +1,4 @@
-"""A call that finds no connection rested waits for one, or for a dial beside it, whichever comes first."""
+"""A call without a reusable connection waits for one or for a parallel dial, whichever is ready first."""
 
 from __future__ import annotations
 
@@ -32,39 +32,44 @@
 from tests.node.test_races import HeldDials, Told, limits, twice
 
 NEVER_S = 10 * PATIENCE_S
-PAST_DEADLINE_S = 5.0  # but less than an idle connection is trusted for
-SLOW_S = 3600.0  # a server whose answers take so long is waited for
-FAST_S = 1e-6
+PAST_DEADLINE_S = 5.0  # longer than a deadline, but less than the trusted idle time
+SLOW_S = 3600.0  # response time of a server for which a call waits for an idle connection
+FAST_S = 1e-6  # response time of a server for which a call dials in parallel
 
 
-def the_peer(w: World) -> EndpointConnections[UpstreamConnection]:
-    (peer,) = w.node._pool._endpoints.values()
-    return peer
+def only_endpoint(env: World) -> EndpointConnections[UpstreamConnection]:
+    (endpoint,) = env.node._pool._endpoints.values()
+    return endpoint
 
 
-async def ask_first(w: World, response_time_s: float) -> Client:
-    """One call, whose connection has yet to rest; response_time_s: what the server then passes for."""
-    client = await w.client()
+async def make_first_call(env: World, response_time_s: float) -> Client:
+    """Make one call, so that one connection is idle but not yet reusable.
+
+    response_time_s: the response time that is then recorded for the server.
+    """
+    client = await env.client()
     assert (await client.ask("look", target="/api/first")).status == 200
-    the_peer(w).response_time_s = response_time_s
+    only_endpoint(env).response_time_s = response_time_s
     return client
 
 
 @asynccontextmanager
-async def pair(*behaviours: Behaviour, cancel: bool = True) -> AsyncIterator[tuple[StubServer, World]]:
+async def server_and_node(
+    *behaviours: Behaviour, cancel: bool = True
+) -> AsyncIterator[tuple[StubServer, World]]:
     async with (
         StubServer(list(behaviours) or [reply("200 OK")]) as server,
-        world(row("a", server.address), policyLimits=limits(cancel=cancel)) as w,
+        world(row("a", server.address), policyLimits=limits(cancel=cancel)) as env,
     ):
-        yield server, w
+        yield server, env
 
 
 def targets(server: StubServer) -> list[str]:
     return [got.target for got in server.received]
 
 
-async def then_break(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
-    """Answer, and break the connection once told to."""
+async def reply_then_abort(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
+    """Send a response, and abort the connection once released."""
     await reply("200 OK")(server, received, writer)
     await server.release.wait()
     writer.transport.abort()
@@ -79,123 +84,128 @@
     await asyncio.wait_for(wait(), PATIENCE_S)
 
 
-def test_a_call_to_a_fast_server_waits_for_no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the 10 ms that such a call took at the most; the pool grows, and then suffices."""
+def test_call_to_a_fast_server_dials_instead_of_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a delay of up to 10 ms for such a call; the pool grows until it is large enough."""
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair() as (server, w):
-            client = await ask_first(w, FAST_S)
+        async with server_and_node() as (server, env):
+            client = await make_first_call(env, FAST_S)
             assert (await client.ask("look", target="/api/second")).status == 200
             assert (await client.ask("book", target="/api/third")).status == 200
             assert server.opened == 3
-            w.age(NEVER_S)
+            env.age(NEVER_S)
             assert (await client.ask("look", target="/api/fourth")).status == 200
-            assert server.opened == 3, "connections that have rested were not used"
+            assert server.opened == 3, "reusable connections were not used"
             assert targets(server) == ["/api/first", "/api/second", "/api/third", "/api/fourth"]
 
     run(main())
 
 
-def test_a_call_to_a_slow_server_waits_rather_than_cost_it_a_handshake() -> None:
+def test_call_to_a_slow_server_waits_for_an_idle_connection() -> None:
     async def main() -> None:
-        async with pair() as (server, w):
-            client = await ask_first(w, SLOW_S)
+        async with server_and_node() as (server, env):
+            client = await make_first_call(env, SLOW_S)
             assert (await client.ask("look", target="/api/second")).status == 200
             assert server.opened == 1
 
     run(main())
 
 
-def test_the_usual_time_of_a_server_comes_from_good_answers_alone() -> None:
-    """Failures at once and probes take no work: they make no server a fast one."""
-    peer: EndpointConnections[UpstreamConnection] = EndpointConnections("a", ("127.0.0.1", 1), 0.0)
-    assert peer.max_wait_s() > 1e9
-    peer.record_response_time(0.8)
-    assert peer.response_time_s == pytest.approx(0.8)
-    peer.record_response_time(0.0)
-    assert peer.response_time_s == pytest.approx(0.7)
-    assert peer.max_wait_s() == pytest.approx(0.07)
+def test_response_time_is_recorded_from_successful_responses_only() -> None:
+    """Immediate failures and probes cost the server no work, and must not make it appear fast."""
+    endpoint: EndpointConnections[UpstreamConnection] = EndpointConnections("a", ("127.0.0.1", 1), 0.0)
+    assert endpoint.max_wait_s() > 1e9
+    endpoint.record_response_time(0.8)
+    assert endpoint.response_time_s == pytest.approx(0.8)
+    endpoint.record_response_time(0.0)
+    assert endpoint.response_time_s == pytest.approx(0.7)
+    assert endpoint.max_wait_s() == pytest.approx(0.07)
 
     async def main() -> None:
-        async with pair(reply("500 Internal Server Error"), reply("200 OK")) as (_, w):
-            client = await w.client()
+        async with server_and_node(reply("500 Internal Server Error"), reply("200 OK")) as (_, env):
+            client = await env.client()
             assert (await client.ask("book")).status == 502
-            assert the_peer(w).response_time_s is None
+            assert only_endpoint(env).response_time_s is None
             assert (await client.ask("look")).status == 200
-            assert the_peer(w).response_time_s is not None
+            assert only_endpoint(env).response_time_s is not None
 
     run(main())
 
 
-@pytest.mark.parametrize("behind_the_answer", [False, True])
-def test_a_rested_connection_carries_the_call_when_the_dial_hangs(
-    behind_the_answer: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("dial_after_response", [False, True])
+def test_reusable_connection_carries_the_call_while_the_dial_hangs(
+    dial_after_response: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Once; the dial that comes up later is kept for the next call, which waits for nothing."""
+    """The call is sent once; the connection that the dial opens later is kept for the next call."""
 
     async def main() -> None:
-        async with pair(reply("200 OK"), held(reply("200 OK")), reply("200 OK")) as (server, w):
-            client = await ask_first(w, FAST_S)
-            dials = HeldDials(w)
+        async with server_and_node(reply("200 OK"), held(reply("200 OK")), reply("200 OK")) as (server, env):
+            client = await make_first_call(env, FAST_S)
+            dials = HeldDials(env)
             client.writer.write(request("book", target="/api/second"))
             await dials.begun()
             await until(lambda: len(server.received) == 2)
             assert server.opened == 1
             monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", PAST_DEADLINE_S)
             steps = [dials.release, server.release]
-            for step in reversed(steps) if behind_the_answer else steps:
+            for step in reversed(steps) if dial_after_response else steps:
                 step.set()
-                before = len(w.node._pool._idle_connections())
-                await until(lambda before=before: len(w.node._pool._idle_connections()) > before)
+                before = len(env.node._pool._idle_connections())
+                await until(lambda before=before: len(env.node._pool._idle_connections()) > before)
             assert (await client.answer()).status == 200
             assert targets(server) == ["/api/first", "/api/second"]
-            peer = the_peer(w)
-            assert peer.extra_dials == 0
-            peer.response_time_s = SLOW_S
+            endpoint = only_endpoint(env)
+            assert endpoint.extra_dials == 0
+            endpoint.response_time_s = SLOW_S
             assert (await client.ask("book", target="/api/third")).status == 200
             assert server.opened == 2
 
     run(main())
 
 
-def test_a_connection_that_was_passed_over_goes_on_resting(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a call on it that meets what the first answer still brings."""
+def test_unused_connection_keeps_its_idle_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a call on it while bytes after the first response may still arrive."""
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(twice, reply("200 OK", b"own")) as (server, w):
-            client = await ask_first(w, FAST_S)
-            w.age(1.0)
-            (resting,) = the_peer(w).idle
-            since = resting.idle_since
+        async with server_and_node(twice, reply("200 OK", b"own")) as (server, env):
+            client = await make_first_call(env, FAST_S)
+            env.age(1.0)
+            (recent,) = only_endpoint(env).idle
+            idle_since_before = recent.idle_since
             assert (await client.ask("book")).body == b"own"
-            idle = list(the_peer(w).idle)
+            idle = list(only_endpoint(env).idle)
             assert len(idle) == 2
-            assert (idle[0], idle[0].idle_since) == (resting, since), "it has begun its rest anew"
+            assert (idle[0], idle[0].idle_since) == (
+                recent,
+                idle_since_before,
+            ), "its idle time has started again"
             client.writer.write(request("book"))
             assert (await client.answer()).body == b"own"
             assert server.opened == 3
             server.release.set()
-            await until(lambda: len(the_peer(w).idle) == 2)
-            assert idle[0] not in the_peer(w).idle
+            await until(lambda: len(only_endpoint(env).idle) == 2)
+            assert idle[0] not in only_endpoint(env).idle
 
     run(main())
 
 
-def test_a_stray_answer_during_the_wait_spoils_the_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The dial beside it goes on, and carries the call."""
+def test_unsolicited_response_during_the_wait_closes_only_that_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The parallel dial continues, and the new connection carries the call."""
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(twice, reply("200 OK", b"own")) as (server, w):
-            client = await ask_first(w, FAST_S)
-            (resting,) = the_peer(w).idle
-            dials = HeldDials(w)
+        async with server_and_node(twice, reply("200 OK", b"own")) as (server, env):
+            client = await make_first_call(env, FAST_S)
+            (recent,) = only_endpoint(env).idle
+            dials = HeldDials(env)
             client.writer.write(request("book"))
             await dials.begun()
             server.release.set()
-            await until(lambda: not resting.usable())
+            await until(lambda: not recent.usable())
             assert len(server.received) == 1
             dials.release.set()
             assert (await client.answer()).body == b"own"
@@ -204,16 +214,16 @@
     run(main())
 
 
-def test_a_call_whose_connection_breaks_is_dialled_for_where_nothing_was(
+def test_call_dials_if_its_connection_breaks_without_a_parallel_dial(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(then_break, reply("200 OK", b"own")) as (server, w):
-            client = await ask_first(w, SLOW_S)
+        async with server_and_node(reply_then_abort, reply("200 OK", b"own")) as (server, env):
+            client = await make_first_call(env, SLOW_S)
             client.writer.write(request("book"))
-            await until(lambda: w.node._requests.pending)
+            await until(lambda: env.node._requests.pending)
             server.release.set()
             assert (await client.answer()).body == b"own"
             assert server.opened == 2
@@ -221,35 +231,35 @@
     run(main())
 
 
-def test_a_dial_that_fails_leaves_the_call_to_the_connection_that_rests() -> None:
+def test_failed_dial_leaves_the_call_to_the_idle_connection() -> None:
     async def main() -> None:
-        async with pair() as (server, w):
-            client = await ask_first(w, FAST_S)
-            server._server.close()  # takes no new connection; those that stand stay
-            told = Told(w)
+        async with server_and_node() as (server, env):
+            client = await make_first_call(env, FAST_S)
+            server._server.close()  # rejects new connections; established ones remain
+            recorder = Told(env)
             assert (await client.ask("book", target="/api/second")).status == 200
             assert targets(server) == ["/api/first", "/api/second"]
-            assert [e.outcome for e in told.events if isinstance(e, AttemptEnded)] == [Outcome.OK]
+            assert [e.outcome for e in recorder.events if isinstance(e, AttemptEnded)] == [Outcome.OK]
 
     run(main())
 
 
-def test_a_call_that_loses_both_has_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The connection that rests breaks, and the dial beside it fails: nothing was sent."""
+def test_call_that_loses_both_connections_has_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The idle connection breaks, and the parallel dial fails: nothing was sent."""
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(then_break) as (server, w):
-            client = await ask_first(w, FAST_S)
-            (resting,) = the_peer(w).idle
-            dials, told = HeldDials(w), Told(w)
+        async with server_and_node(reply_then_abort) as (server, env):
+            client = await make_first_call(env, FAST_S)
+            (recent,) = only_endpoint(env).idle
+            dials, recorder = HeldDials(env), Told(env)
             client.writer.write(request("book"))
             await dials.begun()
             server.release.set()
-            await until(lambda: not resting.usable())
+            await until(lambda: not recent.usable())
             server._server.close()
             dials.release.set()
-            ended: AttemptEnded = await told.first(AttemptEnded)
+            ended: AttemptEnded = await recorder.first(AttemptEnded)
             assert ended.outcome is Outcome.CONNECT_FAILED
             assert len(server.received) == 1
 
@@ -257,78 +267,78 @@
 
 
 @pytest.mark.parametrize("cancel", [False, True])
-def test_a_caller_that_leaves_during_the_wait_is_not_sent_on(
+def test_request_of_a_client_that_disconnects_during_the_wait_is_not_sent(
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whichever of the two comes up: both are kept."""
+    """Both connections are kept, whichever is ready first."""
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair(cancel=cancel) as (server, w):
-            client = await ask_first(w, FAST_S)
-            dials, told = HeldDials(w), Told(w)
+        async with server_and_node(cancel=cancel) as (server, env):
+            client = await make_first_call(env, FAST_S)
+            dials, recorder = HeldDials(env), Told(env)
             client.writer.write(request("book", target="/api/left"))
             await dials.begun()
             client.close()
-            await told.first(RequestAbandoned)
+            await recorder.first(RequestAbandoned)
             dials.release.set()
-            await told.first(AttemptEnded)
-            await until(lambda: len(w.node._pool._idle_connections()) == 2)
+            await recorder.first(AttemptEnded)
+            await until(lambda: len(env.node._pool._idle_connections()) == 2)
             assert targets(server) == ["/api/first"]
 
     run(main())
 
 
-def test_a_server_that_drains_during_the_wait_is_sent_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_endpoint_that_drains_during_the_wait_gets_no_call(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair() as (server, w):
-            client = await ask_first(w, FAST_S)
-            dials, told = HeldDials(w), Told(w)
+        async with server_and_node() as (server, env):
+            client = await make_first_call(env, FAST_S)
+            dials, recorder = HeldDials(env), Told(env)
             client.writer.write(request("book", target="/api/late"))
             await dials.begun()
-            tell(await w.discovery.watch(), listing(2, row("a", server.address, "DRAINING"), reset=False))
-            await until(lambda: w.node._discovery._version == 2)
+            tell(await env.discovery.watch(), listing(2, row("a", server.address, "DRAINING"), reset=False))
+            await until(lambda: env.node._discovery._version == 2)
             dials.release.set()
-            ended: AttemptEnded = await told.first(AttemptEnded)
+            ended: AttemptEnded = await recorder.first(AttemptEnded)
             assert ended.outcome is Outcome.CONNECT_FAILED
             assert targets(server) == ["/api/first"]
-            assert not w.node._pool._connections or all(not c.usable() for c in w.node._pool._connections)
+            assert not env.node._pool._connections or all(not c.usable() for c in env.node._pool._connections)
 
     run(main())
 
 
-def test_a_pool_grows_by_a_few_dials_at_once_and_at_no_other_connection_s_cost(
+def test_parallel_dials_are_limited_and_close_no_other_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", NEVER_S)
 
     async def main() -> None:
-        async with pair() as (_, w):
-            clients = [await ask_first(w, FAST_S) for _ in range(MAX_EXTRA_DIALS + 2)]
-            the_peer(w).response_time_s = FAST_S
-            dials = HeldDials(w)
+        async with server_and_node() as (_, env):
+            clients = [await make_first_call(env, FAST_S) for _ in range(MAX_EXTRA_DIALS + 2)]
+            only_endpoint(env).response_time_s = FAST_S
+            dials = HeldDials(env)
             for client in clients:
                 client.writer.write(request("look"))
-            await until(lambda: len(w.node._requests.calls) == len(clients))
-            assert the_peer(w).extra_dials == MAX_EXTRA_DIALS
+            await until(lambda: len(env.node._requests.calls) == len(clients))
+            assert only_endpoint(env).extra_dials == MAX_EXTRA_DIALS
             dials.release.set()
             await clients[0].answer()
 
-    async def full() -> None:
-        async with pair() as (server, w):
-            client = await ask_first(w, FAST_S)
-            w.node._pool._max_connections = 1
+    async def at_limit() -> None:
+        async with server_and_node() as (server, env):
+            client = await make_first_call(env, FAST_S)
+            env.node._pool._max_connections = 1
             monkeypatch.setattr("crowpost.node.upstream.pool.REUSE_DELAY_S", 0.01)
             assert (await client.ask("look")).status == 200
             assert server.opened == 1
 
     run(main())
-    run(full())
+    run(at_limit())
 
 
-def test_settings_of_these_tests_allow_what_they_rely_on() -> None:
-    """A dial is given up later than a failing test."""
+def test_settings_satisfy_the_assumptions_of_these_tests() -> None:
+    """The connect timeout must not be shorter than the time limit of a failing test."""
     assert limits()["connectTimeoutMs"] >= 1000.0 * PATIENCE_S
     assert settings()["policyLimits"]["cancel"] is True
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -1,4 +1,4 @@
-"""The outcome of each attempt, as the protocol's table has it, and the connections between attempts."""
+"""Outcomes of attempts by the table of the protocol, and reuse of connections between attempts."""
 
 from __future__ import annotations
 
@@ -36,49 +36,52 @@
 NOT_RUN = "X-Not-Run: 1\r\n"
 
 
-class Attempts:
+class Calls:
     """Calls to one server and their outcomes."""
 
-    def __init__(self, servers: ConnectionPool) -> None:
-        self.servers = servers
-        self.ended: list[Outcome] = []
+    def __init__(self, pool: ConnectionPool) -> None:
+        self.pool = pool
+        self.outcomes: list[Outcome] = []
 
-    def begin(
-        self, timeout_s: float = PATIENCE_S, server: bytes = b"a", *, repeatable: bool = True
+    def start(
+        self, timeout_s: float = PATIENCE_S, server: bytes = b"a", *, idempotent: bool = True
     ) -> tuple[Call, asyncio.Future[tuple[Outcome, bytes]]]:
         future: asyncio.Future[tuple[Outcome, bytes]] = asyncio.get_running_loop().create_future()
 
-        def done(outcome: Outcome, answer: Message | None) -> None:
-            self.ended.append(outcome)
-            future.set_result((outcome, answer.body if answer is not None else b""))
+        def on_finished(outcome: Outcome, response: Message | None) -> None:
+            self.outcomes.append(outcome)
+            future.set_result((outcome, response.body if response is not None else b""))
 
-        call = Call(lambda _: REQUEST, timeout_s, done)
-        self.servers.start(call, server, idempotent=repeatable)
+        call = Call(lambda _: REQUEST, timeout_s, on_finished)
+        self.pool.start(call, server, idempotent=idempotent)
         return call, future
 
     async def outcome(
-        self, timeout_s: float = PATIENCE_S, *, repeatable: bool = True
+        self, timeout_s: float = PATIENCE_S, *, idempotent: bool = True
     ) -> tuple[Outcome, bytes]:
-        return await self.begin(timeout_s, repeatable=repeatable)[1]
+        return await self.start(timeout_s, idempotent=idempotent)[1]
 
     def age(self, seconds: float) -> None:
-        """Let the idle connections have been idle for longer."""
-        for connection in self.servers._idle_connections():
+        """Make the idle connections appear to have been idle for longer."""
+        for connection in self.pool._idle_connections():
             connection.idle_since -= seconds
 
 
 @contextlib.asynccontextmanager
-async def attempts(
-    address: str, *, most_open: int = 100, idle_s: float = 30.0, probe: bytes | None = None
-) -> AsyncIterator[Attempts]:
-    servers = ConnectionPool(
-        connect_timeout_s=0.15, idle_timeout_s=idle_s, max_connections=most_open, probe_request=probe
+async def calls_to(
+    address: str, *, max_connections: int = 100, idle_timeout_s: float = 30.0, probe: bytes | None = None
+) -> AsyncIterator[Calls]:
+    pool = ConnectionPool(
+        connect_timeout_s=0.15,
+        idle_timeout_s=idle_timeout_s,
+        max_connections=max_connections,
+        probe_request=probe,
     )
-    servers.update(Naming((), ()).read(listing(1, row("a", address))))
+    pool.update(Naming((), ()).read(listing(1, row("a", address))))
     try:
-        yield Attempts(servers)
+        yield Calls(pool)
     finally:
-        servers.close()
+        pool.close()
 
 
 @pytest.mark.parametrize(
@@ -107,10 +110,10 @@
         (raw(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20000), Outcome.RESET),
     ],
 )
-def test_what_comes_back_decides_the_outcome(behaviour: Behaviour, outcome: Outcome) -> None:
+def test_response_determines_the_outcome(behaviour: Behaviour, outcome: Outcome) -> None:
     async def main() -> None:
-        async with StubServer([behaviour]) as server, attempts(server.address) as a:
-            got, body = await a.outcome()
+        async with StubServer([behaviour]) as server, calls_to(server.address) as calls:
+            got, body = await calls.outcome()
             assert got is outcome
             if outcome is Outcome.OK:
                 assert body == b"body"
@@ -119,28 +122,28 @@
     run(main())
 
 
-def test_silence_is_a_time_out_and_closes_the_connection() -> None:
+def test_unresponsive_server_times_out_and_its_connection_is_closed() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, attempts(server.address) as a:
-            assert await a.outcome(0.1) == (Outcome.TIMEOUT, b"")
+        async with StubServer([silent]) as server, calls_to(server.address) as calls:
+            assert await calls.outcome(0.1) == (Outcome.TIMEOUT, b"")
             server.release.set()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
 
     run(main())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_is_connect_failed() -> None:
     async def main() -> None:
         with socket.socket() as free:
             free.bind((HOST, 0))
-            async with attempts(f"{HOST}:{free.getsockname()[1]}") as a:
-                assert await a.outcome() == (Outcome.CONNECT_FAILED, b"")
+            async with calls_to(f"{HOST}:{free.getsockname()[1]}") as calls:
+                assert await calls.outcome() == (Outcome.CONNECT_FAILED, b"")
 
     run(main())
 
 
-def test_a_connection_that_never_comes_up_never_ran() -> None:
-    """A listening socket whose backlog is full leaves new connections unanswered, as a cut machine does."""
+def test_connect_timeout_is_connect_failed() -> None:
+    """A listening socket with a full backlog does not answer new connections, like a partitioned machine."""
 
     async def main() -> None:
         with socket.socket() as listener, contextlib.ExitStack() as stack:
@@ -150,56 +153,56 @@
                 filler = stack.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(listener.getsockname())
-            async with attempts(f"{HOST}:{listener.getsockname()[1]}") as a:
-                assert await a.outcome() == (Outcome.CONNECT_FAILED, b"")
+            async with calls_to(f"{HOST}:{listener.getsockname()[1]}") as calls:
+                assert await calls.outcome() == (Outcome.CONNECT_FAILED, b"")
 
     run(main())
 
 
-def test_an_unknown_server_never_ran() -> None:
+def test_unlisted_endpoint_is_connect_failed() -> None:
     async def main() -> None:
-        async with attempts(f"{HOST}:1") as a:
-            a.servers.update(Naming((), ()).read(listing(2)))
-            assert await a.outcome() == (Outcome.CONNECT_FAILED, b"")
+        async with calls_to(f"{HOST}:1") as calls:
+            calls.pool.update(Naming((), ()).read(listing(2)))
+            assert await calls.outcome() == (Outcome.CONNECT_FAILED, b"")
 
     run(main())
 
 
-def test_a_cancelled_attempt_has_one_outcome() -> None:
+def test_cancelled_attempt_has_one_outcome() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, attempts(server.address) as a:
-            call, future = a.begin()
+        async with StubServer([silent]) as server, calls_to(server.address) as calls:
+            call, future = calls.start()
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             call.abort(Outcome.CANCELLED)
             call.abort(Outcome.TIMEOUT)
             server.release.set()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
             assert (await future)[0] is Outcome.CANCELLED
-            assert a.ended == [Outcome.CANCELLED]
+            assert calls.outcomes == [Outcome.CANCELLED]
 
     run(main())
 
 
-def test_an_answer_that_closes_is_whole_and_its_connection_is_not_kept() -> None:
+def test_connection_is_not_reused_after_a_response_with_connection_close() -> None:
     async def main() -> None:
         closing = reply("200 OK", b"body", "Connection: close\r\n")
-        async with StubServer([closing]) as server, attempts(server.address) as a:
-            assert await a.outcome() == (Outcome.OK, b"body")
-            assert await a.outcome() == (Outcome.OK, b"body")
+        async with StubServer([closing]) as server, calls_to(server.address) as calls:
+            assert await calls.outcome() == (Outcome.OK, b"body")
+            assert await calls.outcome() == (Outcome.OK, b"body")
             assert server.opened == 2
 
     run(main())
 
 
-def test_bytes_that_nobody_asked_for_spoil_a_connection() -> None:
-    """Guards against an answer's surplus being read as the next request's answer."""
+def test_unsolicited_response_is_not_taken_for_the_next_response() -> None:
+    """Guards against taking bytes after a response for the response to the next request."""
 
     async def main() -> None:
         twice = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1" * 2)
-        async with StubServer([twice, reply("200 OK", b"2")]) as server, attempts(server.address) as a:
-            assert await a.outcome() == (Outcome.OK, b"1")
+        async with StubServer([twice, reply("200 OK", b"2")]) as server, calls_to(server.address) as calls:
+            assert await calls.outcome() == (Outcome.OK, b"1")
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
-            assert await a.outcome() == (Outcome.OK, b"2")
+            assert await calls.outcome() == (Outcome.OK, b"2")
 
     run(main())
 
@@ -207,16 +210,18 @@
 @pytest.mark.parametrize(
     "surplus", [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1", b"HTTP/1.1 200 OK\r\nConte"]
 )
-def test_what_follows_an_answer_in_one_piece_meets_no_call_that_its_end_brings(surplus: bytes) -> None:
-    """Guards against serving a request with a server's surplus: a waiting call went out on the connection
-    while the rest of the piece was still to be read."""
+def test_bytes_after_a_response_in_one_read_are_not_taken_for_the_next_response(surplus: bytes) -> None:
+    """Guards against responding to a request with bytes that followed the previous response.
+
+    A waiting call was written to the connection while the rest of the same read was still to be parsed.
+    """
 
     async def main() -> None:
         twice = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1" + surplus)
-        async with StubServer([twice, reply("200 OK", b"2")]) as server, attempts(server.address) as a:
+        async with StubServer([twice, reply("200 OK", b"2")]) as server, calls_to(server.address) as calls:
             following: list[asyncio.Future[tuple[Outcome, bytes]]] = []
-            first = Call(lambda _: REQUEST, PATIENCE_S, lambda *_: following.append(a.begin()[1]))
-            a.servers.start(first, b"a")
+            first = Call(lambda _: REQUEST, PATIENCE_S, lambda *_: following.append(calls.start()[1]))
+            calls.pool.start(first, b"a")
             while not following:
                 await asyncio.sleep(0)
             assert await following[0] == (Outcome.OK, b"2")
@@ -224,19 +229,22 @@
     run(main())
 
 
-def test_idle_connections_close_well_before_the_server_would() -> None:
+def test_idle_connections_close_before_the_server_closes_them() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, attempts(server.address, idle_s=0.0) as a:
-            await a.outcome()
+        async with (
+            StubServer([reply("200 OK")]) as server,
+            calls_to(server.address, idle_timeout_s=0.0) as calls,
+        ):
+            await calls.outcome()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
 
     run(main())
 
 
-def test_after_an_early_close_an_unrepeatable_call_takes_no_connection_long_idle() -> None:
-    """Guards against a send written to a connection that its server had dropped: it may never be repeated.
+def test_after_an_early_close_a_non_idempotent_call_avoids_long_idle_connections() -> None:
+    """Guards against writing a request that cannot be retried to a connection that its server has dropped.
 
-    Seen as a fifth of all sends failing on a day on which servers closed after half a second of 30.
+    A fifth of all sends failed in a run whose servers closed connections after 0.5 s instead of 30 s.
     """
 
     async def closing(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
@@ -245,42 +253,42 @@
         writer.close()
 
     async def main() -> None:
-        async with StubServer([closing, reply("200 OK")]) as server, attempts(server.address) as a:
-            await a.outcome()
-            a.age(1.0)
+        async with StubServer([closing, reply("200 OK")]) as server, calls_to(server.address) as calls:
+            await calls.outcome()
+            calls.age(1.0)
             server.release.set()
-            while a.servers._idle_connections():
+            while calls.pool._idle_connections():
                 await asyncio.sleep(0)
-            await a.outcome()
+            await calls.outcome()
             assert server.opened == 2
-            await a.outcome(repeatable=False)
-            assert server.opened == 2  # it was in use a moment ago
-            a.age(0.9)
-            await a.outcome(repeatable=False)
+            await calls.outcome(idempotent=False)
+            assert server.opened == 2  # the connection was used recently
+            calls.age(0.9)
+            await calls.outcome(idempotent=False)
             assert server.opened == 3
-            a.servers.close_idle(b"a")
-            await a.outcome()
-            a.age(0.9)
-            await a.outcome()
-            assert server.opened == 4  # what may be repeated loses nothing by a try
+            calls.pool.close_idle(b"a")
+            await calls.outcome()
+            calls.age(0.9)
+            await calls.outcome()
+            assert server.opened == 4  # an idempotent call can be retried
 
     run(main())
 
 
-def test_a_dropped_connection_is_a_sign_too() -> None:
-    """A server that lost its end says so only when it is written to: the break comes at once."""
+def test_reset_of_a_reused_connection_counts_as_early_close() -> None:
+    """A server that has lost a connection resets it at once, but only when a request is written."""
 
     async def main() -> None:
         async with (
             StubServer([reply("200 OK"), reset, reply("200 OK")]) as server,
-            attempts(server.address) as a,
+            calls_to(server.address) as calls,
         ):
-            await a.outcome()
-            a.age(1.0)
-            assert (await a.outcome())[0] is Outcome.RESET
-            await a.outcome()
-            a.age(0.9)
-            await a.outcome(repeatable=False)
+            await calls.outcome()
+            calls.age(1.0)
+            assert (await calls.outcome())[0] is Outcome.RESET
+            await calls.outcome()
+            calls.age(0.9)
+            await calls.outcome(idempotent=False)
             assert server.opened == 3
 
     run(main())
@@ -290,19 +298,19 @@
     ("to_probe", "connections"),
     [(reply("200 OK"), 1), (reply("503 Service Unavailable"), 1), (reset, 2), (silent, 2)],
 )
-def test_a_doubtful_connection_is_probed_before_an_unrepeatable_call(
+def test_possibly_stale_connection_is_probed_before_a_non_idempotent_call(
     to_probe: Behaviour, connections: int
 ) -> None:
     async def main() -> None:
         behaviours = [reply("200 OK"), to_probe, reply("200 OK", b"served")]
         async with (
             StubServer(behaviours) as server,
-            attempts(server.address, probe=PROBE) as a,
+            calls_to(server.address, probe=PROBE) as calls,
         ):
-            await a.outcome()
-            a.age(1.0)
-            a.servers.keep_alive.record_early_close(0.5, asyncio.get_running_loop().time())
-            assert await a.outcome(repeatable=False) == (Outcome.OK, b"served")
+            await calls.outcome()
+            calls.age(1.0)
+            calls.pool.keep_alive.record_early_close(0.5, asyncio.get_running_loop().time())
+            assert await calls.outcome(idempotent=False) == (Outcome.OK, b"served")
             assert [r.target for r in server.received] == ["/api/x", "/health", "/api/x"]
             assert server.opened == connections
             server.release.set()
@@ -310,19 +318,19 @@
     run(main())
 
 
-def test_a_server_that_drains_while_a_connection_is_probed_gets_nothing_new() -> None:
+def test_endpoint_that_drains_during_a_probe_gets_no_new_call() -> None:
     async def main() -> None:
         async with (
             StubServer([reply("200 OK"), silent]) as server,
-            attempts(server.address, probe=PROBE) as a,
+            calls_to(server.address, probe=PROBE) as calls,
         ):
-            await a.outcome()
-            a.age(1.0)
-            a.servers.keep_alive.record_early_close(0.5, asyncio.get_running_loop().time())
+            await calls.outcome()
+            calls.age(1.0)
+            calls.pool.keep_alive.record_early_close(0.5, asyncio.get_running_loop().time())
             server.got.clear()
-            _, future = a.begin(repeatable=False)
+            _, future = calls.start(idempotent=False)
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            a.servers.update(Naming((), ()).read(listing(2, row("a", server.address, "DRAINING"))))
+            calls.pool.update(Naming((), ()).read(listing(2, row("a", server.address, "DRAINING"))))
             assert (await future)[0] is Outcome.CONNECT_FAILED
             assert [r.target for r in server.received] == ["/api/x", "/health"]
             server.release.set()
@@ -330,7 +338,7 @@
     run(main())
 
 
-def test_trust_in_idle_connections_comes_back() -> None:
+def test_trusted_idle_time_recovers() -> None:
     keep_alive = KeepAlive(15.0)
     assert keep_alive.trusted_s(0.0) == 15.0
     keep_alive.record_early_close(1.0, 100.0)
@@ -341,17 +349,17 @@
     assert keep_alive.trusted_s(1e6) == 15.0
 
 
-def test_close_idle_leaves_calls_alone() -> None:
+def test_close_idle_does_not_affect_calls_in_flight() -> None:
     async def main() -> None:
         behaviours = [reply("200 OK"), silent]
-        async with StubServer(behaviours) as server, attempts(server.address) as a:
-            await a.outcome()
-            a.servers.close_idle(b"a")
+        async with StubServer(behaviours) as server, calls_to(server.address) as calls:
+            await calls.outcome()
+            calls.pool.close_idle(b"a")
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
             server.got.clear()
-            call, future = a.begin()
+            call, future = calls.start()
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            a.servers.close_idle(b"a")
+            calls.pool.close_idle(b"a")
             assert not future.done()
             call.abort(Outcome.CANCELLED)
             server.release.set()
@@ -359,18 +367,18 @@
     run(main())
 
 
-def test_short_of_descriptors_idle_connections_go_first_then_connecting_fails() -> None:
+def test_at_the_connection_limit_idle_connections_close_first_then_connecting_fails() -> None:
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as one,
             StubServer([silent]) as two,
-            attempts(one.address, most_open=1) as a,
+            calls_to(one.address, max_connections=1) as calls,
         ):
-            a.servers.update(Naming((), ()).read(listing(2, row("a", one.address), row("b", two.address))))
-            await a.outcome()
-            call, future = a.begin(server=b"b")
+            calls.pool.update(Naming((), ()).read(listing(2, row("a", one.address), row("b", two.address))))
+            await calls.outcome()
+            call, future = calls.start(server=b"b")
             await asyncio.wait_for(two.got.wait(), PATIENCE_S)
-            assert await a.outcome() == (Outcome.CONNECT_FAILED, b"")
+            assert await calls.outcome() == (Outcome.CONNECT_FAILED, b"")
             assert not future.done()
             call.abort(Outcome.CANCELLED)
             two.release.set()
@@ -378,46 +386,46 @@
     run(main())
 
 
-def test_a_call_that_is_left_frees_its_connection_when_its_answer_has_come() -> None:
-    """Each withdrawn second copy closed a connection: a tenth of all handshakes on the fleet days."""
+def test_abandoned_call_frees_its_connection_after_its_response() -> None:
+    """Each cancelled hedged request closed a connection: a tenth of all handshakes in the fleet runs."""
 
     async def main() -> None:
         behaviours = [held(reply("200 OK", b"late")), reply("200 OK", b"next")]
-        async with StubServer(behaviours) as server, attempts(server.address) as a:
-            call, left = a.begin()
+        async with StubServer(behaviours) as server, calls_to(server.address) as calls:
+            call, future = calls.start()
             while not server.received:
                 await asyncio.sleep(0)
             call.discard_response(Outcome.CANCELLED)
-            assert await left == (Outcome.CANCELLED, b"")
-            (connection,) = a.servers.discarding
+            assert await future == (Outcome.CANCELLED, b"")
+            (connection,) = calls.pool.discarding
             server.release.set()
-            while a.servers.discarding:
+            while calls.pool.discarding:
                 await asyncio.sleep(0)
-            assert a.servers._idle_connections() == [connection]
-            assert await a.outcome() == (Outcome.OK, b"next")
+            assert calls.pool._idle_connections() == [connection]
+            assert await calls.outcome() == (Outcome.OK, b"next")
             assert server.opened == 1
 
     run(main())
 
 
-def test_a_call_that_is_left_holds_no_connection_past_its_time_nor_one_that_is_needed() -> None:
+def test_abandoned_call_holds_no_connection_past_its_deadline_or_at_the_limit() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, attempts(server.address, most_open=1) as a:
-            call, _ = a.begin(timeout_s=0.2)
+        async with StubServer([silent]) as server, calls_to(server.address, max_connections=1) as calls:
+            call, _ = calls.start(timeout_s=0.2)
             while not server.received:
                 await asyncio.sleep(0)
             call.discard_response(Outcome.CANCELLED)
-            while a.servers.discarding:
+            while calls.pool.discarding:
                 await asyncio.sleep(0)
-            while a.servers._connections:
+            while calls.pool._connections:
                 await asyncio.sleep(0)
-            call, _ = a.begin()
+            call, _ = calls.start()
             while len(server.received) < 2:
                 await asyncio.sleep(0)
             call.discard_response(Outcome.CANCELLED)
-            a.begin()
+            calls.start()
             while len(server.received) < 3:
                 await asyncio.sleep(0)
-            assert not a.servers.discarding and server.opened == 3
+            assert not calls.pool.discarding and server.opened == 3
 
     run(main())
