--- a/tests/node/state/helpers.py
+++ b/tests/node/state/helpers.py
@@ -1,4 +1,4 @@
-"""Configuration and waiting, for the tests of the node's state."""
+"""Helpers for the tests of the stored state of a node."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.node.stubs import PATIENCE_S
 
 
-def remembered(i: int, ratio: float, average: float = 20.0, **more: Any) -> RememberedEndpoint:
-    return RememberedEndpoint(bytes([i]), more.pop("started", 5.0), ratio, average, **more)
+def remembered(number: int, ratio: float, average: float = 20.0, **more: Any) -> RememberedEndpoint:
+    return RememberedEndpoint(bytes([number]), more.pop("started", 5.0), ratio, average, **more)
 
 
 def config(path: Path, **more: Any) -> StateConfig:
@@ -26,7 +26,7 @@
 
 
 def write_malformed_list(path: Path) -> None:
-    """Make a store of n0 whose second record is a list with an endpoint without a lifecycle."""
+    """Create a store of n0 whose second record is a list with an endpoint that lacks its lifecycle."""
     disk = Disk(path, lock=True)
     try:
         store = Store(recover_disk(disk, "n0"), 0.0)
@@ -38,9 +38,9 @@
         disk.close()
 
 
-async def until(met: Any) -> None:
+async def until(condition: Any) -> None:
     async def wait() -> None:
-        while not met():
+        while not condition():
             await asyncio.sleep(0.01)
 
     await asyncio.wait_for(wait(), PATIENCE_S)
--- a/tests/node/state/test_command.py
+++ b/tests/node/state/test_command.py
@@ -14,18 +14,18 @@
 from tests.test_cli import crowpost
 
 
-def test_show_verify_and_repair_print_what_an_operator_needs(tmp_path: Path) -> None:
+def test_output_of_show_verify_and_repair(tmp_path: Path) -> None:
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), state=config(tmp_path)) as w,
+            world(row("a", server.address), state=config(tmp_path)) as env,
         ):
-            tell(await w.discovery.watch(), listing(3, row("a", server.address)))
-            assert (await (await w.client()).ask("look")).status == 200
-            assert w.node._state_writer is not None
-            writer = w.node._state_writer
+            tell(await env.discovery.watch(), listing(3, row("a", server.address)))
+            assert (await (await env.client()).ask("look")).status == 200
+            assert env.node._state_writer is not None
+            writer = env.node._state_writer
             await until(lambda: writer.state.generation == 3)
-            await w.manage("POST", "/api/evacuate")
+            await env.manage("POST", "/api/evacuate")
 
     run(main())
     state = tmp_path / "state"
@@ -40,11 +40,11 @@
     log.write_bytes(data)
     verified = crowpost("state", "verify", str(state))
     assert verified.returncode == 1 and "crowpost state repair" in verified.stdout
-    refused = crowpost("state", "show", str(state))
-    assert refused.returncode == 2 and len(refused.stderr.splitlines()) == 1
-    assert "is damaged at byte" in refused.stderr
-    mended = crowpost("state", "repair", str(state), "--to", str(tmp_path / "copy"))
-    assert mended.returncode == 0 and "dropped: " in mended.stdout
+    failed = crowpost("state", "show", str(state))
+    assert failed.returncode == 2 and len(failed.stderr.splitlines()) == 1
+    assert "is damaged at byte" in failed.stderr
+    repaired = crowpost("state", "repair", str(state), "--to", str(tmp_path / "copy"))
+    assert repaired.returncode == 0 and "dropped: " in repaired.stdout
     assert crowpost("state", "verify", str(tmp_path / "copy-repaired")).returncode == 0
     repeated = crowpost("state", "repair", str(state), "--to", str(tmp_path / "copy"))
     assert repeated.returncode == 2 and "File exists" in repeated.stderr
@@ -52,12 +52,12 @@
 
 
 @pytest.mark.parametrize("command", ["show", "verify", "repair"])
-def test_without_a_store_the_command_says_so_and_changes_nothing(
+def test_command_without_a_store_fails_and_changes_nothing(
     command: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Guards against `whole` for a mistyped path, and against a repair that leaves a lock there."""
+    """Guards against `whole` for a mistyped path, and against a repair that leaves a lock file there."""
 
-    def ask(*arguments: str) -> tuple[object, str, str]:
+    def run_command(*arguments: str) -> tuple[object, str, str]:
         monkeypatch.setattr("sys.argv", ["crowpost", "state", command, *arguments])
         with pytest.raises(SystemExit) as ended:
             main()
@@ -69,9 +69,9 @@
     (other / "notes.txt").write_text("no store")
     before = sorted(tmp_path.rglob("*"))
     for path in (empty, other):
-        assert ask(str(path)) == (1, "", f"crowpost: {path}: there is no store\n")
-        assert ask(str(path), "--json") == (1, "", f"crowpost: {path}: there is no store\n")
-    code, out, error = ask(str(missing))
+        assert run_command(str(path)) == (1, "", f"crowpost: {path}: there is no store\n")
+        assert run_command(str(path), "--json") == (1, "", f"crowpost: {path}: there is no store\n")
+    code, out, error = run_command(str(missing))
     assert (code, out, len(error.splitlines())) == (2, "", 1)
     assert sorted(tmp_path.rglob("*")) == before
 
@@ -80,7 +80,7 @@
 def test_show_of_a_malformed_record_is_one_line_with_its_sequence_number(
     options: list[str], tmp_path: Path
 ) -> None:
-    """Guards against a traceback for a list record without a lifecycle."""
+    """Guards against a traceback for a list record with an endpoint that lacks its lifecycle."""
     write_malformed_list(tmp_path / "state")
     shown = crowpost("state", "show", str(tmp_path / "state"), *options)
     assert (shown.returncode, shown.stdout) == (2, "")
--- a/tests/node/state/test_records.py
+++ b/tests/node/state/test_records.py
@@ -1,4 +1,4 @@
-"""The records of a node's state, and the state that they make up."""
+"""The records of the stored state of a node, and the state built from them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 instances = st.lists(
     st.builds(
-        lambda name, life: {"instanceId": name, "lifecycle": life},
+        lambda name, lifecycle: {"instanceId": name, "lifecycle": lifecycle},
         names,
         st.sampled_from(["SERVING", "DRAINING", "DELETED"]),
     ),
@@ -87,7 +87,7 @@
     state.apply(LearnedEndpoints(20_000.0, [remembered(1, 2.0)]))
     state.apply(LearnedLimit(50_000.0, 9.0))
     state.apply(Evacuation(True))
-    event = state.restored_event(30_000.0)  # the clock has gone back by twenty seconds
+    event = state.restored_event(30_000.0)  # the clock was set back by 20 s
     assert [(m.server, m.age_ms) for m in event.endpoints] == [
         (b"\x01", 10_000.0)
     ] and event.limit_each == 0.0
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -1,4 +1,4 @@
-"""Nodes with a state directory: restarts, two processes at once, faults of the disk."""
+"""Nodes with a state directory: restarts, two concurrent processes, disk faults."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 from crowpost.storage.runner import inspect_store
 from tests.node.state.helpers import config, until, write_malformed_list
 from tests.node.stubs import PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell, world
-from tests.node.test_process import _configuration, _environment, _start, _told
+from tests.node.test_process import _configuration, _environment, _logged_address, _start
 
 
-def test_nothing_of_the_state_is_imported_where_it_is_off() -> None:
+def test_state_modules_are_not_imported_without_a_state_directory() -> None:
     code = (
         "import sys, crowpost.__main__; "
         "print([m for m in sys.modules if 'storage' in m or 'node.state' in m or 'crc32c' in m])"
@@ -35,30 +35,30 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_the_next_process_knows_the_list_without_discovery(tmp_path: Path) -> None:
+def test_next_process_restores_the_list_without_discovery(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"served")]) as server:
-            async with world(known=False, registryMode="pushed", state=config(tmp_path)) as w:
-                tell(await w.discovery.watch(), listing(41, row("a", server.address)))
-                await until(w.node.ready)
-                client = await w.client()
+            async with world(known=False, registryMode="pushed", state=config(tmp_path)) as env:
+                tell(await env.discovery.watch(), listing(41, row("a", server.address)))
+                await until(env.node.ready)
+                client = await env.client()
                 assert (await client.ask("look")).body == b"served"
-            async with world(known=False, registryMode="pushed", state=config(tmp_path)) as w:
-                client = await w.client()
+            async with world(known=False, registryMode="pushed", state=config(tmp_path)) as env:
+                client = await env.client()
                 assert (await client.ask("look")).body == b"served"
-                assert w.node._discovery._version == 41
-                learned = w.node._balancer.remember(0, 9)
+                assert env.node._discovery._version == 41
+                learned = env.node._balancer.remember(0, 9)
                 assert [m.server for m in learned] == [b"a"] and learned[0].average_ms is not None
-                figures = await w.figures()
+                figures = await env.figures()
                 assert figures["edge_node_state_writing"] == 1
                 assert figures["edge_node_state_generation"] == 41
 
     run(main())
 
 
-async def manage(address: tuple[str, int], method: str, call: str) -> int:
+async def call_admin(address: tuple[str, int], method: str, action: str) -> int:
     reader, writer = await asyncio.open_connection(*address)
-    writer.write(f"{method} /api/{call} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
+    writer.write(f"{method} /api/{action} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
     answer = await asyncio.wait_for(reader.read(), PATIENCE_S)
     writer.close()
     return int(answer.split()[1])
@@ -72,17 +72,17 @@
             state.write_text(f'[state]\ndirectory = "{tmp_path / "state"}"\n')
             environment = _environment(discovery, file) | {"NODE_MANAGEMENT": "127.0.0.1:0"}
             environment["NODE_STATE"] = str(state)
-            seen = []
-            for call in ("evacuate", "rejoin", ""):
+            statuses = []
+            for action in ("evacuate", "rejoin", ""):
                 process = await _start(environment)
-                address = await _told(process, "managed")
-                await _told(process, "listens")
-                seen.append(await manage(address, "GET", "ready"))
-                if call:
-                    assert await manage(address, "POST", call) == 200
+                address = await _logged_address(process, "managed")
+                await _logged_address(process, "listens")
+                statuses.append(await call_admin(address, "GET", "ready"))
+                if action:
+                    assert await call_admin(address, "POST", action) == 200
                 process.send_signal(signal.SIGKILL)
                 await asyncio.wait_for(process.wait(), PATIENCE_S)
-            assert seen == [200, 503, 200]
+            assert statuses == [200, 503, 200]
 
     run(main())
 
@@ -98,11 +98,12 @@
                 assert (await new.manage("GET", "/api/ready")).status == 200
                 state = read_node_state(inspect_store(tmp_path / "state"))
                 assert state.evacuated
-                old.node.terminate()  # it lets go at once, whatever it still answers
+                old.node.terminate()  # releases the directory immediately, though it still serves requests
                 assert new.node._state_writer is not None
                 writer = new.node._state_writer
                 await until(lambda: writer.figures()["state_writing"])
-                assert (await new.manage("GET", "/api/ready")).status == 503  # what staff asked of the node
+                # The new process takes over the evacuation that the operator requested.
+                assert (await new.manage("GET", "/api/ready")).status == 503
                 async with world(row("a", server.address), state=config(tmp_path)) as newest:
                     assert (await newest.manage("GET", "/api/ready")).status == 503
                     assert (await new.manage("POST", "/api/rejoin")).body == b""
@@ -123,40 +124,40 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), state=config(tmp_path)) as w,
+            world(row("a", server.address), state=config(tmp_path)) as env,
         ):
             monkeypatch.setattr("crowpost.storage.disk.os.fsync", fails)
-            answer = await w.manage("POST", "/api/evacuate")
+            answer = await env.manage("POST", "/api/evacuate")
             assert answer.status == 200 and b"a restart may forget it: writing has stopped" in answer.body
-            assert (await w.manage("GET", "/api/ready")).status == 503
-            assert (await w.figures())["edge_node_state_writing"] == 0
-            assert (await (await w.client()).ask("look")).status == 200
+            assert (await env.manage("GET", "/api/ready")).status == 503
+            assert (await env.figures())["edge_node_state_writing"] == 0
+            assert (await (await env.client()).ask("look")).status == 200
 
     run(main())
 
 
 def test_a_hanging_disk_delays_no_request(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    let, hangs = threading.Event(), threading.Event()
+    release, hanging = threading.Event(), threading.Event()
 
     def hang(descriptor: int) -> None:
-        hangs.set()
-        assert let.wait(PATIENCE_S)
+        hanging.set()
+        assert release.wait(PATIENCE_S)
 
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), state=config(tmp_path)) as w,
+            world(row("a", server.address), state=config(tmp_path)) as env,
         ):
-            client = await w.client()
+            client = await env.client()
             monkeypatch.setattr("crowpost.storage.disk.os.fsync", hang)
-            await until(hangs.is_set)
+            await until(hanging.is_set)
             try:
                 for _ in range(20):
                     assert (await client.ask("look")).status == 200
-                answer = await w.manage("POST", "/api/evacuate")
+                answer = await env.manage("POST", "/api/evacuate")
                 assert answer.status == 200 and b"has not answered within 1 s" in answer.body
             finally:
-                let.set()
+                release.set()
 
     run(main())
 
@@ -169,16 +170,16 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), state=config(tmp_path)) as w,
+            world(row("a", server.address), state=config(tmp_path)) as env,
         ):
-            assert w.node._state_writer is not None
-            writer = w.node._state_writer
+            assert env.node._state_writer is not None
+            writer = env.node._state_writer
             await until(lambda: writer.figures()["state_records"])
             assert writer._runner is not None
             writer._runner.append(Evacuation(False).encode(), Durability.DELAYED)
             writer._runner.write_snapshot(pieces())
             await until(lambda: not writer.figures()["state_writing"])
-            assert (await (await w.client()).ask("look")).status == 200
+            assert (await (await env.client()).ask("look")).status == 200
             for version in range(3):
                 writer.record_list(False, version, [])
             assert not writer._waiting_list_parts
@@ -190,16 +191,16 @@
 def test_a_damaged_directory_is_reported_and_not_changed(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server:
-            async with world(row("a", server.address), state=config(tmp_path)) as w:
-                await w.manage("POST", "/api/evacuate")
+            async with world(row("a", server.address), state=config(tmp_path)) as env:
+                await env.manage("POST", "/api/evacuate")
             log = next((tmp_path / "state").glob("log-*"))
             data = bytearray(log.read_bytes())
             data[60] ^= 4
             log.write_bytes(data)
-            async with world(row("a", server.address), state=config(tmp_path)) as w:
-                assert (await w.figures())["edge_node_state_damaged"] == 1
-                assert (await (await w.client()).ask("look")).status == 200
-                answer = await w.manage("POST", "/api/evacuate")
+            async with world(row("a", server.address), state=config(tmp_path)) as env:
+                assert (await env.figures())["edge_node_state_damaged"] == 1
+                assert (await (await env.client()).ask("look")).status == 200
+                answer = await env.manage("POST", "/api/evacuate")
                 assert answer.status == 200 and b"is damaged at byte" in answer.body
             assert log.read_bytes() == data
             with pytest.raises(ConfigError, match="NODE_STATE: .*/state: log-.* is damaged at byte"):
@@ -209,7 +210,7 @@
     run(main())
 
 
-def test_the_directory_of_another_node_is_refused(tmp_path: Path) -> None:
+def test_directory_of_another_node_is_rejected(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server:
             async with world(row("a", server.address), state=config(tmp_path)):
@@ -226,9 +227,9 @@
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server:
             slow = config(tmp_path, bytes_per_s=1_000.0)
-            async with world(row("a", server.address), state=slow) as w:
-                assert w.node._state_writer is not None
-                writer = w.node._state_writer
+            async with world(row("a", server.address), state=slow) as env:
+                assert env.node._state_writer is not None
+                writer = env.node._state_writer
                 for version in range(2, 600):
                     writer.record_list(False, version, [row(f"s{version}", server.address)])
                 await until(lambda: writer.figures()["state_snapshots"])
@@ -243,9 +244,9 @@
     async def main() -> None:
         write_malformed_list(tmp_path / "state")
         async with StubServer([reply("200 OK")]) as server:
-            async with world(row("a", server.address), state=config(tmp_path)) as w:
-                assert (await w.figures())["edge_node_state_damaged"] == 1
-                assert (await (await w.client()).ask("look")).status == 200
+            async with world(row("a", server.address), state=config(tmp_path)) as env:
+                assert (await env.figures())["edge_node_state_damaged"] == 1
+                assert (await (await env.client()).ask("look")).status == 200
             with pytest.raises(
                 ConfigError, match="NODE_STATE: .*record 2: a record that no node has written"
             ):
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -172,13 +172,13 @@
         async with server_and_node(twice, reply("200 OK", b"own")) as (server, env):
             client = await make_first_call(env, FAST_S)
             env.age(1.0)
-            (recent,) = only_endpoint(env).idle
-            idle_since_before = recent.idle_since
+            (first_connection,) = only_endpoint(env).idle
+            idle_since_before = first_connection.idle_since
             assert (await client.ask("book")).body == b"own"
             idle = list(only_endpoint(env).idle)
             assert len(idle) == 2
             assert (idle[0], idle[0].idle_since) == (
-                recent,
+                first_connection,
                 idle_since_before,
             ), "its idle time has started again"
             client.writer.write(request("book"))
@@ -200,12 +200,12 @@
     async def main() -> None:
         async with server_and_node(twice, reply("200 OK", b"own")) as (server, env):
             client = await make_first_call(env, FAST_S)
-            (recent,) = only_endpoint(env).idle
+            (first_connection,) = only_endpoint(env).idle
             dials = HeldDials(env)
             client.writer.write(request("book"))
             await dials.begun()
             server.release.set()
-            await until(lambda: not recent.usable())
+            await until(lambda: not first_connection.usable())
             assert len(server.received) == 1
             dials.release.set()
             assert (await client.answer()).body == b"own"
@@ -251,12 +251,12 @@
     async def main() -> None:
         async with server_and_node(reply_then_abort) as (server, env):
             client = await make_first_call(env, FAST_S)
-            (recent,) = only_endpoint(env).idle
+            (first_connection,) = only_endpoint(env).idle
             dials, recorder = HeldDials(env), Told(env)
             client.writer.write(request("book"))
             await dials.begun()
             server.release.set()
-            await until(lambda: not recent.usable())
+            await until(lambda: not first_connection.usable())
             server._server.close()
             dials.release.set()
             ended: AttemptEnded = await recorder.first(AttemptEnded)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""A node between stub callers, servers and discovery, on loopback sockets."""
+"""A node with stub clients, servers and discovery on loopback sockets."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 BODY = bytes(range(256)) * 4
 
 
-def test_a_served_request_passes_through_unchanged() -> None:
+def test_request_and_response_pass_through_unchanged() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK", BODY)]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK", BODY)]) as server, world(row("a", server.address)) as env:
+            client = await env.client()
             answer = await client.ask("move", target="/api/k1?x=%20y", body=BODY, deadline="2.5")
             assert (answer.status, answer.body) == (200, BODY)
             (got,) = server.received
@@ -48,46 +48,46 @@
             assert got.headers["x-request-id"] == "9b1f03aa5c7e2d41"
             assert got.headers["idempotency-key"] == "5c0f6e1a2b3d4c59"
             assert 0.0 < float(got.headers["x-deadline"]) < 2.5
-            w.age(REUSE_DELAY_S)
+            env.age(REUSE_DELAY_S)
             assert (await client.ask("look")).status == 200
-            assert server.opened == 1, "the idle connection was not used again"
+            assert server.opened == 1, "the idle connection was not reused"
 
     run(main())
 
 
-def test_what_every_server_turns_away_is_refused_with_a_time_to_come_back() -> None:
+def test_request_rejected_by_every_server_gets_503_with_retry_after() -> None:
     async def main() -> None:
         full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
-        async with StubServer([full]) as server, world(row("a", server.address)) as w:
-            answer = await (await w.client()).ask("book")
+        async with StubServer([full]) as server, world(row("a", server.address)) as env:
+            answer = await (await env.client()).ask("book")
             assert answer.status == 503
             assert 0.0 < float(answer.headers["retry-after"]) <= 2.0
 
     run(main())
 
 
-def test_a_turned_away_unsafe_request_goes_to_another_server() -> None:
+def test_unsafe_request_that_was_rejected_is_retried() -> None:
     async def main() -> None:
         full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
         async with (
             StubServer([full, reply("200 OK", b"b")]) as server,
-            world(row("a", server.address)) as w,
+            world(row("a", server.address)) as env,
         ):
-            assert (await (await w.client()).ask("book")).status == 200
+            assert (await (await env.client()).ask("book")).status == 200
             assert len(server.received) == 2
 
     run(main())
 
 
 @pytest.mark.parametrize("behaviour", [reply("500 Internal Server Error"), reset, raw(b"nonsense\r\n\r\n")])
-def test_an_unsafe_request_that_may_have_run_fails_and_is_never_sent_again(behaviour: object) -> None:
+def test_unsafe_request_that_may_have_run_is_not_retried(behaviour: object) -> None:
     async def main() -> None:
         async with (
             StubServer([behaviour]) as one,  # type: ignore[list-item]
             StubServer([behaviour]) as two,  # type: ignore[list-item]
-            world(row("a", one.address), row("b", two.address)) as w,
+            world(row("a", one.address), row("b", two.address)) as env,
         ):
-            answer = await (await w.client()).ask("book", body=b"slot")
+            answer = await (await env.client()).ask("book", body=b"slot")
             assert answer.status == 502
             assert "retry-after" not in answer.headers
             assert len(one.received) + len(two.received) == 1
@@ -95,25 +95,25 @@
     run(main())
 
 
-def test_an_idle_connection_that_breaks_after_the_write_is_no_reason_to_send_again() -> None:
-    """Guards against the silent resend on a fresh connection that HTTP clients do."""
+def test_unsafe_request_on_a_reused_connection_that_is_reset_is_not_retried() -> None:
+    """Guards against the automatic retry on a new connection that HTTP clients do."""
 
     async def main() -> None:
-        async with StubServer([reply("200 OK"), reset]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK"), reset]) as server, world(row("a", server.address)) as env:
+            client = await env.client()
             assert (await client.ask("book")).status == 200
-            w.age(REUSE_DELAY_S)
+            env.age(REUSE_DELAY_S)
             assert (await client.ask("book")).status == 502
             assert (len(server.received), server.opened) == (2, 1)
 
     run(main())
 
 
-def test_a_client_that_leaves_ends_its_attempt_and_gets_nothing() -> None:
+def test_client_disconnect_ends_the_attempt() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            events = _record(w.node._balancer)
-            client = await w.client()
+        async with StubServer([silent]) as server, world(row("a", server.address)) as env:
+            events = _record_events(env.node._balancer)
+            client = await env.client()
             client.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             client.close()
@@ -121,12 +121,12 @@
                 await asyncio.sleep(0)
             server.release.set()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
-            assert not w.node._requests.pending and not w.node._requests.calls
+            assert not env.node._requests.pending and not env.node._requests.calls
 
     run(main())
 
 
-def _record(balancer: object) -> list[Event]:
+def _record_events(balancer: object) -> list[Event]:
     events: list[Event] = []
     handle = balancer.handle  # type: ignore[attr-defined]
 
@@ -140,13 +140,15 @@
 
 
 @pytest.mark.parametrize(("kind", "status"), [("book", 502), ("look", 503)])
-def test_an_answer_comes_before_the_deadline_though_the_server_is_silent(kind: str, status: int) -> None:
+def test_response_is_sent_before_the_deadline_if_the_server_is_unresponsive(kind: str, status: int) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
-            begin = asyncio.get_running_loop().time()
+        async with StubServer([silent]) as server, world(row("a", server.address)) as env:
+            client = await env.client()
+            started_at = asyncio.get_running_loop().time()
             answer = await client.ask(kind, deadline="0.6")
-            assert asyncio.get_running_loop().time() - begin < 0.6 + 0.05, "later than the rule allows"
+            assert (
+                asyncio.get_running_loop().time() - started_at < 0.6 + 0.05
+            ), "later than 50 ms after the deadline"
             assert answer.status == status
             assert len(server.received) == 1
             server.release.set()
@@ -154,11 +156,11 @@
     run(main())
 
 
-def test_late_bytes_of_an_attempt_that_was_given_up_reach_no_other_request() -> None:
+def test_late_bytes_of_a_timed_out_attempt_reach_no_other_request() -> None:
     async def main() -> None:
         behaviours = [held(reply("200 OK", b"old")), reply("200 OK", b"new")]
-        async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer(behaviours) as server, world(row("a", server.address)) as env:
+            client = await env.client()
             assert (await client.ask("book", deadline="0.3")).status == 502
             server.release.set()
             assert (await client.ask("book")).body == b"new"
@@ -167,70 +169,70 @@
     run(main())
 
 
-def test_a_module_that_owes_an_answer_is_overruled_just_before_the_deadline(
+def test_request_that_the_module_leaves_without_a_response_gets_500(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
-            answer = await (await w.client()).ask("look", deadline="0.3")
+        async with StubServer([silent]) as server, world(row("a", server.address)) as env:
+            env.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
+            answer = await (await env.client()).ask("look", deadline="0.3")
             assert answer.status == 500
             assert "not answered in time" in caplog.text
 
     run(main())
 
 
-def test_a_fault_in_one_request_fails_that_request_alone() -> None:
+def test_exception_of_the_module_fails_only_one_request() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK", b"fine")]) as server, world(row("a", server.address)) as w:
-            handle = w.node._balancer.handle
+        async with StubServer([reply("200 OK", b"fine")]) as server, world(row("a", server.address)) as env:
+            handle = env.node._balancer.handle
 
             def faulty(event: Event, now: float) -> list[Action]:
-                w.node._balancer.handle = handle  # type: ignore[method-assign]
-                raise RuntimeError("planted")
+                env.node._balancer.handle = handle  # type: ignore[method-assign]
+                raise RuntimeError("injected")
 
-            w.node._balancer.handle = faulty  # type: ignore[method-assign]
-            client = await w.client()
+            env.node._balancer.handle = faulty  # type: ignore[method-assign]
+            client = await env.client()
             assert (await client.ask("look")).status == 500
             assert (await client.ask("look")).body == b"fine"
 
     run(main())
 
 
-def test_an_event_that_an_action_brings_waits_until_the_module_has_returned() -> None:
-    """A call that ends while its Send is carried out must not reach the module inside a decision."""
+def test_event_posted_during_a_decision_is_delivered_after_it() -> None:
+    """A call that ends while its Send action is carried out must not notify the module during a decision."""
 
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            handle, inside, seen = w.node._balancer.handle, False, 0
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as env:
+            handle, deciding, event_count = env.node._balancer.handle, False, 0
 
             def watched(event: Event, now: float) -> list[Action]:
-                nonlocal inside, seen
-                assert not inside, "an event came while the module was deciding"
-                inside, seen = True, seen + 1
-                if seen == 1:
-                    w.node._events.post(RequestAbandoned(99))
+                nonlocal deciding, event_count
+                assert not deciding, "an event was delivered while the module was deciding"
+                deciding, event_count = True, event_count + 1
+                if event_count == 1:
+                    env.node._events.post(RequestAbandoned(99))
                 actions = handle(event, now)
-                inside = False
+                deciding = False
                 return actions
 
-            w.node._balancer.handle = watched  # type: ignore[method-assign]
-            assert (await (await w.client()).ask("look")).status == 200
-            assert seen >= 3, "the event that came in between was dropped"
+            env.node._balancer.handle = watched  # type: ignore[method-assign]
+            assert (await (await env.client()).ask("look")).status == 200
+            assert event_count >= 3, "the event posted during the decision was dropped"
 
     run(main())
 
 
-def test_a_drained_server_gets_nothing_new_and_its_idle_connections_close() -> None:
+def test_drained_endpoint_gets_no_new_request_and_its_idle_connections_close() -> None:
     async def main() -> None:
         async with (
             StubServer([reply("200 OK", b"a")]) as one,
             StubServer([reply("200 OK", b"b")]) as two,
-            world(row("a", one.address)) as w,
+            world(row("a", one.address)) as env,
         ):
-            client = await w.client()
+            client = await env.client()
             assert (await client.ask("look")).body == b"a"
-            watch = await w.discovery.watch()
+            watch = await env.discovery.watch()
             tell(watch, listing(2, row("a", one.address, "DRAINING"), row("b", two.address), reset=False))
             await asyncio.wait_for(one.left.wait(), PATIENCE_S)
             assert {(await client.ask("look")).body for _ in range(5)} == {b"b"}
@@ -239,16 +241,16 @@
     run(main())
 
 
-def test_a_restarted_server_is_called_at_its_new_address_over_new_connections() -> None:
+def test_restarted_endpoint_is_called_at_its_new_address() -> None:
     async def main() -> None:
         async with (
             StubServer([reply("200 OK", b"old")]) as old,
             StubServer([reply("200 OK", b"new")]) as new,
-            world(row("a", old.address)) as w,
+            world(row("a", old.address)) as env,
         ):
-            client = await w.client()
+            client = await env.client()
             assert (await client.ask("look")).body == b"old"
-            watch = await w.discovery.watch()
+            watch = await env.discovery.watch()
             tell(watch, listing(2, row("a", new.address, started=1000.0)))
             await asyncio.wait_for(old.left.wait(), PATIENCE_S)
             assert (await client.ask("look")).body == b"new"
@@ -257,38 +259,38 @@
 
 
 @pytest.mark.parametrize("breaks", ["reset", "bad line", "bad list"])
-def test_a_broken_watch_is_a_failed_list_and_is_asked_for_again_from_where_it_was(breaks: str) -> None:
+def test_broken_watch_is_reopened_from_the_last_version(breaks: str) -> None:
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address)) as w,
+            world(row("a", server.address)) as env,
         ):
-            watch = await w.discovery.watch()
+            watch = await env.discovery.watch()
             tell(watch, listing(41, row("a", server.address)))
             if breaks == "reset":
                 await watch.drain()
                 watch.close()
             else:
                 tell(watch, b"{nonsense" if breaks == "bad line" else b'{"generation":42,"reset":true}')
-            again = await w.discovery.watch()
-            assert w.discovery.targets == ["/v1/endpoints?watch=1&from=1", "/v1/endpoints?watch=1&from=41"]
+            again = await env.discovery.watch()
+            assert env.discovery.targets == ["/v1/endpoints?watch=1&from=1", "/v1/endpoints?watch=1&from=41"]
             tell(again, listing(42, reset=False))
-            assert (await (await w.client()).ask("look")).status == 200, "the last list remains"
+            assert (await (await env.client()).ask("look")).status == 200, "the last list was dropped"
 
     run(main())
 
 
-def test_a_pushed_list_is_watched_unasked_and_again_after_a_break() -> None:
+def test_pushed_list_is_watched_from_the_start_and_again_after_a_break() -> None:
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(known=False, registryMode="pushed") as w,
+            world(known=False, registryMode="pushed") as env,
         ):
-            events = _record(w.node._balancer)
-            (await w.discovery.watch()).close()
-            watch = await w.discovery.watch()
-            client = await w.client()
-            assert (await client.ask(target="/ready")).status == 503, "no list yet"
+            events = _record_events(env.node._balancer)
+            (await env.discovery.watch()).close()
+            watch = await env.discovery.watch()
+            client = await env.client()
+            assert (await client.ask(target="/ready")).status == 503, "ready without a list"
             tell(watch, listing(5, row("a", server.address)))
             while not events:
                 await asyncio.sleep(0)
@@ -298,31 +300,31 @@
     run(main())
 
 
-def test_a_silent_watch_is_replaced_before_its_news_counts_as_told() -> None:
-    """Guards against sends to a server that drained six seconds ago, while the watch was given seven."""
+def test_stalled_watch_is_replaced_before_a_change_must_be_known() -> None:
+    """Guards against requests to a server that drained 6 s ago: the timeout of the watch was 7 s."""
 
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as w:
-            watch = await w.discovery.watch()
-            timer = w.node._discovery._timer
+        async with world(known=False, registryMode="pushed") as env:
+            watch = await env.discovery.watch()
+            timer = env.node._discovery._timer
             tell(watch, b"")
-            while w.node._discovery._timer is timer:
+            while env.node._discovery._timer is timer:
                 await asyncio.sleep(0)
-            timer = w.node._discovery._timer
+            timer = env.node._discovery._timer
             assert timer is not None
             assert timer.when() - asyncio.get_running_loop().time() + MAX_BACKOFF_S < 6.0
 
     run(main())
 
 
-def test_a_watch_that_stalls_from_the_start_is_replaced_sooner() -> None:
-    """News counts as told 4 s after SIGHUP, and 2 s after a new process beside another is ready."""
+def test_watch_that_stalls_from_the_start_is_replaced_sooner() -> None:
+    """A change must be known 4 s after SIGHUP, and 2 s after the second process of a node is ready."""
 
     async def main() -> None:
         guarantees = settings()["guarantees"] | {"mustAskInMs": 10_000.0}
-        async with world(known=False, registryMode="pushed", guarantees=guarantees) as w:
-            await w.discovery.watch()
-            timer = w.node._discovery._timer
+        async with world(known=False, registryMode="pushed", guarantees=guarantees) as env:
+            await env.discovery.watch()
+            timer = env.node._discovery._timer
             assert timer is not None
             left = timer.when() - asyncio.get_running_loop().time()
             assert left + MIN_BACKOFF_S < FIRST_LIST_TIMEOUT_S + 2.0 < 4.0
@@ -330,13 +332,13 @@
     run(main())
 
 
-def test_a_failing_agent_is_watched_anew_with_jittered_pauses_that_grow() -> None:
-    """All nodes lose discovery at once: they must not come back in step, nor four times a second."""
+def test_failing_watch_is_reopened_with_growing_jittered_pauses() -> None:
+    """All nodes lose discovery at once: they must not reconnect in step, nor four times a second."""
 
     async def main() -> None:
-        async with world(known=False, registryMode="pushed") as w:
-            discovery = w.node._discovery
-            await w.discovery.watch()
+        async with world(known=False, registryMode="pushed") as env:
+            discovery = env.node._discovery
+            await env.discovery.watch()
             pauses = []
             for _ in range(5):
                 discovery._fail()
@@ -345,7 +347,7 @@
             for pause, longest in zip(pauses, (0.25, 0.5, 1.0, 1.0, 1.0), strict=True):
                 assert 0.4 * longest < pause <= longest + 0.01
             assert pauses[2] != pytest.approx(pauses[3], abs=0.001)
-            watch = await w.discovery.watch()
+            watch = await env.discovery.watch()
             tell(watch, b"")
             while discovery._failures:
                 await asyncio.sleep(0)
@@ -357,52 +359,50 @@
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-def test_discovery_that_has_moved_is_watched_at_its_new_address(tmp_path: Path, mode: str) -> None:
+def test_changed_discovery_address_is_watched_after_reconfigure(tmp_path: Path, mode: str) -> None:
     async def main() -> None:
         path = tmp_path / "config.json"
         async with (
             StubServer([reply("200 OK")]) as server,
             StubDiscovery() as new,
-            world(known=False, registryMode=mode, path=str(path)) as w,
+            world(known=False, registryMode=mode, path=str(path)) as env,
         ):
             if mode == "on_request":
-                w.node._discovery.subscribe()
-            watch = await w.discovery.watch()
-            events = _record(w.node._balancer)
+                env.node._discovery.subscribe()
+            watch = await env.discovery.watch()
+            events = _record_events(env.node._balancer)
             tell(watch, listing(7, row("a", server.address)))
             while not events:
                 await asyncio.sleep(0)
             path.write_text(json.dumps({"discovery": new.address}))
-            w.node.reconfigure()
+            env.node.reconfigure()
             watch = await new.watch()
             assert new.targets == ["/v1/endpoints?watch=1&from=7"]
             tell(watch, listing(8, row("a", server.address, "DRAINING"), reset=False))
-            await asyncio.wait_for(_no_server(w), PATIENCE_S)
+            await asyncio.wait_for(_no_server(env), PATIENCE_S)
 
     run(main())
 
 
-async def _no_server(w: World) -> None:
-    client = await w.client()
+async def _no_server(env: World) -> None:
+    client = await env.client()
     while (await client.ask(target="/ready")).status != 503:
         pass
 
 
 @pytest.mark.parametrize("text", ["{nonsense", "{}", '{"discovery": "nowhere"}'])
-def test_a_configuration_that_cannot_be_read_anew_leaves_discovery_where_it_was(
-    tmp_path: Path, text: str
-) -> None:
+def test_invalid_new_configuration_keeps_the_discovery_address(tmp_path: Path, text: str) -> None:
     async def main() -> None:
         path = tmp_path / "config.json"
         path.write_text(text)
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(known=False, registryMode="pushed", path=str(path)) as w,
+            world(known=False, registryMode="pushed", path=str(path)) as env,
         ):
-            watch = await w.discovery.watch()
-            w.node.reconfigure()
+            watch = await env.discovery.watch()
+            env.node.reconfigure()
             tell(watch, listing(7, row("a", server.address)))
-            client = await w.client()
+            client = await env.client()
             while (await client.ask(target="/ready")).status != 200:
                 pass
 
@@ -436,43 +436,43 @@
         (request("look", extra="X-Long: " + "x" * 20000 + "\r\n"), 400),
     ],
 )
-def test_bad_input_is_answered_at_once_and_not_sent_on(bad: bytes, status: int) -> None:
+def test_invalid_request_gets_an_error_and_is_not_forwarded(bad: bytes, status: int) -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as env:
+            client = await env.client()
             client.writer.write(bad)
             assert (await client.answer()).status == status
             assert not server.received
-            assert (await (await w.client()).ask("look")).status == 200
+            assert (await (await env.client()).ask("look")).status == 200
 
     run(main())
 
 
-async def _only_connection(w: World) -> ClientConnection:
-    while not w.node._listener._connections:
+async def _only_connection(env: World) -> ClientConnection:
+    while not env.node._listener._connections:
         await asyncio.sleep(0)
-    (connection,) = w.node._listener._connections
+    (connection,) = env.node._listener._connections
     return connection
 
 
-def test_a_peer_that_says_nothing_is_closed_soon() -> None:
-    """Guards against silent peers that hold the descriptors of callers: they filled them in five seconds."""
+def test_connection_without_a_byte_is_closed_soon() -> None:
+    """Guards against connections without a byte, which used up all descriptors for clients within 5 s."""
 
     async def main() -> None:
-        async with world() as w:
-            peer = await w.client()
-            (await _only_connection(w)).opened_at -= FIRST_BYTE_TIMEOUT_S
+        async with world() as env:
+            peer = await env.client()
+            (await _only_connection(env)).opened_at -= FIRST_BYTE_TIMEOUT_S
             assert await peer.ended()
 
     run(main())
 
 
-def test_a_request_that_does_not_come_in_whole_gets_an_error_soon() -> None:
+def test_incomplete_request_gets_408_soon() -> None:
     async def main() -> None:
-        async with world() as w:
-            peer = await w.client()
+        async with world() as env:
+            peer = await env.client()
             peer.writer.write(request("book", body=BODY)[:-1])
-            connection = await _only_connection(w)
+            connection = await _only_connection(env)
             while not connection._parser.in_message:
                 await asyncio.sleep(0)
             connection.opened_at -= FIRST_BYTE_TIMEOUT_S
@@ -483,57 +483,57 @@
     run(main())
 
 
-def test_a_caller_that_has_sent_a_request_may_stay_idle() -> None:
+def test_client_that_has_sent_a_request_may_stay_idle() -> None:
     async def main() -> None:
-        async with world() as w:
-            await (await w.client()).ask(target="/ready")
-            connection = await _only_connection(w)
+        async with world() as env:
+            await (await env.client()).ask(target="/ready")
+            connection = await _only_connection(env)
             assert not connection.has_timed_out(connection.opened_at + 1000.0)
 
     run(main())
 
 
 @pytest.mark.parametrize("hint", ["much", "0", "inf", "250000"])
-def test_a_cost_hint_is_only_a_guess(hint: str) -> None:
+def test_implausible_cost_hint_does_not_fail_a_request(hint: str) -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            answer = await (await w.client()).ask("look", extra=f"X-Cost-Hint: {hint}\r\n")
+        async with StubServer([reply("200 OK")]) as server, world(row("a", server.address)) as env:
+            answer = await (await env.client()).ask("look", extra=f"X-Cost-Hint: {hint}\r\n")
             assert answer.status == 200
 
     run(main())
 
 
-def test_bodies_beyond_the_memory_are_refused_and_give_it_back_when_done() -> None:
-    """Guards against being killed for memory by callers that send large bodies all at once."""
+def test_bodies_beyond_the_memory_budget_are_rejected_until_memory_is_released() -> None:
+    """Guards against being killed for memory when clients send large bodies at the same time."""
 
     async def main() -> None:
-        async with StubServer([silent, reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            w.node._listener.budget.limit = 150
-            first = await w.client()
+        async with StubServer([silent, reply("200 OK")]) as server, world(row("a", server.address)) as env:
+            env.node._listener.budget.limit = 150
+            first = await env.client()
             first.writer.write(request("book", body=b"x" * 100))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            answer = await (await w.client()).ask("book", body=b"x" * 100)
+            answer = await (await env.client()).ask("book", body=b"x" * 100)
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
             assert len(server.received) == 1
             first.close()
-            while w.node._requests.pending:
+            while env.node._requests.pending:
                 await asyncio.sleep(0)
-            assert (await (await w.client()).ask("book", body=b"x" * 100)).status == 200
+            assert (await (await env.client()).ask("book", body=b"x" * 100)).status == 200
             server.release.set()
 
     run(main())
 
 
-def test_terminating_closes_only_after_the_last_of_requests_in_a_row() -> None:
+def test_termination_responds_to_all_pipelined_requests() -> None:
     async def main() -> None:
         behaviours = [held(reply("200 OK")), held(reply("200 OK"))]
-        async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer(behaviours) as server, world(row("a", server.address)) as env:
+            client = await env.client()
             client.writer.write(request("look") + request("look"))
-            while len(w.node._requests.pending) < 2:
+            while len(env.node._requests.pending) < 2:
                 await asyncio.sleep(0)
-            w.node.terminate()
+            env.node.terminate()
             server.release.set()
             answers = [await client.answer(), await client.answer()]
             assert [answer.status for answer in answers] == [200, 200]
@@ -541,11 +541,11 @@
     run(main())
 
 
-def test_requests_in_a_row_on_one_connection_are_answered_in_their_order() -> None:
+def test_pipelined_requests_get_their_responses_in_order() -> None:
     async def main() -> None:
         behaviours = [reply("200 OK", b"%d" % i) for i in range(8)]
-        async with StubServer(behaviours) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer(behaviours) as server, world(row("a", server.address)) as env:
+            client = await env.client()
             client.writer.write(b"".join(request("look", target=f"/api/{i}") for i in range(8)))
             bodies = [(await client.answer()).body for _ in range(8)]
             by_target = {got.target: b"%d" % i for i, got in enumerate(server.received)}
@@ -554,66 +554,66 @@
     run(main())
 
 
-def test_terminating_answers_what_is_here_and_what_still_comes() -> None:
+def test_termination_responds_to_pending_and_new_requests() -> None:
     async def main() -> None:
         async with (
             StubServer([held(reply("200 OK", b"first")), reply("200 OK", b"second")]) as server,
-            world(row("a", server.address)) as w,
+            world(row("a", server.address)) as env,
         ):
-            idle, busy = await w.client(), await w.client()
+            idle, busy = await env.client(), await env.client()
             assert (await idle.ask(target="/ready")).status == 200
             busy.writer.write(request("look"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            w.node.terminate()
+            env.node.terminate()
             answer = await idle.ask(target="/ready")
             assert (
                 answer.status == 503 and "connection" not in answer.headers
-            ), "callers may go on for a while"
+            ), "clients may keep their connection for a while"
             assert await idle.ended(), "an idle connection stayed open"
-            answer = await (await w.client()).ask(target="/ready")
+            answer = await (await env.client()).ask(target="/ready")
             assert (answer.status, answer.headers["connection"]) == (503, "close")
-            answer = await (await w.client()).ask("look")
+            answer = await (await env.client()).ask("look")
             assert (answer.body, answer.headers["connection"]) == (b"second", "close")
-            assert not w.serving.done(), "it ended with a request open"
+            assert not env.serving.done(), "the node ended with a request pending"
             server.release.set()
             answer = await busy.answer()
             assert (answer.body, answer.headers["connection"]) == (b"first", "close")
-            await asyncio.wait_for(w.serving, PATIENCE_S)
+            await asyncio.wait_for(env.serving, PATIENCE_S)
 
     run(main())
 
 
-def test_what_is_still_open_when_the_time_runs_out_is_failed_not_dropped() -> None:
+def test_requests_pending_at_the_end_of_the_drain_get_500() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            client = await w.client()
+        async with StubServer([silent]) as server, world(row("a", server.address)) as env:
+            client = await env.client()
             client.writer.write(request("book", deadline="30"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            w.node.terminate()
-            w.node._requests.fail_remaining()
+            env.node.terminate()
+            env.node._requests.fail_remaining()
             assert (await client.answer()).status == 500
             server.release.set()
 
     run(main())
 
 
-def test_more_callers_than_descriptors_are_refused_and_idle_ones_make_way() -> None:
+def test_connections_beyond_the_limit_are_rejected_and_idle_ones_closed() -> None:
     async def main() -> None:
-        async with StubServer([silent]) as server, world(row("a", server.address), sockets=64) as w:
-            w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
-            most = w.node._listener._max_connections
-            idle = await w.client()
+        async with StubServer([silent]) as server, world(row("a", server.address), sockets=64) as env:
+            env.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
+            max_connections = env.node._listener._max_connections
+            idle = await env.client()
             assert (await idle.ask(target="/ready")).status == 200
-            busy = [await w.client() for _ in range(most)]
-            assert await idle.ended(), "the idle connection did not make way"
+            busy = [await env.client() for _ in range(max_connections)]
+            assert await idle.ended(), "the idle connection was not closed"
             for client in busy:
                 client.writer.write(request("look", deadline="5"))
-            while len(w.node._requests.pending) < most:
+            while len(env.node._requests.pending) < max_connections:
                 await asyncio.sleep(0)
-            answer = await (await w.client()).ask("look")
+            answer = await (await env.client()).ask("look")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
-            assert len(w.node._requests.pending) == most
+            assert len(env.node._requests.pending) == max_connections
             server.release.set()
             for client in busy:
                 client.close()
@@ -621,32 +621,32 @@
     run(main())
 
 
-def test_an_idle_connection_that_makes_way_no_longer_counts() -> None:
-    """Guards against refusing a request in the moment in which an idle connection is being closed."""
+def test_idle_connection_that_is_being_closed_does_not_count_against_the_limit() -> None:
+    """Guards against rejecting a request while an idle connection is being closed to make room for it."""
 
     async def main() -> None:
-        async with world(sockets=64) as w:
-            clients = w.node._listener
-            silent_peer, *used = [await w.client() for _ in range(clients._max_connections)]
+        async with world(sockets=64) as env:
+            listener = env.node._listener
+            unused, *used = [await env.client() for _ in range(listener._max_connections)]
             for client in used:
                 await client.ask(target="/ready")
-            newest = ClientConnection(clients)
+            newest = ClientConnection(listener)
             newest.connection_made(asyncio.Transport())
-            assert not clients.over_limit()
-            assert await silent_peer.ended()
-            clients.closed(newest)
+            assert not listener.over_limit()
+            assert await unused.ended()
+            listener.closed(newest)
 
     run(main())
 
 
-def test_the_settings_of_the_stubs_are_read_whole() -> None:
-    """Guards the tests here: a renamed key would silently become a default."""
+def test_settings_of_the_stubs_are_read_completely() -> None:
+    """Guards the tests in this file: with a renamed key, the default would silently be used."""
     names = {c["name"] for c in settings()["profiles"]}
 
     async def main() -> None:
-        async with world(row("a", f"{HOST}:1")) as w:
-            assert {c.name for c in w.node._config.settings.classes} == names
-            assert w.node._config.settings.poll_for_list
+        async with world(row("a", f"{HOST}:1")) as env:
+            assert {c.name for c in env.node._config.settings.classes} == names
+            assert env.node._config.settings.poll_for_list
 
     run(main())
 
@@ -664,15 +664,18 @@
         ("[" * 9000, ()),
     ],
 )
-def test_a_load_report_reaches_the_module_and_a_broken_one_spoils_nothing(
+def test_load_report_reaches_the_module_and_an_invalid_one_is_ignored(
     text: str, load: tuple[float, ...]
 ) -> None:
     async def main() -> None:
         behaviour = reply("200 OK", b"fine", extra=f"X-Load: {text}\r\n")
         columns = {"columns": ["outstanding", "backlog"], "how": "inline"}
-        async with StubServer([behaviour]) as server, world(row("a", server.address), loadInfo=columns) as w:
-            events = _record(w.node._balancer)
-            assert (await (await w.client()).ask("look")).body == b"fine"
+        async with (
+            StubServer([behaviour]) as server,
+            world(row("a", server.address), loadInfo=columns) as env,
+        ):
+            events = _record_events(env.node._balancer)
+            assert (await (await env.client()).ask("look")).body == b"fine"
             assert [e.load for e in events if isinstance(e, AttemptEnded)] == [load]
 
     run(main())
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -1,4 +1,4 @@
-"""The commands of deploy/balancer.toml, as the platform starts them."""
+"""The run command of deploy/balancer.toml, started as the platform does."""
 
 from __future__ import annotations
 
@@ -65,24 +65,24 @@
     }
 
 
-async def _told(process: asyncio.subprocess.Process, what: str) -> tuple[str, int]:
-    """The address that the node's log names."""
+async def _logged_address(process: asyncio.subprocess.Process, event: str) -> tuple[str, int]:
+    """Return the address in the log line of the node that contains `{event} on HOST:PORT`."""
     assert process.stderr is not None
     line = ""
-    while not (found := re.search(rf"{what} on ([\d.]+):(\d+)", line)):
+    while not (found := re.search(rf"{event} on ([\d.]+):(\d+)", line)):
         line = (await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)).decode()
         assert line, "the node ended"
     return found[1], int(found[2])
 
 
-def test_run_serves_a_request_lives_through_sighup_and_ends_with_0_on_sigterm(tmp_path: Path) -> None:
+def test_run_serves_requests_survives_sighup_and_exits_with_0_on_sigterm(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"served")]) as server, StubDiscovery() as discovery:
             config = tmp_path / "config.json"
             raw = _configuration(server)
             config.write_text(json.dumps(raw))
             process = await _start(_environment(discovery, config))
-            client = await Client.connect(await _told(process, "listens"))
+            client = await Client.connect(await _logged_address(process, "listens"))
             assert (await client.ask(target="/ready")).status == 200
             assert (await client.ask("look")).body == b"served"
             async with StubDiscovery() as moved:
@@ -97,8 +97,8 @@
     run(main())
 
 
-def test_sighup_before_the_node_can_hear_it_ends_nothing_and_is_made_up_for(tmp_path: Path) -> None:
-    """Guards against a crash in the moment of the start, and against a node that watches where nobody is."""
+def test_sighup_during_the_start_is_survived_and_applied_later(tmp_path: Path) -> None:
+    """Guards against a start that SIGHUP ends, and against watching an outdated discovery address."""
 
     async def main() -> None:
         async with StubServer([]) as server, StubDiscovery() as old, StubDiscovery() as moved:
@@ -117,7 +117,7 @@
     run(main())
 
 
-def test_a_bad_configuration_is_one_line_and_exit_code_2(tmp_path: Path) -> None:
+def test_invalid_configuration_prints_one_line_and_exits_with_2(tmp_path: Path) -> None:
     async def main() -> None:
         config = tmp_path / "config.json"
         config.write_text("{}")
@@ -143,7 +143,7 @@
         ({"NODE_ACCEPT_FD": "bound"}, "is no listening TCP socket"),
     ],
 )
-def test_a_bad_second_address_or_listener_is_one_line_and_exit_code_2(
+def test_invalid_admin_address_or_descriptor_prints_one_line_and_exits_with_2(
     tmp_path: Path, variables: dict[str, str], text: str
 ) -> None:
     async def main() -> None:
@@ -152,10 +152,10 @@
             config.write_text(json.dumps(_configuration(server)))
             with socket.socket() as bound:
                 bound.bind((HOST, 0))
-                named = {"bound": str(bound.fileno()), "taken": server.address}
-                given = {name: named.get(value, value) for name, value in variables.items()}
+                values = {"bound": str(bound.fileno()), "taken": server.address}
+                substituted = {name: values.get(value, value) for name, value in variables.items()}
                 process = await _start(
-                    {**_environment(discovery, config), **given}, pass_fds=(bound.fileno(),)
+                    {**_environment(discovery, config), **substituted}, pass_fds=(bound.fileno(),)
                 )
                 _, error = await asyncio.wait_for(process.communicate(), PATIENCE_S)
             assert process.returncode == 2
@@ -164,7 +164,7 @@
     run(main())
 
 
-def test_a_new_version_takes_over_under_load_and_no_request_is_turned_back(tmp_path: Path) -> None:
+def test_upgrade_under_load_rejects_no_request(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"served")]) as server, StubDiscovery() as discovery:
             config = tmp_path / "config.json"
@@ -178,20 +178,20 @@
                 started = []
                 for _ in range(2):
                     process = await _start({**common, "NODE_MANAGEMENT": f"{HOST}:0"}, (descriptor,))
-                    started.append((process, await _told(process, "managed")))
+                    started.append((process, await _logged_address(process, "managed")))
                     tell(await discovery.watch(), listing(2, row("a", server.address)))
-                    await _told(process, "listens")
+                    await _logged_address(process, "listens")
                 (old, _), (new, managed) = started
                 kept = await Client.connect(address)
-                done, asked = asyncio.Event(), 0
+                done, request_count = asyncio.Event(), 0
 
                 async def ask_on_new_connections() -> None:
-                    nonlocal asked
+                    nonlocal request_count
                     while not done.is_set():
                         client = await Client.connect(address)
                         assert (await client.ask("look")).body == b"served"
                         client.close()
-                        asked += 1
+                        request_count += 1
 
                 load = [asyncio.create_task(ask_on_new_connections()) for _ in range(4)]
                 assert (await kept.ask("look")).status == 200
@@ -200,7 +200,7 @@
                 assert old.returncode == 0
                 done.set()
                 await asyncio.gather(*load)
-                assert asked and len(server.received) == asked + 1
+                assert request_count and len(server.received) == request_count + 1
                 client = await Client.connect(managed)
                 assert (await client.ask(target="/api/ready")).status == 200
                 new.send_signal(signal.SIGTERM)
@@ -210,32 +210,32 @@
     run(main())
 
 
-def _peak_kb(process: asyncio.subprocess.Process) -> int:
-    """The most memory that the process has held so far."""
+def _peak_memory_kb(process: asyncio.subprocess.Process) -> int:
+    """Return the peak resident memory of the process so far."""
     text = Path(f"/proc/{process.pid}/status").read_text()
     found = re.search(r"VmHWM:\s+(\d+) kB", text)
     assert found
     return int(found[1])
 
 
-def test_long_bodies_both_ways_at_once_take_little_memory(tmp_path: Path) -> None:
-    """Six of 32 MB down to callers that read late and six up, under a limit of 48 MB for the whole node."""
+def test_long_bodies_in_both_directions_take_little_memory(tmp_path: Path) -> None:
+    """Six downloads of 32 MB to slow clients and six uploads, with a memory limit of 48 MB for the node."""
 
-    size, several = 32 * 1024 * 1024, 6
+    size, transfers = 32 * 1024 * 1024, 6
     block = bytes(range(256)) * 1024
     digest = hashlib.sha256(block * (size // len(block))).digest()
 
-    async def pour(server: StubServer, got: Received, writer: asyncio.StreamWriter) -> None:
+    async def serve_long_body(server: StubServer, got: Received, writer: asyncio.StreamWriter) -> None:
         if got.body:
-            same = hashlib.sha256(got.body).digest() == digest
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" + (b"same" if same else b"else"))
+            is_same = hashlib.sha256(got.body).digest() == digest
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n" + (b"same" if is_same else b"else"))
             return
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size // len(block)):
             writer.write(block)
             await writer.drain()
 
-    async def up(address: tuple[str, int]) -> None:
+    async def upload(address: tuple[str, int]) -> None:
         client = await Client.connect(address)
         head = request("book", body=b"x")[:-1].replace(b"Length: 1", b"Length: %d" % size)
         client.writer.write(head)
@@ -244,7 +244,7 @@
             await client.writer.drain()
         assert (await client.answer()).body == b"same"
 
-    async def down(address: tuple[str, int], may_read: asyncio.Event) -> None:
+    async def download(address: tuple[str, int], may_read: asyncio.Event) -> None:
         client = await Client.connect(address)
         client.writer.write(request("look"))
         await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
@@ -253,27 +253,27 @@
         left = size
         while left:
             piece = await asyncio.wait_for(client.reader.read(min(left, 1 << 20)), PATIENCE_S)
-            assert piece, "the answer broke off"
+            assert piece, "the response ended early"
             got.update(piece)
             left -= len(piece)
         assert got.digest() == digest
 
     async def main() -> None:
-        async with StubServer([pour]) as server, StubDiscovery() as discovery:
+        async with StubServer([serve_long_body]) as server, StubDiscovery() as discovery:
             config = tmp_path / "config.json"
             limits = {"cores": 1.0, "memory_mb": 48, "sockets": 256}
             config.write_text(json.dumps({**_configuration(server), "limits": limits}))
             process = await _start(_environment(discovery, config))
-            address = await _told(process, "listens")
+            address = await _logged_address(process, "listens")
             client = await Client.connect(address)
             assert (await client.ask("look", target="/ready")).status == 200
-            before = _peak_kb(process)
+            before = _peak_memory_kb(process)
             may_read = asyncio.Event()
-            downs = [asyncio.create_task(down(address, may_read)) for _ in range(several)]
-            await asyncio.gather(*[up(address) for _ in range(several)])
+            downloads = [asyncio.create_task(download(address, may_read)) for _ in range(transfers)]
+            await asyncio.gather(*[upload(address) for _ in range(transfers)])
             may_read.set()
-            await asyncio.gather(*downs)
-            assert _peak_kb(process) - before < 24 * 1024, "long bodies were held"
+            await asyncio.gather(*downloads)
+            assert _peak_memory_kb(process) - before < 24 * 1024, "long bodies were kept in memory"
             process.terminate()
             await asyncio.wait_for(process.communicate(), PATIENCE_S)
             assert process.returncode == 0
