--- a/crowpost/node/config_feed.py
+++ b/crowpost/node/config_feed.py
@@ -48,11 +48,11 @@
             self._writer = ThreadPoolExecutor(1, thread_name_prefix="feed")
         self._rejected_versions: dict[
             str, int
-        ] = {}  # by scope; removed when a document of the scope is applied
+        ] = {}  # scope -> version; removed when a document of the scope is applied
         self._applied_count = 0
         self._uncached_count = 0  # applied documents that could not be written to disk
         self._longest_us = 0  # longest time that a document has blocked the event loop
-        self._longest_cpu_us = 0  # the same in CPU time of the loop's thread
+        self._longest_cpu_us = 0  # longest CPU time of the loop's thread for a document
 
     def start(self) -> None:
         """Start to follow the feed; the cached documents are already applied."""
@@ -124,7 +124,7 @@
             self._transport.log_event("unkept", scope=header.scope, version=header.version, why=why)
         self._transport.apply_finished(header, "")
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics of the feed, by name and label."""
         counts = self._transport.follower.counts
         versions = {
--- a/crowpost/node/configuration_overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -89,13 +89,13 @@
         self._environment = environment
         self._file = raw
         self._path = path
-        self._applied: dict[str, Overlay] = {}  # by scope
+        self._applied: dict[str, Overlay] = {}  # scope -> overlay
         self._running = raw
         self.cached_documents: list[Document] = []  # cached documents that are applied
         self.notes: list[str] = []  # log lines, to be written once the log of the node is open
         self._apply_cached(list(cached_documents))
         config = self._read(self._running)
-        self._file_discovery = config.discovery  # used while no overlay sets discovery
+        self._file_discovery = config.discovery  # discovery address while no overlay sets it
         if self._overlays_set_discovery():
             self._file_discovery = self._read_file_discovery(config)
         self.reloadable = ReloadableSettings(config.discovery, config.settings.connect_timeout_ms)
--- a/crowpost/node/membership.py
+++ b/crowpost/node/membership.py
@@ -95,7 +95,7 @@
         if share is not None:
             self._post(NodesPresent(share.node_count, share.node_index))
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics of membership by name and label."""
         core = self._transport.core
         counts = core.counts
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -42,9 +42,9 @@
 # Timeout of a request for the endpoint list, as a fraction of the interval between two of them: a request has
 # failed before the next one starts.
 LIST_CALL_FRACTION = 0.4
-# Upper bound of the polling interval, whatever the settings allow.  A change of the list must be known 6 s
-# after discovery becomes reachable; by then a request that times out (FIRST_LINE_TIMEOUT_S) and the longest
-# pause, which is half of this interval, must be over.
+# Upper bound of `list_poll_ms`, whatever the settings allow after a failed call.  A change of the list must
+# be known 6 s after discovery becomes reachable; by then a request that times out (FIRST_LINE_TIMEOUT_S) and
+# the longest pause, which is half of this interval, must be over.
 MAX_LIST_POLL_MS = 5_200.0
 
 # Fractions of all descriptors; the rest remains for new connections, discovery and the process itself.
@@ -82,7 +82,7 @@
         limit_fraction = 1.0 if self._inherited_socket is None else SHARED_LIMIT_FRACTION
         sockets = int(limit_fraction * config.limits.sockets)
         body_bytes = int(BODY_MEMORY_FRACTION * limit_fraction * config.limits.memory_mb * 1_000_000)
-        self._metrics = Metrics([kind.name for kind in config.settings.classes])
+        self._metrics = Metrics([request_class.name for request_class in config.settings.classes])
         self._balancer = self._make_balancer()
         host = b"%s:%d" % (config.listen[0].encode(), config.listen[1])
         health_check = b"GET /health HTTP/1.1\r\nHost: %s\r\n\r\n" % host
@@ -103,7 +103,7 @@
         )
         self._drain = Drain(
             self._listener,
-            longest_s=max(kind.deadline_ms for kind in config.settings.classes) / 1000.0,
+            longest_s=max(request_class.deadline_ms for request_class in config.settings.classes) / 1000.0,
             handed_over=self._inherited_socket is not None,
             fail_remaining=self._requests.fail_remaining,
             on_finished=self.stop,
@@ -162,8 +162,8 @@
         An inherited listening socket is accepted from only once the node is ready.  Raise ConfigError if a
         configured address or directory cannot be used, OSError if the address for clients cannot.
         """
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self.terminate)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self.terminate)
         self._loop.add_signal_handler(signal.SIGHUP, self.reconfigure)
         known = self._open_state(self._config.known)
         if known is not None:
@@ -229,9 +229,9 @@
             return MemberPhase.PRESENT if self.ready() else MemberPhase.JOINING
 
         state_writer = self._state_writer
-        note = state_writer.record_incarnation if state_writer is not None else lambda _: None
+        on_incarnation = state_writer.record_incarnation if state_writer is not None else lambda _: None
         self._membership = Membership(
-            self._config.members, self._config.settings, phase, self._events.post, note
+            self._config.members, self._config.settings, phase, self._events.post, on_incarnation
         )
         try:
             await self._membership.start(
@@ -254,10 +254,10 @@
         log.info("node %s listens on %s:%d", self._config.name, *self._address)
 
     def _on_initial_list_done(self) -> None:
-        """Accept from an inherited socket, now that discovery has sent its first list or has had its time."""
+        """Accept from an inherited socket, after the first list or FIRST_LIST_TIMEOUT_S."""
         self._initial_list_done = True
-        leaving = self._drain.phase is Phase.TERMINATING
-        if self._inherited_socket is not None and self._pool.has_endpoints() and not leaving:
+        terminating = self._drain.phase is Phase.TERMINATING
+        if self._inherited_socket is not None and self._pool.has_endpoints() and not terminating:
             inherited = self._inherited_socket
             self._inherited_socket = None
             self._accept_task = self._loop.create_task(self._accept(inherited))
@@ -340,12 +340,14 @@
 
     @staticmethod
     async def _store_drain(state_writer: NodeStateWriter, evacuated: bool) -> AdminResponse:
-        why = await state_writer.record_evacuation(evacuated)
-        return AdminResponse(200, f"done, but a restart may forget it: {why}\n".encode() if why else b"")
+        failure = await state_writer.record_evacuation(evacuated)
+        return AdminResponse(
+            200, f"done, but a restart may forget it: {failure}\n".encode() if failure else b""
+        )
 
     def _telemetry(self) -> AdminResponse:
         balancer = self._balancer
-        figures = self._metrics.render(
+        rendered = self._metrics.render(
             active=self._requests.active_count(),
             pool_size=balancer.pool_size,
             pool_ejected=balancer.pool_ejected,
@@ -353,14 +355,14 @@
                 name: value
                 for part in (self._membership, self._state_writer, self._config_feed)
                 if part is not None
-                for name, value in part.figures().items()
+                for name, value in part.metrics().items()
             },
         )
-        return AdminResponse(200, figures)
+        return AdminResponse(200, rendered)
 
     def terminate(self) -> None:
-        """Begin the graceful shutdown (SIGTERM): no longer ready, respond to remaining requests, then end."""
+        """Begin the graceful shutdown (SIGTERM): become unready, respond to pending and new requests, end."""
         self._drain.terminate()
         if self._state_writer is not None:
-            # Not at the end: another process of this node may be waiting for the directory.
+            # Close the state at once, as another process of this node may be waiting for its directory.
             self._state_writer.close()
--- a/crowpost/node/request_table.py
+++ b/crowpost/node/request_table.py
@@ -38,9 +38,9 @@
     message: Message
     exchange: Exchange
     effect: Effect
-    budget_ms: float  # counted from the last byte of the request
+    budget_ms: float  # time from the last byte of the request to its deadline
     head: bytes  # request head sent with each attempt, without X-Deadline
-    deadline_ms: float = math.inf  # node clock; infinite while a long body is being received
+    deadline_ms: float = math.inf  # time by the node clock; infinite while a long body is being received
     timer: asyncio.TimerHandle | None = None
     attempts: int = 0  # number of attempts so far
     streaming_attempt: int | None = None  # attempt whose long response is streamed to the client
--- a/crowpost/node/state/writer.py
+++ b/crowpost/node/state/writer.py
@@ -35,7 +35,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAITING_LIST_PARTS = 400  # with more parts queued, the list is written as a snapshot
+MAX_WAITING_LIST_PARTS = 400  # a longer queue is replaced by a snapshot of the list
 BURST_BYTES = 1 << 20
 POLL_INTERVAL_S = 0.1  # interval between writes, and between attempts to lock the directory
 ACKNOWLEDGE_TIMEOUT_S = 1.0  # longest wait of an operator for an evacuation to be durable
@@ -275,7 +275,7 @@
             runner.append(LearnedLimit(now, self._source.limit_each).encode(), Durability.DELAYED)
         await runner.close()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics of the state directory by name, for /api/telemetry."""
         store = self._runner.store if self._runner is not None else None
         counters = store.counters if store is not None else None
--- a/crowpost/node/upstream/connection.py
+++ b/crowpost/node/upstream/connection.py
@@ -45,18 +45,16 @@
         self._call_started_at = 0.0
         self._pool = pool
         self._call: Call | None = None
-        self._discard_timer: asyncio.TimerHandle | None = (
-            None  # limits the time to read and discard a response
-        )
+        self._discard_timer: asyncio.TimerHandle | None = None  # timeout of reading and discarding a response
         self._parser = MessageParser(self, requests=False)
         self._transport: asyncio.Transport | None = None
-        self._sink: BodySink | None = None  # receives the body of a long response
+        self._sink: BodySink | None = None  # destination of the body of a long response
         self._reading_paused = False  # whether the client has stopped reading
         self._write_paused = False  # whether the endpoint has stopped reading
-        self._on_flushed: Callable[[], None] | None = None  # called once the write buffer is empty
+        self._on_flushed: Callable[[], None] | None = None  # callback for an empty write buffer
         self._buffer_timer: asyncio.TimerHandle | None = None
-        self._progress_at = 0.0  # when part of a long body was last passed on
-        self.on_lost: Callable[[], None] | None = None  # set by a call that waits for this connection
+        self._progress_at = 0.0  # time at which part of a long body was last passed on
+        self.on_lost: Callable[[], None] | None = None  # callback of a call that waits for this connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the new connection with the pool."""
@@ -312,7 +310,7 @@
         """Return whether another call may be carried after this response to this call."""
         return (
             response.keep_alive
-            and (call is None or call.written)  # else part of the request is still unsent
+            and (call is None or call.written)  # the rest of an incomplete request could not be sent
             and not self._malformed
             and not self._parser.in_message
             and self.usable()
--- a/crowpost/node/upstream/endpoint.py
+++ b/crowpost/node/upstream/endpoint.py
@@ -33,7 +33,7 @@
     started_ms: float
     idle: list[ConnectionT] = field(default_factory=list)
     listed: bool = True  # False once it drains, is removed or has restarted: its connections are closed
-    response_time_s: float | None = None  # smoothed, of successful responses; None before the first
+    response_time_s: float | None = None  # smoothed time of successful responses; None before the first
     extra_dials: int = 0  # dials in progress in parallel to a wait for an idle connection
 
     def most_recent(self, before: float) -> ConnectionT:
--- a/crowpost/node/upstream/interfaces.py
+++ b/crowpost/node/upstream/interfaces.py
@@ -16,7 +16,7 @@
 class IdleConnection(Protocol):
     """A connection that the pool can keep idle."""
 
-    idle_since: float  # in seconds, in the loop's time
+    idle_since: float  # seconds, in the loop's time
 
 
 class CallConnection(Protocol):
--- a/crowpost/node/upstream/pool.py
+++ b/crowpost/node/upstream/pool.py
@@ -42,7 +42,7 @@
         probe_request: bytes | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self.connect_timeout_s = connect_timeout_s  # may be changed at any time; applies to later dials
+        self.connect_timeout_s = connect_timeout_s  # timeout of later dials; may be changed at any time
         self._idle_timeout_s = IDLE_TIMEOUT_FRACTION * idle_timeout_s
         self.keep_alive = KeepAlive(self._idle_timeout_s)
         self._max_connections = max_connections
--- a/tests/node/state/test_writer.py
+++ b/tests/node/state/test_writer.py
@@ -98,10 +98,11 @@
                 assert (await new.manage("GET", "/api/ready")).status == 200
                 state = read_node_state(inspect_store(tmp_path / "state"))
                 assert state.evacuated
-                old.node.terminate()  # releases the directory immediately, though it still serves requests
+                # The process releases the directory immediately, though it still serves requests.
+                old.node.terminate()
                 assert new.node._state_writer is not None
                 writer = new.node._state_writer
-                await until(lambda: writer.figures()["state_writing"])
+                await until(lambda: writer.metrics()["state_writing"])
                 # The new process takes over the evacuation that the operator requested.
                 assert (await new.manage("GET", "/api/ready")).status == 503
                 async with world(row("a", server.address), state=config(tmp_path)) as newest:
@@ -174,11 +175,11 @@
         ):
             assert env.node._state_writer is not None
             writer = env.node._state_writer
-            await until(lambda: writer.figures()["state_records"])
+            await until(lambda: writer.metrics()["state_records"])
             assert writer._runner is not None
             writer._runner.append(Evacuation(False).encode(), Durability.DELAYED)
             writer._runner.write_snapshot(pieces())
-            await until(lambda: not writer.figures()["state_writing"])
+            await until(lambda: not writer.metrics()["state_writing"])
             assert (await (await env.client()).ask("look")).status == 200
             for version in range(3):
                 writer.record_list(False, version, [])
@@ -232,7 +233,7 @@
                 writer = env.node._state_writer
                 for version in range(2, 600):
                     writer.record_list(False, version, [row(f"s{version}", server.address)])
-                await until(lambda: writer.figures()["state_snapshots"])
+                await until(lambda: writer.metrics()["state_snapshots"])
                 assert writer.state.generation == 599
             state = read_node_state(inspect_store(tmp_path / "state"))
             assert len(state.instances) >= 598 and state.generation == 599
--- a/tests/node/test_connection_race.py
+++ b/tests/node/test_connection_race.py
@@ -32,7 +32,7 @@
 from tests.node.test_races import HeldDials, Told, limits, twice
 
 NEVER_S = 10 * PATIENCE_S
-PAST_DEADLINE_S = 5.0  # longer than a deadline, but less than the trusted idle time
+PAST_DEADLINE_S = 5.0  # delay longer than a deadline, but less than the trusted idle time
 SLOW_S = 3600.0  # response time of a server for which a call waits for an idle connection
 FAST_S = 1e-6  # response time of a server for which a call dials in parallel
 
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -219,7 +219,7 @@
 
 
 def test_long_bodies_in_both_directions_take_little_memory(tmp_path: Path) -> None:
-    """Six downloads of 32 MB to slow clients and six uploads, with a memory limit of 48 MB for the node."""
+    """Six 32 MB downloads to clients that read late and six uploads, with a memory limit of 48 MB."""
 
     size, transfers = 32 * 1024 * 1024, 6
     block = bytes(range(256)) * 1024
