--- a/crowpost/node/state/writer.py
+++ b/crowpost/node/state/writer.py
@@ -37,7 +37,7 @@
 
 MAX_WAITING_LIST_PARTS = 400  # a longer queue is replaced by a snapshot of the list
 BURST_BYTES = 1 << 20
-POLL_INTERVAL_S = 0.1  # interval between writes, and between attempts to lock the directory
+POLL_INTERVAL_S = 0.1  # interval between checks for data to write, and for a released directory
 ACKNOWLEDGE_TIMEOUT_S = 1.0  # longest wait of an operator for an evacuation to be durable
 
 
--- a/crowpost/node/upstream/call.py
+++ b/crowpost/node/upstream/call.py
@@ -69,7 +69,7 @@
         self.written = False  # whether the last byte may have reached the server
         self.response_started = False  # whether a long response has started
         self.on_written = on_written
-        self.on_response_start = on_response_start  # None for a probe or health check
+        self.on_response_start = on_response_start  # None if only the status is needed
         self.upload = upload
         self.connection_note = "not written"  # log text that describes the connection of the call
         self.finished = False
--- a/crowpost/node/upstream/connection.py
+++ b/crowpost/node/upstream/connection.py
@@ -58,9 +58,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the new connection with the pool."""
-        self._transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop transports are not a subclass of asyncio.Transport
+        # The transports of uvloop are not a subclass of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._pool.opened(self)
 
     @property
