--- a/crowpost/lab/capacity/__init__.py
+++ b/crowpost/lab/capacity/__init__.py
@@ -1,5 +1,5 @@
-"""`docs/CAPACITY.md`: what the size that is coming needs of each role, from the target and committed records.
+"""Capacity page `docs/CAPACITY.md`: what the target size needs of each role, by target and committed records.
 
-Nothing here measures.  `records` reads what others measured, `figures` carries each number with its interval
-and where it is from, and `page` renders and checks.
+This package measures nothing.  `records` reads what other commands measured, `figures` holds each number with
+its interval and its sources, and `page` renders the page and checks it.
 """
--- a/crowpost/lab/capacity/connections.py
+++ b/crowpost/lab/capacity/connections.py
@@ -1,7 +1,7 @@
-"""Calls: connections between nodes and servers, with and without homes, by the module's own code.
+"""Connections between nodes and servers, with and without subsets, computed by the decision code itself.
 
-The sizes of services follow Zipf's law; which services call which is drawn by size, seeded, as nobody has
-told it.
+The sizes of services follow Zipf's law.  Which services call which is drawn by size with a seed, as the real
+call graph is not known.  The page calls the subset of a node its home.
 """
 
 from __future__ import annotations
@@ -20,101 +20,123 @@
 from crowpost.node.configuration import DEFAULT_CONN_IDLE_MS
 from crowpost.node.upstream.pool import IDLE_TIMEOUT_FRACTION
 
-IDLE_S = IDLE_TIMEOUT_FRACTION * DEFAULT_CONN_IDLE_MS / 1000.0  # that a node keeps a connection nobody uses
-PLACES = 2  # of nodes whose homes are dealt out for a mean: homes are alike in size but for one server
-CLASS = RequestClass("call", latency_objective_ms=1000.0, deadline_ms=3000.0)
+IDLE_S = IDLE_TIMEOUT_FRACTION * DEFAULT_CONN_IDLE_MS / 1000.0  # How long a node keeps an unused connection.
+SAMPLED_NODES = 2  # Nodes whose subsets are averaged: subset sizes differ by one server at most.
+REQUEST_CLASS = RequestClass("call", latency_objective_ms=1000.0, deadline_ms=3000.0)
 
 
-def sizes(servers: int, services: int, skew: float) -> list[int]:
-    """Servers of each service, the largest first: Zipf's law by largest remainders, at least one each."""
+def service_sizes(servers: int, services: int, skew: float) -> list[int]:
+    """Return the servers of each service, largest first: Zipf's law by largest remainders, at least one."""
     if servers < services:
         raise RecordError(f"target: {services} services of {servers} servers")
     weights = [1.0 / (rank + 1) ** skew for rank in range(services)]
-    exact = [servers * w / sum(weights) for w in weights]
-    found = [max(1, int(e)) for e in exact]
-    order = sorted(range(services), key=lambda i: exact[i] - found[i], reverse=True)
-    while (left := servers - sum(found)) > 0:
-        for i in order[:left]:
-            found[i] += 1
-    for _ in range(-left):  # the least ones were lifted to one: the largest give it
-        found[found.index(max(found))] -= 1
-    return found
-
-
-def callers(of: Sequence[int], callees: int, seed: int) -> list[list[int]]:
-    """For each service those that call it: each service calls so many others, drawn by their size."""
+    exact_sizes = [servers * weight / sum(weights) for weight in weights]
+    rounded_sizes = [max(1, int(size)) for size in exact_sizes]
+    order = sorted(range(services), key=lambda index: exact_sizes[index] - rounded_sizes[index], reverse=True)
+    while (left := servers - sum(rounded_sizes)) > 0:
+        for index in order[:left]:
+            rounded_sizes[index] += 1
+    # Services raised to one server take it from the largest ones.
+    for _ in range(-left):
+        rounded_sizes[rounded_sizes.index(max(rounded_sizes))] -= 1
+    return rounded_sizes
+
+
+def client_services(sizes: Sequence[int], callees: int, seed: int) -> list[list[int]]:
+    """Return for each service those that call it; each calls a number of others, drawn by their size."""
     rng = random.Random(seed)
-    found: list[list[int]] = [[] for _ in of]
-    for caller in range(len(of)):
-        others = [i for i in range(len(of)) if i != caller]
+    clients_of: list[list[int]] = [[] for _ in sizes]
+    for client in range(len(sizes)):
+        others = [index for index in range(len(sizes)) if index != client]
         chosen: set[int] = set()
         while len(chosen) < min(callees, len(others)):
-            chosen.add(rng.choices(others, [of[i] for i in others])[0])
+            chosen.add(rng.choices(others, [sizes[index] for index in others])[0])
         for callee in chosen:
-            found[callee].append(caller)
-    return found
+            clients_of[callee].append(client)
+    return clients_of
 
 
-def home(servers: int, nodes: int, zones: int = 1) -> float:
-    """Servers that one of so many nodes keeps to, by the module; with zones: where crossing has a price."""
+def subset_size(servers: int, nodes: int, zones: int = 1) -> float:
+    """Return the mean subset size of a node, by the decision code; with zones, crossing them has a price."""
     endpoints = EndpointSet(
         Context(
-            Settings(classes=(CLASS,), zones=zones, cross_zone_price=1.0 if zones > 1 else 0.0),
+            Settings(classes=(REQUEST_CLASS,), zones=zones, cross_zone_price=1.0 if zones > 1 else 0.0),
             random.Random(1),
         )
     )
-    rows = tuple(EndpointEntry(b"s%d" % i, zone=i % zones) for i in range(servers))
+    rows = tuple(EndpointEntry(b"s%d" % index, zone=index % zones) for index in range(servers))
     endpoints.apply(EndpointList(ListKind.FULL, rows))
-    held = []
-    for place in range(min(nodes, PLACES)):
-        endpoints.set_nodes(nodes, place)
-        held.append(servers if endpoints.subset is None else len(endpoints.subset))
-    return sum(held) / len(held)
+    sizes = []
+    for node_index in range(min(nodes, SAMPLED_NODES)):
+        endpoints.set_nodes(nodes, node_index)
+        sizes.append(servers if endpoints.subset is None else len(endpoints.subset))
+    return sum(sizes) / len(sizes)
 
 
 @dataclass(frozen=True, slots=True)
-class Wiring:
-    """Connections between all pairs of node and server; `before`: nodes before each service."""
-
-    of: tuple[int, ...]  # servers of each service
-    before: tuple[int, ...]
-    homes: tuple[float, ...]  # servers that a node before it keeps to
-
-    def total(self, with_homes: bool) -> float:
-        """Over the whole platform."""
-        return sum(m * h for m, h in zip(self.before, self.homes if with_homes else self.of, strict=True))
+class ConnectionCounts:
+    """Numbers of connections between nodes and servers, by service."""
+
+    server_counts: tuple[int, ...]  # Servers of each service.
+    client_nodes: tuple[int, ...]  # Nodes that call each service.
+    subset_sizes: tuple[float, ...]  # Servers of the service in the subset of one such node.
+
+    def total(self, with_subsets: bool) -> float:
+        """Return the connections of the whole platform."""
+        return sum(
+            nodes * servers
+            for nodes, servers in zip(
+                self.client_nodes, self.subset_sizes if with_subsets else self.server_counts, strict=True
+            )
+        )
 
-    def most_of_a_server(self, with_homes: bool) -> float:
-        """That the server with most of them holds towards nodes: each is met alike by the nodes before it."""
-        kept = self.homes if with_homes else self.of
-        return max(m * h / n for m, h, n in zip(self.before, kept, self.of, strict=True))
+    def max_per_server(self, with_subsets: bool) -> float:
+        """Return the connections of the server with most; nodes spread evenly over a service's servers."""
+        contacted_servers = self.subset_sizes if with_subsets else self.server_counts
+        return max(
+            nodes * contacted / servers
+            for nodes, contacted, servers in zip(
+                self.client_nodes, contacted_servers, self.server_counts, strict=True
+            )
+        )
 
 
 @lru_cache(maxsize=32)
-def wire(servers: int, services: int, skew: float, callees: int, seed: int, zones: int = 1) -> Wiring:
-    """The platform's connections at a size."""
-    of = sizes(servers, services, skew)
-    before = [sum(of[i] for i in names) for names in callers(of, callees, seed)]
-    dealt: dict[tuple[int, int], float] = {}
-    for n, m in zip(of, before, strict=True):
-        if m and (n, m) not in dealt:
-            dealt[n, m] = home(n, m, zones)
-    homes = [dealt.get((n, m), 0.0) for n, m in zip(of, before, strict=True)]
-    return Wiring(tuple(of), tuple(before), tuple(homes))
-
-
-def closed_part(calls_per_s: float, servers: float, idle_s: float = IDLE_S) -> float:
-    """The part of a node's calls that find no open connection, if spread evenly over so many servers.
-
-    Calls that come by chance (Poisson): none came to the server in the time that a connection is kept.
+def count_connections(
+    servers: int, services: int, skew: float, callees: int, seed: int, zones: int = 1
+) -> ConnectionCounts:
+    """Return the connections of a platform of this size."""
+    server_counts = service_sizes(servers, services, skew)
+    client_nodes = [
+        sum(server_counts[index] for index in clients)
+        for clients in client_services(server_counts, callees, seed)
+    ]
+    known_sizes: dict[tuple[int, int], float] = {}
+    for servers_of_one, nodes in zip(server_counts, client_nodes, strict=True):
+        if nodes and (servers_of_one, nodes) not in known_sizes:
+            known_sizes[servers_of_one, nodes] = subset_size(servers_of_one, nodes, zones)
+    subset_sizes = [
+        known_sizes.get((servers_of_one, nodes), 0.0)
+        for servers_of_one, nodes in zip(server_counts, client_nodes, strict=True)
+    ]
+    return ConnectionCounts(tuple(server_counts), tuple(client_nodes), tuple(subset_sizes))
+
+
+def unconnected_fraction(calls_per_s: float, servers: float, idle_s: float = IDLE_S) -> float:
+    """Return the fraction of a node's calls that find no open connection, if spread evenly over the servers.
+
+    With Poisson arrivals it is the probability of no call to the server while its connection is kept.
     """
     return math.exp(-calls_per_s / servers * idle_s)
 
 
-def floor_ends(calls_per_s: float, affordable: float, idle_s: float = IDLE_S) -> tuple[float, float]:
-    """Servers of a service at which so large a part of calls finds no open connection.
+def affordable_servers(
+    calls_per_s: float, max_unconnected: float, idle_s: float = IDLE_S
+) -> tuple[float, float]:
+    """Return the servers of a service at which the given fraction of calls finds no open connection.
 
-    Of an even spread, and at the floor, where a server gets the least share that the module leaves it.
+    The first is for calls spread evenly, the second for servers at the floor, which is the minimum
+    share of an endpoint that the decision code allows.
     """
-    even = calls_per_s * idle_s / -math.log(affordable)
-    return even, FLOOR_FRACTION * even
+    even_servers = calls_per_s * idle_s / -math.log(max_unconnected)
+    return even_servers, FLOOR_FRACTION * even_servers
--- a/crowpost/lab/capacity/events.py
+++ b/crowpost/lab/capacity/events.py
@@ -1,4 +1,4 @@
-"""The page's tables of what happens: changes of configuration, failures, and a region on its own."""
+"""The tables of events: configuration changes, failures, and a region isolated by a partition."""
 
 from __future__ import annotations
 
@@ -6,40 +6,52 @@
 
 from crowpost.lab.capacity.demand import DAY_S, Demand
 from crowpost.lab.capacity.figures import Figure, Origin
-from crowpost.lab.capacity.records import FeedRun, Trouble
-from crowpost.lab.capacity.tables import Book, Table
+from crowpost.lab.capacity.records import FaultMeasurement, FeedRun
+from crowpost.lab.capacity.tables import SourceRegister, Table
 
 YEAR_DAYS = 365.0
 PROCESSES = ("node", "relay", "publisher")
 
 
-def changes(book: Book, demand: Demand) -> Table:
-    """The mean and bursts of changes, small and large, at a node that takes all of them in."""
-    in_force = demand.told(demand.target.target.in_force_s, "in_force_s", "s")
+def changes(register: SourceRegister, demand: Demand) -> Table:
+    """Return the table of mean and bursts of changes, small and large, for a node that receives all."""
+    in_force = demand.from_target(demand.target.target.in_force_s, "in_force_s", "s")
     budget = demand.budget().bytes
     assert budget is not None
     part = budget.times(demand.assumed("feed_part"))
-    one, many = None, demand.assumed("burst_changes")
+    one, burst = None, demand.assumed("burst_changes")
     rows = []
-    mean = demand.changes().times(demand.told_bytes("document_bytes"), "B/s")
+    mean = demand.changes().times(demand.bytes_per_change("document_bytes"), "B/s")
     rows.append(
-        book.row("the mean of a day, small, all for every node", mean.times(DAY_S, "B"), mean, "", "", "")
+        register.row("the mean of a day, small, all for every node", mean.times(DAY_S, "B"), mean, "", "", "")
     )
-    taken = mean.times(demand.reach())
-    rows.append(book.row("... as split over scopes", taken.times(DAY_S, "B"), taken, "", "", ""))
+    received = mean.times(demand.fraction_received())
+    rows.append(register.row("... as split over scopes", received.times(DAY_S, "B"), received, "", "", ""))
     for name, number, body in (
         ("one small", one, "document_bytes"),
-        ("a burst of small", many, "document_bytes"),
+        ("a burst of small", burst, "document_bytes"),
         ("one large", one, "large_document_bytes"),
-        ("a burst of large", many, "large_document_bytes"),
+        ("a burst of large", burst, "large_document_bytes"),
     ):
-        moved = demand.told_bytes(body)
-        moved = moved.to("B") if number is None else number.times(moved, "B")
-        rate = moved.over(demand.assumed("burst_s"), "B/s") if number is many else moved.over(in_force, "B/s")
-        whole, kept = moved.over(budget, "s"), moved.over(part, "s")
-        within = demand.assumed("burst_s").plus(in_force) if number is many else in_force
-        fits = "yes" if kept.mid <= within.mid else "at the whole budget" if whole.mid <= within.mid else "no"
-        rows.append(book.row(name, moved, rate, whole, kept, fits))
+        bytes_per_node = demand.bytes_per_change(body)
+        bytes_per_node = (
+            bytes_per_node.with_unit("B") if number is None else number.times(bytes_per_node, "B")
+        )
+        rate = (
+            bytes_per_node.over(demand.assumed("burst_s"), "B/s")
+            if number is burst
+            else bytes_per_node.over(in_force, "B/s")
+        )
+        time_at_budget, time_at_part = bytes_per_node.over(budget, "s"), bytes_per_node.over(part, "s")
+        within = demand.assumed("burst_s").plus(in_force) if number is burst else in_force
+        fits = (
+            "yes"
+            if time_at_part.mid <= within.mid
+            else "at the whole budget"
+            if time_at_budget.mid <= within.mid
+            else "no"
+        )
+        rows.append(register.row(name, bytes_per_node, rate, time_at_budget, time_at_part, fits))
     heads = (
         "changes",
         "bytes to a node",
@@ -51,35 +63,46 @@
     return Table(heads, rows)
 
 
-SHOWN = ("calm", "loss", "burst")  # of the feed's cases; of all others the slowest alone
+# Cases of the feed that the page always shows; of the others it shows the slowest only.
+ALWAYS_SHOWN = ("calm", "loss", "burst")
 
 
-def _shown(runs: Sequence[FeedRun], size: int) -> list[tuple[int, str, str]]:
-    """Sizes, sources and cases that the page shows; docs/feed.md has them all."""
+def _cases_shown(runs: Sequence[FeedRun], size: int) -> list[tuple[int, str, str]]:
+    """Return sizes, sources and cases that the page shows; docs/feed.md has all of them."""
     found = []
     for nodes, source in sorted({(run.nodes, run.source) for run in runs}):
-        mine = [run for run in runs if (run.nodes, run.source) == (nodes, source)]
-        others = [run for run in mine if run.case not in SHOWN and run.in_force_s.get("worst") is not None]
+        same_size = [run for run in runs if (run.nodes, run.source) == (nodes, source)]
+        others = [
+            run
+            for run in same_size
+            if run.case not in ALWAYS_SHOWN and run.in_force_s.get("worst") is not None
+        ]
         slowest = max(others, key=lambda run: (run.in_force_s["worst"] or 0.0, run.case), default=None)
-        most = SHOWN if nodes == size or source == "real" else SHOWN[:1]
-        cases = [case for case in most if any(run.case == case for run in mine)]
+        always = ALWAYS_SHOWN if nodes == size or source == "real" else ALWAYS_SHOWN[:1]
+        cases = [case for case in always if any(run.case == case for run in same_size)]
         found += [(nodes, source, case) for case in [*cases, *([slowest.case] if slowest else [])]]
     return found
 
 
-def feed(book: Book, demand: Demand) -> Table:
-    """The cases of the feed's record that say most."""
+def feed(register: SourceRegister, demand: Demand) -> Table:
+    """Return the table of selected cases of the feed's record."""
     rows = []
     runs = demand.records.feed.runs if demand.records.feed is not None else []
-    for nodes, source, case in _shown(runs, demand.target.target.servers):
-        told = [demand.feed(case, what, "s", nodes, source) for what in ("p50", "p99", "worst")]
-        moved = [demand.feed(case, f"{who}_bytes_per_s", "B/s", nodes, source) for who in PROCESSES]
+    for nodes, source, case in _cases_shown(runs, demand.target.target.servers):
+        in_force_times = [
+            demand.feed(case, measure, "s", nodes, source) for measure in ("p50", "p99", "worst")
+        ]
+        byte_rate = [
+            demand.feed(case, f"{process}_bytes_per_s", "B/s", nodes, source) for process in PROCESSES
+        ]
         core = demand.feed(case, "node_core_percent", "%", nodes, source)
-        mine = [run for run in runs if (run.nodes, run.source, run.case) == (nodes, source, case)]
-        left = sum(run.unreached for run in mine)
-        rows.append(book.row(f"{case}, {nodes:,}, {source}", *told, *moved, core, str(left)))
+        same_case = [run for run in runs if (run.nodes, run.source, run.case) == (nodes, source, case)]
+        unreached = sum(run.unreached for run in same_case)
+        rows.append(
+            register.row(f"{case}, {nodes:,}, {source}", *in_force_times, *byte_rate, core, str(unreached))
+        )
     if not rows:
-        rows.append(book.row("any case", None, None, None, None, None, None, None, ""))
+        rows.append(register.row("any case", None, None, None, None, None, None, None, ""))
     heads = (
         "case, nodes",
         "in force, median",
@@ -94,45 +117,45 @@
     return Table(heads, rows)
 
 
-def dearest(demand: Demand) -> tuple[Figure, Figure] | None:
-    """What the busiest node took in the feed's dearest case of any size; the part that it may."""
+def most_expensive_case(demand: Demand) -> tuple[Figure, Figure] | None:
+    """Return the bytes of a node in the feed's most expensive case of any size, and its limit for them."""
     runs = demand.records.feed.runs if demand.records.feed is not None else []
     cases = sorted({(run.case, run.nodes, run.source) for run in runs})
-    found = [demand.feed(case, "node_bytes_per_s", "B/s", nodes, source) for case, nodes, source in cases]
-    known = [figure for figure in found if figure is not None]
+    figures = [demand.feed(case, "node_bytes_per_s", "B/s", nodes, source) for case, nodes, source in cases]
+    known = [figure for figure in figures if figure is not None]
     budget = demand.budget().bytes
     if not known or budget is None:
         return None
     return max(known, key=lambda figure: figure.high), budget.times(demand.assumed("feed_part"))
 
 
-def _often(demand: Demand, kind: str) -> Figure:
+def _frequency(demand: Demand, kind: str) -> Figure:
     failures = demand.target.target.failures
     if kind == "machine":
-        return demand.told(failures.machines_per_day, "machines_per_day", "a day")
+        return demand.from_target(failures.machines_per_day, "machines_per_day", "a day")
     if kind == "replacements":
-        return demand.told(failures.replacements_per_day, "replacements_per_day", "a day")
+        return demand.from_target(failures.replacements_per_day, "replacements_per_day", "a day")
     if kind == "rack":
-        return demand.told(YEAR_DAYS / failures.rack_days, "rack_days", "a year")
+        return demand.from_target(YEAR_DAYS / failures.rack_days, "rack_days", "a year")
     if kind == "region_cut":
-        return demand.told(failures.region_cuts_per_year, "region_cuts_per_year", "a year")
-    return demand.told(failures.zone_per_year, "zone_per_year", "a year")
+        return demand.from_target(failures.region_cuts_per_year, "region_cuts_per_year", "a year")
+    return demand.from_target(failures.zone_per_year, "zone_per_year", "a year")
 
 
-def _struck(demand: Demand, kind: str) -> Figure:
-    """Servers, each with its node, that are away at once."""
-    t, topology = demand.target.target, demand.target.topology
+def _servers_lost(demand: Demand, kind: str) -> Figure:
+    """Return the servers, each with its node, that a failure takes away at once."""
+    target, topology = demand.target.target, demand.target.topology
     if kind in ("machine", "replacements"):
-        return demand.told(1.0, "machines_per_day")
-    zone = demand.servers().over(demand.told(t.zones, "zones"))
+        return demand.from_target(1.0, "machines_per_day")
+    zone = demand.servers().over(demand.from_target(target.zones, "zones"))
     if kind == "rack":
-        return zone.over(demand.told(topology.racks_per_zone, "racks_per_zone"))
+        return zone.over(demand.from_target(topology.racks_per_zone, "racks_per_zone"))
     if kind == "region_cut":
-        return zone.times(demand.told(min(topology.zones_per_region), "zones_per_region"))
+        return zone.times(demand.from_target(min(topology.zones_per_region), "zones_per_region"))
     return zone
 
 
-NAMES = {
+FAILURE_NAMES = {
     "machine": "a machine",
     "rack": "a rack or its switch",
     "zone": "a zone",
@@ -142,43 +165,47 @@
 }
 
 
-def _played(demand: Demand, kind: str) -> tuple[Trouble | None, tuple[Origin, ...]]:
+def _measured(demand: Demand, kind: str) -> tuple[FaultMeasurement | None, tuple[Origin, ...]]:
     slopes = demand.records.slopes
-    found = [t for t in slopes.troubles if t.kind == kind] if slopes is not None else []
-    if slopes is None or not found:
+    faults = [fault for fault in slopes.troubles if fault.kind == kind] if slopes is not None else []
+    if slopes is None or not faults:
         return None, ()
-    one = max(found, key=lambda t: (t.members, t.seconds or 0.0))
-    lasted = "" if one.seconds is None else f" for {one.seconds:g} s"
-    speed = "" if one.speed == 1.0 else f" at {one.speed:g} times the speed"
+    largest = max(faults, key=lambda fault: (fault.members, fault.seconds or 0.0))
+    duration = "" if largest.seconds is None else f" for {largest.seconds:g} s"
+    speed = "" if largest.speed == 1.0 else f" at {largest.speed:g} times the speed"
     about = (
-        f"slopes.json, troubles: {one.source}, {one.members} members, "
+        f"slopes.json, troubles: {largest.source}, {largest.members} members, "
         f"revision {slopes.revision[:12]} of {slopes.at[:10]}"
     )
-    return one, (Origin("measured", f"trouble {kind.replace('_', ' ')}{lasted}{speed}", about),)
+    return largest, (Origin("measured", f"trouble {kind.replace('_', ' ')}{duration}{speed}", about),)
 
 
-def failures(book: Book, demand: Demand) -> Table:
-    """What each kind of failure strikes and sets off; calls: those that went to what was struck."""
+def failures(register: SourceRegister, demand: Demand) -> Table:
+    """Return the table of failures: servers lost, messages caused, and calls that went to those servers."""
     rows = []
-    for kind, name in NAMES.items():
-        played, origins = _played(demand, kind)
+    for kind, name in FAILURE_NAMES.items():
+        measured, origins = _measured(demand, kind)
 
-        def told(value: float | None, unit: str, of: tuple[Origin, ...] = origins) -> Figure | None:
-            return None if value is None else Figure(value, value, value, unit, of)
+        def figure(value: float | None, unit: str, sources: tuple[Origin, ...] = origins) -> Figure | None:
+            return None if value is None else Figure(value, value, value, unit, sources)
 
-        struck = _struck(demand, kind)
-        calls = "" if kind in ("zone_back", "replacements") else struck.times(demand.calls(), "/s")
-        messages, moved = None, None
+        lost_servers = _servers_lost(demand, kind)
+        calls = "" if kind in ("zone_back", "replacements") else lost_servers.times(demand.calls(), "/s")
+        messages, bytes_per_member = None, None
         settled: Figure | str | None = None
-        if played is not None:
-            messages, settled = told(played.messages, ""), told(played.settled_s, "s")
-            if settled is None and played.seconds is not None:
-                settled = f"not within {played.seconds:g} s"
-            moved = told(played.bytes_per_member, "B")
+        if measured is not None:
+            messages, settled = figure(measured.messages, ""), figure(measured.settled_s, "s")
+            if settled is None and measured.seconds is not None:
+                settled = f"not within {measured.seconds:g} s"
+            bytes_per_member = figure(measured.bytes_per_member, "B")
         if kind == "machine":
-            stand_in = demand.assumed("death_known_p99_s")
-            settled = stand_in if settled is None else settled
-        rows.append(book.row(name, _often(demand, kind), struck, messages, moved, settled, calls))
+            assumption = demand.assumed("death_known_p99_s")
+            settled = assumption if settled is None else settled
+        rows.append(
+            register.row(
+                name, _frequency(demand, kind), lost_servers, messages, bytes_per_member, settled, calls
+            )
+        )
     heads = (
         "kind",
         "how often",
@@ -192,27 +219,31 @@
 
 
 def lost(demand: Demand) -> list[tuple[str, str]]:
-    """What the played troubles told of what was lost, as they told it."""
+    """Return what the measured failures lost, in the words of the record."""
     slopes = demand.records.slopes
-    return [(NAMES.get(t.kind, t.kind), t.lost) for t in (slopes.troubles if slopes else ()) if t.lost]
+    return [
+        (FAILURE_NAMES.get(fault.kind, fault.kind), fault.lost)
+        for fault in (slopes.troubles if slopes else ())
+        if fault.lost
+    ]
 
 
-def alone(demand: Demand) -> dict[str, Figure]:
-    """A region on its own for a cut's time: changes that come, go on and wait; what joining moves."""
+def isolated_region(demand: Demand) -> dict[str, Figure]:
+    """Return figures of a region partition: changes that arrive, apply and wait, and the cost to catch up."""
     failures = demand.target.target.failures
-    cut = demand.told(failures.region_cut_s, "region_cut_s", "s")
+    duration = demand.from_target(failures.region_cut_s, "region_cut_s", "s")
     budget = demand.budget().bytes
     assert budget is not None
-    come = demand.changes().times(cut, "")
-    own = demand.assumed("part_region").plus(demand.assumed("part_node"))
-    wide = demand.assumed("part_all").plus(demand.assumed("part_service"))
-    missed = come.times(demand.reach()).times(demand.told_bytes("document_bytes"), "B")
+    arriving = demand.changes().times(duration, "")
+    own_fraction = demand.assumed("part_region").plus(demand.assumed("part_node"))
+    shared_fraction = demand.assumed("part_all").plus(demand.assumed("part_service"))
+    missed = arriving.times(demand.fraction_received()).times(demand.bytes_per_change("document_bytes"), "B")
     part = budget.times(demand.assumed("feed_part"))
     return {
-        "cut": cut,
-        "come": come,
-        "own": come.times(own),
-        "wide": come.times(wide),
+        "cut": duration,
+        "come": arriving,
+        "own": arriving.times(own_fraction),
+        "wide": arriving.times(shared_fraction),
         "missed": missed,
         "joined": missed.over(part, "s"),
         "known_p50": demand.assumed("death_known_p50_s"),
--- a/crowpost/lab/capacity/figures.py
+++ b/crowpost/lab/capacity/figures.py
@@ -1,7 +1,7 @@
-"""A number of the page: its value, its 95% interval, its unit, and the entries that it was worked out from.
+"""Numbers of the page, each with its value, 95% interval, unit and the entries that it is computed from.
 
 Arithmetic keeps all four.  Intervals are combined by their ends, which is wider than independent errors would
-be; all quantities are at least zero, so the least of one goes with the least of the other.
+be.  All quantities are at least zero, so a product's lower end is the product of the lower ends.
 """
 
 from __future__ import annotations
@@ -16,92 +16,104 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where a number is from.  kind: target, measured, assumed or code; entry: what it is called there."""
+    """The source of a number.  kind: target, measured, assumed or code; entry: its name in that source."""
 
     kind: str
     entry: str
-    about: str  # what a reader needs to find the run, or to judge the assumption
+    about: str  # Details that identify the run, or that help to judge the assumption.
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """mid with low and high, in `unit`.  beyond: worked out for a size that nobody has measured."""
+    """The value `mid` and its interval, in `unit`.  extrapolated: for a size beyond those measured."""
 
     mid: float
     low: float
     high: float
     unit: str
     origins: tuple[Origin, ...]
-    beyond: bool = False
+    extrapolated: bool = False
 
     def __post_init__(self) -> None:
         if not self.origins:
-            raise ValueError("a figure without an origin")
+            raise ValueError("a figure needs at least one origin")
 
-    def _join(self, other: Figure | float, unit: str | None) -> tuple[Figure, str]:
+    def _operand(self, other: Figure | float, unit: str | None) -> tuple[Figure, str]:
         if not isinstance(other, Figure):
             other = Figure(other, other, other, "", self.origins)
         return other, self.unit if unit is None else unit
 
     def times(self, other: Figure | float, unit: str | None = None) -> Figure:
-        """The product."""
-        by, unit = self._join(other, unit)
-        return _made(self.mid * by.mid, self.low * by.low, self.high * by.high, unit, (self, by))
+        """Return the product."""
+        operand, unit = self._operand(other, unit)
+        return _derived(
+            self.mid * operand.mid, self.low * operand.low, self.high * operand.high, unit, (self, operand)
+        )
 
     def over(self, other: Figure | float, unit: str | None = None) -> Figure:
-        """The quotient; infinite over nothing."""
-        by, unit = self._join(other, unit)
-        return _made(
-            _over(self.mid, by.mid), _over(self.low, by.high), _over(self.high, by.low), unit, (self, by)
+        """Return the quotient, which is infinite for a divisor of zero."""
+        operand, unit = self._operand(other, unit)
+        return _derived(
+            _quotient(self.mid, operand.mid),
+            _quotient(self.low, operand.high),
+            _quotient(self.high, operand.low),
+            unit,
+            (self, operand),
         )
 
     def inverse(self, unit: str) -> Figure:
-        """One over it."""
-        return _made(_over(1.0, self.mid), _over(1.0, self.high), _over(1.0, self.low), unit, (self,))
+        """Return the reciprocal."""
+        return _derived(
+            _quotient(1.0, self.mid), _quotient(1.0, self.high), _quotient(1.0, self.low), unit, (self,)
+        )
 
     def plus(self, other: Figure | float) -> Figure:
-        """The sum, in this one's unit."""
-        by, unit = self._join(other, None)
-        return _made(self.mid + by.mid, self.low + by.low, self.high + by.high, unit, (self, by))
+        """Return the sum, in the unit of this figure."""
+        operand, unit = self._operand(other, None)
+        return _derived(
+            self.mid + operand.mid, self.low + operand.low, self.high + operand.high, unit, (self, operand)
+        )
 
     def minus(self, other: Figure | float) -> Figure:
-        """The difference, in this one's unit; it may fall below zero."""
-        by, unit = self._join(other, None)
-        return _made(self.mid - by.mid, self.low - by.high, self.high - by.low, unit, (self, by))
+        """Return the difference, in the unit of this figure; it may be negative."""
+        operand, unit = self._operand(other, None)
+        return _derived(
+            self.mid - operand.mid, self.low - operand.high, self.high - operand.low, unit, (self, operand)
+        )
 
-    def to(self, unit: str) -> Figure:
-        """The same number under another unit's name."""
+    def with_unit(self, unit: str) -> Figure:
+        """Return the same number labelled with another unit, without conversion."""
         return replace(self, unit=unit)
 
     def text(self) -> str:
-        """As it stands in the page: value, unit, and the interval where there is one."""
+        """Return the text shown in the page: value, unit, and the interval if there is one."""
         factor, unit = _scale(self.unit, max(abs(self.mid), abs(self.high) / 10.0))
         shown = _number(self.mid / factor)
         if self.high > self.low:
             shown += f" [{_number(self.low / factor)}, {_number(self.high / factor)}]"
-        return f"{shown}{'' if unit == '%' or not unit else ' '}{unit}{' *' if self.beyond else ''}"
+        return f"{shown}{'' if unit == '%' or not unit else ' '}{unit}{' *' if self.extrapolated else ''}"
 
 
-def _over(a: float, b: float) -> float:
-    return a / b if b else math.inf
+def _quotient(numerator: float, denominator: float) -> float:
+    return numerator / denominator if denominator else math.inf
 
 
-def _made(mid: float, low: float, high: float, unit: str, parts: Iterable[Figure]) -> Figure:
+def _derived(mid: float, low: float, high: float, unit: str, parts: Iterable[Figure]) -> Figure:
     parts = list(parts)
     origins = tuple(dict.fromkeys(origin for part in parts for origin in part.origins))
-    return Figure(mid, low, high, unit, origins, any(part.beyond for part in parts))
+    return Figure(mid, low, high, unit, origins, any(part.extrapolated for part in parts))
 
 
 def _scale(unit: str, size: float) -> tuple[float, str]:
     if unit not in _SCALES or math.isinf(size):
         return 1.0, unit
     step, names = _SCALES[unit]
-    place = min(len(names) - 1, max(0, int(math.log(size, step) + 1e-9))) if size >= 1.0 else 0
-    return step**place, names[place]
+    index = min(len(names) - 1, max(0, int(math.log(size, step) + 1e-9))) if size >= 1.0 else 0
+    return step**index, names[index]
 
 
 def _number(value: float) -> str:
-    """Three figures that count, no more; whole numbers from a hundred on."""
+    """Format with three significant digits, from 100 on as a whole number."""
     if math.isinf(value):
         return "no end"
     if abs(value) >= 100.0 or value == int(value):
@@ -110,17 +122,17 @@
 
 
 def total(figures: Iterable[Figure | None]) -> tuple[Figure | None, bool]:
-    """The sum of those that are known, and whether all of them are."""
-    found: Figure | None = None
-    whole = True
+    """Return the sum of the known figures, and whether all of them are known."""
+    sum_of_known: Figure | None = None
+    complete = True
     for figure in figures:
         if figure is None:
-            whole = False
+            complete = False
         else:
-            found = figure if found is None else found.plus(figure)
-    return found, whole
+            sum_of_known = figure if sum_of_known is None else sum_of_known.plus(figure)
+    return sum_of_known, complete
 
 
 def text(figure: Figure | None) -> str:
-    """A figure's text, or that there is none."""
+    """Return the text of a figure, or NOT_MEASURED for None."""
     return NOT_MEASURED if figure is None else figure.text()
--- a/crowpost/lab/capacity/ranking.py
+++ b/crowpost/lab/capacity/ranking.py
@@ -1,9 +1,9 @@
-"""Which mechanism is missing first, by a rule.
+"""Ranks the control duties by the need that no mechanism covers yet.
 
-Each control duty needs a part of a node's budget, in its dearest minute, and what exists carries a part of
-what is asked of it.  What is open is the need times the part that is not carried.  Duties of which the target
-file says what is asked come first, then the others; in both the most open first; and one that builds on
-another that is open itself comes after that one.
+Each control duty needs a part of a node's budget in its most expensive minute, and the existing mechanisms
+carry a part of what is required of it.  The open need is the need times the part that is not carried.  Duties
+with a requirement in the target file come first, then the others; in both the largest open need comes first.
+A duty that builds on another open one comes after that one.
 """
 
 from __future__ import annotations
@@ -11,65 +11,73 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from crowpost.lab.capacity.demand import DAY_S, Cost, Demand, summed
+from crowpost.lab.capacity.demand import DAY_S, Cost, Demand, sum_costs
 from crowpost.lab.capacity.figures import Figure
 
 CONFIGURATION, LISTS = "configuration to all nodes", "lists of servers, written by leases"
 FIGURES, SHARED = "logs and figures, in one place", "facts shared between nodes"
 MINUTE_S = 60.0
 EXISTS, PARTIAL, MISSING = "exists", "partial", "missing"
-CARRIED_WHOLE = 0.999
-MISSING_BELOW = 0.01  # carried: what carries less than this of a duty carries nothing of it
+FULLY_CARRIED = 0.999  # From this carried part on, a duty counts as fully carried.
+MISSING_BELOW = 0.01  # Below this carried part, the mechanism of a duty counts as missing.
 
 
 @dataclass(frozen=True, slots=True)
 class Duty:
-    """A control duty, what it needs of a node's budget at the most, and the part that is carried today."""
+    """A control duty, the largest part of a node's budget that it needs, and the part carried today."""
 
     name: str
-    means: str  # what would carry it, and what does today
-    need: Figure  # percent of the node's budget
-    carried: Figure  # of what is asked, from 0 to 1
-    of_node: str = ""  # what it is called among the costs of a node
-    asked: bool = False  # the target file names what is asked
+    means: str  # The mechanism that would carry the duty, and what carries it today.
+    need: Figure  # Percent of the node's budget.
+    carried: Figure  # The carried part of what is required, from 0 to 1.
+    cost_name: str = ""  # Name of the duty in the costs of a node.
+    required: bool = False  # Whether the target file states a requirement.
     builds_on: tuple[str, ...] = ()
 
     @property
     def status(self) -> str:
-        """Whether the mechanism exists, by how much of the duty is carried."""
-        if self.carried.mid >= CARRIED_WHOLE:
+        """Whether the mechanism exists, is partial or missing, by the carried part of the duty."""
+        if self.carried.mid >= FULLY_CARRIED:
             return EXISTS
         return MISSING if self.carried.mid < MISSING_BELOW else PARTIAL
 
     @property
     def open(self) -> Figure:
-        """The need for which nothing exists, in percent of the node's budget."""
-        rest = max(0.0, 1.0 - self.carried.mid)
-        if rest <= 1.0 - CARRIED_WHOLE:
-            rest = 0.0
-        whole = self.need.times(rest)
+        """The need that no mechanism carries, in percent of the node's budget."""
+        not_carried = max(0.0, 1.0 - self.carried.mid)
+        if not_carried <= 1.0 - FULLY_CARRIED:
+            not_carried = 0.0
+        open_need = self.need.times(not_carried)
         return Figure(
-            whole.mid, whole.low, whole.high, "%", whole.origins + self.carried.origins, whole.beyond
+            open_need.mid,
+            open_need.low,
+            open_need.high,
+            "%",
+            open_need.origins + self.carried.origins,
+            open_need.extrapolated,
         )
 
 
 def rank(duties: Sequence[Duty]) -> list[Duty]:
-    """Those that are open, the first missing first."""
-    left = sorted((d for d in duties if d.open.mid > 0.0), key=lambda d: (not d.asked, -d.open.mid, d.name))
-    opened = {d.name for d in left}
-    found: list[Duty] = []
+    """Return the open duties in the order in which their mechanisms are missing."""
+    remaining = sorted(
+        (duty for duty in duties if duty.open.mid > 0.0),
+        key=lambda duty: (not duty.required, -duty.open.mid, duty.name),
+    )
+    open_names = {duty.name for duty in remaining}
+    order: list[Duty] = []
     placed: set[str] = set()
-    while left:
-        # In a circle each waits for another: then the most open goes first.
-        ready = [d for d in left if not (opened - placed) & set(d.builds_on)] or left
-        found.append(ready[0])
+    while remaining:
+        # In a cycle each duty waits for another one: then the one with the largest open need is next.
+        ready = [duty for duty in remaining if not (open_names - placed) & set(duty.builds_on)] or remaining
+        order.append(ready[0])
         placed.add(ready[0].name)
-        left.remove(ready[0])
-    return found
+        remaining.remove(ready[0])
+    return order
 
 
-def share(cost: Cost, budget: Cost) -> Figure:
-    """The dearest of core, memory and bytes, as a percentage of the budget."""
+def budget_percentage(cost: Cost, budget: Cost) -> Figure:
+    """Return the largest of core, memory and bytes as a percentage of the budget."""
     pairs = ((cost.core, budget.core), (cost.memory, budget.memory), (cost.bytes, budget.bytes))
     parts = [
         part.over(whole).times(100.0, "%") for part, whole in pairs if part is not None and whole is not None
@@ -78,131 +86,137 @@
 
 
 def duties(demand: Demand) -> list[Duty]:
-    """All control duties, each with its need and with what carries it in this tree."""
+    """Return all control duties, each with its need and the part that this source tree carries."""
     budget = demand.budget()
     node = {cost.duty: cost for cost in demand.node()}
     assert budget.bytes is not None and budget.core is not None
 
-    def of_bytes(moved: Figure) -> Figure:
-        return moved.over(budget.bytes or moved).times(100.0, "%")
+    def byte_budget_percentage(byte_rate: Figure) -> Figure:
+        return byte_rate.over(budget.bytes or byte_rate).times(100.0, "%")
 
-    def most(*needs: Figure) -> Figure:
+    def largest(*needs: Figure) -> Figure:
         return max(needs, key=lambda figure: figure.mid)
 
-    in_force = demand.told(demand.target.target.in_force_s, "in_force_s", "s")
+    in_force = demand.from_target(demand.target.target.in_force_s, "in_force_s", "s")
     by_hand = demand.servers().times(demand.assumed("hand_s_per_node"), "s")
-    burst = demand.assumed("burst_changes").times(demand.told_bytes("document_bytes"))
-    back = demand.seen().over(demand.told(demand.target.target.zones, "zones"))
-    lists = back.times(demand.assumed("list_entry_bytes")).over(in_force, "B/s")
+    burst = demand.assumed("burst_changes").times(demand.bytes_per_change("document_bytes"))
+    returning = demand.listed_servers().over(demand.from_target(demand.target.target.zones, "zones"))
+    lists = returning.times(demand.assumed("list_entry_bytes")).over(in_force, "B/s")
     restarts = demand.restarts().times(DAY_S).times(demand.assumed("hand_s_per_restart"))
     start = demand.assumed("start_s").over(MINUTE_S).times(100.0, "%")
-    shared = demand.assumed("shared_facts_bytes")
+    shared_rate = demand.assumed("shared_facts_bytes")
     return [
         Duty(
             "membership",
             "crowpost/membership: gossip among all",
-            share(node["membership"], budget),
-            _membership(demand, share(node["membership"], budget)),
-            asked=True,
-            of_node="membership",
+            budget_percentage(node["membership"], budget),
+            _carried_by_membership(demand, budget_percentage(node["membership"], budget)),
+            required=True,
+            cost_name="membership",
         ),
         Duty(
             "load reports",
             "a header of each answer",
-            share(node["load reports"], budget),
-            demand.coded(1.0, "crowpost.node.http.load_report"),
-            of_node="load reports",
+            budget_percentage(node["load reports"], budget),
+            demand.from_code(1.0, "crowpost.node.http.load_report"),
+            cost_name="load reports",
         ),
         Duty(
             CONFIGURATION,
             "crowpost/config_feed: publishers and relays; "
             "without it a file replaced and SIGHUP sent, node after node",
-            most(
-                share(node["configuration"], budget), of_bytes(burst.over(demand.assumed("burst_s"), "B/s"))
+            largest(
+                budget_percentage(node["configuration"], budget),
+                byte_budget_percentage(burst.over(demand.assumed("burst_s"), "B/s")),
             ),
-            _feed(demand, in_force, by_hand),
-            asked=True,
-            of_node="configuration",
+            _carried_by_feed(demand, in_force, by_hand),
+            required=True,
+            cost_name="configuration",
         ),
         Duty(
             LISTS,
             "a list service that agrees (issue 20), told by the feed. Today a list by hand, node after node",
-            most(share(node["list and watch"], budget), of_bytes(lists)),
-            _built(demand, "directory", in_force.over(by_hand)),
-            asked=True,
+            largest(budget_percentage(node["list and watch"], budget), byte_budget_percentage(lists)),
+            _carried_if_built(demand, "directory", in_force.over(by_hand)),
+            required=True,
             builds_on=(CONFIGURATION,),
-            of_node="list and watch",
+            cost_name="list and watch",
         ),
         Duty(
             FIGURES,
             "a collector (no issue yet). Today each node's own page and log",
-            share(node["logs and figures"], budget),
-            _built(demand, "collect"),
-            of_node="logs and figures",
+            budget_percentage(node["logs and figures"], budget),
+            _carried_if_built(demand, "collect"),
+            cost_name="logs and figures",
         ),
         Duty(
             SHARED,
             "limits, affinity and verdicts with a bound on their age (issue 21). Today each node alone",
-            of_bytes(shared),
-            _built(demand, "shared"),
+            byte_budget_percentage(shared_rate),
+            _carried_if_built(demand, "shared"),
         ),
         Duty(
             "replacements and rollouts",
             "a controller, a driver on each machine (issue 22). Today one person's hands, a node at a time",
-            most(share(node["restart"], budget), start.over(budget.core).times(100.0, "%")),
-            _built(demand, "rollout", demand.assumed("hand_day_s").over(restarts)),
-            asked=True,
+            largest(budget_percentage(node["restart"], budget), start.over(budget.core).times(100.0, "%")),
+            _carried_if_built(demand, "rollout", demand.assumed("hand_day_s").over(restarts)),
+            required=True,
             builds_on=(CONFIGURATION, LISTS),
-            of_node="restart",
+            cost_name="restart",
         ),
     ]
 
 
 def _at_most_one(figure: Figure) -> Figure:
     low, mid, high = (min(1.0, value) for value in (figure.low, figure.mid, figure.high))
-    return Figure(mid, low, high, "", figure.origins, figure.beyond)
+    return Figure(mid, low, high, "", figure.origins, figure.extrapolated)
 
 
-def _membership(demand: Demand, need: Figure) -> Figure:
-    """By the members that it takes, and by the node's budget where it needs more than that."""
+def _carried_by_membership(demand: Demand, need: Figure) -> Figure:
+    """Return the carried part by the member limit, or by the budget if that allows less."""
     if "members" not in demand.built:
-        return demand.coded(0.0, "crowpost.membership, not there")
+        return demand.from_code(0.0, "crowpost.membership, not there")
     from crowpost.membership.settings import ProtocolSettings
 
-    limit = demand.coded(ProtocolSettings().max_members, "crowpost.membership.settings.max_members")
-    most = limit.over(demand.servers())
-    within = demand.coded(100.0, "the whole budget").over(need)
-    return _at_most_one(min((most, within), key=lambda figure: figure.mid))
+    limit = demand.from_code(ProtocolSettings().max_members, "crowpost.membership.settings.max_members")
+    by_limit = limit.over(demand.servers())
+    by_budget = demand.from_code(100.0, "the whole budget").over(need)
+    return _at_most_one(min((by_limit, by_budget), key=lambda figure: figure.mid))
+
 
+def _carried_by_feed(demand: Demand, in_force: Figure, by_hand: Figure) -> Figure:
+    """Return the carried part by the slowest node of all runs at the target's size.
 
-def _feed(demand: Demand, in_force: Figure, by_hand: Figure) -> Figure:
-    """By the slowest node of all runs at the target's size; built and not measured counts for nothing."""
+    A feed that is built but not measured counts as absent.
+    """
     cases = sorted({run.case for run in demand.feed_runs()})
     if "feed" not in demand.built or not cases:
         return _at_most_one(in_force.over(by_hand))
     worst = [demand.feed(case, "worst", "s") for case in cases]
-    known = [figure for figure in worst if figure is not None]
-    if not known:
+    known_worst = [figure for figure in worst if figure is not None]
+    if not known_worst:
         return _at_most_one(in_force.over(by_hand))
-    slowest = max(known, key=lambda figure: figure.high)
-    of_all = _at_most_one(
+    slowest = max(known_worst, key=lambda figure: figure.high)
+    carried = _at_most_one(
         in_force.over(Figure(slowest.high, slowest.high, slowest.high, "s", slowest.origins))
     )
     if any(run.unreached for run in demand.feed_runs()):
         reached = min(1.0 - run.unreached / run.nodes for run in demand.feed_runs())
-        of_all = of_all.times(reached)
-    return of_all
+        carried = carried.times(reached)
+    return carried
 
 
-def _built(demand: Demand, package: str, otherwise: Figure | None = None) -> Figure:
-    """Whole where the package is there; else what is carried without, or nothing."""
+def _carried_if_built(demand: Demand, package: str, otherwise: Figure | None = None) -> Figure:
+    """Return 1 if the package exists, else the part that is carried without it, by default 0."""
     if package in demand.built:
-        return demand.coded(1.0, f"crowpost.{package}")
+        return demand.from_code(1.0, f"crowpost.{package}")
     return (
-        demand.coded(0.0, f"crowpost.{package}, not there") if otherwise is None else _at_most_one(otherwise)
+        demand.from_code(0.0, f"crowpost.{package}, not there")
+        if otherwise is None
+        else _at_most_one(otherwise)
     )
 
 
-def node_total(demand: Demand, times: float = 1.0) -> tuple[Cost, bool]:
-    """All duties of one node."""
-    return summed("all duties", demand.node(times))
+def node_total(demand: Demand, scale: float = 1.0) -> tuple[Cost, bool]:
+    """Return the sum of all duties of one node, and whether every cost is known."""
+    return sum_costs("all duties", demand.node(scale))
--- a/crowpost/lab/capacity/records.py
+++ b/crowpost/lab/capacity/records.py
@@ -1,6 +1,6 @@
-"""What others measured, from their committed records; what nobody measured, from a table of assumptions.
+"""Reads the committed records of measurements, and a table of assumptions for what is not measured.
 
-A record that is not there is None; one that cannot be read is a RecordError of one line.
+A missing record is None; one that cannot be read raises a RecordError with a message of one line.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from crowpost.lab.scenario import ScenarioError
 from crowpost.tables import Table, TableError, read_file
 
-SOURCES = ("hollow", "real", "simulated")
-FORMS = ("linear", "log", "power", "other")  # other: none of them fits, and the line stands for what is
+SOURCES = ("hollow", "real", "simulated")  # "hollow": a simulated node.
+FORMS = ("linear", "log", "power", "other")  # "other": no form fits, and the straight line is used.
 MEASURES = {
-    "core_ms_per_s": ("core time", "%", 0.1),  # ms of a core in a second, as percent of it
+    "core_ms_per_s": ("core time", "%", 0.1),  # Converts ms of core time per second to percent of a core.
     "memory_bytes": ("memory", "B", 1.0),
     "bytes_per_s": ("bytes", "B/s", 1.0),
     "messages_per_s": ("messages", "/s", 1.0),
@@ -28,7 +28,7 @@
 
 
 class RecordError(ScenarioError):
-    """A record or a table of assumptions that cannot be used; its text is one line."""
+    """Raised for a record or table of assumptions that cannot be used; the message is one line."""
 
 
 class Point(Struct):
@@ -38,23 +38,26 @@
     source: str
     seconds: float
     measure: dict[str, float | None]
-    members: int = 0  # of the cluster, where x is not that
+    members: int = 0  # Size of the cluster; 0 where x already is that size.
 
 
 class Fit(Struct):
-    """The line through a measure's points, as mid, low, high; form: what fits better than the line."""
+    """The line fitted to the points of a measure; each coefficient is mid, low and high.
+
+    form: the form that fits best, which the coefficients do not describe unless it is linear.
+    """
 
     intercept: tuple[float, float, float]
     slope: tuple[float, float, float]
     form: str = "linear"
     linear: bool = True
     source: str = "hollow"
-    moved_by: float = 0.0  # added to the points of hollow nodes, to come to where real ones lie
+    moved_by: float = 0.0  # Added to points of simulated nodes to match those of real processes.
     residuals: list[float] = field(default_factory=list)
 
 
 class Agreement(Struct):
-    """Hollow beside real processes at one size."""
+    """Comparison of simulated nodes ("hollow") and real processes at one size."""
 
     x: float
     measure: str
@@ -64,7 +67,7 @@
 
 
 class Duty(Struct):
-    """A control duty as it was measured alone, in difference from idle within one run."""
+    """A control duty measured alone, as the difference from an idle process within one run."""
 
     unit: str
     about: str = ""
@@ -73,8 +76,8 @@
     agreement: list[Agreement] = field(default_factory=list)
 
 
-class Trouble(Struct):
-    """One kind of failure as it was played.  speed: of time; 2 is twice as fast as in life."""
+class FaultMeasurement(Struct):
+    """One kind of failure as measured.  speed: how fast time passes; 2 is twice real time."""
 
     kind: str
     members: int
@@ -84,11 +87,11 @@
     settled_s: float | None = None
     lost: str = ""
     speed: float = 1.0
-    seconds: float | None = None  # that it lasted
+    seconds: float | None = None  # Duration of the failure.
 
 
 class Slopes(Struct):
-    """`docs/capacity/slopes.json`."""
+    """Content of `docs/capacity/slopes.json`."""
 
     schema: int
     revision: str
@@ -97,26 +100,27 @@
     cores: int = 0
     seed: int = 0
     duties: dict[str, Duty] = field(default_factory=dict)
-    troubles: list[Trouble] = field(default_factory=list)
+    troubles: list[FaultMeasurement] = field(default_factory=list)
 
 
 class OverheadRun(Struct):
-    """What a node adds to a call, in one run of `crowpost lab overhead`."""
+    """What a node adds to a call in one run of `crowpost lab overhead`."""
 
     chain: int
     requests: int
     added: dict[str, float | None]
-    rate: float | None = None  # None in a closed loop
+    rate: float | None = None  # Calls per second; None in a closed loop.
     version: str = "now"
     servers: int = 0
     loop: str = ""
     machine_moves: dict[str, float | None] = field(default_factory=dict)
     core_us_per_request: float | None = None
-    added_95: dict[str, tuple[float, float] | None] = field(default_factory=dict)  # low and high
+    # The ends of the 95% interval of each percentile.
+    added_95: dict[str, tuple[float, float] | None] = field(default_factory=dict)
 
 
 class Overhead(Struct):
-    """`docs/capacity/overhead.json`."""
+    """Content of `docs/capacity/overhead.json`."""
 
     schema: int
     revision: str
@@ -126,7 +130,7 @@
 
 
 class FeedRun(Struct):
-    """One run of the feed with `nodes` followers."""
+    """One run of the configuration feed with `nodes` followers."""
 
     case: str
     nodes: int
@@ -138,12 +142,12 @@
     relay_bytes_per_s: float | None = None
     publisher_bytes_per_s: float | None = None
     unreached: int = 0
-    revision: str = ""  # of this run, where the record does not name one for all
+    revision: str = ""  # Set where the record has no common revision for all runs.
     at: str = ""
 
 
 class Feed(Struct):
-    """`docs/capacity/feed.json`."""
+    """Content of `docs/capacity/feed.json`."""
 
     schema: int
     revision: str = ""
@@ -153,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """All that the page stands on beside the target."""
+    """All inputs of the page except the target."""
 
     slopes: Slopes | None
     overhead: Overhead | None
@@ -175,22 +179,22 @@
 
 def _assumed(path: Path) -> dict[str, Figure]:
     try:
-        raw = read_file(str(path))
-        found = {}
-        for name in raw:
-            table = Table(name, raw[name], ("value", "unit", "source"))
+        entries = read_file(str(path))
+        assumptions = {}
+        for name in entries:
+            table = Table(name, entries[name], ("value", "unit", "source"))
             value = table.number("value", math.nan, -1e15, 1e15)
             unit, source = table.text("unit"), table.text("source", required=True)
-            bare = Figure(value, value, value, unit, (Origin("assumed", name, source),))
-            origin = Origin("assumed", f"{name.replace('_', ' ')} {bare.text()}", f"assumed: {source}")
-            found[name] = Figure(value, value, value, unit, (origin,))
+            unlabelled = Figure(value, value, value, unit, (Origin("assumed", name, source),))
+            origin = Origin("assumed", f"{name.replace('_', ' ')} {unlabelled.text()}", f"assumed: {source}")
+            assumptions[name] = Figure(value, value, value, unit, (origin,))
     except TableError as error:
         raise RecordError(f"{path}: {error}") from None
-    return found
+    return assumptions
 
 
 def read(folder: Path) -> Records:
-    """The records of a folder, `docs/capacity` as it is shipped."""
+    """Return the records of a folder; the committed ones are in `docs/capacity`."""
     return Records(
         _record(folder / "slopes.json", Slopes),
         _record(folder / "overhead.json", Overhead),
--- a/crowpost/lab/capacity/tables.py
+++ b/crowpost/lab/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The page's tables: rows of cells, of which the last says what the figures of the row are from."""
+"""The tables of the page; the last cell of each row names the sources of its figures."""
 
 from __future__ import annotations
 
@@ -8,62 +8,62 @@
 
 from crowpost.decisions.learning_automaton import FLOOR_FRACTION
 from crowpost.lab.capacity import connections, machines, ranking, roles
-from crowpost.lab.capacity.demand import Cost, Demand, summed
+from crowpost.lab.capacity.demand import Cost, Demand, sum_costs
 from crowpost.lab.capacity.figures import NOT_MEASURED, Figure, Origin
-from crowpost.lab.capacity.figures import text as shown
+from crowpost.lab.capacity.figures import text as figure_text
 from crowpost.lab.capacity.records import OverheadRun
 
 TAGS = {"target": "T", "measured": "R", "assumed": "A", "code": "C"}
 Limits = Callable[[float], list[roles.Limit]]
 
 
-def _place(tag: str) -> tuple[int, int]:
-    """Where a tag stands among all."""
+def _tag_order(tag: str) -> tuple[int, int]:
+    """Return the sort key of a tag."""
     return "TRAC".index(tag[0]), int(tag[1:] or 0)
 
 
-class Book:
-    """What the page's figures are from, numbered in the order in which they come."""
+class SourceRegister:
+    """The sources of the page's figures, with tags numbered in the order of first use."""
 
     def __init__(self) -> None:
         self.tags: dict[Origin, str] = {}
 
     def tag(self, origin: Origin) -> str:
-        """Its short name: T and C stand for the target file and the program as a whole."""
+        """Return the short name of an origin; T and C are for the target file and the program as a whole."""
         letter = TAGS[origin.kind]
         if letter in "TC":
             self.tags.setdefault(origin, letter)
             return letter
         if origin not in self.tags:
-            self.tags[origin] = f"{letter}{sum(t[0] == letter for t in self.tags.values()) + 1}"
+            self.tags[origin] = f"{letter}{sum(tag[0] == letter for tag in self.tags.values()) + 1}"
         return self.tags[origin]
 
     def sources(self, *figures: Figure | None) -> str:
-        """The tags of some figures; three in a row and more are told by the first and the last."""
-        found = {self.tag(origin) for f in figures if f is not None for origin in f.origins}
-        runs: list[list[str]] = []
-        for tag in sorted(found, key=_place):
-            before = _place(runs[-1][-1]) if runs else None
-            if before is not None and tag[1:] and _place(tag) == (before[0], before[1] + 1):
-                runs[-1].append(tag)
+        """Return the tags of some figures; three and more in a row are shown as the first and the last."""
+        tags = {self.tag(origin) for figure in figures if figure is not None for origin in figure.origins}
+        groups: list[list[str]] = []
+        for tag in sorted(tags, key=_tag_order):
+            previous = _tag_order(groups[-1][-1]) if groups else None
+            if previous is not None and tag[1:] and _tag_order(tag) == (previous[0], previous[1] + 1):
+                groups[-1].append(tag)
             else:
-                runs.append([tag])
-        return " ".join(f"{run[0]}-{run[-1]}" if len(run) > 2 else " ".join(run) for run in runs)
+                groups.append([tag])
+        return " ".join(f"{group[0]}-{group[-1]}" if len(group) > 2 else " ".join(group) for group in groups)
 
     def row(self, *cells: Figure | str | None) -> list[str]:
-        """A row; None is what nobody measured."""
+        """Return a row; None is shown as not measured."""
         figures = [cell for cell in cells if isinstance(cell, Figure)]
-        texts = [cell if isinstance(cell, str) else shown(cell) for cell in cells]
+        texts = [cell if isinstance(cell, str) else figure_text(cell) for cell in cells]
         return [*texts, self.sources(*figures)]
 
     def inline(self, figure: Figure | None) -> str:
-        """A figure within prose, with its tags."""
-        return shown(figure) if figure is None else f"{figure.text()} ({self.sources(figure)})"
+        """Return a figure for use within a sentence, with its tags."""
+        return figure_text(figure) if figure is None else f"{figure.text()} ({self.sources(figure)})"
 
     def entries(self) -> list[tuple[str, str, str]]:
-        """Tags, entries and where they are from, for the end of the page; a row for each place of origin."""
+        """Return tags, entries and details for the end of the page, with one row for each source."""
         found: dict[tuple[str, str], tuple[list[str], dict[str, None]]] = {}
-        for origin, tag in sorted(self.tags.items(), key=lambda item: _place(item[1])):
+        for origin, tag in sorted(self.tags.items(), key=lambda item: _tag_order(item[1])):
             tags, names = found.setdefault((origin.kind, origin.about), ([], {}))
             if tag not in tags:
                 tags.append(tag)
@@ -73,138 +73,164 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """Heads and rows; the last column is what the row is from."""
+    """Column titles and rows; the last column has the sources of the row."""
 
     heads: tuple[str, ...]
     rows: list[list[str]]
 
     def markdown(self) -> str:
-        """As the page holds it."""
+        """Return the table as Markdown."""
         lines = [[*self.heads, "from"], ["---"] * (len(self.heads) + 1), *self.rows]
         return "\n".join("| " + " | ".join(cell.replace("|", "/") for cell in line) + " |" for line in lines)
 
 
-COST = ("messages", "core", "memory", "bytes")
+COST_COLUMNS = ("messages", "core", "memory", "bytes")
 
 
-def lacking(costs: Sequence[Cost]) -> list[bool]:
-    """For each column of costs, whether a duty's part of it is not known."""
-    return [any(part is None for part in parts) for parts in zip(*(c.parts() for c in costs), strict=True)]
+def unknown_columns(costs: Sequence[Cost]) -> list[bool]:
+    """Return for each column of costs whether it is unknown for any duty."""
+    return [
+        any(part is None for part in parts) for parts in zip(*(cost.parts() for cost in costs), strict=True)
+    ]
 
 
-def node(book: Book, demand: Demand, duties: Sequence[ranking.Duty]) -> Table:
-    """Each duty of a node, all of them, the budget and what is left."""
+def node(register: SourceRegister, demand: Demand, duties: Sequence[ranking.Duty]) -> Table:
+    """Return the table of a node: each duty, their sum, the budget and what is left of it."""
     costs = demand.node()
-    status = {d.of_node: d.status for d in duties}
-    rows = [book.row(c.duty, *c.parts(), status.get(c.duty, ranking.EXISTS)) for c in costs]
-    all_of, _ = summed("all", costs)
+    status = {duty.cost_name: duty.status for duty in duties}
+    rows = [register.row(cost.duty, *cost.parts(), status.get(cost.duty, ranking.EXISTS)) for cost in costs]
+    all_costs, _ = sum_costs("all", costs)
     budget = demand.budget()
-    rows.append(book.row("**all duties**", *all_of.parts(), ""))
-    rows.append(book.row("budget", "none", budget.core, budget.memory, budget.bytes, ""))
+    rows.append(register.row("**all duties**", *all_costs.parts(), ""))
+    rows.append(register.row("budget", "none", budget.core, budget.memory, budget.bytes, ""))
     left = [
-        b.minus(c) if b is not None and c is not None else None
-        for b, c in zip(budget.parts(), all_of.parts(), strict=True)
+        limit.minus(used) if limit is not None and used is not None else None
+        for limit, used in zip(budget.parts(), all_costs.parts(), strict=True)
     ]
-    rows.append(book.row("**left**", "", *left[1:], ""))
-    for at, unknown in enumerate(lacking(costs), 1):
-        if unknown and rows[-3][at] != NOT_MEASURED:
-            rows[-3][at] = f"at least {rows[-3][at]}"
-            rows[-1][at] = f"at most {rows[-1][at]}" if rows[-1][at] else ""
-    return Table(("duty", *COST, "mechanism"), rows)
+    rows.append(register.row("**left**", "", *left[1:], ""))
+    for column, unknown in enumerate(unknown_columns(costs), 1):
+        if unknown and rows[-3][column] != NOT_MEASURED:
+            rows[-3][column] = f"at least {rows[-3][column]}"
+            rows[-1][column] = f"at most {rows[-1][column]}" if rows[-1][column] else ""
+    return Table(("duty", *COST_COLUMNS, "mechanism"), rows)
 
 
-def built(demand: Demand) -> list[machines.Machine]:
-    """The machines set aside, as they are placed."""
-    topology, t = demand.target.topology, demand.target.target
+def placed_machines(demand: Demand) -> list[machines.Machine]:
+    """Return the machines set aside, with the duties placed on them."""
+    topology, target = demand.target.topology, demand.target.target
     return machines.place(
-        topology.zones_per_region, t.machines.set_aside, int(demand.assumed("list_replicas").mid)
+        topology.zones_per_region, target.machines.set_aside, int(demand.assumed("list_replicas").mid)
     )
 
 
-def role(book: Book, demand: Demand, duties: Sequence[ranking.Duty]) -> Table:
-    """One process of each role beside the node."""
-    status = {d.name: d.status for d in duties}
+def role(register: SourceRegister, demand: Demand, duties: Sequence[ranking.Duty]) -> Table:
+    """Return the table of one process of each role other than the node."""
+    status = {duty.name: duty.status for duty in duties}
     rows = []
-    for make in roles.ROLES:
-        one = make(demand, built(demand), 1.0)
-        rows.append(book.row(one.name, one.state, *one.cost.parts(), status[one.mechanism]))
-    return Table(("role", "state held", *COST, "mechanism"), rows)
+    for build_role in roles.ROLES:
+        process = build_role(demand, placed_machines(demand), 1.0)
+        rows.append(
+            register.row(process.name, process.state, *process.cost.parts(), status[process.mechanism])
+        )
+    return Table(("role", "state held", *COST_COLUMNS, "mechanism"), rows)
 
 
-def growth(book: Book, demand: Demand) -> Table:
-    """The nearest limit of each role at each size, and the first that is passed."""
-    placed = built(demand)
+def growth(register: SourceRegister, demand: Demand) -> Table:
+    """Return the table of the nearest limit of each role at each size, and the first one exceeded."""
+    machines_placed = placed_machines(demand)
     named: list[tuple[str, Limits]] = [("node", partial(roles.node_limits, demand))]
-    for make in roles.ROLES:
-        named.append((make(demand, placed, 1.0).name, partial(roles.limits_of, make, demand, placed)))
+    for build_role in roles.ROLES:
+        named.append(
+            (
+                build_role(demand, machines_placed, 1.0).name,
+                partial(roles.limits_of_role, build_role, demand, machines_placed),
+            )
+        )
     rows = []
     for name, limits in named:
-        at_sizes = [limits(times) for times in roles.GROWTH]
+        limits_by_size = [limits(scale) for scale in roles.GROWTH]
         cells: list[Figure | str | None] = [name]
-        for near in map(roles.nearest, at_sizes):
-            cells.append(None if near.used is None else near.used.over(near.there).times(100.0, "%"))
-        met = roles.first_met(limits)
-        if met is None:
-            cells.append(f"none; nearest is {roles.nearest(at_sizes[-1]).what}")
+        for limit in map(roles.nearest, limits_by_size):
+            cells.append(None if limit.used is None else limit.used.over(limit.available).times(100.0, "%"))
+        exceeded = roles.first_exceeded(limits)
+        if exceeded is None:
+            cells.append(f"none; nearest is {roles.nearest(limits_by_size[-1]).name}")
         else:
-            cells.append(f"{met[0]}, at {met[1] * demand.target.target.servers:,.0f}")
-        unknown = [limit.what for limit in at_sizes[0] if limit.used is None]
+            cells.append(f"{exceeded[0]}, at {exceeded[1] * demand.target.target.servers:,.0f}")
+        unknown = [limit.name for limit in limits_by_size[0] if limit.used is None]
         cells.append(", ".join(unknown) or "nothing")
-        rows.append(book.row(*cells))
-    sizes = [f"at {times * demand.target.target.servers:,.0f}" for times in roles.GROWTH]
+        rows.append(register.row(*cells))
+    sizes = [f"at {scale * demand.target.target.servers:,.0f}" for scale in roles.GROWTH]
     return Table(("role", *sizes, "first limit met", NOT_MEASURED), rows)
 
 
-def placed(book: Book, demand: Demand) -> Table:
-    """Where the machines set aside stand."""
-    tags = _of_machines(book, demand)
+def placement(register: SourceRegister, demand: Demand) -> Table:
+    """Return the table of the locations of the machines set aside."""
+    tags = _machine_sources(register, demand)
     rows = []
-    for m in built(demand):
-        place = f"region {chr(ord('A') + m.region)}, zone {m.zone + 1}"
-        rows.append([m.name, place, ", ".join(m.duties), tags])
+    for machine in placed_machines(demand):
+        place = f"region {chr(ord('A') + machine.region)}, zone {machine.zone + 1}"
+        rows.append([machine.name, place, ", ".join(machine.duties), tags])
     return Table(("machine", "stands in", "carries"), rows)
 
 
-def _of_machines(book: Book, demand: Demand) -> str:
-    t = demand.target.target
-    told = demand.told(t.machines.set_aside, "set aside"), demand.told(t.zones, "zones per region")
-    return book.sources(*told, demand.assumed("list_replicas"))
+def _machine_sources(register: SourceRegister, demand: Demand) -> str:
+    target = demand.target.target
+    figures = (
+        demand.from_target(target.machines.set_aside, "set aside"),
+        demand.from_target(target.zones, "zones per region"),
+    )
+    return register.sources(*figures, demand.assumed("list_replicas"))
 
 
-def outlast(book: Book, demand: Demand) -> Table:
-    """What goes on with machines gone: every set of them, zone and region tried."""
-    placed = built(demand)
-    zones, regions = len({m.zone for m in placed}), len({m.region for m in placed})
+def machine_losses(register: SourceRegister, demand: Demand) -> Table:
+    """Return the table of what continues after losses: each set of machines, zone and region is tried."""
+    machines_placed = placed_machines(demand)
+    zones, regions = (
+        len({machine.zone for machine in machines_placed}),
+        len({machine.region for machine in machines_placed}),
+    )
     rows = []
-    for one in machines.outlasts(placed):
-        ways = [f"{good} of {of}" for good, of in one.ways]
+    for tolerance in machines.loss_tolerances(machines_placed):
+        survived = [f"{successes} of {attempts}" for successes, attempts in tolerance.survived]
         rows.append(
             [
-                one.what,
-                *ways,
-                f"{one.zones} of {zones}",
-                f"{one.regions} of {regions}",
-                _of_machines(book, demand),
+                tolerance.function,
+                *survived,
+                f"{tolerance.zones} of {zones}",
+                f"{tolerance.regions} of {regions}",
+                _machine_sources(register, demand),
             ]
         )
     heads = (
         "goes on with",
-        *(f"{i + 1} gone" for i in range(len(rows[0]) - 4)),
+        *(f"{count + 1} gone" for count in range(len(rows[0]) - 4)),
         "a zone gone",
         "a region gone",
     )
     return Table(heads, rows)
 
 
-def ranked(book: Book, duties: Sequence[ranking.Duty]) -> Table:
-    """All duties with need, what is carried, and their place among those that are open."""
-    order = [d.name for d in ranking.rank(duties)]
+def ranked(register: SourceRegister, duties: Sequence[ranking.Duty]) -> Table:
+    """Return the table of all duties with need, carried part and rank among the open ones."""
+    order = [duty.name for duty in ranking.rank(duties)]
     rows = []
-    for d in sorted(duties, key=lambda d: order.index(d.name) if d.name in order else len(order)):
-        place = str(order.index(d.name) + 1) if d.name in order else ""
-        asked = "the target" if d.asked else ""
-        carried = d.carried.times(100.0, "%")
-        rows.append(book.row(place, d.name, d.need, carried, d.open, d.status, asked, "; ".join(d.builds_on)))
+    for duty in sorted(duties, key=lambda duty: order.index(duty.name) if duty.name in order else len(order)):
+        place = str(order.index(duty.name) + 1) if duty.name in order else ""
+        required = "the target" if duty.required else ""
+        carried = duty.carried.times(100.0, "%")
+        rows.append(
+            register.row(
+                place,
+                duty.name,
+                duty.need,
+                carried,
+                duty.open,
+                duty.status,
+                required,
+                "; ".join(duty.builds_on),
+            )
+        )
     return Table(("place", "duty", "need", "carried", "open", "mechanism", "asked by", "builds on"), rows)
 
 
@@ -212,16 +238,16 @@
 
 
 def _runs(demand: Demand) -> list[OverheadRun]:
-    """Runs of the present version, in an open loop at the rate nearest to a node's own calls."""
+    """Return the open-loop runs of the present version at the rate nearest to the calls of one node."""
     record, calls = demand.records.overhead, demand.calls().mid
-    mine = [(run, run.rate) for run in (record.runs if record is not None else ()) if run.version == "now"]
-    apart = [(abs(rate - calls), run) for run, rate in mine if rate is not None]
-    nearest = min((off for off, _ in apart), default=0.0)
-    return [run for off, run in apart if off <= nearest]
+    present = [(run, run.rate) for run in (record.runs if record is not None else ()) if run.version == "now"]
+    by_distance = [(abs(rate - calls), run) for run, rate in present if rate is not None]
+    nearest = min((distance for distance, _ in by_distance), default=0.0)
+    return [run for distance, run in by_distance if distance <= nearest]
 
 
-def _told(run: OverheadRun, demand: Demand) -> tuple[Figure | None, ...]:
-    """What a run says: added at the median and for 99%, core time of a call, and of a node's calls."""
+def _run_figures(run: OverheadRun, demand: Demand) -> tuple[Figure | None, ...]:
+    """Return figures of a run: added latency (median, 99%), core time of a call, and of a node's calls."""
     record = demand.records.overhead
     assert record is not None
     about = (
@@ -230,59 +256,88 @@
     )
     origin = Origin("measured", f"overhead of a chain of {run.chain}", about)
 
-    def made(value: float | None, between: tuple[float, float] | None, unit: str) -> Figure | None:
+    def derived(value: float | None, interval: tuple[float, float] | None, unit: str) -> Figure | None:
         if value is None:
             return None
-        return Figure(value, *(between or (value, value)), unit, (origin,))
+        return Figure(value, *(interval or (value, value)), unit, (origin,))
 
-    p50, p99 = (made(run.added.get(key), run.added_95.get(key), "ms") for key in ("p50_ms", "p99_ms"))
-    core = made(run.core_us_per_request, None, "us")
+    p50, p99 = (derived(run.added.get(key), run.added_95.get(key), "ms") for key in ("p50_ms", "p99_ms"))
+    core = derived(run.core_us_per_request, None, "us")
     used = None if core is None else demand.calls().times(core).times(1e-4, "%")
     return p50, p99, core, used
 
 
-def overhead(book: Book, demand: Demand) -> Table:
-    """What a node adds to a call, for one hop and for a chain, and what calls cost it in processor time."""
-    t = demand.target.target
-    depth = demand.told(t.depth, "depth")
+def overhead(register: SourceRegister, demand: Demand) -> Table:
+    """Return the table of the latency that a node or a chain adds, and the processor time of calls."""
+    target = demand.target.target
+    depth = demand.from_target(target.depth, "depth")
     runs = _runs(demand)
     rows = []
     for run in runs:
-        told = _told(run, demand)
+        figures = _run_figures(run, demand)
         name = f"{run.chain} node{'s' if run.chain > 1 else ''} in a row, {run.servers} servers, {run.loop}"
-        rows.append(book.row(name, *told))
+        rows.append(register.row(name, *figures))
     single = [run for run in runs if run.chain == 1]
-    if single and not any(run.chain == t.depth for run in runs):
-        deep = [None if p is None else p.times(depth, "ms") for p in _told(single[0], demand)[:2]]
-        rows.append(book.row("... times the depth, not run: at the least, and at the most", *deep, "", ""))
+    if single and not any(run.chain == target.depth for run in runs):
+        deep = [
+            None if figure is None else figure.times(depth, "ms")
+            for figure in _run_figures(single[0], demand)[:2]
+        ]
+        rows.append(
+            register.row("... times the depth, not run: at the least, and at the most", *deep, "", "")
+        )
     if not rows:
-        rows.append(book.row("a node, and a chain", None, None, None, None))
-    rows.append(book.row("asked, of one call", "", demand.told(t.added_p99_ms, "added_p99_ms", "ms"), "", ""))
+        rows.append(register.row("a node, and a chain", None, None, None, None))
+    rows.append(
+        register.row(
+            "asked, of one call", "", demand.from_target(target.added_p99_ms, "added_p99_ms", "ms"), "", ""
+        )
+    )
     return Table(("through", "added, median", "added, 99%", "core a call", "core at a node's calls"), rows)
 
 
-def wiring(book: Book, demand: Demand) -> Table:
-    """Connections over the platform, of a node and of the server with most, by size and by homes."""
-    t, topology = demand.target.target, demand.target.topology
+def connection_counts(register: SourceRegister, demand: Demand) -> Table:
+    """Return the table of connections: all, of a node and of the server with most, by size and subsets."""
+    target, topology = demand.target.target, demand.target.topology
     rows = []
-    for times in roles.GROWTH:
-        n = int(t.servers * times)
-        args = (n, t.services, topology.service_skew, topology.callees_per_service, demand.target.run.seed)
-        plain, zoned = connections.wire(*args), connections.wire(*args, zones=t.zones)
-        rule = demand.coded(1.0, "crowpost.decisions.endpoint_set")
-        for name, wiring, homes in (
+    for scale in roles.GROWTH:
+        servers = int(target.servers * scale)
+        args = (
+            servers,
+            target.services,
+            topology.service_skew,
+            topology.callees_per_service,
+            demand.target.run.seed,
+        )
+        plain, zone_aware = (
+            connections.count_connections(*args),
+            connections.count_connections(*args, zones=target.zones),
+        )
+        rule = demand.from_code(1.0, "crowpost.decisions.endpoint_set")
+        for label, counts, with_subsets in (
             ("every server", plain, False),
             ("homes", plain, True),
-            ("homes, crossing zones has a price", zoned, True),
+            ("homes, crossing zones has a price", zone_aware, True),
         ):
-            if wiring is zoned and times != 1.0:
+            if counts is zone_aware and scale != 1.0:
                 continue
-            whole = demand.told(wiring.total(homes), "servers, services, service skew, callees per service")
-            whole, most = whole.times(rule), wiring.most_of_a_server(homes)
-            each = whole.over(demand.servers(times))
-            held = each.times(demand.assumed("connection_memory"), "B")
+            connections_total = demand.from_target(
+                counts.total(with_subsets), "servers, services, service skew, callees per service"
+            )
+            connections_total, most_of_a_server = (
+                connections_total.times(rule),
+                counts.max_per_server(with_subsets),
+            )
+            connections_each = connections_total.over(demand.servers(scale))
+            memory = connections_each.times(demand.assumed("connection_memory"), "B")
             rows.append(
-                book.row(f"{n:,}, {name}", whole, each, demand.told(most, "servers").times(rule), held)
+                register.row(
+                    f"{servers:,}, {label}",
+                    connections_total,
+                    connections_each,
+                    demand.from_target(most_of_a_server, "servers").times(rule),
+                    memory,
+                )
             )
     heads = (
         "servers, a node keeps to",
@@ -296,42 +351,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Floor:
-    """Where calling every server ends to be affordable."""
+    """Up to which service size calling every server is affordable.
+
+    The floor is the minimum share that the decision code leaves a server.
+    """
 
-    even: Figure  # servers of a service
-    least: Figure
-    largest: Figure  # the largest service at the target
-    closed: Figure  # the part of its calls that find no open connection
-    homes: Figure  # the same with homes
-    homes_least: Figure  # and of the calls to a server that has the least share of its home
-    affordable: Figure  # the part that may
-    calls: Figure  # to one service, of one node
+    even_servers: Figure  # Affordable servers of a service, if calls are spread evenly.
+    least_share_servers: Figure  # The same for servers at their minimum share.
+    largest_service: Figure  # Servers of the largest service at the target.
+    unconnected: Figure  # Percentage of its calls that find no open connection.
+    subset_unconnected: Figure  # The same with subsets.
+    subset_unconnected_least: Figure  # The same for calls to a server with the minimum share of its subset.
+    affordable: Figure  # Percentage of calls that may find no open connection.
+    calls: Figure  # Calls of one node to one service.
 
 
 def floor(demand: Demand) -> Floor:
-    """By the time that a node keeps a connection, and the least share that the module leaves a server."""
-    t, topology = demand.target.target, demand.target.topology
-    idle = demand.coded(connections.IDLE_S, "crowpost.node.upstream.pool.IDLE_TIMEOUT_FRACTION", "s")
-    calls = demand.calls().over(demand.told(topology.callees_per_service, "callees_per_service"), "/s")
+    """Return these limits, by the time that a node keeps a connection and the minimum share of a server."""
+    target, topology = demand.target.target, demand.target.topology
+    idle = demand.from_code(connections.IDLE_S, "crowpost.node.upstream.pool.IDLE_TIMEOUT_FRACTION", "s")
+    calls = demand.calls().over(demand.from_target(topology.callees_per_service, "callees_per_service"), "/s")
     affordable = demand.assumed("handshakes_affordable")
-    even, least = connections.floor_ends(calls.mid, affordable.mid)
-    of = connections.sizes(t.servers, t.services, topology.service_skew)
-    behind = (
+    even, least = connections.affordable_servers(calls.mid, affordable.mid)
+    sizes = connections.service_sizes(target.servers, target.services, topology.service_skew)
+    origins = (
         calls.times(idle).times(affordable).origins
-        + demand.coded(1.0, "crowpost.decisions.learning_automaton.FLOOR_FRACTION").origins
+        + demand.from_code(1.0, "crowpost.decisions.learning_automaton.FLOOR_FRACTION").origins
     )
-    home = connections.home(of[0], of[0])
+    home_size = connections.subset_size(sizes[0], sizes[0])
 
-    def made(value: float, unit: str = "") -> Figure:
-        return Figure(value, value, value, unit, behind)
+    def derived(value: float, unit: str = "") -> Figure:
+        return Figure(value, value, value, unit, origins)
 
     return Floor(
-        made(even),
-        made(least),
-        demand.told(of[0], "servers, services, service skew"),
-        made(100.0 * connections.closed_part(calls.mid, of[0]), "%"),
-        made(100.0 * connections.closed_part(calls.mid, home), "%"),
-        made(100.0 * connections.closed_part(FLOOR_FRACTION * calls.mid, home), "%"),
+        derived(even),
+        derived(least),
+        demand.from_target(sizes[0], "servers, services, service skew"),
+        derived(100.0 * connections.unconnected_fraction(calls.mid, sizes[0]), "%"),
+        derived(100.0 * connections.unconnected_fraction(calls.mid, home_size), "%"),
+        derived(100.0 * connections.unconnected_fraction(FLOOR_FRACTION * calls.mid, home_size), "%"),
         affordable.times(100.0, "%"),
         calls,
     )
--- a/tests/capacity_records.py
+++ b/tests/capacity_records.py
@@ -1,4 +1,4 @@
-"""Made-up records of slopes, calls and the feed, as their runs would write them."""
+"""Synthetic records of slopes, overhead and the feed, in the format that their runs write."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 DOCS = Path(__file__).parent.parent / "docs"
 SIZES = (50, 200, 400, 790, 1580)
 HEAD = {"schema": 1, "revision": "0123456789abcdef", "at": "2026-01-02T03:04:05", "cores": 8, "seed": 1}
-ORIGIN = Origin("assumed", "made up", "a test")
-NOTHING_BUILT = ("members",)
+ORIGIN = Origin("assumed", "synthetic", "a test")
+ONLY_MEMBERSHIP = ("members",)
 
 
 def figure(mid: float, unit: str = "") -> Figure:
@@ -23,27 +23,32 @@
 
 
 def duty(unit: str, xs: tuple[float, ...], lines: dict[str, tuple[float, float]]) -> dict[str, Any]:
-    """A duty whose costs lie near a line: by turns a thousandth of the intercept above and below it."""
+    """Return a duty with costs near a line: by turns 0.1% of the intercept below and above it."""
     points, fits = [], {}
-    for i, x in enumerate(xs):
-        off = 1.0 + (0.001 if i % 2 else -0.001)
-        measure = {name: (a * off + b * x) for name, (a, b) in lines.items()}
+    for index, x in enumerate(xs):
+        factor = 1.0 + (0.001 if index % 2 else -0.001)
+        measure = {name: (intercept * factor + slope * x) for name, (intercept, slope) in lines.items()}
         points.append({"x": x, "source": "hollow", "seconds": 20.0, "measure": measure})
-    for name, (a, b) in lines.items():
-        fits[name] = {"intercept": [a, a, a], "slope": [b, b, b], "form": "linear", "source": "hollow"}
+    for name, (intercept, slope) in lines.items():
+        fits[name] = {
+            "intercept": [intercept, intercept, intercept],
+            "slope": [slope, slope, slope],
+            "form": "linear",
+            "source": "hollow",
+        }
     return {"about": "", "unit": unit, "points": points, "fits": fits, "agreement": []}
 
 
 def slopes() -> dict[str, Any]:
-    """A record of slopes as a run would write it, of made-up costs."""
+    """Return a record of slopes with synthetic costs."""
     idle = {"core_ms_per_s": (1.0, 0.0), "memory_bytes": (25e6, 0.0), "bytes_per_s": (1.0, 0.0)}
-    member = {"core_ms_per_s": (2.0, 0.001), "memory_bytes": (1e6, 1000.0), "bytes_per_s": (400.0, 0.5)}
+    membership = {"core_ms_per_s": (2.0, 0.001), "memory_bytes": (1e6, 1000.0), "bytes_per_s": (400.0, 0.5)}
     duties = {
         "idle": duty("member", SIZES, idle),
-        "membership": duty("member", SIZES, member | {"messages_per_s": (8.0, 0.001)}),
+        "membership": duty("member", SIZES, membership | {"messages_per_s": (8.0, 0.001)}),
     }
-    zone = {"kind": "zone", "members": 790, "source": "hollow", "messages": 12345, "settled_s": 7.7}
-    troubles = [{**zone, "bytes_per_member": 6543.0, "lost": "nothing at all", "speed": 1.0}]
+    zone_loss = {"kind": "zone", "members": 790, "source": "hollow", "messages": 12345, "settled_s": 7.7}
+    troubles = [{**zone_loss, "bytes_per_member": 6543.0, "lost": "nothing at all", "speed": 1.0}]
     return {**HEAD, "command": "crowpost lab scale", "duties": duties, "troubles": troubles}
 
 
@@ -58,36 +63,36 @@
         "requests": 999,
     }
     added = {"p50_ms": 0.25, "p90_ms": 0.4, "p99_ms": 0.75, "p999_ms": 2.0}
-    more = {
+    figures = {
         "direct": added,
         "through": added,
         "added": added,
         "machine_moves": {"p50_ms": 0.1, "p99_ms": 0.2},
     }
-    return {**HEAD, "runs": [run | more | {"core_us_per_request": 300.0, "requests_per_s": 41.0}]}
+    return {**HEAD, "runs": [run | figures | {"core_us_per_request": 300.0, "requests_per_s": 41.0}]}
 
 
 def feed(worst: float = 4.5, unreached: int = 0) -> dict[str, Any]:
-    one = {"case": "calm", "nodes": 790, "source": "simulated", "node_bytes_per_s": 111.0}
-    more = {"node_core_percent": None, "relay_bytes_per_s": 2e4, "publisher_bytes_per_s": 3e3}
-    force = {"p50": 0.3, "p99": 0.9, "worst": worst}
-    runs = [one | more | {"seed": s, "in_force_s": force, "unreached": unreached} for s in (1, 2)]
+    run = {"case": "calm", "nodes": 790, "source": "simulated", "node_bytes_per_s": 111.0}
+    rates = {"node_core_percent": None, "relay_bytes_per_s": 2e4, "publisher_bytes_per_s": 3e3}
+    in_force = {"p50": 0.3, "p99": 0.9, "worst": worst}
+    runs = [run | rates | {"seed": seed, "in_force_s": in_force, "unreached": unreached} for seed in (1, 2)]
     return {**HEAD, "runs": runs}
 
 
-def lay_out(tmp_path: Path) -> Path:
-    """A folder with the committed assumptions and a record of each kind."""
+def make_docs(tmp_path: Path) -> Path:
+    """Return a folder with the committed assumptions and a record of each kind."""
     folder = tmp_path / "docs"
     (folder / "capacity").mkdir(parents=True)
     shutil.copy(DOCS / "capacity" / "assumed.toml", folder / "capacity" / "assumed.toml")
     for name, record in (("slopes", slopes()), ("overhead", overhead()), ("feed", feed())):
-        keep(folder, name, record)
+        write_record(folder, name, record)
     return folder
 
 
-def keep(folder: Path, name: str, record: dict[str, Any]) -> None:
+def write_record(folder: Path, name: str, record: dict[str, Any]) -> None:
     (folder / "capacity" / f"{name}.json").write_text(json.dumps(record))
 
 
-def with_(target: Target, **keys: Any) -> Target:
-    return replace(target, target=replace(target.target, **keys))
+def with_target(target: Target, **values: Any) -> Target:
+    return replace(target, target=replace(target.target, **values))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The page of the size that is coming: what it says, of which records, and what it says when they part."""
+"""Tests of the capacity page: its content, its sources and the check against its records."""
 
 from __future__ import annotations
 
@@ -10,58 +10,58 @@
 import pytest
 
 from crowpost.cli.main import main
-from crowpost.lab.capacity import backing, page, records
+from crowpost.lab.capacity import page, records, validation
 from crowpost.lab.scale.target import load
 from tests.capacity_records import (
     DOCS,
-    NOTHING_BUILT,
+    ONLY_MEMBERSHIP,
     SIZES,
     duty,
     feed,
-    keep,
-    lay_out,
+    make_docs,
     overhead,
     slopes,
-    with_,
+    with_target,
+    write_record,
 )
 
 
 @pytest.fixture
 def docs(tmp_path: Path) -> Path:
-    return lay_out(tmp_path)
+    return make_docs(tmp_path)
 
 
-def command(monkeypatch: pytest.MonkeyPatch, *arguments: str) -> int:
+def run_command(monkeypatch: pytest.MonkeyPatch, *arguments: str) -> int:
     monkeypatch.setattr(sys, "argv", ["crowpost", "lab", "capacity", *arguments])
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         main()
-    return int(ended.value.code or 0)
+    return int(exit_info.value.code or 0)
 
 
-# ------------------------------------------------------------ what is committed
+# ------------------------------------------------------------ committed files
 
 
-def test_the_committed_page_is_what_the_committed_records_give() -> None:
+def test_committed_page_matches_the_committed_records() -> None:
     assert page.check(DOCS, load()) == []
 
 
-def test_the_page_is_short_enough_to_be_read() -> None:
+def test_page_has_at_most_250_lines() -> None:
     text = (DOCS / page.PAGE).read_text()
     assert len(text.splitlines()) <= 250
 
 
-def test_the_template_holds_no_number() -> None:
+def test_template_prose_has_no_number() -> None:
     prose = re.sub(r"\{\{.*?\}\}|\{%.*?%\}|\{#.*?#\}", "", page.template(), flags=re.DOTALL)
     assert [line for line in prose.splitlines() if re.search(r"\d", line)] == []
 
 
-def sources_hold(text: str) -> None:
-    """Each row of a table with a number in it names an entry, and each that is named is listed."""
+def assert_sources_listed(text: str) -> None:
+    """Assert that each table row with a number names a source, and that each named source is listed."""
     body, listed = text.split("## Sources")
     known = {
-        t
+        tag_text
         for tags in re.findall(r"^\| ([TRAC][TRAC\d ]*) \|", listed, flags=re.MULTILINE)
-        for t in tags.split()
+        for tag_text in tags.split()
     }
     rows = [line.strip("| ").split(" | ") for line in body.splitlines() if line.startswith("|")]
     tagged, tag = 0, r"[TRAC]\d*(?:-[TRAC]\d+)?"
@@ -73,66 +73,73 @@
             tagged += 1
     assert tagged > 40
     groups = [row[-1] for row in rows] + re.findall(r"\(([^()]*)\)", body)
-    named = {end for g in groups if re.fullmatch(rf"{tag}(?: {tag})*", g) for end in re.split("[ -]", g)}
+    named = {
+        name
+        for group in groups
+        if re.fullmatch(rf"{tag}(?: {tag})*", group)
+        for name in re.split("[ -]", group)
+    }
     assert named <= known and len(named) > 20
 
 
-def test_every_figure_names_an_entry_that_is_listed(docs: Path) -> None:
-    sources_hold(page.render(load(), records.read(docs / "capacity"))[0])
-    sources_hold((DOCS / page.PAGE).read_text())
+def test_every_figure_names_a_listed_source(docs: Path) -> None:
+    assert_sources_listed(page.render(load(), records.read(docs / "capacity"))[0])
+    assert_sources_listed((DOCS / page.PAGE).read_text())
 
 
 # ------------------------------------------------------------ writing and checking
 
 
-def test_write_and_check_agree_and_print_shows_the_same(
+def test_check_accepts_the_written_page_which_equals_the_printed_one(
     docs: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     where = ("--docs", str(docs))
-    assert command(monkeypatch, *where, "--check") == 1
-    assert "is not there" in capsys.readouterr().err
-    assert command(monkeypatch, *where, "--write") == 0
-    assert command(monkeypatch, *where, "--check") == 0
+    assert run_command(monkeypatch, *where, "--check") == 1
+    assert "does not exist; --write creates it" in capsys.readouterr().err
+    assert run_command(monkeypatch, *where, "--write") == 0
+    assert run_command(monkeypatch, *where, "--check") == 0
     capsys.readouterr()
-    assert command(monkeypatch, *where) == 0
+    assert run_command(monkeypatch, *where) == 0
     assert capsys.readouterr().out == (docs / page.PAGE).read_text()
-    assert command(monkeypatch, *where, "--check", "--write") == 2
+    assert run_command(monkeypatch, *where, "--check", "--write") == 2
 
 
-def test_check_names_each_line_of_the_page_that_was_changed(
+def test_check_reports_each_changed_line(
     docs: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     written = page.write(docs, load())
     lines = written.read_text().splitlines()
-    changed = [i for i, line in enumerate(lines) if line.startswith(("| membership |", "| a zone |"))][:2]
-    for i in changed:
-        lines[i] = re.sub(r"\d", "9", lines[i], count=3)
+    changed = [
+        index for index, line in enumerate(lines) if line.startswith(("| membership |", "| a zone |"))
+    ][:2]
+    for index in changed:
+        lines[index] = re.sub(r"\d", "9", lines[index], count=3)
     written.write_text("\n".join(lines) + "\n")
-    assert command(monkeypatch, "--docs", str(docs), "--check") == 1
-    told = capsys.readouterr().err.splitlines()
-    assert [line.split(": ")[0] for line in told] == [f"{written}:{i + 1}" for i in changed]
+    assert run_command(monkeypatch, "--docs", str(docs), "--check") == 1
+    reported = capsys.readouterr().err.splitlines()
+    assert [line.split(": ")[0] for line in reported] == [f"{written}:{index + 1}" for index in changed]
 
 
-def test_check_tells_a_record_that_has_changed_behind_the_page(docs: Path) -> None:
+def test_check_reports_a_record_changed_after_the_page(docs: Path) -> None:
     page.write(docs, load())
     record = slopes()
     record["duties"]["membership"] = duty("member", SIZES, {"bytes_per_s": (500.0, 0.5)})
-    keep(docs, "slopes", record)
+    write_record(docs, "slopes", record)
     assert any("membership" in line and "CAPACITY.md:" in line for line in page.check(docs, load()))
     (docs / "capacity" / "overhead.json").unlink()
     assert any("not measured" in line for line in page.check(docs, load()))
 
 
-def test_a_cut_page_is_told(docs: Path) -> None:
+def test_check_reports_a_truncated_page(docs: Path) -> None:
     written = page.write(docs, load())
     written.write_text(written.read_text().rstrip("\n"))
-    assert page.check(docs, load()) == [f"{written}: its end"]
-    whole = page.render(load(), records.read(docs / "capacity"))[0].splitlines()
-    written.write_text("\n".join(whole[:-1]) + "\n")
+    assert page.check(docs, load()) == [f"{written}: differs at its end"]
+    page_lines = page.render(load(), records.read(docs / "capacity"))[0].splitlines()
+    written.write_text("\n".join(page_lines[:-1]) + "\n")
     assert len(page.check(docs, load())) == 1
 
 
-def broken(record: dict[str, Any], where: str) -> dict[str, Any]:
+def with_fault(record: dict[str, Any], where: str) -> dict[str, Any]:
     member = record["duties"]["membership"]
     if where == "revision":
         record["revision"] = ""
@@ -154,7 +161,7 @@
 
 
 @pytest.mark.parametrize(
-    ("where", "told"),
+    ("where", "reported"),
     [
         ("revision", "names no revision or date"),
         ("command", "names no command"),
@@ -166,40 +173,42 @@
         ("trouble", "trouble zone: no source or no members"),
     ],
 )
-def test_a_figure_without_a_run_behind_it_is_told_and_not_written(docs: Path, where: str, told: str) -> None:
-    assert backing.unbacked(records.read(docs / "capacity")) == []
-    keep(docs, "slopes", broken(slopes(), where))
-    assert any(told in line for line in backing.unbacked(records.read(docs / "capacity")))
+def test_an_entry_without_a_run_is_reported_and_prevents_writing(
+    docs: Path, where: str, reported: str
+) -> None:
+    assert validation.unsupported_entries(records.read(docs / "capacity")) == []
+    write_record(docs, "slopes", with_fault(slopes(), where))
+    assert any(reported in line for line in validation.unsupported_entries(records.read(docs / "capacity")))
     with pytest.raises(
-        records.RecordError, match=re.escape(told.split("behind")[0].split(" is not")[0][:20])
+        records.RecordError, match=re.escape(reported.split("behind")[0].split(" is not")[0][:20])
     ):
         page.write(docs, load())
     assert not (docs / page.PAGE).exists()
 
 
-def test_runs_of_calls_and_of_the_feed_must_have_been_made(docs: Path) -> None:
-    none, nobody = overhead(), feed()
-    none["runs"][0]["requests"] = 0
-    nobody["runs"][1]["source"] = ""
-    nobody |= {"revision": "", "at": ""}
-    nobody["runs"][1] |= {"revision": "abc", "at": "2026-01-02"}
-    keep(docs, "overhead", none)
-    keep(docs, "feed", nobody)
-    assert backing.unbacked(records.read(docs / "capacity")) == [
+def test_overhead_and_feed_runs_without_data_are_reported(docs: Path) -> None:
+    no_requests, no_source = overhead(), feed()
+    no_requests["runs"][0]["requests"] = 0
+    no_source["runs"][1]["source"] = ""
+    no_source |= {"revision": "", "at": ""}
+    no_source["runs"][1] |= {"revision": "abc", "at": "2026-01-02"}
+    write_record(docs, "overhead", no_requests)
+    write_record(docs, "feed", no_source)
+    assert validation.unsupported_entries(records.read(docs / "capacity")) == [
         "overhead.json, run 0: no requests were made",
         "feed.json, run 0 (simulated, calm, 790): names no revision",
         "feed.json, run 1: no source or no nodes",
     ]
 
 
-def test_an_assumption_needs_a_source_and_a_use(
+def test_an_assumption_needs_a_source_and_a_figure_that_uses_it(
     docs: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = docs / "capacity" / "assumed.toml"
     whole = file.read_text()
     file.write_text(whole + '\n[of_no_use]\nvalue = 1.0\nunit = ""\nsource = "a test"\n')
     assert "assumed.toml: no figure uses of_no_use" in page.check(docs, load())
-    for wrong, told in (
+    for wrong, reported in (
         (re.sub(r'(\[part_node\][^[]*source = )"[^"]*"', r'\g<1>""', whole), "part_node.source: is missing"),
         (whole.replace("value = 20000.0", 'value = "many"'), "value: a number"),
         (whole.replace("[part_node]", "[part_nodes]"), "part_node is missing"),
@@ -207,25 +216,25 @@
     ):
         assert wrong != whole
         file.write_text(wrong)
-        assert command(monkeypatch, "--docs", str(docs)) == 2
-        said = capsys.readouterr().err
-        assert told in said and said.count("\n") == 1
+        assert run_command(monkeypatch, "--docs", str(docs)) == 2
+        stderr = capsys.readouterr().err
+        assert reported in stderr and stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize("text", ["", "[]", '{"schema": 1}', '{"schema": 1, "revision": 3, "at": ""}'])
-def test_a_record_that_cannot_be_read_is_one_line(
+def test_an_unreadable_record_gives_a_one_line_error(
     docs: Path, text: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (docs / "capacity" / "slopes.json").write_text(text)
-    assert command(monkeypatch, "--docs", str(docs), "--check") == 2
-    said = capsys.readouterr().err
-    assert "slopes.json: " in said and said.count("\n") == 1
+    assert run_command(monkeypatch, "--docs", str(docs), "--check") == 2
+    stderr = capsys.readouterr().err
+    assert "slopes.json: " in stderr and stderr.count("\n") == 1
 
 
-def test_what_is_not_recorded_reads_so_and_its_sums_are_bounds(docs: Path) -> None:
+def test_missing_records_show_as_not_measured_and_sums_as_bounds(docs: Path) -> None:
     for name in ("slopes", "overhead", "feed"):
         (docs / "capacity" / f"{name}.json").unlink()
-    text = page.render(load(), records.read(docs / "capacity"), NOTHING_BUILT)[0]
+    text = page.render(load(), records.read(docs / "capacity"), ONLY_MEMBERSHIP)[0]
     row = next(line for line in text.splitlines() if line.startswith("| membership | "))
     assert row.split(" | ")[1:3] == ["not measured", "not measured"] and "779 B/s" in row
     left = next(line for line in text.splitlines() if line.startswith("| **left** | "))
@@ -233,7 +242,7 @@
     assert "R1" not in text
 
 
-# ------------------------------------------------------------ what happens
+# ------------------------------------------------------------ events
 
 
 def cells(text: str, start: str) -> list[str]:
@@ -242,7 +251,7 @@
     )
 
 
-def test_changes_failures_and_calls_are_the_targets_and_the_records(docs: Path) -> None:
+def test_changes_failures_and_calls_follow_target_and_records(docs: Path) -> None:
     text = page.render(load(), records.read(docs / "capacity"), ("members", "feed"))[0]
     large = cells(text, "one large")
     assert large[1] == "200 kB" and large[3] == "20.0 s" and large[5] == "no"
@@ -259,33 +268,33 @@
     assert "Without `crowpost/config_feed` the same rule names **configuration to all nodes** first" in text
 
 
-def test_a_chain_that_was_run_needs_no_multiple(docs: Path) -> None:
+def test_a_measured_chain_is_shown_instead_of_a_multiple_of_one_node(docs: Path) -> None:
     record = overhead()
     record["runs"].append(record["runs"][0] | {"chain": 25, "added": {"p50_ms": 5.0, "p99_ms": 11.0}})
-    keep(docs, "overhead", record)
-    text = page.render(load(), records.read(docs / "capacity"), NOTHING_BUILT)[0]
+    write_record(docs, "overhead", record)
+    text = page.render(load(), records.read(docs / "capacity"), ONLY_MEMBERSHIP)[0]
     assert "times the depth" not in text
     assert cells(text, "25 nodes in a row, 10 servers, open")[1:3] == ["5 ms", "11 ms"]
 
 
 def test_a_larger_target_changes_the_page(docs: Path) -> None:
     page.write(docs, load())
-    found = page.check(docs, with_(load(), servers=800))
+    found = page.check(docs, with_target(load(), servers=800))
     assert any("800" in line for line in found)
 
 
-def test_of_the_feeds_other_cases_the_slowest_is_shown_and_the_dearest_is_told(docs: Path) -> None:
+def test_page_shows_the_slowest_other_feed_case_and_names_the_most_expensive(docs: Path) -> None:
     record = feed()
     calm = record["runs"][0]
-    for case, worst, sent in (("cut", 2.0, 10.0), ("relay-dies", 3.0, 9000.0), ("burst", 1.0, 20.0)):
-        took = {"p50": 0.1, "p99": 0.2, "worst": worst}
-        record["runs"].append(calm | {"case": case, "in_force_s": took, "node_bytes_per_s": sent})
+    for case, worst, byte_rate in (("cut", 2.0, 10.0), ("relay-dies", 3.0, 9000.0), ("burst", 1.0, 20.0)):
+        in_force = {"p50": 0.1, "p99": 0.2, "worst": worst}
+        record["runs"].append(calm | {"case": case, "in_force_s": in_force, "node_bytes_per_s": byte_rate})
     real = {"nodes": 60, "source": "real", "node_core_percent": 0.5}
     record["runs"].append(calm | real)
-    keep(docs, "feed", record)
+    write_record(docs, "feed", record)
     text = page.render(load(), records.read(docs / "capacity"), ("members", "feed"))[0]
     assert "| relay-dies, 790, simulated |" in text and "| cut, 790, simulated |" not in text
     assert cells(text, "calm, 60, real")[7] == "0.500%"
     assert "a node took 9 kB/s" in text and "more than the part that it is to keep to, 3.33 kB/s" in text
-    # a real node's core time stands in for that of nodes at the target's size, with a star
+    # The core time of a real node is used at the target's size, and marked as extrapolated with a star.
     assert cells(text, "configuration")[2] == "0.500% *"
