--- a/crowpost/lab/overhead/__init__.py
+++ b/crowpost/lab/overhead/__init__.py
@@ -1,1 +1,1 @@
-"""What a node adds to a call: the same calls direct and through real nodes, in turn within one run."""
+"""Measures what a node adds to a call, by comparing direct calls with calls through real nodes in one run."""
--- a/crowpost/lab/overhead/figures.py
+++ b/crowpost/lab/overhead/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run: percentiles, differences within the run, and how sure they are."""
+"""Statistics of a run: percentiles, their differences within the run, and intervals of these."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 PERCENTILES = {"p50_ms": 50.0, "p90_ms": 90.0, "p99_ms": 99.0, "p999_ms": 99.9}
 RESAMPLES = 1000
-VALUES_DRAWN = 20_000_000  # at most, in all resamples of one interval; a closed loop has many values
+MAX_VALUES_DRAWN = 20_000_000  # Limit over all resamples of one interval, as a closed loop has many values.
 CONFIDENCE = 95.0
-Rounds = Sequence[Sequence[float]]  # latencies in ms, by round
+Rounds = Sequence[Sequence[float]]  # Latencies in ms, by round.
 
 
 def percentiles(values: Sequence[float] | NDArray[np.float64]) -> dict[str, float | None]:
-    """The four percentiles, linear between ranks; None where there is no value."""
+    """Return the four percentiles, interpolated linearly between ranks; None if there are no values."""
     if not len(values):
         return dict.fromkeys(PERCENTILES)
     found = np.percentile(values, list(PERCENTILES.values()))
@@ -24,92 +24,103 @@
 
 
 def difference(more: Mapping[str, float | None], less: Mapping[str, float | None]) -> dict[str, float | None]:
-    """Percentile by percentile; None where one of the two is."""
+    """Return the difference of each percentile; None where one of the two is None."""
     return {
-        name: None if a is None or (b := less[name]) is None else round(a - b, 4) for name, a in more.items()
+        name: None if larger is None or (smaller := less[name]) is None else round(larger - smaller, 4)
+        for name, larger in more.items()
     }
 
 
 def intervals(more: Rounds, less: Rounds, seed: int) -> dict[str, list[float] | None]:
-    """95% intervals of the differences of percentiles, by a bootstrap that draws whole rounds.
+    """Return 95% intervals of the differences of percentiles, by a bootstrap that draws whole rounds.
 
-    Both sides keep their rounds together, so that what the machine did in a round counts for both; requests
-    of one round are not taken for independent.  Source: Davison and Hinkley, Bootstrap Methods, 1997, 3.8.
+    The same rounds are drawn for both sides, so that machine effects of a round count for both.  Requests of
+    one round are not treated as independent.  Source: Davison and Hinkley, Bootstrap Methods, 1997, 3.8.
     """
     if len(more) != len(less):
         raise ValueError(f"{len(more)} rounds against {len(less)}")
     if len(more) < 2 or not any(map(len, more)) or not any(map(len, less)):
         return dict.fromkeys(PERCENTILES)
     rng = np.random.default_rng(seed)
-    a, b = [np.asarray(r, float) for r in more], [np.asarray(r, float) for r in less]
+    more_rounds, less_rounds = (
+        [np.asarray(values, float) for values in more],
+        [np.asarray(values, float) for values in less],
+    )
     wanted = list(PERCENTILES.values())
-    found = []
-    size = sum(map(len, a)) + sum(map(len, b))
-    for _ in range(min(RESAMPLES, max(200, VALUES_DRAWN // size))):
-        drawn = rng.integers(0, len(a), len(a))
-        left, right = np.concatenate([a[i] for i in drawn]), np.concatenate([b[i] for i in drawn])
-        if len(left) and len(right):
-            found.append(np.percentile(left, wanted) - np.percentile(right, wanted))
+    differences = []
+    size = sum(map(len, more_rounds)) + sum(map(len, less_rounds))
+    for _ in range(min(RESAMPLES, max(200, MAX_VALUES_DRAWN // size))):
+        drawn = rng.integers(0, len(more_rounds), len(more_rounds))
+        more_drawn, less_drawn = (
+            np.concatenate([more_rounds[index] for index in drawn]),
+            np.concatenate([less_rounds[index] for index in drawn]),
+        )
+        if len(more_drawn) and len(less_drawn):
+            differences.append(np.percentile(more_drawn, wanted) - np.percentile(less_drawn, wanted))
     tail = (100.0 - CONFIDENCE) / 2.0
-    low, high = np.percentile(found, [tail, 100.0 - tail], axis=0)
+    low, high = np.percentile(differences, [tail, 100.0 - tail], axis=0)
     return {
-        name: [round(float(x), 4), round(float(y), 4)]
-        for name, x, y in zip(PERCENTILES, low, high, strict=True)
+        name: [round(float(lower), 4), round(float(upper), 4)]
+        for name, lower, upper in zip(PERCENTILES, low, high, strict=True)
     }
 
 
 def by_round(
     slices: Sequence[Mapping[str, Any]], arms: Sequence[int], key: str, within: int | None = None
 ) -> list[list[float]]:
-    """The values of some arms, joined by round; only of rounds in which an arm `within` was played."""
-    found: dict[int, list[float]] = {s["round"]: [] for s in slices if within is None or s["arm"] == within}
-    for s in slices:
-        if s["arm"] in arms and s["round"] in found:
-            found[s["round"]].extend(s[key])
-    return [found[number] for number in sorted(found)]
+    """Return the values of some arms by round; only for rounds that have the arm `within`, if it is given."""
+    values: dict[int, list[float]] = {
+        one["round"]: [] for one in slices if within is None or one["arm"] == within
+    }
+    for one in slices:
+        if one["arm"] in arms and one["round"] in values:
+            values[one["round"]].extend(one[key])
+    return [values[number] for number in sorted(values)]
 
 
-def joined(rounds: Rounds) -> list[float]:
-    """All values."""
+def concatenated(rounds: Rounds) -> list[float]:
+    """Return the values of all rounds in one list."""
     return [value for one in rounds for value in one]
 
 
 def summary(
-    slices: Sequence[Mapping[str, Any]], arm: int, seed: int, *, at_once: bool = False
+    slices: Sequence[Mapping[str, Any]], arm: int, seed: int, *, concurrent: bool = False
 ) -> dict[str, Any]:
-    """What one arm of calls through nodes shows beside the two direct arms (0 and 1) of the same rounds.
+    """Return the comparison of one arm through nodes with the two direct arms (0 and 1) of the same rounds.
 
-    `at_once`: whether the arms of a round were played at once, not one after another.
+    `concurrent`: whether the arms of a round ran concurrently, not one after another.
     """
     direct, through, *each = (
         by_round(slices, arms, "latency_ms", arm) for arms in ((0, 1), (arm,), (0,), (1,))
     )
-    halves = [percentiles(joined(half)) for half in each]
-    there = [percentiles(joined(by_round(slices, arms, "there_ms", arm))) for arms in ((0, 1), (arm,))]
-    alone = percentiles(joined(direct)), percentiles(joined(through))
-    mine = [s for s in slices if s["arm"] == arm]
-    rounds = {s["round"] for s in mine}
-    plain = [s for s in slices if s["arm"] in (0, 1) and s["round"] in rounds]
-    direct_s = sum(s["seconds"] for s in plain) / (2.0 if at_once else 1.0)
-    served = sum(s["ends"].get("served", 0) for s in mine)
-    seconds = sum(s["seconds"] for s in mine)
+    direct_arms = [percentiles(concatenated(half)) for half in each]
+    arrival = [
+        percentiles(concatenated(by_round(slices, arms, "there_ms", arm))) for arms in ((0, 1), (arm,))
+    ]
+    overall = percentiles(concatenated(direct)), percentiles(concatenated(through))
+    arm_slices = [one for one in slices if one["arm"] == arm]
+    rounds = {one["round"] for one in arm_slices}
+    direct_slices = [one for one in slices if one["arm"] in (0, 1) and one["round"] in rounds]
+    direct_s = sum(one["seconds"] for one in direct_slices) / (2.0 if concurrent else 1.0)
+    served = sum(one["ends"].get("served", 0) for one in arm_slices)
+    seconds = sum(one["seconds"] for one in arm_slices)
     ends: dict[str, int] = {}
-    for s in mine:
-        for end, count in s["ends"].items():
+    for one in arm_slices:
+        for end, count in one["ends"].items():
             ends[end] = ends.get(end, 0) + count
     return {
-        "requests": sum(s["sent"] for s in mine),
+        "requests": sum(one["sent"] for one in arm_slices),
         "ends": ends,
-        "direct": alone[0],
-        "through": alone[1],
-        "added": difference(alone[1], alone[0]),
+        "direct": overall[0],
+        "through": overall[1],
+        "added": difference(overall[1], overall[0]),
         "added_95": intervals(through, direct, seed),
-        "added_there": difference(there[1], there[0]),
-        "machine_moves": difference(halves[1], halves[0]),
-        "core_us_per_request": round(sum(s["core_ns"] for s in mine) / served / 1000.0, 1)
+        "added_there": difference(arrival[1], arrival[0]),
+        "machine_moves": difference(direct_arms[1], direct_arms[0]),
+        "core_us_per_request": round(sum(one["core_ns"] for one in arm_slices) / served / 1000.0, 1)
         if served
         else None,
         "requests_per_s": round(served / seconds, 1),
-        "direct_per_s": round(sum(s["ends"].get("served", 0) for s in plain) / direct_s, 1),
-        "late_ms": round(max(s["late_ms"] for s in (*mine, *plain)), 3),
+        "direct_per_s": round(sum(one["ends"].get("served", 0) for one in direct_slices) / direct_s, 1),
+        "late_ms": round(max(one["late_ms"] for one in (*arm_slices, *direct_slices)), 3),
     }
--- a/crowpost/lab/overhead/platform.py
+++ b/crowpost/lab/overhead/platform.py
@@ -1,4 +1,4 @@
-"""The processes of a run: stand-in servers, nodes of each version, and a caller, on cores of their own."""
+"""The processes of a run: stub servers, nodes of each version and a client, on separate cores."""
 
 from __future__ import annotations
 
@@ -17,42 +17,42 @@
 from crowpost.lab.live.stand import HOST, Books, LiveDiscovery
 from crowpost.lab.overhead import profile
 from crowpost.lab.overhead.caller import Plan
-from crowpost.lab.overhead.stand import CLASSES
+from crowpost.lab.overhead.stub_servers import CLASSES
 from crowpost.lab.overhead.versions import NOW, OverheadError, Version
 
-STARTS = 4  # nodes at a time
-STARTS_S = 20.0
-ENDS_S = 5.0
-PROFILED_ENDS_S = 25.0  # longer than a node drains
-SLACK_S = 30.0  # beyond the time that a caller's slices take
-IDLE_S = 30.0  # after which servers close connections, as the nodes are told
+MAX_PARALLEL_STARTS = 4  # Nodes that start at the same time.
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 5.0
+PROFILED_STOP_TIMEOUT_S = 25.0  # Longer than a node drains.
+RESULT_SLACK_S = 30.0  # Time for the client's result, in addition to its slices.
+SERVER_IDLE_S = 30.0  # Idle time after which servers close connections, as configured in the nodes.
 
 
 @dataclass(frozen=True, slots=True)
 class How:
-    """How all cases are played."""
+    """Settings that all cases of a run share."""
 
-    seconds: float = 20.0  # of each arm of each case
-    kind: int = 0  # of the calls, in CLASSES
+    seconds: float = 20.0  # Measured time of each arm of each case.
+    kind: int = 0  # Index of the calls' class in CLASSES.
     seed: int = 1
     profiled: bool = False
-    round_s: float = 1.0  # of an open loop, where all arms run at once
-    slice_s: float = 0.5  # of one arm of a closed loop
-    warm_s: float = 1.0  # before the first round, not counted
+    round_s: float = 1.0  # Length of a round of an open loop, where all arms run concurrently.
+    slice_s: float = 0.5  # Length of one arm's slice in a closed loop.
+    warm_s: float = 1.0  # Warm-up before the first round, not counted.
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One thing to measure."""
+    """One combination of size, chain length and load to measure."""
 
-    servers: int  # of each tier
-    chain: int  # tiers, each behind a node
-    rate: float = 0.0  # a second, of an open loop; 0: closed
-    callers: int = 0  # of a closed loop
+    servers: int  # Servers of each tier.
+    chain: int  # Number of tiers, each behind a node.
+    rate: float = 0.0  # Calls per second of an open loop; 0 for a closed loop.
+    callers: int = 0  # Concurrent clients of a closed loop.
 
 
-def settings() -> dict[str, Any]:
-    """A node's settings: plain ones, with second copies and cancelling allowed, no probes and no reports."""
+def node_settings() -> dict[str, Any]:
+    """Return plain node settings: hedged requests and cancelling, but no health checks or load reports."""
     return {
         "azs": ["zone-0"],
         "locality": 0,
@@ -75,7 +75,7 @@
         },
         "policyLimits": {
             "cancel": True,
-            "connIdleMs": 1000.0 * IDLE_S,
+            "connIdleMs": 1000.0 * SERVER_IDLE_S,
             "connectTimeoutMs": 250.0,
             "maxRetryAfterMs": 2000.0,
             "mayDuplicate": True,
@@ -99,36 +99,36 @@
     }
 
 
-class Cores:
-    """Which core is whose: the caller's, the servers', the nodes' in turn; none where there are not four."""
+class CoreAssignment:
+    """Assigns cores to the client, the servers and, in turn, the nodes; none if there are fewer than four."""
 
     def __init__(self, nodes: int) -> None:
         self.all = sorted(os.sched_getaffinity(0))
-        self.enough = nodes <= len(self.all) - 2  # else each node may run on any core of those left
+        self.one_core_each = nodes <= len(self.all) - 2  # Otherwise nodes share the remaining cores.
         self._turn = 0
 
-    def pin(self, pid: int, place: int | None = None) -> None:
-        """Give one of our processes a core: by place from the last, or the next of the nodes'."""
+    def pin(self, pid: int, index: int | None = None) -> None:
+        """Pin a process of the run to a core: by index from the last core, or the next core for nodes."""
         if len(self.all) < 4:
             return
-        if place is None and not self.enough:
+        if index is None and not self.one_core_each:
             os.sched_setaffinity(pid, self.all[:-2])
             return
-        if place is None:
-            place = 2 + self._turn
+        if index is None:
+            index = 2 + self._turn
             self._turn += 1
-        os.sched_setaffinity(pid, {self.all[-1 - place]})
+        os.sched_setaffinity(pid, {self.all[-1 - index]})
 
 
-class Helper:
-    """One of the lab's own processes, spoken to in lines of JSON."""
+class HelperProcess:
+    """A process of the lab that exchanges lines of JSON with this one."""
 
     def __init__(self, module: str) -> None:
         self._module = module
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> int:
-        """Start it; its process id."""
+        """Start the process and return its id."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -141,7 +141,7 @@
         return self._process.pid
 
     async def ask(self, value: Any, within_s: float, *, end: bool = False) -> Any:
-        """Write a line and read one; OverheadError if none comes in time."""
+        """Write a line and return the answer line; raise OverheadError if there is none in time."""
         process = self._process
         assert process is not None and process.stdin is not None and process.stdout is not None
         try:
@@ -151,30 +151,32 @@
             line = await asyncio.wait_for(process.stdout.readline(), within_s)
             return json.loads(line)
         except (TimeoutError, OSError, ValueError):
-            raise OverheadError(f"the {self._module} says nothing: {await self._last_words()}") from None
+            raise OverheadError(
+                f"process {self._module} does not answer: {await self._last_error_line()}"
+            ) from None
 
-    async def _last_words(self) -> str:
+    async def _last_error_line(self) -> str:
         assert self._process is not None and self._process.stderr is not None
         if self._process.returncode is None:
             self._process.kill()
         text = (await self._process.stderr.read()).decode(errors="replace").strip()
-        return text.splitlines()[-1] if text else "and left no word"
+        return text.splitlines()[-1] if text else "no error output"
 
     async def stop(self) -> None:
-        """End it by the end of its input, else by its id."""
+        """Stop the process by closing its input, and kill it if it does not end in time."""
         process = self._process
         if process is None or process.stdin is None or process.stdout is None:
             return
         process.stdin.close()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(process.wait(), ENDS_S)
+            await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
         if process.returncode is None:
             process.kill()
             await process.wait()
 
 
 class Platform:
-    """The servers of all tiers and, for each version, a node before each tier."""
+    """The stub servers of all tiers and, for each version, a node in front of each tier."""
 
     def __init__(
         self,
@@ -188,12 +190,12 @@
         self.folder, self.servers, self.chain = folder, servers, chain
         self.versions, self.seed = versions, seed
         self.profiled = profiled
-        self.requests = [0] * len(versions)  # that went through each version
-        self.cores = Cores(chain * len(versions))
-        self.stand = Helper("stand")
-        self.front: list[int] = []  # the ports of the first tier's servers
-        self.nodes: list[list[NodeProcess]] = []  # by version and tier
-        self.ports: list[list[int]] = []  # of the nodes, by way and tier
+        self.requests = [0] * len(versions)  # Requests sent through each version.
+        self.cores = CoreAssignment(chain * len(versions))
+        self.stub_servers = HelperProcess("stub_servers")
+        self.first_tier_ports: list[int] = []  # Ports of the first tier's servers.
+        self.nodes: list[list[NodeProcess]] = []  # By version and tier.
+        self.ports: list[list[int]] = []  # Ports of the nodes, by route and tier.
         self._stack = AsyncExitStack()
         self._cases = 0
 
@@ -209,15 +211,15 @@
         await self._stack.aclose()
 
     async def _start(self) -> None:
-        pid = await self.stand.start()
-        self._stack.push_async_callback(self.stand.stop)
+        pid = await self.stub_servers.start()
+        self._stack.push_async_callback(self.stub_servers.stop)
         self.cores.pin(pid, 1)
-        ports = await self.stand.ask({"tiers": self.chain, "servers": self.servers}, STARTS_S)
-        self.front = ports[0]
+        ports = await self.stub_servers.ask({"tiers": self.chain, "servers": self.servers}, START_TIMEOUT_S)
+        self.first_tier_ports = ports[0]
         discoveries = []
         for tier in ports:
             discovery = LiveDiscovery(Books())
-            await discovery.start([_row(i, port) for i, port in enumerate(tier)])
+            await discovery.start([_list_row(index, port) for index, port in enumerate(tier)])
             self._stack.push_async_callback(discovery.stop)
             discoveries.append(discovery)
         for version in self.versions:
@@ -225,7 +227,7 @@
             for tier, discovery in enumerate(discoveries):
                 name = f"{version.commit.split('+')[0]}-{version.name == NOW:d}-{tier}"
                 node = NodeProcess(
-                    name, self.folder, settings(), discovery.address, discovery.listing(), self.seed
+                    name, self.folder, node_settings(), discovery.address, discovery.listing(), self.seed
                 )
                 if version.folder is not None:
                     node.environment = {"PYTHONPATH": str(version.folder), "PYTHONSAFEPATH": "1"}
@@ -235,24 +237,24 @@
                 self._stack.push_async_callback(node.kill)
                 nodes.append(node)
         starting = [node for nodes in self.nodes for node in nodes]
-        for some in range(0, len(starting), STARTS):
-            await asyncio.gather(*(node.start() for node in starting[some : some + STARTS]))
+        for first in range(0, len(starting), MAX_PARALLEL_STARTS):
+            await asyncio.gather(*(node.start() for node in starting[first : first + MAX_PARALLEL_STARTS]))
         for node in starting:
             self.cores.pin(node.pid)
         self.ports = [[], *([node.port for node in nodes] for nodes in self.nodes)]
-        await self.stand.ask(self.ports, STARTS_S)
+        await self.stub_servers.ask(self.ports, START_TIMEOUT_S)
 
-    async def play(self, case: Case, how: How) -> dict[str, Any]:
-        """One case: its slices, and how many answers came that nobody had asked for."""
+    async def run_case(self, case: Case, run_settings: How) -> dict[str, Any]:
+        """Run one case, and return its slices and the number of unexpected answers."""
         self._cases += 1
-        span = how.round_s if case.rate else how.slice_s
-        rounds = max(2, round(how.seconds / span))
-        turns = case.rate > 0.0 and len(self.versions) > 1 and not self.cores.enough
+        span = run_settings.round_s if case.rate else run_settings.slice_s
+        rounds = max(2, round(run_settings.seconds / span))
+        turns = case.rate > 0.0 and len(self.versions) > 1 and not self.cores.one_core_each
         if turns:
             rounds *= len(self.versions)
         arms = [0, 0, *range(1, 1 + len(self.versions))]
         plan = Plan(
-            ports=[self.front, *([nodes[0].port] for nodes in self.nodes)],
+            ports=[self.first_tier_ports, *([nodes[0].port] for nodes in self.nodes)],
             pids=[[], *([node.pid for node in nodes] for nodes in self.nodes)],
             arms=arms,
             open=case.rate > 0.0,
@@ -261,51 +263,51 @@
             slice_s=span,
             rounds=rounds,
             turns=turns,
-            warm_s=how.warm_s * (len(self.versions) if turns else 1),
-            kind=how.kind,
-            seed=how.seed,
+            warm_s=run_settings.warm_s * (len(self.versions) if turns else 1),
+            kind=run_settings.kind,
+            seed=run_settings.seed,
             prefix=f"{self._cases:06x}",
         )
-        caller = Helper("caller")
-        pid = await caller.start()
+        client = HelperProcess("caller")
+        pid = await client.start()
         try:
             self.cores.pin(pid, 0)
-            before = await self.stand.ask(self.ports, STARTS_S)
-            within = (rounds * span + how.warm_s) * len(arms) + SLACK_S
-            found: dict[str, Any] = await caller.ask(asdict(plan), within, end=True)
-            after = await self.stand.ask(self.ports, STARTS_S)
+            before = await self.stub_servers.ask(self.ports, START_TIMEOUT_S)
+            within = (rounds * span + run_settings.warm_s) * len(arms) + RESULT_SLACK_S
+            result: dict[str, Any] = await client.ask(asdict(plan), within, end=True)
+            after = await self.stub_servers.ask(self.ports, START_TIMEOUT_S)
         finally:
-            await caller.stop()
+            await client.stop()
         before += [0] * (len(after) - len(before))
-        found["attempts"] = [b - a for a, b in zip(before, after, strict=True)]
-        for i, sent in enumerate(found["sent"][2:]):
-            self.requests[i] += sent
+        result["attempts"] = [later - earlier for earlier, later in zip(before, after, strict=True)]
+        for index, sent in enumerate(result["sent"][2:]):
+            self.requests[index] += sent
         for nodes in self.nodes:
             for node in nodes:
-                if (words := node.ended()) is not None:
-                    raise OverheadError(f"node {node.name} ended: {words}")
-        return found
+                if (reason := node.ended()) is not None:
+                    raise OverheadError(f"node {node.name} ended: {reason}")
+        return result
 
     async def profiles(self) -> list[dict[str, Any]]:
-        """End the nodes; where the time of each version's went."""
-        nodes = [node for mine in self.nodes for node in mine]
-        await asyncio.gather(*(node.terminate(PROFILED_ENDS_S) for node in nodes))
+        """Stop the nodes, and return the processor time by cause for each version."""
+        nodes = [node for version_nodes in self.nodes for node in version_nodes]
+        await asyncio.gather(*(node.terminate(PROFILED_STOP_TIMEOUT_S) for node in nodes))
         return [
             {
                 "version": version.name,
                 "servers": self.servers,
                 "chain": self.chain,
-                "requests": self.requests[i],
+                "requests": self.requests[index],
                 "parts": profile.by_cause(
-                    [self.folder / f"{node.name}.profile" for node in self.nodes[i]],
-                    self.requests[i],
+                    [self.folder / f"{node.name}.profile" for node in self.nodes[index]],
+                    self.requests[index],
                 ),
             }
-            for i, version in enumerate(self.versions)
+            for index, version in enumerate(self.versions)
         ]
 
 
-def _row(index: int, port: int) -> dict[str, Any]:
+def _list_row(index: int, port: int) -> dict[str, Any]:
     return {
         "instanceId": f"s-{index}",
         "hostPort": f"{HOST}:{port}",
--- a/crowpost/lab/overhead/play.py
+++ b/crowpost/lab/overhead/play.py
@@ -1,4 +1,4 @@
-"""One run: cases in order, each with all versions, and the record of it."""
+"""Runs all cases in order, each with all versions, and returns the record."""
 
 from __future__ import annotations
 
@@ -14,54 +14,57 @@
 from crowpost.lab.live.processes import NodeError
 from crowpost.lab.overhead.figures import summary
 from crowpost.lab.overhead.platform import Case, How, Platform
-from crowpost.lab.overhead.stand import CLASSES
+from crowpost.lab.overhead.stub_servers import CLASSES
 from crowpost.lab.overhead.versions import OverheadError, Version, present, unpack
 
 
-async def _play_all(
+async def _run_all(
     cases: Sequence[Case],
     revisions: Sequence[str],
-    how: How,
+    run_settings: How,
     say: Callable[[str], None],
     keep: Callable[[dict[str, Any], dict[str, Any]], None],
 ) -> dict[str, Any]:
-    running = asyncio.current_task()
-    assert running is not None
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, running.cancel)  # no process is left
-    played: list[tuple[Case, dict[str, Any]]] = []
+    current_task = asyncio.current_task()
+    assert current_task is not None
+    # Cancelling on SIGTERM stops all processes of the run.
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, current_task.cancel)
+    results: list[tuple[Case, dict[str, Any]]] = []
     profiles: list[dict[str, Any]] = []
     with tempfile.TemporaryDirectory(prefix="crowpost-overhead-") as name:
         folder = Path(name)
         versions = [present(), *(unpack(revision, folder) for revision in revisions)]
-        for servers, chain in dict.fromkeys((c.servers, c.chain) for c in cases):
-            async with Platform(folder, servers, chain, versions, how.seed, how.profiled) as platform:
-                for case in (c for c in cases if (c.servers, c.chain) == (servers, chain)):
+        for servers, chain in dict.fromkeys((case.servers, case.chain) for case in cases):
+            async with Platform(
+                folder, servers, chain, versions, run_settings.seed, run_settings.profiled
+            ) as platform:
+                for case in (case for case in cases if (case.servers, case.chain) == (servers, chain)):
                     say(f"{servers} servers, chain of {chain}, {_loop(case)}")
-                    played.append((case, await platform.play(case, how)))
-                if how.profiled:
+                    results.append((case, await platform.run_case(case, run_settings)))
+                if run_settings.profiled:
                     profiles += await platform.profiles()
-    # Only now: while nodes run, this process is their discovery and must not stand still.
+    # Computed after the nodes have stopped, as this process is their discovery and must not block before.
     runs = []
-    for case, found in played:
-        for i, version in enumerate(versions):
-            run = _run(case, version, found, 2 + i, how.seed)
+    for case, result in results:
+        for index, version in enumerate(versions):
+            run = _run(case, version, result, 2 + index, run_settings.seed)
             runs.append(run)
-            keep(run, found)
+            keep(run, result)
     return {
         "schema": 1,
         "revision": versions[0].commit,
         "at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
         "cores": len(os.sched_getaffinity(0)),
-        "seed": how.seed,
-        "seconds": how.seconds,
-        "effect": CLASSES[how.kind],
-        "profiled": how.profiled,
+        "seed": run_settings.seed,
+        "seconds": run_settings.seconds,
+        "effect": CLASSES[run_settings.kind],
+        "profiled": run_settings.profiled,
         "runs": runs,
         "profiles": profiles,
     }
 
 
-def _run(case: Case, version: Version, found: dict[str, Any], arm: int, seed: int) -> dict[str, Any]:
+def _run(case: Case, version: Version, result: dict[str, Any], arm: int, seed: int) -> dict[str, Any]:
     return {
         "version": version.name,
         "commit": version.commit,
@@ -70,17 +73,17 @@
         "chain": case.chain,
         "loop": "open" if case.rate else "closed",
         "callers": case.callers or None,
-        "extra": found["extra"],
-        "attempts_each": _each(found, arm),
-        **summary(found["slices"], arm, seed, at_once=case.rate > 0.0),
+        "extra": result["extra"],
+        "attempts_each": _attempts_per_call(result, arm),
+        **summary(result["slices"], arm, seed, concurrent=case.rate > 0.0),
     }
 
 
-def _each(found: dict[str, Any], arm: int) -> float | None:
-    """Calls that came to the last tier for each that was made, warm ones included."""
-    sent, attempts = found["sent"][arm], found["attempts"]
-    way = arm - 1
-    return round(attempts[way] / sent, 4) if sent and way < len(attempts) else None
+def _attempts_per_call(result: dict[str, Any], arm: int) -> float | None:
+    """Return the calls received by the last tier per call sent, including warm-up calls."""
+    sent, attempts = result["sent"][arm], result["attempts"]
+    route = arm - 1
+    return round(attempts[route] / sent, 4) if sent and route < len(attempts) else None
 
 
 def _loop(case: Case) -> str:
@@ -90,16 +93,17 @@
 def play(
     cases: Sequence[Case],
     revisions: Sequence[str] = (),
-    how: How | None = None,
+    run_settings: How | None = None,
     say: Callable[[str], None] = lambda _text: None,
     keep: Callable[[dict[str, Any], dict[str, Any]], None] = lambda _run, _found: None,
 ) -> dict[str, Any]:
-    """The record of all cases, through the present version and revisions; `keep` gets runs and their slices.
+    """Return the record of all cases, for the present version and revisions.
 
-    OverheadError for what cannot be played.
+    `keep` is called with each run and its slices, `say` with a line of progress for each case.  Raise
+    OverheadError for cases that cannot be run.
     """
     try:
-        return asyncio.run(_play_all(cases, revisions, how or How(), say, keep))
+        return asyncio.run(_run_all(cases, revisions, run_settings or How(), say, keep))
     except (NodeError, OSError) as error:
         raise OverheadError(str(error)) from None
     except asyncio.CancelledError:
--- a/crowpost/lab/overhead/profile.py
+++ b/crowpost/lab/overhead/profile.py
@@ -1,7 +1,7 @@
-"""Where a node's processor time goes by cause: the same run under Python's own profiler.
+"""Processor time of a node by cause, from the same run under Python's profiler.
 
-The profiler itself costs as much again, so that these are shares, not times.  It does not see into the event
-loop: reading, accepting and timers show as one row, and a write as part of what called it.
+The profiler doubles the cost, so the result has relative shares, not times.  It does not see into the event
+loop: reading, accepting and timers are one row, and a write is part of the function that called it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 
 from crowpost.lab.checkout import PACKAGES
 
-CAUSES = {  # by where a function stands in the package
+# Causes by the path of a function's file within the package.
+CAUSES = {
     "decision_api/": "decision",
     "decisions/": "decision",
     # Revisions before the decisions were split into packages.
@@ -25,7 +26,8 @@
     "node/http/": "parsing and rendering",
     "node/downstream/": "callers' side",
     "node/upstream/": "servers' side",
-    "node/http.py": "parsing and rendering",  # this and the next four: of older revisions
+    # This path and the next four are of older revisions.
+    "node/http.py": "parsing and rendering",
     "node/callers.py": "callers' side",
     "node/exchange.py": "callers' side",
     "node/servers.py": "servers' side",
@@ -38,10 +40,11 @@
     "node/clock.py": "the node's own events",
     "node/metrics.py": "metrics",
 }
-BELOW = "event loop and kernel"
-LOOP = ("uvloop/__init__.py", "asyncio/runners.py")  # what they call is not seen, so it counts as their own
-STARTS = ("importlib", "marshal", "posix.stat", "io.open", "io.Buffered", "compile", "exec", "build_class")
-RUN = """import cProfile, runpy, sys, time
+EVENT_LOOP = "event loop and kernel"
+# The profiler does not see what these files call, so it counts as their own time.
+EVENT_LOOP_FILES = ("uvloop/__init__.py", "asyncio/runners.py")
+STARTUP = ("importlib", "marshal", "posix.stat", "io.open", "io.Buffered", "compile", "exec", "build_class")
+PROFILED_RUN = """import cProfile, runpy, sys, time
 profile = cProfile.Profile(time.process_time)
 try:
     profile.runcall(runpy.run_module, sys.argv[2], run_name="__main__", alter_sys=True)
@@ -51,15 +54,15 @@
 
 
 def command(file: Path, package: str) -> list[str]:
-    """Return what runs a node of this package so that it leaves a profile of processor time at its end."""
-    return [sys.executable, "-c", RUN, str(file), package]
+    """Return the command that runs a node of this package and, at its end, writes a profile of its time."""
+    return [sys.executable, "-c", PROFILED_RUN, str(file), package]
 
 
 def cause(file: str, name: str) -> str | None:
-    """The cause that a function's own time is put down to; None for the start."""
-    if any(part in file for part in LOOP):
-        return BELOW
-    if any(part in file or part in name for part in STARTS):
+    """Return the cause to which a function's own time is attributed; None for the start-up."""
+    if any(part in file for part in EVENT_LOOP_FILES):
+        return EVENT_LOOP
+    if any(part in file or part in name for part in STARTUP):
         return None
     for part, found in CAUSES.items():
         if any(f"/{package}/{part}" in file for package in PACKAGES):
@@ -70,7 +73,7 @@
 
 
 def by_cause(files: list[Path], requests: int) -> list[dict[str, Any]]:
-    """Own time by cause over the profiles of one version's nodes: shares, and function calls a request."""
+    """Return own time by cause over the profiles of a version's nodes: shares, and calls per request."""
     times: defaultdict[str, float] = defaultdict(float)
     calls: defaultdict[str, int] = defaultdict(int)
     for file in files:
--- a/crowpost/lab/overhead/report.py
+++ b/crowpost/lab/overhead/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page of a record: the table, and the distribution of latencies of each case."""
+"""Renders a record as one self-contained HTML page: a table, and the latency distribution of each case."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import numpy as np
 from markupsafe import Markup
 
-from crowpost.lab.overhead.figures import by_round, joined
+from crowpost.lab.overhead.figures import by_round, concatenated
 from crowpost.lab.report import PAGE
 
 HEADS = (
@@ -37,8 +37,8 @@
 TICKS = (50.0, 90.0, 99.0, 99.9)
 
 
-def loop(run: Mapping[str, Any]) -> str:
-    """Its loop in a few letters."""
+def loop_text(run: Mapping[str, Any]) -> str:
+    """Return a short text for the loop of a run."""
     return f"{run['rate']:g}/s" if run["rate"] else f"{run['callers']} callers"
 
 
@@ -47,20 +47,20 @@
 
 
 def row(run: Mapping[str, Any]) -> list[str]:
-    """A run's row below HEADS."""
-    span = run["added_95"]["p99_ms"]
+    """Return the row of a run, in the columns of HEADS."""
+    interval = run["added_95"]["p99_ms"]
     return [
         run["version"],
         str(run["servers"]),
         str(run["chain"]),
-        loop(run),
+        loop_text(run),
         str(run["requests"]),
         _ms(run["direct"]["p50_ms"]),
         _ms(run["direct"]["p99_ms"]),
         _ms(run["through"]["p50_ms"]),
         _ms(run["through"]["p99_ms"]),
         *(_ms(run["added"][name]) for name in ("p50_ms", "p90_ms", "p99_ms")),
-        "-" if span is None else f"[{span[0]:.2f}, {span[1]:.2f}]",
+        "-" if interval is None else f"[{interval[0]:.2f}, {interval[1]:.2f}]",
         _ms(run["added"]["p999_ms"]),
         _ms(run["machine_moves"]["p50_ms"]),
         _ms(run["machine_moves"]["p99_ms"]),
@@ -70,7 +70,8 @@
 
 
 def _plot(curves: Mapping[str, Sequence[float]]) -> str:
-    from matplotlib.figure import Figure  # here: it takes longer to import than most commands take
+    # Imported here since the import takes longer than most commands.
+    from matplotlib.figure import Figure
 
     figure = Figure(figsize=(10.5, 3.2), layout="constrained")
     axes = figure.add_subplot()
@@ -91,22 +92,22 @@
 
 
 def page(record: Mapping[str, Any], slices: Sequence[Sequence[Mapping[str, Any]]]) -> str:
-    """The page as text; `slices` are those of each run of the record, in its order."""
+    """Return the page as text; `slices` has the slices of each run, in the order of the record."""
     runs = record["runs"]
     cases: dict[tuple[Any, ...], dict[str, Sequence[float]]] = {}
-    seen: dict[tuple[Any, ...], int] = {}
-    for run, mine in zip(runs, slices, strict=True):
-        case = (run["servers"], run["chain"], loop(run))
-        arm = seen[case] = seen.get(case, 1) + 1
-        curves = cases.setdefault(case, {"direct": joined(by_round(mine, (0, 1), "latency_ms"))})
-        curves[f"through {run['version']}"] = joined(by_round(mine, (arm,), "latency_ms"))
+    last_arm: dict[tuple[Any, ...], int] = {}
+    for run, run_slices in zip(runs, slices, strict=True):
+        case = (run["servers"], run["chain"], loop_text(run))
+        arm = last_arm[case] = last_arm.get(case, 1) + 1
+        curves = cases.setdefault(case, {"direct": concatenated(by_round(run_slices, (0, 1), "latency_ms"))})
+        curves[f"through {run['version']}"] = concatenated(by_round(run_slices, (arm,), "latency_ms"))
     plots = [
         (
-            f"{servers} servers, chain of {chain}, {how}",
+            f"{servers} servers, chain of {chain}, {load}",
             "Latency from when each call was due, direct and through nodes within one run.",
-            Markup(_plot(curves)),  # drawn here, from numbers
+            Markup(_plot(curves)),  # Safe without escaping: it is made from numbers only.
         )
-        for (servers, chain, how), curves in cases.items()
+        for (servers, chain, load), curves in cases.items()
     ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     return environment.from_string(PAGE).render(
--- a/crowpost/lab/overhead/versions.py
+++ b/crowpost/lab/overhead/versions.py
@@ -1,4 +1,4 @@
-"""Versions of the node to play: the present one, and git revisions unpacked into folders."""
+"""Versions of the node to measure: the present one, and git revisions unpacked into folders."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class OverheadError(Exception):
-    """What cannot be played; one line."""
+    """Raised for a run that is not possible; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,11 +23,11 @@
     name: str
     commit: str
     folder: Path | None = None
-    package: str = PACKAGES[0]  # the name that the package has there
+    package: str = PACKAGES[0]  # Name of the package in that revision.
 
 
 def present(root: Path = ROOT) -> Version:
-    """The present version, with its commit where it stands in a checkout."""
+    """Return the present version, with its commit if it is in a checkout."""
     try:
         commit = git(root, "rev-parse", "--short=12", "HEAD").decode().strip()
         changed = git(root, "status", "--porcelain", "--untracked-files=no", ":/").strip()
@@ -37,14 +37,14 @@
 
 
 def unpack(revision: str, folder: Path, root: Path = ROOT) -> Version:
-    """The package of a git revision; OverheadError if there is none by that name."""
+    """Unpack the package of a git revision; raise OverheadError if the revision is unknown."""
     try:
         commit = commit_of(root, revision)
         package = package_of(root, commit)
-        packed = package_archive(root, commit, package)
+        archived = package_archive(root, commit, package)
     except GitError as error:
         raise OverheadError(f"git: {error}") from error
     target = folder / commit[:12]
-    with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
+    with tarfile.open(fileobj=io.BytesIO(archived)) as archive:
         archive.extractall(target, filter="data")
     return Version(revision, commit[:12], target, package)
