--- a/crowpost/cli/overhead.py
+++ b/crowpost/cli/overhead.py
@@ -61,8 +61,8 @@
 
     Example: crowpost lab overhead --servers 10 --rates 41 --against HEAD~3
     """
-    from crowpost.lab.overhead.platform import Case, How
-    from crowpost.lab.overhead.play import play
+    from crowpost.lab.overhead.platform import Case, RunSettings
+    from crowpost.lab.overhead.runner import run_cases
     from crowpost.lab.overhead.versions import OverheadError
 
     if effect not in EFFECTS:
@@ -80,12 +80,12 @@
     err = console(stderr=True)
     slices: list[list[dict[str, Any]]] = []
     try:
-        record = play(
+        record = run_cases(
             cases,
             revisions,
-            How(seconds, EFFECTS.index(effect), seed, profile),
-            say=err.print,
-            keep=lambda _run, found: slices.append(found["slices"]),
+            RunSettings(seconds, EFFECTS.index(effect), seed, profile),
+            report_progress=err.print,
+            on_run=lambda _run, found: slices.append(found["slices"]),
         )
     except OverheadError as error:
         unusable(str(error))
--- a/crowpost/lab/overhead/platform.py
+++ b/crowpost/lab/overhead/platform.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class How:
+class RunSettings:
     """Settings that all cases of a run share."""
 
     seconds: float = 20.0  # Measured time of each arm of each case.
@@ -244,7 +244,7 @@
         self.ports = [[], *([node.port for node in nodes] for nodes in self.nodes)]
         await self.stub_servers.ask(self.ports, START_TIMEOUT_S)
 
-    async def run_case(self, case: Case, run_settings: How) -> dict[str, Any]:
+    async def run_case(self, case: Case, run_settings: RunSettings) -> dict[str, Any]:
         """Run one case, and return its slices and the number of unexpected answers."""
         self._cases += 1
         span = run_settings.round_s if case.rate else run_settings.slice_s
--- a/crowpost/lab/overhead/play.py
+++ b/crowpost/lab/overhead/runner.py
@@ -13,7 +13,7 @@
 
 from crowpost.lab.live.processes import NodeError
 from crowpost.lab.overhead.figures import summary
-from crowpost.lab.overhead.platform import Case, How, Platform
+from crowpost.lab.overhead.platform import Case, Platform, RunSettings
 from crowpost.lab.overhead.stub_servers import CLASSES
 from crowpost.lab.overhead.versions import OverheadError, Version, present, unpack
 
@@ -21,9 +21,9 @@
 async def _run_all(
     cases: Sequence[Case],
     revisions: Sequence[str],
-    run_settings: How,
-    say: Callable[[str], None],
-    keep: Callable[[dict[str, Any], dict[str, Any]], None],
+    run_settings: RunSettings,
+    report_progress: Callable[[str], None],
+    on_run: Callable[[dict[str, Any], dict[str, Any]], None],
 ) -> dict[str, Any]:
     current_task = asyncio.current_task()
     assert current_task is not None
@@ -39,7 +39,7 @@
                 folder, servers, chain, versions, run_settings.seed, run_settings.profiled
             ) as platform:
                 for case in (case for case in cases if (case.servers, case.chain) == (servers, chain)):
-                    say(f"{servers} servers, chain of {chain}, {_loop(case)}")
+                    report_progress(f"{servers} servers, chain of {chain}, {_loop(case)}")
                     results.append((case, await platform.run_case(case, run_settings)))
                 if run_settings.profiled:
                     profiles += await platform.profiles()
@@ -49,7 +49,7 @@
         for index, version in enumerate(versions):
             run = _run(case, version, result, 2 + index, run_settings.seed)
             runs.append(run)
-            keep(run, result)
+            on_run(run, result)
     return {
         "schema": 1,
         "revision": versions[0].commit,
@@ -90,20 +90,20 @@
     return f"{case.rate:g} a second" if case.rate else f"{case.callers} callers in a closed loop"
 
 
-def play(
+def run_cases(
     cases: Sequence[Case],
     revisions: Sequence[str] = (),
-    run_settings: How | None = None,
-    say: Callable[[str], None] = lambda _text: None,
-    keep: Callable[[dict[str, Any], dict[str, Any]], None] = lambda _run, _found: None,
+    run_settings: RunSettings | None = None,
+    report_progress: Callable[[str], None] = lambda _text: None,
+    on_run: Callable[[dict[str, Any], dict[str, Any]], None] = lambda _run, _found: None,
 ) -> dict[str, Any]:
     """Return the record of all cases, for the present version and revisions.
 
-    `keep` is called with each run and its slices, `say` with a line of progress for each case.  Raise
-    OverheadError for cases that cannot be run.
+    `on_run` is called with each run and its slices, `report_progress` with a line of text for each case.
+    Raise OverheadError for cases that cannot be run.
     """
     try:
-        return asyncio.run(_run_all(cases, revisions, run_settings or How(), say, keep))
+        return asyncio.run(_run_all(cases, revisions, run_settings or RunSettings(), report_progress, on_run))
     except (NodeError, OSError) as error:
         raise OverheadError(str(error)) from None
     except asyncio.CancelledError:
--- a/tests/test_overhead.py
+++ b/tests/test_overhead.py
@@ -27,10 +27,10 @@
 from crowpost.lab.overhead import caller as client
 from crowpost.lab.overhead import figures
 from crowpost.lab.overhead.figures import PERCENTILES, difference, intervals, percentiles, summary
-from crowpost.lab.overhead.platform import Case, How
-from crowpost.lab.overhead.play import play
+from crowpost.lab.overhead.platform import Case, RunSettings
 from crowpost.lab.overhead.profile import by_cause, cause
 from crowpost.lab.overhead.report import HEADS, page, row
+from crowpost.lab.overhead.runner import run_cases
 from crowpost.lab.overhead.stub_servers import build_request, message_size
 from crowpost.lab.overhead.versions import OverheadError, present, unpack
 
@@ -238,8 +238,8 @@
 def test_every_call_direct_or_through_two_nodes_has_exactly_one_answer() -> None:
     cases = [Case(3, 2, 150.0), Case(3, 2, 0.0, 2)]
     kept: list[dict[str, Any]] = []
-    run_settings = How(seconds=0.4, round_s=0.2, slice_s=0.2, warm_s=0.05, kind=1)
-    record = play(cases, run_settings=run_settings, keep=lambda run, found: kept.append(found))
+    run_settings = RunSettings(seconds=0.4, round_s=0.2, slice_s=0.2, warm_s=0.05, kind=1)
+    record = run_cases(cases, run_settings=run_settings, on_run=lambda run, found: kept.append(found))
     assert record["schema"] == 1 and record["effect"] == "keyed" and len(record["runs"]) == len(kept) == 2
     for run, found in zip(record["runs"], kept, strict=True):
         assert {part["arm"] for part in found["slices"]} == {0, 1, 2}
