--- a/crowpost/lab/capacity/connections.py
+++ b/crowpost/lab/capacity/connections.py
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCounts:
-    """Numbers of connections between nodes and servers, by service."""
+    """Numbers of connections between the servers of each service and the nodes that call it."""
 
     server_counts: tuple[int, ...]  # Servers of each service.
     client_nodes: tuple[int, ...]  # Nodes that call each service.
--- a/crowpost/lab/capacity/demand.py
+++ b/crowpost/lab/capacity/demand.py
@@ -315,7 +315,7 @@
         return Cost("logs and figures", None, None, byte_rate, pages_per_s.plus(lines_per_s))
 
     def _restart(self, scale: float) -> Cost:
-        """Return the cost of a node's start with its full list and all its documents, averaged over time."""
+        """Return the cost of a node's start with its full list and documents, averaged over the day."""
         own_restarts = self.restarts(scale).over(self.servers(scale))
         cost = self._event_cost("restart", "restart", own_restarts, scale)
         nothing = self.assumed("idle_memory").times(0.0)  # The new process replaces the old one.
--- a/crowpost/lab/capacity/events.py
+++ b/crowpost/lab/capacity/events.py
@@ -118,7 +118,7 @@
 
 
 def most_expensive_case(demand: Demand) -> tuple[Figure, Figure] | None:
-    """Return the bytes of a node in the feed's most expensive case of any size, and its limit for them."""
+    """Return what the busiest node received in the feed's most expensive case of any size, and its limit."""
     runs = demand.records.feed.runs if demand.records.feed is not None else []
     cases = sorted({(run.case, run.nodes, run.source) for run in runs})
     figures = [demand.feed(case, "node_bytes_per_s", "B/s", nodes, source) for case, nodes, source in cases]
--- a/crowpost/lab/capacity/lines.py
+++ b/crowpost/lab/capacity/lines.py
@@ -71,7 +71,7 @@
     axis_xs, axis_ys = _transform_points(form, xs, ys)
     x_mean, y_mean = fmean(axis_xs), fmean(axis_ys)
     slope = sum(
-        (x - x_mean) * (y_ - y_mean) for x, y_ in zip(axis_xs, axis_ys, strict=True)
+        (x - x_mean) * (y - y_mean) for x, y in zip(axis_xs, axis_ys, strict=True)
     ) / _squared_deviations(axis_xs)
     return y_mean - slope * x_mean, slope
 
@@ -85,7 +85,7 @@
     """Return the standard deviation of the residuals, with two degrees of freedom used by the line."""
     axis_xs, axis_ys = _transform_points(form, xs, ys)
     intercept, slope = fit_line(form, xs, ys)
-    squares = sum((y_ - intercept - slope * x) ** 2 for x, y_ in zip(axis_xs, axis_ys, strict=True))
+    squares = sum((y - intercept - slope * x) ** 2 for x, y in zip(axis_xs, axis_ys, strict=True))
     return math.sqrt(squares / (len(xs) - 2))
 
 
--- a/crowpost/lab/capacity/roles.py
+++ b/crowpost/lab/capacity/roles.py
@@ -97,7 +97,7 @@
 
 
 def lists(demand: Demand, machines: Sequence[Machine], scale: float) -> Role:
-    """Return the list leader: it renews each lease, and sends changes to other replicas and each relay."""
+    """Return the list leader: it renews leases, and sends changes to replicas and, once, to each relay."""
     renewals = demand.servers(scale).over(demand.assumed("lease_renewed_s"), "/s")
     changes = demand.restarts(scale).times(demand.assumed("list_changes_per_restart"))
     followers = demand.from_target(count(machines, RELAY) + count(machines, LIST) - 1, "zones and replicas")
@@ -197,7 +197,7 @@
 def first_exceeded(
     limits: Callable[[float], list[Limit]], largest: float = GROWTH[-1]
 ) -> tuple[str, float] | None:
-    """Return the first limit exceeded as the size grows, and at which multiple; None if none is exceeded."""
+    """Return the first limit exceeded as the size grows, with the multiple; None if none up to `largest`."""
     if all(limit.used_fraction <= 1.0 for limit in limits(largest)):
         return None  # Usage only rises with the size.
     for step in range(int((largest - 1.0) / GROWTH_STEP + 1.5)):
--- a/crowpost/lab/overhead/figures.py
+++ b/crowpost/lab/overhead/figures.py
@@ -70,11 +70,11 @@
 ) -> list[list[float]]:
     """Return the values of some arms by round; only for rounds that have the arm `within`, if it is given."""
     values: dict[int, list[float]] = {
-        one["round"]: [] for one in slices if within is None or one["arm"] == within
+        entry["round"]: [] for entry in slices if within is None or entry["arm"] == within
     }
-    for one in slices:
-        if one["arm"] in arms and one["round"] in values:
-            values[one["round"]].extend(one[key])
+    for entry in slices:
+        if entry["arm"] in arms and entry["round"] in values:
+            values[entry["round"]].extend(entry[key])
     return [values[number] for number in sorted(values)]
 
 
@@ -98,18 +98,18 @@
         percentiles(concatenated(by_round(slices, arms, "there_ms", arm))) for arms in ((0, 1), (arm,))
     ]
     overall = percentiles(concatenated(direct)), percentiles(concatenated(through))
-    arm_slices = [one for one in slices if one["arm"] == arm]
-    rounds = {one["round"] for one in arm_slices}
-    direct_slices = [one for one in slices if one["arm"] in (0, 1) and one["round"] in rounds]
-    direct_s = sum(one["seconds"] for one in direct_slices) / (2.0 if concurrent else 1.0)
-    served = sum(one["ends"].get("served", 0) for one in arm_slices)
-    seconds = sum(one["seconds"] for one in arm_slices)
+    arm_slices = [entry for entry in slices if entry["arm"] == arm]
+    rounds = {entry["round"] for entry in arm_slices}
+    direct_slices = [entry for entry in slices if entry["arm"] in (0, 1) and entry["round"] in rounds]
+    direct_s = sum(entry["seconds"] for entry in direct_slices) / (2.0 if concurrent else 1.0)
+    served = sum(entry["ends"].get("served", 0) for entry in arm_slices)
+    seconds = sum(entry["seconds"] for entry in arm_slices)
     ends: dict[str, int] = {}
-    for one in arm_slices:
-        for end, count in one["ends"].items():
+    for entry in arm_slices:
+        for end, count in entry["ends"].items():
             ends[end] = ends.get(end, 0) + count
     return {
-        "requests": sum(one["sent"] for one in arm_slices),
+        "requests": sum(entry["sent"] for entry in arm_slices),
         "ends": ends,
         "direct": overall[0],
         "through": overall[1],
@@ -117,10 +117,10 @@
         "added_95": intervals(through, direct, seed),
         "added_there": difference(arrival[1], arrival[0]),
         "machine_moves": difference(direct_arms[1], direct_arms[0]),
-        "core_us_per_request": round(sum(one["core_ns"] for one in arm_slices) / served / 1000.0, 1)
+        "core_us_per_request": round(sum(entry["core_ns"] for entry in arm_slices) / served / 1000.0, 1)
         if served
         else None,
         "requests_per_s": round(served / seconds, 1),
-        "direct_per_s": round(sum(one["ends"].get("served", 0) for one in direct_slices) / direct_s, 1),
-        "late_ms": round(max(one["late_ms"] for one in (*arm_slices, *direct_slices)), 3),
+        "direct_per_s": round(sum(entry["ends"].get("served", 0) for entry in direct_slices) / direct_s, 1),
+        "late_ms": round(max(entry["late_ms"] for entry in (*arm_slices, *direct_slices)), 3),
     }
--- a/crowpost/lab/overhead/profile.py
+++ b/crowpost/lab/overhead/profile.py
@@ -54,7 +54,7 @@
 
 
 def command(file: Path, package: str) -> list[str]:
-    """Return the command that runs a node of this package and, at its end, writes a profile of its time."""
+    """Return the command that runs a node of this package and then writes a profile of processor time."""
     return [sys.executable, "-c", PROFILED_RUN, str(file), package]
 
 
--- a/crowpost/lab/overhead/runner.py
+++ b/crowpost/lab/overhead/runner.py
@@ -43,7 +43,7 @@
                     results.append((case, await platform.run_case(case, run_settings)))
                 if run_settings.profiled:
                     profiles += await platform.profiles()
-    # Computed after the nodes have stopped, as this process is their discovery and must not block before.
+    # Computed only now: while nodes run, this process is their discovery and must not block.
     runs = []
     for case, result in results:
         for index, version in enumerate(versions):
