--- a/crowpost/cli/scale.py
+++ b/crowpost/cli/scale.py
@@ -33,7 +33,7 @@
     """
     from crowpost.lab.scale import record as records
     from crowpost.lab.scale.page import page
-    from crowpost.lab.scale.run import Choice, play
+    from crowpost.lab.scale.run import Choice, run_parts
     from crowpost.lab.scale.target import ScaleError, load
 
     target = load(file or None)
@@ -55,12 +55,12 @@
         def progress(done: int, of: int, name: str) -> None:
             shown.update(task, description=f"{done}/{of} {name}")
 
-        piece = play(target, choice, shown.console.print, progress)
+        piece = run_parts(target, choice, shown.console.print, progress)
     before = None
     if folder is not None and add and (folder / "record.json").exists():
         before = records.read(folder / "record.json")
     command = " ".join(["crowpost", *(shlex.quote(word) for word in sys.argv[1:])])
-    record = records.whole(piece, choice.run(target).seed if seed is None else seed, command, before)
+    record = records.build_record(piece, choice.run(target).seed if seed is None else seed, command, before)
     if folder is not None:
         records.write(folder / "record.json", record)
         (folder / "page.html").write_text(page(record), encoding="utf-8")
--- a/crowpost/lab/scale/record.py
+++ b/crowpost/lab/scale/record.py
@@ -36,7 +36,9 @@
     return found.stdout.strip()
 
 
-def whole(piece: Piece, seed: int, command: str, before: dict[str, Any] | None = None) -> dict[str, Any]:
+def build_record(
+    piece: Piece, seed: int, command: str, before: dict[str, Any] | None = None
+) -> dict[str, Any]:
     """The record of a piece, laid over an earlier one: a duty's points at an x and a source replace those.
 
     Troubles are replaced by those of the same kind and source.
--- a/crowpost/lab/scale/run.py
+++ b/crowpost/lab/scale/run.py
@@ -122,7 +122,7 @@
     return work
 
 
-def play(
+def run_parts(
     target: Target, choice: Choice, say: Say, progress: Callable[[int, int, str], None] = lambda *_: None
 ) -> Piece:
     """Run what was chosen.  progress: parts done, of all, and the one that begins.
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -179,7 +179,7 @@
 
 
 def test_where_hollow_and_real_differ_the_real_one_is_used() -> None:
-    duty = records.whole(_piece(1.0, 1.6), 1, "c")["duties"]["membership"]
+    duty = records.build_record(_piece(1.0, 1.6), 1, "c")["duties"]["membership"]
     assert duty["unit"] == "member"
     assert {(r["measure"], r["agree"]) for r in duty["agreement"]} == {
         ("core_ms_per_s", False),
@@ -189,7 +189,7 @@
     assert duty["fits"]["messages_per_s"]["source"] == "hollow"
     assert duty["fits"]["core_ms_per_s"]["slope"][0] == pytest.approx(0.001)
     assert duty["fits"]["core_ms_per_s"]["intercept"][0] == pytest.approx(1.61)
-    agreeing = records.whole(_piece(1.0, 1.005), 1, "c")["duties"]["membership"]
+    agreeing = records.build_record(_piece(1.0, 1.005), 1, "c")["duties"]["membership"]
     assert agreeing["fits"]["core_ms_per_s"]["source"] == "hollow"
 
 
@@ -197,7 +197,7 @@
     piece = _piece(1.0, 1.6)
     rows = piece.points["membership"]
     piece.points["membership"] = [p for p in rows if p["source"] == "hollow" or p["x"] == 50.0]
-    fitted = records.whole(piece, 1, "c")["duties"]["membership"]["fits"]
+    fitted = records.build_record(piece, 1, "c")["duties"]["membership"]["fits"]
     core = fitted["core_ms_per_s"]
     assert core["source"] == "hollow, moved to real at 50" and core["moved_by"] == pytest.approx(0.6)
     assert core["slope"][0] == pytest.approx(0.001) and core["intercept"][0] == pytest.approx(1.61)
@@ -209,7 +209,7 @@
     piece = _piece(1.0, 1.6)
     for point in piece.points["membership"]:
         point["x"] += 1.0 if point["source"] == "real" else 0.0
-    fits = records.whole(piece, 1, "c")["duties"]["membership"]["fits"]
+    fits = records.build_record(piece, 1, "c")["duties"]["membership"]["fits"]
     assert {fitted["source"] for fitted in fits.values()} == {"real"}
 
 
@@ -229,7 +229,7 @@
     rows = piece.points["membership"]
     piece.points["membership"] = [p for p in rows if p["source"] == "hollow" or p["x"] == 50.0]
     piece.points["joined"] = [p for p in rows if p["source"] == "real" and p["x"] > 50.0]
-    fits = records.whole(piece, 1, "c")["duties"]["membership"]["fits"]
+    fits = records.build_record(piece, 1, "c")["duties"]["membership"]["fits"]
     assert fits["core_ms_per_s"]["source"] == "real, from 200 on just joined"
     assert fits["core_ms_per_s"]["intercept"][0] == pytest.approx(1.61)
     assert fits["messages_per_s"]["source"] == "hollow"
@@ -246,12 +246,12 @@
     first.troubles.append({"kind": "zone", "source": "hollow", "messages": 1})
     first.calls.append({"duty": "membership", "x": 400.0, "answered": 1})
     path = tmp_path / "record.json"
-    records.write(path, records.whole(first, 1, "one"))
+    records.write(path, records.build_record(first, 1, "one"))
     second = Piece()
     second.point("membership", 50.0, "simulated", "seed 1", 20.0, {"bytes_per_s": 9.0})
     second.point("membership", 400.0, "hollow", "w0", 20.0, {"core_ms_per_s": 9.0})
     second.troubles.append({"kind": "zone", "source": "hollow", "messages": 2})
-    both = records.whole(second, 1, "two", records.read(path))
+    both = records.build_record(second, 1, "two", records.read(path))
     points = both["duties"]["membership"]["points"]
     at = [p for p in points if p["x"] == 400.0 and p["source"] == "hollow"]
     assert [p["measure"] for p in at] == [{"core_ms_per_s": 9.0}]
@@ -272,7 +272,7 @@
     trouble |= {"series": [[-1.0, 200.0], [0.5, 900.0]], "series_views": [[0.5, 2], [1.0, 1]]}
     piece.troubles.append(trouble)
     piece.left_out.append({**LATE, "x": 9.0, "process": "w1", "why": "it was late"})
-    text = page(records.whole(piece, 1, "c"))
+    text = page(records.build_record(piece, 1, "c"))
     assert text.count("<svg") == 3 and "Trouble: zone" in text and "1440 times" in text
     assert "differ by more than their intervals at 50, 200, 400, 790" in text
     assert "left out: membership 9, w1: it was late" in text
@@ -387,7 +387,7 @@
     said: list[str] = []
     piece = uvloop.run(by_size(Setting(TARGET, run, 1, tmp_path, said.append), "membership", 13))
     assert _children() <= before
-    record = records.whole(piece, 1, "test")
+    record = records.build_record(piece, 1, "test")
     measured = [r for r in piece.points["membership"] if r["source"] == "hollow"]
     assert len(measured) + len(piece.left_out) == 2  # a busy machine may starve a worker; it is said then
     for point in piece.points["membership"]:
