--- a/crowpost/lab/scale/__init__.py
+++ b/crowpost/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The size that is coming: hollow processes beside real ones, what duties cost, and troubles at that size."""
+"""Measure node costs and cluster faults at the planned platform size, on simulated nodes beside real ones."""
--- a/crowpost/lab/scale/fleet.py
+++ b/crowpost/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The worker processes of a run, as seen from the one that started them."""
+"""The worker processes of a scale run, controlled from the process that started them."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
 from crowpost.lab.scale.proc import core_ms, memory_bytes
 from crowpost.lab.scale.target import ScaleError, Topology
 
-LINE_BYTES = 1 << 26
-ANSWER_S = 120.0  # for one command
+MAX_LINE_BYTES = 1 << 26
+ANSWER_TIMEOUT_S = 120.0
 
 
 class WorkerProcess:
-    """One worker: commands go one after another, signals to its own id only."""
+    """One worker process: it gets one command at a time, and signals go to its own process id only."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.names: list[str] = []
         self._process: asyncio.subprocess.Process | None = None
-        self._number = 0
-        self._turn = asyncio.Lock()
+        self._last_number = 0
+        self._command_lock = asyncio.Lock()
 
     @property
     def pid(self) -> int:
-        """The process id of a worker that has been started."""
+        """Return the process id of a started worker."""
         assert self._process is not None
         return self._process.pid
 
     async def start(self, topology: Topology) -> None:
         """Start the process."""
-        regions = [r for r, number in enumerate(topology.zones_per_region) for _ in range(number)]
+        regions = [
+            region for region, zone_count in enumerate(topology.zones_per_region) for _ in range(zone_count)
+        ]
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -44,33 +46,39 @@
             json.dumps(regions),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            limit=LINE_BYTES,
+            limit=MAX_LINE_BYTES,
         )
 
-    async def ask(self, what: str, **told: Any) -> Any:
-        """Its answer; ScaleError where none comes within two minutes, or the process has ended."""
+    async def ask(self, command: str, **arguments: Any) -> Any:
+        """Return the worker's answer to a command.
+
+        Raises ScaleError if there is no answer within two minutes, or the process has ended.
+        """
         process = self._process
         assert process is not None and process.stdin is not None and process.stdout is not None
-        async with self._turn:
-            self._number += 1
-            process.stdin.write((json.dumps({"number": self._number, "do": what, **told}) + "\n").encode())
+        async with self._command_lock:
+            self._last_number += 1
+            process.stdin.write(
+                (json.dumps({"number": self._last_number, "do": command, **arguments}) + "\n").encode()
+            )
             try:
-                async with asyncio.timeout(ANSWER_S):
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     await process.stdin.drain()
                     while line := await process.stdout.readline():
                         answer = json.loads(line)
-                        if answer["number"] == self._number:
-                            break  # an older one is to a question that was given up
+                        if answer["number"] == self._last_number:
+                            # An earlier number answers a command that timed out.
+                            break
             except (TimeoutError, OSError):
-                raise ScaleError(f"worker {self.name} does not answer to {what}") from None
+                raise ScaleError(f"worker {self.name} did not answer {command}") from None
         if not line:
-            raise ScaleError(f"worker {self.name} ended within {what}")
+            raise ScaleError(f"worker {self.name} ended during {command}")
         if "error" in answer:
             raise ScaleError(f"worker {self.name}: {answer['error']}")
         return answer["answer"]
 
     async def close(self) -> None:
-        """End it: its input first, SIGKILL after five seconds."""
+        """End the process by closing its input; send SIGKILL after five seconds."""
         process = self._process
         if process is None or process.returncode is not None:
             return
@@ -84,13 +92,13 @@
             await process.wait()
 
 
-def _told(worker: WorkerProcess, rows: list[list[str]]) -> list[tuple[str, str]]:
+def _named_addresses(worker: WorkerProcess, rows: list[list[str]]) -> list[tuple[str, str]]:
     return [(name, row[0]) for name, row in zip(worker.names, rows, strict=True)]
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """One worker's figures at a moment; core in ms, memory in bytes."""
+    """One worker's measurements at one time; core_ms is processor time, memory is in bytes."""
 
     nodes: int
     core_ms: float
@@ -99,67 +107,83 @@
     slow: int
     late_p99_ms: float
     late_most_ms: float
-    at: float  # s, of this process's loop
+    at: float  # Seconds on the event loop clock of the controlling process.
 
 
 class Fleet:
-    """All workers, with hollow nodes dealt out to them."""
+    """All worker processes, with the simulated nodes distributed over them."""
 
     def __init__(self, topology: Topology, workers: int, places: list[Place]) -> None:
         self.topology = topology
-        self.workers = [WorkerProcess(f"w{i}") for i in range(workers)]
+        self.workers = [WorkerProcess(f"w{position}") for position in range(workers)]
         self.places = {place.name: place for place in places}
-        self.home: dict[str, WorkerProcess] = {}
-        self.addresses: dict[str, str] = {}  # once a duty is open
-        for i, place in enumerate(places):
-            worker = self.workers[i % workers]
+        self.worker_of: dict[str, WorkerProcess] = {}
+        self.addresses: dict[str, str] = {}  # Empty until a duty is enabled.
+        for position, place in enumerate(places):
+            worker = self.workers[position % workers]
             worker.names.append(place.name)
-            self.home[place.name] = worker
+            self.worker_of[place.name] = worker
 
     async def start(self) -> None:
-        """Start the workers and tell each its nodes, which do nothing yet."""
-        await asyncio.gather(*(w.start(self.topology) for w in self.workers))
+        """Start the workers and send each its nodes, which stay idle."""
+        await asyncio.gather(*(worker.start(self.topology) for worker in self.workers))
         await asyncio.gather(
-            *(w.ask("places", places=[self.places[n].plain() for n in w.names]) for w in self.workers)
+            *(
+                worker.ask("places", places=[self.places[name].to_dict() for name in worker.names])
+                for worker in self.workers
+            )
         )
 
-    async def all(self, what: str, **told: Any) -> list[Any]:
-        """The same command to all, and their answers in order."""
-        return list(await asyncio.gather(*(w.ask(what, **told) for w in self.workers)))
+    async def ask_all(self, command: str, **arguments: Any) -> list[Any]:
+        """Send a command to all workers and return their answers in the workers' order."""
+        return list(await asyncio.gather(*(worker.ask(command, **arguments) for worker in self.workers)))
+
+    async def enable_duty(self, duty: str, settings: Mapping[str, Any] | None = None) -> None:
+        """Start a duty on all nodes, as if it had been running for a long time.
 
-    async def open(self, duty: str, settings: Mapping[str, Any] | None = None) -> None:
-        """Switch a duty on in all nodes, as long after their start; settings: of the duty."""
-        found = await self.all("open", duty=duty, settings=dict(settings or {}))
-        rows = [row[1] for part in found for row in part]
+        settings: those of the duty.
+        """
+        replies = await self.ask_all("open", duty=duty, settings=dict(settings or {}))
+        rows = [row[1] for reply in replies for row in reply]
         self.addresses = {
-            n: a for w, part in zip(self.workers, found, strict=True) for n, a in _told(w, part)
+            name: address
+            for worker, reply in zip(self.workers, replies, strict=True)
+            for name, address in _named_addresses(worker, reply)
         }
-        await self.all("acquaint", rows=rows)
-        await self.all("go")
+        await self.ask_all("acquaint", rows=rows)
+        await self.ask_all("go")
 
-    async def some(self, what: str, names: list[str], **told: Any) -> None:
-        """A command about nodes by name, to the workers that hold them."""
-        mine = {w: [n for n in names if self.home[n] is w] for w in self.workers}
-        await asyncio.gather(*(w.ask(what, names=held, **told) for w, held in mine.items() if held))
+    async def ask_nodes(self, command: str, names: list[str], **arguments: Any) -> None:
+        """Send a command about named nodes to the workers that host them."""
+        names_by_worker = {
+            worker: [name for name in names if self.worker_of[name] is worker] for worker in self.workers
+        }
+        await asyncio.gather(
+            *(
+                worker.ask(command, names=worker_names, **arguments)
+                for worker, worker_names in names_by_worker.items()
+                if worker_names
+            )
+        )
 
     async def read(self) -> list[Reading]:
-        """All workers' figures."""
-        told = await self.all("counts")
+        """Read the measurements of all workers."""
+        replies = await self.ask_all("counts")
         at = asyncio.get_running_loop().time()
         return [
             Reading(
-                t["nodes"],
-                core_ms(w.pid),
-                memory_bytes(w.pid),
-                t["counts"],
-                t["slow"],
-                t["late_p99_ms"],
-                t["late_most_ms"],
+                reply["nodes"],
+                core_ms(worker.pid),
+                memory_bytes(worker.pid),
+                reply["counts"],
+                reply["slow"],
+                reply["late_p99_ms"],
+                reply["late_most_ms"],
                 at,
             )
-            for w, t in zip(self.workers, told, strict=True)
+            for worker, reply in zip(self.workers, replies, strict=True)
         ]
 
     async def close(self) -> None:
-        """End all workers."""
-        await asyncio.gather(*(w.close() for w in self.workers))
+        """End all worker processes."""
+        await asyncio.gather(*(worker.close() for worker in self.workers))
--- a/crowpost/lab/scale/follow.py
+++ b/crowpost/lab/scale/follow.py
@@ -1,6 +1,6 @@
-"""A hollow node that follows configuration: the real follower and transport of `crowpost.config_feed`.
+"""A simulated node that follows configuration, with the real follower and transport of `config_feed`.
 
-It has no node that would apply a document: a complete document counts as applied at once.
+There is no node to apply a document, so a complete document counts as applied at once.
 """
 
 from __future__ import annotations
@@ -12,37 +12,40 @@
 from crowpost.config_feed.documents import Document
 from crowpost.config_feed.transport import FeedTransport
 from crowpost.config_feed.upstream_server import UpstreamServer
-from crowpost.lab.scale.hollow import Cut
 from crowpost.lab.scale.places import Place
+from crowpost.lab.scale.simulated_nodes import RegionPartition
 
 SCOPE = "all"
 
 
-class HollowFollower:
-    """One follower.  It listens nowhere, so it has no address."""
+class SimulatedFollower:
+    """One follower; it does not listen, so it has no address."""
 
-    def __init__(self, place: Place, cut: Cut) -> None:
+    def __init__(self, place: Place, partition: RegionPartition) -> None:
         self._place = place
         self._transport: FeedTransport | None = None
         self.address = ""
 
     @property
     def transport(self) -> FeedTransport:
-        """The transport of a follower that has been started."""
+        """Return the transport of a started follower."""
         assert self._transport is not None
         return self._transport
 
     async def start(self, settings: Mapping[str, Any]) -> str:
-        """settings: `cluster`, `region`, and `upstreams`, each an address and a zone."""
+        """Start the follower and return its empty address.
+
+        settings: `cluster`, `region`, and `upstreams`, a list of address and zone.
+        """
         upstreams = [
             UpstreamServer(address, settings["region"], zone) for address, zone in settings["upstreams"]
         ]
-        near = upstreams[self._place.zone % len(upstreams)].zone
+        nearest_zone = upstreams[self._place.zone % len(upstreams)].zone
         config = FeedConfig(
             settings["cluster"],
             self._place.name,
             region=settings["region"],
-            zone=near,
+            zone=nearest_zone,
             upstreams=tuple(upstreams),
         )
         self._transport = FeedTransport(config, self._apply)
@@ -52,31 +55,31 @@
     def _apply(self, document: Document) -> None:
         self.transport.apply_finished(document.header, "")
 
-    def row(self) -> bytes:
-        """Followers need not know each other."""
+    def peer_record(self) -> bytes:
+        """Return nothing: followers need not know each other."""
         return b""
 
-    def acquaint(self, rows: list[bytes]) -> None:
-        """They do not meet."""
+    def introduce(self, peer_records: list[bytes]) -> None:
+        """Do nothing: followers do not communicate with each other."""
 
-    def go(self) -> None:
-        """They run from their start."""
+    def activate(self) -> None:
+        """Do nothing: followers run from their start."""
 
     def counts(self) -> dict[str, float]:
-        """Return the counters that are measured."""
+        """Return the measured counters."""
         counts = self.transport.follower.counts
         return {"bytes": counts["bytes_out"], "bytes_in": counts["bytes_in"], "documents": counts["bodies"]}
 
-    def look(self) -> str:
-        """Servers watched, and the version in force."""
+    def view_summary(self) -> str:
+        """Return the number of watched servers and the version in force."""
         follower = self.transport.follower
-        held = follower.applied_document(SCOPE)
-        return f"{len(follower.connected_servers)} {0 if held is None else held.header.version}"
+        applied = follower.applied_document(SCOPE)
+        return f"{len(follower.connected_servers)} {0 if applied is None else applied.header.version}"
 
-    def awareness(self) -> int:
-        """A follower does not judge itself."""
+    def local_health_score(self) -> int:
+        """Return 0: a follower has no local health score."""
         return 0
 
-    async def end(self, in_order: bool) -> None:
-        """Close the connections; a follower ends alike in order or not."""
+    async def end(self, graceful: bool) -> None:
+        """Close the connections, in the same way whether graceful or not."""
         await self.transport.close()
--- a/crowpost/lab/scale/proc.py
+++ b/crowpost/lab/scale/proc.py
@@ -1,4 +1,4 @@
-"""What a process costs, read from the kernel: processor time, memory, descriptors."""
+"""Resource use of a process as the kernel reports it: processor time, memory, descriptors."""
 
 from __future__ import annotations
 
@@ -9,38 +9,39 @@
 
 from crowpost.lab.scale.target import ScaleError
 
-SCHED_CLOCK = 2  # CPUCLOCK_SCHED in the kernel's posix-timers.h: all threads of a process, in ns
-SPARE = 200  # descriptors beside sockets
+SCHED_CLOCK = 2  # CPUCLOCK_SCHED of the kernel's posix-timers.h: all threads of a process, in ns.
+RESERVED_DESCRIPTORS = 200  # Descriptors for everything that is not a node's socket.
 
 
 def core_ms(pid: int) -> float:
-    """Processor time of a process so far, user and system, in ms; OSError if it has ended.
+    """Return the processor time of a process so far, user and system, in ms; raise OSError if it has ended.
 
-    The process clock of clock_getcpuclockid(3): what utime and stime of /proc/PID/stat add up to, but in
-    ns and not in ticks of 10 ms.
+    Reads the process clock of clock_getcpuclockid(3), which counts the same time as utime and stime of
+    /proc/PID/stat but in ns instead of ticks of 10 ms.
     """
     return time.clock_gettime((~pid << 3) | SCHED_CLOCK) * 1000.0
 
 
 def memory_bytes(pid: int) -> int:
-    """Resident set size (VmRSS): on a machine of its own a node shares its pages with nobody."""
+    """Return the resident set size (VmRSS), shared pages included: a node alone on a machine shares none."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def check_descriptors(nodes: int) -> None:
-    """ScaleError with one line if a worker of so many hollow nodes could not open its sockets."""
-    need = 4 * nodes + SPARE  # a socket, a listener, and an exchange each way
-    have, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if need > have:
+    """Raise ScaleError if a worker with this many simulated nodes could not open its sockets."""
+    # Each node has a datagram socket, a listener, and one connection each way.
+    needed = 4 * nodes + RESERVED_DESCRIPTORS
+    available, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if needed > available:
         raise ScaleError(
-            f"{nodes} hollow nodes in one process need {need} descriptors, `ulimit -n` is {have}: "
-            f"raise it, or take more workers or smaller sizes"
+            f"{nodes} simulated nodes in one process need {needed} descriptors, `ulimit -n` is {available}: "
+            f"raise it, or use more workers or smaller sizes"
         )
 
 
 def check_machine(processes: int, memory_gb: float) -> None:
-    """ScaleError with one line beyond 200 processes or 12 GB."""
+    """Raise ScaleError for more than 200 processes or 12 GB."""
     if processes > 200:
-        raise ScaleError(f"{processes} processes, 200 at the most")
+        raise ScaleError(f"{processes} processes exceed the limit of 200")
     if memory_gb > 12.0:
-        raise ScaleError(f"{memory_gb:.1f} GB of members' views by estimate, 12 at the most")
+        raise ScaleError(f"an estimated {memory_gb:.1f} GB of membership views exceed the limit of 12 GB")
--- a/crowpost/lab/scale/real.py
+++ b/crowpost/lab/scale/real.py
@@ -1,4 +1,4 @@
-"""Real nodes among hollow ones: processes of their own that carry calls, and are the ones measured."""
+"""Real nodes among simulated ones: separate processes that carry calls and are measured."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 from crowpost.lab.live.processes import NodeProcess, settings_json
 from crowpost.lab.live.stand import HOST, Books, Errand, LiveDiscovery, LiveServer, now_ms
 from crowpost.lab.node_settings import node_settings
-from crowpost.lab.scale.hollow import CLUSTER
 from crowpost.lab.scale.places import Place
 from crowpost.lab.scale.proc import core_ms, memory_bytes
+from crowpost.lab.scale.simulated_nodes import CLUSTER
 from crowpost.lab.scenario import Scenario
 
-MANAGED = re.compile(r" is managed on ([0-9.]+):([0-9]+)")
-LISTENS = re.compile(r' members \{"event": "start".*"listens": "([0-9.:]+)"')
-SERVERS = 4
+MANAGEMENT_PATTERN = re.compile(r" is managed on ([0-9.]+):([0-9]+)")
+MEMBER_ADDRESS_PATTERN = re.compile(r' members \{"event": "start".*"listens": "([0-9.:]+)"')
+SERVER_COUNT = 4
 WORK_MS = 5.0
-ASK_S = 5.0
-STARTS_AT_ONCE = 6  # a start takes a core
+TELEMETRY_TIMEOUT_S = 5.0
+# Each start uses a whole core.
+MAX_CONCURRENT_STARTS = 6
 
 
 def scenario(nodes: int, calls_per_s: float) -> Scenario:
-    """One tier of stand-in servers that sleep for 5 ms a call, and so many nodes before it."""
+    """Return a scenario with one tier of lab servers that sleep for 5 ms per call, and nodes before it."""
     raw = {
         "schema": 1,
         "name": "scale",
-        "about": "Calls through the real nodes among hollow ones",
+        "about": "Calls through the real nodes among simulated ones",
         "duration_s": 3_600.0,
         "nodes": nodes,
         "traffic": {"requests_per_s": max(calls_per_s, 1.0)},
@@ -43,24 +44,32 @@
             {"name": "call", "share": 1.0, "work_ms": WORK_MS, "aim_ms": 500.0, "deadline_ms": 2_000.0}
         ],
         "tiers": [
-            {"name": "server", "servers": SERVERS, "work_part": 1.0, "kinds": [{"name": "m", "cores": 24}]}
+            {
+                "name": "server",
+                "servers": SERVER_COUNT,
+                "work_part": 1.0,
+                "kinds": [{"name": "m", "cores": 24}],
+            }
         ],
     }
     return msgspec.convert(raw, Scenario)
 
 
 class RealNode(NodeProcess):
-    """One real node.  contacts: of its membership, none for the first member; None: it is no member."""
+    """One real node.
 
-    def __init__(self, place: Place, contacts: list[str] | None, **more: Any) -> None:
-        super().__init__(place.name, **more)
+    contacts: contact addresses of its membership; empty for the first member, None if it is not a member.
+    """
+
+    def __init__(self, place: Place, contacts: list[str] | None, **options: Any) -> None:
+        super().__init__(place.name, **options)
         self.place, self.contacts = place, contacts
-        self.member = ""  # its address as a member
-        self.managed: tuple[str, int] | None = None
+        self.member_address = ""
+        self.management_address: tuple[str, int] | None = None
         self.environment["NODE_MANAGEMENT"] = f"{place.host}:0"
 
-    async def begin(self) -> None:
-        """Start it."""
+    async def configure_and_start(self) -> None:
+        """Write the membership configuration, if the node is a member, and start the process."""
         if self.contacts is not None:
             file = self.folder / f"{self.name}-members.toml"
             lines = ["[members]", f'cluster = "{CLUSTER}"', f'listen = "{self.place.host}:0"']
@@ -71,31 +80,31 @@
 
     def _hear(self, line: str) -> None:
         super()._hear(line)
-        if (found := MANAGED.search(line)) is not None:
-            self.managed = found[1], int(found[2])
-        elif (found := LISTENS.search(line)) is not None:
-            self.member = found[1]
+        if (match := MANAGEMENT_PATTERN.search(line)) is not None:
+            self.management_address = match[1], int(match[2])
+        elif (match := MEMBER_ADDRESS_PATTERN.search(line)) is not None:
+            self.member_address = match[1]
 
     async def telemetry(self) -> dict[str, float]:
-        """Its figures by name and labels; OSError or TimeoutError without an answer."""
-        if self.managed is None:
-            raise ConnectionError(f"{self.name} has no second address")
-        async with asyncio.timeout(ASK_S):
-            reader, writer = await asyncio.open_connection(*self.managed)
+        """Return the metrics by name and labels; raise OSError or TimeoutError if there is no answer."""
+        if self.management_address is None:
+            raise ConnectionError(f"{self.name} has not reported a management address")
+        async with asyncio.timeout(TELEMETRY_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(*self.management_address)
             try:
                 writer.write(b"GET /api/telemetry HTTP/1.1\r\nHost: lab\r\n\r\n")
                 answer = await reader.read()
             finally:
                 writer.close()
         _, _, body = answer.partition(b"\r\n\r\n")
-        figures = {}
+        metrics = {}
         for line in body.decode().splitlines():
             name, _, value = line.rpartition(" ")
-            figures[name.removeprefix("edge_node_")] = float(value)
-        return figures
+            metrics[name.removeprefix("edge_node_")] = float(value)
+        return metrics
 
     async def end(self) -> None:
-        """SIGTERM; SIGKILL after ten seconds."""
+        """End the process with SIGTERM, then with SIGKILL after ten seconds."""
         if self._process is not None:
             await self.terminate(10.0)
         await self.kill()
@@ -103,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RealReading:
-    """One real node's figures at a moment; core in ms, memory in bytes."""
+    """One real node's measurements at one time; core_ms is processor time, memory is in bytes."""
 
     core_ms: float
     memory: int
@@ -112,22 +121,27 @@
 
 
 @dataclass
-class Tally:
-    """How the calls through some nodes ended."""
+class CallStats:
+    """Outcomes of the calls through a node."""
 
     answered: int = 0
-    other: int = 0  # refused, failed or not answered
-    ms: list[float] = field(default_factory=list)
-
-    def plain(self) -> dict[str, float]:
-        """Counts, and percentiles of the answered in ms."""
-        ms = sorted(self.ms) or [0.0]
-        found = {f"p{p}_ms": round(ms[min(len(ms) - 1, len(ms) * p // 100)], 2) for p in (50, 99)}
-        return {"answered": self.answered, "other": self.other, **found}
+    other: int = 0  # Rejected, failed or unanswered calls.
+    latencies_ms: list[float] = field(default_factory=list)
+
+    def to_dict(self) -> dict[str, float]:
+        """Return the counts, and percentiles of the latency of answered calls in ms."""
+        latencies_ms = sorted(self.latencies_ms) or [0.0]
+        percentiles = {
+            f"p{percent}_ms": round(
+                latencies_ms[min(len(latencies_ms) - 1, len(latencies_ms) * percent // 100)], 2
+            )
+            for percent in (50, 99)
+        }
+        return {"answered": self.answered, "other": self.other, **percentiles}
 
 
 class RealNodes:
-    """Real nodes with stand-in servers behind them, and a caller before them."""
+    """Real nodes with lab servers behind them and a client before them."""
 
     def __init__(self, folder: Path, seed: int, nodes: int, calls_per_s: float) -> None:
         self._folder, self._rng, self._calls_per_s = folder, Random(f"calls {seed}"), calls_per_s
@@ -137,36 +151,36 @@
         self._discovery = LiveDiscovery(self._books)
         self._session: aiohttp.ClientSession | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._ids = 0
+        self._last_id = 0
         self.nodes: list[RealNode] = []
-        self.tallies: dict[str, Tally] = {}
+        self.call_stats: dict[str, CallStats] = {}
 
     async def open(self) -> None:
-        """Start the stand-ins."""
+        """Start the lab servers, discovery and the client."""
         tier = self._scenario.tiers[0]
-        for i in range(tier.servers):
+        for position in range(tier.servers):
             server = LiveServer(
                 self._books,
                 tier,
                 0,
                 tier.kinds[0],
-                i,
-                i,
+                position,
+                position,
                 1,
                 self._scenario.limits,
                 Random(self._rng.random()),
             )
             await server.start(False)
             self._servers.append(server)
-        await self._discovery.start([s.row() for s in self._servers])
+        await self._discovery.start([server.row() for server in self._servers])
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
     async def add(self, places: list[Place], contacts: list[str] | None) -> list[RealNode]:
-        """Start nodes, as members unless contacts are None; NodeError for one that does not come up."""
+        """Start nodes, as members unless contacts is None; raise NodeError if one does not become ready."""
         first = len(self.nodes)
-        fresh = []
-        for i, place in enumerate(places):
-            node_index = (first + i) % self._scenario.nodes
+        new_nodes = []
+        for position, place in enumerate(places):
+            node_index = (first + position) % self._scenario.nodes
             settings = settings_json(node_settings(self._scenario, 0, node_index, 0), self._scenario)
             node = RealNode(
                 place,
@@ -177,87 +191,93 @@
                 known=self._discovery.listing(),
                 seed=self._rng.getrandbits(32),
             )
-            fresh.append(node)
-        self.nodes += fresh
-        gate = asyncio.Semaphore(STARTS_AT_ONCE)
+            new_nodes.append(node)
+        self.nodes += new_nodes
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
-        async def begin(node: RealNode) -> None:
-            async with gate:
-                await node.begin()
+        async def start_one(node: RealNode) -> None:
+            async with semaphore:
+                await node.configure_and_start()
 
-        await asyncio.gather(*(begin(node) for node in fresh))
-        return fresh
+        await asyncio.gather(*(start_one(node) for node in new_nodes))
+        return new_nodes
 
     # ------------------------------------------------------------ calls
 
-    def call(self, node: RealNode) -> None:
-        """Send this node calls from now on, open loop, steady: nodes are to differ in the duty only."""
-        self.tallies[node.name] = Tally()
-        self._spawn(self._stream(node))
+    def start_calls(self, node: RealNode) -> None:
+        """Start to send calls to a node, open loop at a steady rate: nodes must differ in the duty only."""
+        self.call_stats[node.name] = CallStats()
+        self._spawn(self._call_steadily(node))
 
-    def fresh(self) -> None:
-        """Count calls anew."""
-        self.tallies = {name: Tally() for name in self.tallies}
+    def reset_call_stats(self) -> None:
+        """Reset the call counts of all nodes."""
+        self.call_stats = {name: CallStats() for name in self.call_stats}
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _stream(self, node: RealNode) -> None:
+    async def _call_steadily(self, node: RealNode) -> None:
         loop = asyncio.get_running_loop()
         due = loop.time() + self._rng.random() / self._calls_per_s
         while node.up:
             due += 1.0 / self._calls_per_s
             await asyncio.sleep(max(0.0, due - loop.time()))
-            self._spawn(self._one(node))
+            self._spawn(self._call_once(node))
 
-    async def _one(self, node: RealNode) -> None:
+    async def _call_once(self, node: RealNode) -> None:
         assert self._session is not None
         kind = self._scenario.classes[0]
-        self._ids += 1
-        number, began = f"{self._ids:016x}", now_ms()
-        deadline = began + kind.deadline_ms
+        self._last_id += 1
+        number, started_ms = f"{self._last_id:016x}", now_ms()
+        deadline = started_ms + kind.deadline_ms
         self._books.errands[number] = Errand(
             number, kind.name, kind.effect, kind.work_ms, (0,), deadline, "all", kind.work_ms, top=number
         )
         headers = {"X-Request-Id": number, "X-Class": kind.name, "X-Tenant": "all", "X-Deadline": "2.000"}
-        tally = self.tallies[node.name]
+        stats = self.call_stats[node.name]
         try:
             timeout = aiohttp.ClientTimeout(total=kind.deadline_ms / 1000.0)
             url = f"http://{HOST}:{node.port}/api"
             async with self._session.get(url, headers=headers, timeout=timeout) as response:
                 await response.read()
                 if response.status == 200:
-                    tally.answered += 1
-                    tally.ms.append(now_ms() - began)
+                    stats.answered += 1
+                    stats.latencies_ms.append(now_ms() - started_ms)
                 else:
-                    tally.other += 1
+                    stats.other += 1
         except (TimeoutError, aiohttp.ClientError):
-            tally.other += 1
+            stats.other += 1
         finally:
             del self._books.errands[number]
 
-    # ------------------------------------------------------------ looks
+    # ------------------------------------------------------------ measurements
+
+    async def read(self, nodes: list[RealNode], *, costs_first: bool = False) -> list[RealReading]:
+        """Return metrics, processor time and memory of the nodes.
 
-    async def read(self, nodes: list[RealNode], *, last: bool = False) -> list[RealReading]:
-        """Figures and costs; last: costs first, so that the question is not counted."""
-        if last:
-            costs = [(core_ms(n.pid), memory_bytes(n.pid)) for n in nodes]
+        costs_first: read time and memory first, so that they do not include the request for the metrics.
+        """
+        if costs_first:
+            costs = [(core_ms(node.pid), memory_bytes(node.pid)) for node in nodes]
             at = asyncio.get_running_loop().time()
-        figures = await asyncio.gather(*(n.telemetry() for n in nodes))
-        if not last:
-            costs = [(core_ms(n.pid), memory_bytes(n.pid)) for n in nodes]
+        figures = await asyncio.gather(*(node.telemetry() for node in nodes))
+        if not costs_first:
+            costs = [(core_ms(node.pid), memory_bytes(node.pid)) for node in nodes]
             at = asyncio.get_running_loop().time()
-        return [RealReading(c, m, f, at) for (c, m), f in zip(costs, figures, strict=True)]
+        return [
+            RealReading(core, memory, metrics, at)
+            for (core, memory), metrics in zip(costs, figures, strict=True)
+        ]
 
     async def end(self, nodes: list[RealNode]) -> None:
-        """End these nodes in order."""
+        """End these nodes with SIGTERM."""
         await asyncio.gather(*(node.end() for node in nodes))
-        self.nodes = [n for n in self.nodes if n not in nodes]
+        self.nodes = [node for node in self.nodes if node not in nodes]
 
     async def close(self) -> None:
-        """End everything."""
+        """End the nodes, the client, discovery and the servers."""
         for node in self.nodes:
             node.up = False
         await self.end(list(self.nodes))
--- a/crowpost/lab/scale/record.py
+++ b/crowpost/lab/scale/record.py
@@ -1,4 +1,4 @@
-"""The record of a scale run: points, fits, agreement and troubles as JSON values, made whole from pieces."""
+"""The record of a scale run: points, fits, agreement and faults as JSON values, merged from part results."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from typing import Any
 
 from crowpost.lab.scale.fit import line, mean
-from crowpost.lab.scale.slopes import ABOUT, UNITS, Piece
+from crowpost.lab.scale.slopes import DUTY_DESCRIPTIONS, DUTY_UNITS, PartResult
 from crowpost.lab.scale.target import ScaleError
 
 SCHEMA = 1
-FIT_POINTS = 3
-CORE = "core_ms_per_s"
-BUSIER = {"membership": "joined"}  # duties whose real processes do the same and more
+MIN_FIT_POINTS = 3
+CORE_MEASURE = "core_ms_per_s"
+# By duty, the duty of busier real processes that do the same work and more.
+BUSIER_DUTY = {"membership": "joined"}
 
 
 def revision() -> str:
-    """The git revision that this file belongs to; empty outside of a checkout."""
+    """Return the git revision of this file, or an empty text outside a checkout."""
     try:
-        found = subprocess.run(
+        completed = subprocess.run(
             ["git", "rev-parse", "--short", "HEAD"],
             cwd=Path(__file__).parent,
             capture_output=True,
@@ -33,144 +34,165 @@
         )
     except (OSError, subprocess.TimeoutExpired):
         return ""
-    return found.stdout.strip()
+    return completed.stdout.strip()
 
 
 def build_record(
-    piece: Piece, seed: int, command: str, before: dict[str, Any] | None = None
+    result: PartResult, seed: int, command: str, earlier: dict[str, Any] | None = None
 ) -> dict[str, Any]:
-    """The record of a piece, laid over an earlier one: a duty's points at an x and a source replace those.
+    """Return the record of a part result, merged into an earlier record.
 
-    Troubles are replaced by those of the same kind and source.
+    A duty's points replace earlier ones with the same x and source; faults replace those with the same kind
+    and source.
     """
-    now = datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
-    run = {"revision": revision(), "at": now, "command": command, "seed": seed}
-    before = before or {"duties": {}, "troubles": [], "left_out": [], "calls": [], "runs": []}
-    duties: dict[str, list[dict[str, Any]]] = {n: d["points"] for n, d in before["duties"].items()}
-    for duty, rows in piece.points.items():
-        fresh = {(r["x"], r["source"]) for r in rows}
-        duties[duty] = [r for r in duties.get(duty, []) if (r["x"], r["source"]) not in fresh] + rows
-    again = {(t["kind"], t["source"]) for t in piece.troubles}
-    tried = {(d, r["x"], r["source"]) for d, rows in piece.points.items() for r in rows}
-    tried |= {(r["duty"], r["x"], r["source"]) for r in piece.left_out}
-    called = {(r["duty"], r["x"]) for r in piece.calls}
-    left = [r for r in before["left_out"] if (r["duty"], r["x"], r["source"]) not in tried]
+    finished_at = datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
+    run = {"revision": revision(), "at": finished_at, "command": command, "seed": seed}
+    earlier = earlier or {"duties": {}, "troubles": [], "left_out": [], "calls": [], "runs": []}
+    duties: dict[str, list[dict[str, Any]]] = {
+        name: duty_record["points"] for name, duty_record in earlier["duties"].items()
+    }
+    for duty, rows in result.points.items():
+        measured = {(row["x"], row["source"]) for row in rows}
+        duties[duty] = [
+            row for row in duties.get(duty, []) if (row["x"], row["source"]) not in measured
+        ] + rows
+    repeated_faults = {(fault["kind"], fault["source"]) for fault in result.faults}
+    attempted = {(duty, row["x"], row["source"]) for duty, rows in result.points.items() for row in rows}
+    attempted |= {(row["duty"], row["x"], row["source"]) for row in result.left_out}
+    called_again = {(row["duty"], row["x"]) for row in result.calls}
+    left_out = [row for row in earlier["left_out"] if (row["duty"], row["x"], row["source"]) not in attempted]
     return {
         "schema": SCHEMA,
         **run,
         "cores": os.cpu_count(),
-        "duties": {name: _duty(name, rows, duties) for name, rows in sorted(duties.items())},
-        "troubles": [t for t in before["troubles"] if (t["kind"], t["source"]) not in again] + piece.troubles,
-        "left_out": left + piece.left_out,
-        "calls": [r for r in before["calls"] if (r["duty"], r["x"]) not in called] + piece.calls,
-        "runs": [*before["runs"], run],
+        "duties": {name: _duty_record(name, rows, duties) for name, rows in sorted(duties.items())},
+        "troubles": [
+            fault for fault in earlier["troubles"] if (fault["kind"], fault["source"]) not in repeated_faults
+        ]
+        + result.faults,
+        "left_out": left_out + result.left_out,
+        "calls": [row for row in earlier["calls"] if (row["duty"], row["x"]) not in called_again]
+        + result.calls,
+        "runs": [*earlier["runs"], run],
     }
 
 
-def _duty(name: str, points: list[dict[str, Any]], duties: dict[str, list[dict[str, Any]]]) -> dict[str, Any]:
-    points = sorted(points, key=lambda p: (p["source"], p["x"], p["process"]))
+def _duty_record(
+    name: str, points: list[dict[str, Any]], duties: dict[str, list[dict[str, Any]]]
+) -> dict[str, Any]:
+    points = sorted(points, key=lambda point: (point["source"], point["x"], point["process"]))
     agreement = _agreement(points)
-    found: dict[str, Any] = {"about": ABOUT.get(name, name), "unit": UNITS.get(name, "member")}
-    found["points"] = points
-    found["fits"] = {}
-    found["fits_by_source"] = {}
-    for measure in sorted({key for p in points for key in p["measure"]}):
+    record: dict[str, Any] = {
+        "about": DUTY_DESCRIPTIONS.get(name, name),
+        "unit": DUTY_UNITS.get(name, "member"),
+    }
+    record["points"] = points
+    record["fits"] = {}
+    record["fits_by_source"] = {}
+    for measure in sorted({key for point in points for key in point["measure"]}):
         by_source = {}
         for source in ("hollow", "real", "simulated"):
-            rows = [p for p in points if p["source"] == source and measure in p["measure"]]
-            if len(rows) >= FIT_POINTS and len({p["x"] for p in rows}) > 1:
-                fitted = line([p["x"] for p in rows], [p["measure"][measure] for p in rows])
+            rows = [point for point in points if point["source"] == source and measure in point["measure"]]
+            if len(rows) >= MIN_FIT_POINTS and len({point["x"] for point in rows}) > 1:
+                fitted = line([point["x"] for point in rows], [point["measure"][measure] for point in rows])
                 by_source[source] = {**fitted, "source": source}
         if not by_source:
             continue
-        found["fits_by_source"][measure] = by_source
-        found["fits"][measure] = _chosen(by_source, points, agreement, measure)
-        busier = duties.get(BUSIER.get(name, ""), [])
+        record["fits_by_source"][measure] = by_source
+        record["fits"][measure] = _select_fit(by_source, points, agreement, measure)
+        busier = duties.get(BUSIER_DUTY.get(name, ""), [])
         if (
-            measure == CORE
+            measure == CORE_MEASURE
             and busier
-            and any(not row["agree"] for row in agreement if row["measure"] == CORE)
+            and any(not row["agree"] for row in agreement if row["measure"] == CORE_MEASURE)
         ):
-            found["fits"][measure] = _with_busier(points, busier)
-    found["agreement"] = agreement
-    return found
+            record["fits"][measure] = _fit_with_busier_processes(points, busier)
+    record["agreement"] = agreement
+    return record
 
 
-def _with_busier(points: list[dict[str, Any]], busier: list[dict[str, Any]]) -> dict[str, Any]:
-    """Processor time by real processes alone, some of which were busier: an upper bound of the slope.
+def _fit_with_busier_processes(points: list[dict[str, Any]], busier: list[dict[str, Any]]) -> dict[str, Any]:
+    """Fit processor time to real processes alone, some of them busier, for an upper bound of the slope.
 
-    Hollow nodes share wakings and caches, the more the more of them there are, and real ones do not: where
-    they differ, the slope of the hollow ones is that of the sharing.
+    Simulated nodes of one process share wakeups and caches, the more nodes the more; real nodes do not. Where
+    the two differ, the slope of the simulated nodes shows the sharing.
     """
-    rows = [p for p in points if p["source"] == "real"] + busier
-    fitted = line([p["x"] for p in rows], [p["measure"][CORE] for p in rows])
-    least = min(p["x"] for p in busier)
-    return {**fitted, "source": f"real, from {least:g} on just joined"}
+    rows = [point for point in points if point["source"] == "real"] + busier
+    fitted = line([point["x"] for point in rows], [point["measure"][CORE_MEASURE] for point in rows])
+    least_x = min(point["x"] for point in busier)
+    return {**fitted, "source": f"real, from {least_x:g} on just joined"}
 
 
-def _chosen(
+def _select_fit(
     by_source: dict[str, dict[str, Any]],
     points: list[dict[str, Any]],
     agreement: list[dict[str, Any]],
     measure: str,
 ) -> dict[str, Any]:
-    """The fit that holds: of hollow ones where they agree with real ones, else of real ones.
+    """Return the valid fit: of simulated nodes if they agree with real nodes, otherwise of real nodes.
 
-    Real ones that were measured over less than half of the hollow ones' range give the level and not the
-    slope: the hollow line is moved by the mean difference where both were measured.
+    If real nodes cover less than half of the simulated nodes' range, they determine the level but not the
+    slope: the line of the simulated nodes is moved by the mean difference where both were measured.
     """
-    both = [row for row in agreement if row["measure"] == measure]
-    off = [row for row in both if not row["agree"]]
-    hollow, real = by_source.get("hollow"), by_source.get("real")
-    if real is not None and not both:
-        return real  # hollow ones that were never held against real ones prove nothing
-    if hollow is None or (
-        off
-        and real is not None
+    compared = [row for row in agreement if row["measure"] == measure]
+    disagreeing = [row for row in compared if not row["agree"]]
+    simulated_fit, real_fit = by_source.get("hollow"), by_source.get("real")
+    if real_fit is not None and not compared:
+        # Measurements of simulated nodes do not count until they have been compared with real nodes.
+        return real_fit
+    if simulated_fit is None or (
+        disagreeing
+        and real_fit is not None
         and _range(points, "real", measure) >= 0.5 * _range(points, "hollow", measure)
     ):
-        return real or hollow or by_source["simulated"]
-    if not off:
-        return hollow
-    moved = [row["real"][0] - row["hollow"][0] for row in both]
-    wide = [math.hypot(row["real"][2] - row["real"][0], row["hollow"][2] - row["hollow"][0]) for row in both]
-    by, slack = sum(moved) / len(moved), max(wide)
-    middle, low, high = hollow["intercept"]
-    own = math.hypot(slack, high - middle)
-    at = ", ".join(f"{row['x']:g}" for row in both)
+        return real_fit or simulated_fit or by_source["simulated"]
+    if not disagreeing:
+        return simulated_fit
+    offsets = [row["real"][0] - row["hollow"][0] for row in compared]
+    uncertainties = [
+        math.hypot(row["real"][2] - row["real"][0], row["hollow"][2] - row["hollow"][0]) for row in compared
+    ]
+    offset, offset_uncertainty = sum(offsets) / len(offsets), max(uncertainties)
+    centre, low, high = simulated_fit["intercept"]
+    uncertainty = math.hypot(offset_uncertainty, high - centre)
+    compared_at = ", ".join(f"{row['x']:g}" for row in compared)
     return {
-        **hollow,
-        "intercept": [middle + by, middle + by - own, middle + by + own],
-        "source": f"hollow, moved to real at {at}",
-        "moved_by": by,
+        **simulated_fit,
+        "intercept": [centre + offset, centre + offset - uncertainty, centre + offset + uncertainty],
+        "source": f"hollow, moved to real at {compared_at}",
+        "moved_by": offset,
     }
 
 
 def _range(points: list[dict[str, Any]], source: str, measure: str) -> float:
-    xs = [p["x"] for p in points if p["source"] == source and measure in p["measure"]]
+    xs = [point["x"] for point in points if point["source"] == source and measure in point["measure"]]
     return max(xs) - min(xs) if xs else 0.0
 
 
 def _agreement(points: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Hollow and real at each x where both were measured: they agree where their intervals overlap."""
-    found = []
-    for x in sorted({p["x"] for p in points}):
-        for measure in sorted({key for p in points for key in p["measure"]}):
-            sides = []
+    """Compare simulated and real nodes where both were measured; they agree if their intervals overlap."""
+    rows = []
+    for x in sorted({point["x"] for point in points}):
+        for measure in sorted({key for point in points for key in point["measure"]}):
+            values_by_source = []
             for source in ("hollow", "real"):
-                rows = [p for p in points if (p["x"], p["source"]) == (x, source) and measure in p["measure"]]
-                sides.append([p["measure"][measure] for p in rows])
-            if min(map(len, sides)) < 2:
+                source_points = [
+                    point
+                    for point in points
+                    if (point["x"], point["source"]) == (x, source) and measure in point["measure"]
+                ]
+                values_by_source.append([point["measure"][measure] for point in source_points])
+            if min(map(len, values_by_source)) < 2:
                 continue
-            hollow, real = (mean(side) for side in sides)
-            agree = hollow[1] <= real[2] and real[1] <= hollow[2]
-            row = {"x": x, "measure": measure, "hollow": hollow, "real": real, "agree": agree}
-            found.append({**row, "processes": [len(side) for side in sides]})
-    return found
+            simulated_mean, real_mean = (mean(values) for values in values_by_source)
+            agree = simulated_mean[1] <= real_mean[2] and real_mean[1] <= simulated_mean[2]
+            row = {"x": x, "measure": measure, "hollow": simulated_mean, "real": real_mean, "agree": agree}
+            rows.append({**row, "processes": [len(values) for values in values_by_source]})
+    return rows
 
 
 def read(path: Path) -> dict[str, Any]:
-    """A record from a file; ScaleError with one line for what is none."""
+    """Return the record in a file; raise ScaleError with one line if there is none."""
     try:
         record = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -181,6 +203,6 @@
 
 
 def write(path: Path, record: dict[str, Any]) -> None:
-    """As JSON, a point a line: a later record's changes can be read."""
+    """Write a record as JSON with one value per line, so that a diff shows the changes of a later record."""
     text = json.dumps(record, indent=1, sort_keys=True)
     path.write_text(text + "\n", encoding="utf-8")
--- a/crowpost/lab/scale/run.py
+++ b/crowpost/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""A scale run from its choice of parts to its record."""
+"""A scale run, from the choice of its parts to their results."""
 
 from __future__ import annotations
 
@@ -14,24 +14,27 @@
 
 from crowpost.lab.live.processes import NodeError
 from crowpost.lab.scale import changes, simulated, slopes, troubles
-from crowpost.lab.scale.slopes import Piece, Say, Setting
-from crowpost.lab.scale.target import KINDS, Run, ScaleError, Target
+from crowpost.lab.scale.slopes import PartContext, PartResult, PrintLine
+from crowpost.lab.scale.target import FAULT_KINDS, Run, ScaleError, Target
 
+# "idle" measures real processes side by side, without the membership duty and with it.
 PARTS = (
     "idle",
     "membership",
     "changes",
     "configuration",
     "simulated",
-)  # idle: with the duty, side by side on real processes
-SIMULATED_CUT_MEMBERS = 56  # an hour of them is a minute of one core
-SHORT_CUT_S = 120.0
-ZONE_S = 120.0  # simulated, for all to know of a zone's loss
+)
+# One simulated hour takes a core about a minute.
+SIMULATED_PARTITION_MEMBERS = 56
+SHORT_PARTITION_S = 120.0
+# Simulated time within which all members should notice the loss of a zone.
+ZONE_LOSS_LIMIT_S = 120.0
 
 
 @dataclass(frozen=True)
 class Choice:
-    """What is run of the target file; None: all of it."""
+    """The parts of the target file to run; None stands for all of them."""
 
     short: bool = False
     sizes: tuple[int, ...] | None = None
@@ -40,115 +43,130 @@
     seed: int | None = None
 
     def run(self, target: Target) -> Run:
-        """The run's figures with the choice laid over them."""
+        """Return the run of the target with this choice applied."""
         run = target.short if self.short else target.run
         return run if self.sizes is None else replace(run, sizes=self.sizes)
 
     def check(self) -> None:
-        """ScaleError with one line for a part that there is not."""
-        for what, chosen, known in (("duties", self.duties, PARTS), ("troubles", self.troubles, KINDS)):
+        """Raise ScaleError for an unknown duty or fault kind."""
+        for option, chosen, known in (
+            ("duties", self.duties, PARTS),
+            ("troubles", self.troubles, FAULT_KINDS),
+        ):
             for name in chosen or ():
                 if name not in known:
-                    raise ScaleError(f"--{what}: {name!r} is none of {', '.join(known)}")
+                    raise ScaleError(f"--{option}: {name!r} is none of {', '.join(known)}")
 
 
-Part = tuple[str, Callable[[], Coroutine[Any, Any, Piece]]]
+Part = tuple[str, Callable[[], Coroutine[Any, Any, PartResult]]]
 
 
-def parts(setting: Setting, choice: Choice) -> list[Part]:
-    """Names and work of what was chosen, in order."""
-    run, found = setting.run, []
+def parts(context: PartContext, choice: Choice) -> list[Part]:
+    """Return the names and functions of the chosen parts in order."""
+    run, chosen_parts = context.run, []
     duties = PARTS if choice.duties is None else choice.duties
     if "idle" in duties:
-        found.append((f"{run.real} real processes and as many hollow", _side(setting)))
+        chosen_parts.append(
+            (f"{run.real} real processes and as many simulated nodes", _side_by_side(context))
+        )
     if "membership" in duties:
-        found += [(f"membership, {size} members", _size(setting, size)) for size in run.sizes]
+        chosen_parts += [
+            (f"membership, {size} members", _membership_by_size(context, size)) for size in run.sizes
+        ]
     if "changes" in duties:
-        found.append((f"changes, {run.rate_members} members", _rates(setting)))
+        chosen_parts.append((f"changes, {run.rate_members} members", _changes_by_rate(context)))
     if "configuration" in duties:
-        found.append((f"configuration, {run.rate_members} nodes", _configuration(setting)))
+        chosen_parts.append((f"configuration, {run.rate_members} nodes", _configuration_by_rate(context)))
     if "simulated" in duties:
-        found.append(("simulated time", _simulated(setting, choice)))
-    wanted = [t.kind for t in setting.target.troubles]
+        chosen_parts.append(("simulated time", _simulated(context, choice)))
+    kinds = [fault.kind for fault in context.target.troubles]
     if choice.troubles is not None:
-        wanted = [kind for kind in wanted if kind in choice.troubles]
-    if wanted:
-        found.append((f"troubles, {run.trouble_members} members", _troubles(setting, wanted)))
-    return found
+        kinds = [kind for kind in kinds if kind in choice.troubles]
+    if kinds:
+        chosen_parts.append((f"faults, {run.trouble_members} members", _faults(context, kinds)))
+    return chosen_parts
 
 
-def _side(setting: Setting) -> Callable[[], Coroutine[Any, Any, Piece]]:
-    return lambda: slopes.side_by_side(setting, "membership")
+def _side_by_side(context: PartContext) -> Callable[[], Coroutine[Any, Any, PartResult]]:
+    return lambda: slopes.side_by_side(context, "membership")
 
 
-def _size(setting: Setting, size: int) -> Callable[[], Coroutine[Any, Any, Piece]]:
-    return lambda: slopes.by_size(setting, "membership", size)
+def _membership_by_size(context: PartContext, size: int) -> Callable[[], Coroutine[Any, Any, PartResult]]:
+    return lambda: slopes.by_size(context, "membership", size)
 
 
-def _rates(setting: Setting) -> Callable[[], Coroutine[Any, Any, Piece]]:
-    return lambda: changes.by_rate(setting)
+def _changes_by_rate(context: PartContext) -> Callable[[], Coroutine[Any, Any, PartResult]]:
+    return lambda: changes.by_rate(context)
 
 
-def _configuration(setting: Setting) -> Callable[[], Coroutine[Any, Any, Piece]]:
-    async def work() -> Piece:
+def _configuration_by_rate(context: PartContext) -> Callable[[], Coroutine[Any, Any, PartResult]]:
+    async def work() -> PartResult:
         from crowpost.lab.scale import configuration
 
-        return await configuration.by_rate(setting)
+        return await configuration.by_rate(context)
 
     return work
 
 
-def _troubles(setting: Setting, kinds: list[str]) -> Callable[[], Coroutine[Any, Any, Piece]]:
-    return lambda: troubles.play(setting, kinds)
-
-
-def _simulated(setting: Setting, choice: Choice) -> Callable[[], Coroutine[Any, Any, Piece]]:
-    async def work() -> Piece:
-        piece = Piece()
-        for size in setting.run.sizes:
-            simulated.quiet(piece, size, min(setting.run.seconds, 10.0), setting.seed)
-        members = setting.run.trouble_members
-        lost = simulated.zone_loss(setting.target.topology, members, ZONE_S, setting.seed)
-        piece.troubles.append(lost)
-        setting.say(f"a zone of {members} lost: known to all after {lost['settled_s']} simulated s")
-        hour = setting.target.target.failures.region_cut_s
-        for_s = SHORT_CUT_S if choice.short else hour
-        found = simulated.region_cut(setting.target.topology, SIMULATED_CUT_MEMBERS, for_s, setting.seed)
-        piece.troubles.append(found)
-        whole = found["settled_after_s"]
-        setting.say(f"regions cut for {for_s:g} simulated s: one view {whole} s after they are joined")
-        return piece
+def _faults(context: PartContext, kinds: list[str]) -> Callable[[], Coroutine[Any, Any, PartResult]]:
+    return lambda: troubles.run_faults(context, kinds)
+
+
+def _simulated(context: PartContext, choice: Choice) -> Callable[[], Coroutine[Any, Any, PartResult]]:
+    async def work() -> PartResult:
+        result = PartResult()
+        for size in context.run.sizes:
+            simulated.measure_quiet_cluster(result, size, min(context.run.seconds, 10.0), context.seed)
+        members = context.run.trouble_members
+        zone_loss = simulated.zone_loss(context.target.topology, members, ZONE_LOSS_LIMIT_S, context.seed)
+        result.faults.append(zone_loss)
+        context.print_line(
+            f"loss of a zone of {members} members: known to all after {zone_loss['settled_s']} simulated s"
+        )
+        planned_s = context.target.target.failures.region_cut_s
+        duration_s = SHORT_PARTITION_S if choice.short else planned_s
+        partition = simulated.region_partition(
+            context.target.topology, SIMULATED_PARTITION_MEMBERS, duration_s, context.seed
+        )
+        result.faults.append(partition)
+        converged_s = partition["settled_after_s"]
+        context.print_line(f"partition of {duration_s:g} simulated s: one view {converged_s} s after its end")
+        return result
 
     return work
 
 
 def run_parts(
-    target: Target, choice: Choice, say: Say, progress: Callable[[int, int, str], None] = lambda *_: None
-) -> Piece:
-    """Run what was chosen.  progress: parts done, of all, and the one that begins.
-
-    ScaleError with one line for what cannot be run; every process that was started has ended then.
+    target: Target,
+    choice: Choice,
+    print_line: PrintLine,
+    progress: Callable[[int, int, str], None] = lambda *_: None,
+) -> PartResult:
+    """Run the chosen parts and return their combined results.
+
+    progress: called with the number of finished parts, the number of all parts, and the name of the next one.
+    Raises ScaleError with one line if a part cannot run; all started processes have ended by then.
     """
     choice.check()
     run = choice.run(target)
     seed = run.seed if choice.seed is None else choice.seed
-    whole = Piece()
+    combined = PartResult()
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
-        setting = Setting(target, run, seed, Path(folder), say)
-        work = parts(setting, choice)
+        context = PartContext(target, run, seed, Path(folder), print_line)
+        work = parts(context, choice)
         if not work:
-            raise ScaleError("nothing is chosen: no duty and no trouble")
+            raise ScaleError("nothing to run: no duty and no fault is chosen")
         for done, (name, part) in enumerate(work):
             progress(done, len(work), name)
-            began = time.monotonic()
+            started = time.monotonic()
             try:
-                whole.add(uvloop.run(_bounded(part)))
+                combined.merge(uvloop.run(_run_part(part)))
             except (NodeError, OSError) as error:
                 raise ScaleError(f"{name}: {error}") from None
-            say(f"{name}: {time.monotonic() - began:.0f} s")
+            print_line(f"{name}: {time.monotonic() - started:.0f} s")
         progress(len(work), len(work), "done")
-    return whole
+    return combined
 
 
-async def _bounded(part: Callable[[], Coroutine[Any, Any, Piece]]) -> Piece:
+async def _run_part(part: Callable[[], Coroutine[Any, Any, PartResult]]) -> PartResult:
     return await asyncio.ensure_future(part())
--- a/crowpost/lab/scale/target.py
+++ b/crowpost/lab/scale/target.py
@@ -1,6 +1,6 @@
-"""The target file: the size that is coming, its topology, and what is run of it.
+"""The target file: the planned platform size, its topology, and what a scale run measures of it.
 
-Every key names its unit and has a default in the shipped file only: a file given by hand is whole.
+Key names include their unit. Defaults exist only in the shipped file: a user's file must be complete.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from crowpost.lab.scenario import ScenarioError
 from crowpost.tables import Table, TableError, read_file
 
-KINDS = ("machine", "rack", "zone", "zone_back", "region_cut", "replacements")
+FAULT_KINDS = ("machine", "rack", "zone", "zone_back", "region_cut", "replacements")
 MOST_MEMBERS = 5_000
-BIG = 1e9
+MAX_VALUE = 1e9
 
 
 class ScaleError(ScenarioError):
-    """A target or a run that cannot be used; its text is one line."""
+    """An invalid target file or an impossible run; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeBudget:
-    """What control may cost a node: percent of a core, MB, and bytes a second."""
+    """Limits on what the control plane may cost a node: percent of a core, MB, and bytes per second."""
 
     core_percent: float
     memory_mb: float
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Machines:
-    """Machines beside those of the servers."""
+    """Machines in addition to those of the servers."""
 
     set_aside: int
 
 
 @dataclass(frozen=True, slots=True)
 class Failures:
-    """What goes wrong how often."""
+    """How often each kind of failure happens."""
 
     machines_per_day: float
     replacements_per_day: float
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """The platform that is to be carried."""
+    """The planned platform."""
 
     servers: int
     services: int
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """How servers stand in regions, zones and racks, and services call each other."""
+    """How servers are spread over regions, zones and racks, and how services call each other."""
 
     zones_per_region: tuple[int, ...]
     racks_per_zone: int
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """What a run measures; see the comments in the shipped file."""
+    """What a run measures; the shipped file describes each key."""
 
     sizes: tuple[int, ...]
     rates: tuple[float, ...]
@@ -96,8 +96,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """One kind of failure: when it comes in its own run, and for how long, in seconds."""
+class Fault:
+    """One kind of fault: when it starts within its own run and how long it lasts, in seconds."""
 
     kind: str
     at_s: float
@@ -106,17 +106,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """The whole file; `run` for the full form, `short` for the short one."""
+    """The complete file; `run` is the full form of a run, `short` the short one."""
 
     target: Size
     topology: Topology
     run: Run
     short: Run
-    troubles: tuple[Trouble, ...]
+    troubles: tuple[Fault, ...]
 
 
 def load(path: str | None = None) -> Target:
-    """The file of this path, or the one shipped; ScaleError with one line for what cannot be used."""
+    """Return the target in a file, or the shipped one; raise ScaleError with one line if it is invalid."""
     name = path or str(resources.files("crowpost.lab.scale").joinpath("target.toml"))
     try:
         return _read(read_file(name))
@@ -124,22 +124,22 @@
         raise ScaleError(f"{name}: {error}") from None
 
 
-def _names(kind: Any) -> list[str]:
-    return [f.name for f in fields(kind)]
+def _field_names(dataclass_type: Any) -> list[str]:
+    return [field.name for field in fields(dataclass_type)]
 
 
 def _read(raw: dict[str, Any]) -> Target:
     tables = ("target", "topology", "run", "troubles")
-    top = Table("file", raw, tables)
-    run_raw = top.get("run")
-    run = _run(Table("run", run_raw, (*_names(Run), "short")), None)
-    short = run_raw.get("short", {})
+    root = Table("file", raw, tables)
+    run_raw = root.get("run")
+    run = _run(Table("run", run_raw, (*_field_names(Run), "short")), None)
+    short_raw = run_raw.get("short", {})
     target = Target(
-        target=_size(Table("target", top.get("target"), _names(Size))),
-        topology=_topology(Table("topology", top.get("topology"), _names(Topology))),
+        target=_size(Table("target", root.get("target"), _field_names(Size))),
+        topology=_topology(Table("topology", root.get("topology"), _field_names(Topology))),
         run=run,
-        short=_run(Table("run.short", short, _names(Run)), run),
-        troubles=_troubles(top.get("troubles")),
+        short=_run(Table("run.short", short_raw, _field_names(Run)), run),
+        troubles=_faults(root.get("troubles")),
     )
     if len(target.topology.zones_per_region) != target.target.regions:
         raise TableError(f"topology.zones_per_region: one number for each of {target.target.regions} regions")
@@ -148,42 +148,45 @@
     return target
 
 
-def _count(table: Table, key: str, least: int = 1, most: int = 10_000_000) -> int:
-    return _whole(table, key, table.number(key, -1.0, least, most))
+def _count(table: Table, key: str, minimum: int = 1, maximum: int = 10_000_000) -> int:
+    return _integer(table, key, table.number(key, -1.0, minimum, maximum))
 
 
-def _whole(table: Table, key: str, value: float) -> int:
+def _integer(table: Table, key: str, value: float) -> int:
     if value != int(value):
         raise TableError(f"{table.name}.{key}: a whole number, not {value!r}")
     return int(value)
 
 
 def _positive(table: Table, key: str) -> float:
-    return table.number(key, -1.0, 1e-9, BIG)
+    return table.number(key, -1.0, 1e-9, MAX_VALUE)
 
 
 def _not_negative(table: Table, key: str) -> float:
-    return table.number(key, -1.0, 0.0, BIG)
+    return table.number(key, -1.0, 0.0, MAX_VALUE)
 
 
-def _numbers(table: Table, key: str, low: float, high: float) -> tuple[float, ...]:
+def _numbers(table: Table, key: str, minimum: float, maximum: float) -> tuple[float, ...]:
     value = table.get(key)
-    fits = isinstance(value, list) and value
-    if not fits or not all(
-        isinstance(v, int | float) and not isinstance(v, bool) and low <= v <= high for v in value
+    is_filled_list = isinstance(value, list) and value
+    if not is_filled_list or not all(
+        isinstance(number, int | float) and not isinstance(number, bool) and minimum <= number <= maximum
+        for number in value
     ):
-        raise TableError(f"{table.name}.{key}: a list of numbers from {low:g} to {high:g}, not {value!r}")
-    return tuple(float(v) for v in value)
+        raise TableError(
+            f"{table.name}.{key}: a list of numbers from {minimum:g} to {maximum:g}, not {value!r}"
+        )
+    return tuple(float(number) for number in value)
 
 
-def _counts(table: Table, key: str, low: int, high: int) -> tuple[int, ...]:
-    return tuple(_whole(table, key, v) for v in _numbers(table, key, low, high))
+def _counts(table: Table, key: str, minimum: int, maximum: int) -> tuple[int, ...]:
+    return tuple(_integer(table, key, number) for number in _numbers(table, key, minimum, maximum))
 
 
 def _size(table: Table) -> Size:
-    budget = Table("target.node_budget", table.get("node_budget"), _names(NodeBudget))
-    machines = Table("target.machines", table.get("machines"), _names(Machines))
-    failures = Table("target.failures", table.get("failures"), _names(Failures))
+    budget = Table("target.node_budget", table.get("node_budget"), _field_names(NodeBudget))
+    machines = Table("target.machines", table.get("machines"), _field_names(Machines))
+    failures = Table("target.failures", table.get("failures"), _field_names(Failures))
     return Size(
         servers=_count(table, "servers"),
         services=_count(table, "services"),
@@ -194,9 +197,9 @@
         added_p99_ms=_positive(table, "added_p99_ms"),
         changes_per_day=_positive(table, "changes_per_day"),
         in_force_s=_positive(table, "in_force_s"),
-        node_budget=NodeBudget(**{key: _positive(budget, key) for key in _names(NodeBudget)}),
+        node_budget=NodeBudget(**{key: _positive(budget, key) for key in _field_names(NodeBudget)}),
         machines=Machines(_count(machines, "set_aside", 0)),
-        failures=Failures(**{key: _not_negative(failures, key) for key in _names(Failures)}),
+        failures=Failures(**{key: _not_negative(failures, key) for key in _field_names(Failures)}),
     )
 
 
@@ -209,8 +212,11 @@
     )
 
 
-def _run(table: Table, full: Run | None) -> Run:
-    """The run of a table; full: what keys stand for that it leaves out."""
+def _run(table: Table, defaults: Run | None) -> Run:
+    """Return the run of a table.
+
+    defaults: the run that provides the keys missing from the table; without one, all keys are required.
+    """
     readers: dict[str, Any] = {
         "sizes": lambda: _counts(table, "sizes", 2, MOST_MEMBERS),
         "rates": lambda: _numbers(table, "rates", 0.0, 1_000.0),
@@ -224,18 +230,18 @@
         "trouble_members": lambda: _count(table, "trouble_members", 14, MOST_MEMBERS),
         "seed": lambda: _count(table, "seed", 0),
     }
-    wanted: Collection[str] = readers if full is None else [key for key in readers if key in table]
-    values = {key: readers[key]() for key in wanted}
-    return Run(**values) if full is None else replace(full, **values)
+    keys: Collection[str] = readers if defaults is None else [key for key in readers if key in table]
+    values = {key: readers[key]() for key in keys}
+    return Run(**values) if defaults is None else replace(defaults, **values)
 
 
-def _troubles(raw: Any) -> tuple[Trouble, ...]:
+def _faults(raw: Any) -> tuple[Fault, ...]:
     if not isinstance(raw, list):
         raise TableError("troubles: a list of tables")
-    found = []
-    for i, one in enumerate(raw):
-        table = Table(f"troubles[{i}]", one, _names(Trouble))
-        kind = table.choice("kind", "", KINDS)
+    faults = []
+    for position, entry in enumerate(raw):
+        table = Table(f"troubles[{position}]", entry, _field_names(Fault))
+        kind = table.choice("kind", "", FAULT_KINDS)
         at_s, for_s = table.number("at_s", -1.0, 0.0, 3_600.0), table.number("for_s", -1.0, 1.0, 3_600.0)
-        found.append(Trouble(kind, at_s, for_s))
-    return tuple(found)
+        faults.append(Fault(kind, at_s, for_s))
+    return tuple(faults)
--- a/crowpost/lab/scale/worker.py
+++ b/crowpost/lab/scale/worker.py
@@ -1,6 +1,6 @@
-"""python -m crowpost.lab.scale.worker: a process of hollow nodes.
+"""python -m crowpost.lab.scale.worker: a process that hosts simulated nodes.
 
-Commands are lines of JSON on standard input, answered on standard output.  It ends with its input.
+Reads commands as lines of JSON on standard input, answers on standard output, and exits when the input ends.
 """
 
 from __future__ import annotations
@@ -17,169 +17,189 @@
 
 import uvloop
 
-from crowpost.lab.scale.hollow import DUTIES, Cut, Duty
 from crowpost.lab.scale.places import Place
+from crowpost.lab.scale.simulated_nodes import DUTIES, Duty, RegionPartition
 
-LINE_BYTES = 1 << 26
-TICK_S = 0.05  # between looks at how late the loop is
+MAX_LINE_BYTES = 1 << 26
+# Between measurements of the event loop's lateness, and between attempts to bind.
+CHECK_INTERVAL_S = 0.05
 BIND_TRIES = 20
-AT_ONCE = 16  # nodes that are started or ended at the same time
+MAX_CONCURRENT = 16  # Nodes that are started or stopped at the same time.
 
 
 class Worker:
-    """All hollow nodes of this process."""
+    """The simulated nodes of this process."""
 
     def __init__(self, regions: list[int]) -> None:
-        self.cut = Cut(regions)
+        self.partition = RegionPartition(regions)
         self.places: dict[str, Place] = {}
         self.running: dict[str, Duty] = {}
         self.nodes: dict[str, Duty] = {}
-        self.past: Counter[str] = Counter()  # counts of processes that have ended
-        self.late: list[float] = []  # ms by which the loop was late, since the last question
-        self.tasks: set[asyncio.Future[None]] = set()
-        self.faults: list[str] = []  # of work beside commands
+        self.ended_counts: Counter[str] = Counter()  # Counts of nodes that have stopped.
+        self.lateness_ms: list[float] = []  # Lateness of the event loop since the last "counts" command.
+        self.restart_tasks: set[asyncio.Future[None]] = set()
+        self.background_errors: list[str] = []  # Errors of restarts, reported with the next command.
 
-    async def watch(self) -> None:
-        """Note how late the loop is."""
+    async def measure_lateness(self) -> None:
+        """Record the lateness of the event loop, for ever."""
         loop = asyncio.get_running_loop()
         due = loop.time()
         while True:
-            due += TICK_S
+            due += CHECK_INTERVAL_S
             await asyncio.sleep(max(0.0, due - loop.time()))
-            self.late.append(1000.0 * (loop.time() - due))
-            due = max(due, loop.time() - TICK_S)
-
-    async def do(self, what: str, told: dict[str, Any]) -> Any:
-        """One command; its answer as JSON values.  OSError, also for what went wrong beside commands."""
-        if self.faults:
-            raise OSError("; ".join(self.faults[:3]))
-        match what:
+            self.lateness_ms.append(1000.0 * (loop.time() - due))
+            due = max(due, loop.time() - CHECK_INTERVAL_S)
+
+    async def execute(self, name: str, arguments: dict[str, Any]) -> Any:
+        """Run a command and return its answer as JSON values.
+
+        Raises OSError if the command failed, or a restart in the background before it.
+        """
+        if self.background_errors:
+            raise OSError("; ".join(self.background_errors[:3]))
+        match name:
             case "places":
-                self.places = {p["name"]: Place(**p) for p in told["places"]}
+                self.places = {place["name"]: Place(**place) for place in arguments["places"]}
                 return len(self.places)
             case "open":
-                kind = DUTIES[told["duty"]]
-                self.nodes = {name: kind(place, self.cut) for name, place in self.places.items()}
-                await self._each(list(self.nodes), lambda name: self._start(name, told["settings"]))
-                return [[node.address, base64.b64encode(node.row()).decode()] for node in self.nodes.values()]
+                create_duty = DUTIES[arguments["duty"]]
+                self.nodes = {
+                    node_name: create_duty(place, self.partition) for node_name, place in self.places.items()
+                }
+                await self._for_each(
+                    list(self.nodes), lambda node_name: self._start(node_name, arguments["settings"])
+                )
+                return [
+                    [node.address, base64.b64encode(node.peer_record()).decode()]
+                    for node in self.nodes.values()
+                ]
             case "acquaint":
-                rows = [base64.b64decode(row) for row in told["rows"]]
+                peer_records = [base64.b64decode(peer_record) for peer_record in arguments["rows"]]
                 for node in self.running.values():
-                    node.acquaint(rows)
+                    node.introduce(peer_records)
                     await asyncio.sleep(0)
                 gc.collect()
-                gc.freeze()  # as a real node does: what exists now lives as long as the process
+                # As in a real node: what exists now lives as long as the process.
+                gc.freeze()
                 return None
             case "go":
                 for node in self.running.values():
-                    node.go()
+                    node.activate()
                 return None
             case "start":
-                await self._each(told["names"], lambda name: self._start(name, told["settings"]))
+                await self._for_each(
+                    arguments["names"], lambda node_name: self._start(node_name, arguments["settings"])
+                )
                 return None
             case "end":
-                await self._each(told["names"], lambda name: self._end(name, told["in_order"]))
+                await self._for_each(
+                    arguments["names"], lambda node_name: self._stop(node_name, arguments["in_order"])
+                )
                 return None
             case "restart":
-                for name in told["names"]:  # goes on beside other commands
-                    task = asyncio.ensure_future(self._restart(name, told["settings"]))
-                    self.tasks.add(task)
-                    task.add_done_callback(self._done)
+                # Restarts run in the background while other commands are answered.
+                for node_name in arguments["names"]:
+                    task = asyncio.ensure_future(self._restart(node_name, arguments["settings"]))
+                    self.restart_tasks.add(task)
+                    task.add_done_callback(self._restart_finished)
                 return None
             case "cut":
-                self.cut.on = bool(told["on"])
+                self.partition.active = bool(arguments["on"])
                 return None
             case "counts":
                 return self._counts()
             case "look":
-                return self._look()
+                return self._sample()
             case _:
-                raise ValueError(f"no such command: {what}")
+                raise ValueError(f"no such command: {name}")
 
-    async def _each(self, names: list[str], work: Any) -> None:
-        gate = asyncio.Semaphore(AT_ONCE)
+    async def _for_each(self, names: list[str], work: Any) -> None:
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT)
 
-        async def one(name: str) -> None:
-            async with gate:
+        async def run_one(name: str) -> None:
+            async with semaphore:
                 await work(name)
 
-        await asyncio.gather(*(one(name) for name in names))
+        await asyncio.gather(*(run_one(name) for name in names))
 
-    def _done(self, task: asyncio.Future[None]) -> None:
-        self.tasks.discard(task)
+    def _restart_finished(self, task: asyncio.Future[None]) -> None:
+        self.restart_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.faults.append(repr(task.exception()))
+            self.background_errors.append(repr(task.exception()))
 
     async def _start(self, name: str, settings: dict[str, Any]) -> None:
-        for tries in range(BIND_TRIES):
+        for attempt in range(BIND_TRIES):
             if name in self.running:
                 return
             try:
                 await self.nodes[name].start(settings)
             except OSError:
-                if tries == BIND_TRIES - 1:
+                if attempt == BIND_TRIES - 1:
                     raise
-                await asyncio.sleep(TICK_S)  # the loop has yet to close the sockets of the one before
+                # The event loop may not have closed the sockets of the previous start yet.
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 continue
             self.running[name] = self.nodes[name]
             return
 
-    async def _end(self, name: str, in_order: bool) -> None:
+    async def _stop(self, name: str, graceful: bool) -> None:
         node = self.running.pop(name, None)
         if node is not None:
-            await node.end(in_order)
-            self.past.update(node.counts())
+            await node.end(graceful)
+            self.ended_counts.update(node.counts())
 
     async def _restart(self, name: str, settings: dict[str, Any]) -> None:
-        await self._end(name, True)
+        await self._stop(name, True)
         await self._start(name, settings)
 
     def _counts(self) -> dict[str, Any]:
-        total: Counter[str] = Counter(self.past)
+        total: Counter[str] = Counter(self.ended_counts)
         for node in self.running.values():
             total.update(node.counts())
-        late, self.late = sorted(self.late) or [0.0], []
-        slow = sum(node.awareness() > 0 for node in self.running.values())
+        lateness_ms, self.lateness_ms = sorted(self.lateness_ms) or [0.0], []
+        slow = sum(node.local_health_score() > 0 for node in self.running.values())
         return {
             "nodes": len(self.running),
             "counts": dict(total),
             "slow": slow,
-            "late_p99_ms": late[int(0.99 * (len(late) - 1))],
-            "late_most_ms": late[-1],
+            "late_p99_ms": lateness_ms[int(0.99 * (len(lateness_ms) - 1))],
+            "late_most_ms": lateness_ms[-1],
         }
 
-    def _look(self) -> dict[str, Any]:
+    def _sample(self) -> dict[str, Any]:
         views: Counter[str] = Counter()
-        sent: Counter[str] = Counter(self.past)
+        sent: Counter[str] = Counter(self.ended_counts)
         for name, node in self.running.items():
-            views[f"{self.places[name].region} {node.look()}"] += 1
+            views[f"{self.places[name].region} {node.view_summary()}"] += 1
             sent.update(node.counts())
         return {"views": dict(views), "messages": sent["messages"], "bytes": sent["bytes"]}
 
 
 async def serve(regions: list[int]) -> None:
-    """Answer commands one by one until the input ends."""
+    """Answer commands one by one until the end of the input."""
     worker = Worker(regions)
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LINE_BYTES)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    watch = loop.create_task(worker.watch())
+    lateness_task = loop.create_task(worker.measure_lateness())
     while line := await reader.readline():
-        told = json.loads(line)
+        command = json.loads(line)
         try:
-            answer = {"number": told["number"], "answer": await worker.do(told["do"], told)}
+            answer = {"number": command["number"], "answer": await worker.execute(command["do"], command)}
         except OSError as error:
-            answer = {"number": told["number"], "error": f"{told['do']}: {error}"}
+            answer = {"number": command["number"], "error": f"{command['do']}: {error}"}
         sys.stdout.write(json.dumps(answer) + "\n")
         sys.stdout.flush()
-    watch.cancel()
+    lateness_task.cancel()
 
 
 def main() -> int:
-    """The regions of the zones are the only argument, as a list of JSON."""
-    # Real nodes write a line of each change; these pay for the same lines, which nobody reads.
-    nowhere = open(os.devnull, "w", encoding="utf-8")  # noqa: SIM115 - until the very end of the process
-    logging.basicConfig(stream=nowhere, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
+    """Run the worker; the only argument is a JSON list with the region of each zone."""
+    # Real nodes log a line for each change; simulated nodes bear the same cost, but the lines are discarded.
+    null_stream = open(os.devnull, "w", encoding="utf-8")  # noqa: SIM115 - open until the process exits
+    logging.basicConfig(
+        stream=null_stream, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
+    )
     uvloop.run(serve(json.loads(sys.argv[1])))
     return 0
 
