--- a/crowpost/lab/__init__.py
+++ b/crowpost/lab/__init__.py
@@ -1,5 +1,5 @@
-"""The lab: scenarios of a whole platform, played in simulated time or on loopback sockets.
+"""The lab: scenarios of a whole platform, run in simulated time or on loopback sockets.
 
-It drives the unchanged decision module and node from outside.  Nothing of the node imports it, and its
+It drives the unchanged decision module and node from outside. No module of the node imports it, and its
 libraries are the extra `lab` of the package.
 """
--- a/crowpost/lab/compare.py
+++ b/crowpost/lab/compare.py
@@ -1,4 +1,4 @@
-"""Paired experiments: every policy plays the same seeds over all cores, and differences get an interval."""
+"""Paired experiments: every policy runs on the same seeds, with confidence intervals of the differences."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A mean and the interval that holds it with 95%, by Student's t over paired seeds."""
+    """A mean and its 95% confidence interval, by Student's t over paired seeds."""
 
     mean: float
     low: float
     high: float
 
     def apart(self) -> bool:
-        """Whether 0 lies outside."""
+        """Return whether the interval excludes 0."""
         return self.low > 0.0 or self.high < 0.0
 
     def __str__(self) -> str:
@@ -38,26 +38,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One policy over all seeds; `against` is the difference of each seed from the first policy."""
+    """One policy over all seeds; `against` is the difference from the first policy, paired by seed."""
 
     policy: str
     goal: float
     served: float
-    worst_tenth: float  # mean goal of the worst tenth of seeds, one at the least
+    worst_tenth: float  # mean goal of the worst tenth of the seeds, at least one
     against: Interval | None
     against_served: Interval | None
     p50: float
     p99: float
     p999: float
     handshakes_each: float
-    wasted: float  # of all work
+    wasted: float  # share of all work
     attempts_each: float
-    refused: float  # of all requests
+    refused: float  # share of all requests
     breaches: int
 
 
 def seeds(text: str) -> list[int]:
-    """Seeds from `3`, `1-20` or `1,4,9-12`; ValueError for anything else."""
+    """Return the seeds of `3`, `1-20` or `1,4,9-12`; raise ValueError for anything else."""
     found: list[int] = []
     for part in text.split(","):
         first, dash, last = part.strip().partition("-")
@@ -70,7 +70,7 @@
 
 
 def interval(values: Sequence[float]) -> Interval:
-    """The mean of paired differences with its 95% interval; without width for less than two values."""
+    """Return the mean of paired differences with its 95% interval, which is infinite for a single value."""
     mean = float(np.mean(values))
     if len(values) < 2:
         return Interval(mean, -np.inf, np.inf)
@@ -81,24 +81,24 @@
     return Interval(mean, float(low), float(high))
 
 
-def _job(job: tuple[Scenario, int, str]) -> dict[str, Any]:
-    scenario, seed, policy = job
+def _job(arguments: tuple[Scenario, int, str]) -> dict[str, Any]:
+    scenario, seed, policy = arguments
     return play(scenario, seed, policy)
 
 
 def play_all(
-    scenario: Scenario, policies: Sequence[str], numbers: Sequence[int], jobs: int = 0
+    scenario: Scenario, policies: Sequence[str], seed_numbers: Sequence[int], jobs: int = 0
 ) -> Iterator[dict[str, Any]]:
-    """Results in the order of seeds, then policies, on any number of processes (0: one a core)."""
+    """Yield results in the order of seeds, then policies, from several processes (0: one for each core)."""
     for policy in policies:
-        factory(policy)  # an unknown name is an error now, not in a worker
-    work = [(scenario, seed, policy) for seed in numbers for policy in policies]
-    count = min(jobs or os.cpu_count() or 1, len(work))
+        factory(policy)  # raises for an unknown name here rather than in a worker process
+    all_jobs = [(scenario, seed, policy) for seed in seed_numbers for policy in policies]
+    count = min(jobs or os.cpu_count() or 1, len(all_jobs))
     if count == 1:
-        yield from map(_job, work)
+        yield from map(_job, all_jobs)
         return
     with ProcessPoolExecutor(count) as pool:
-        yield from pool.map(_job, work)
+        yield from pool.map(_job, all_jobs)
 
 
 def _merged(runs: Sequence[dict[str, Any]]) -> HdrHistogram:
@@ -109,43 +109,59 @@
 
 
 def rows(runs: Sequence[dict[str, Any]], policies: Sequence[str]) -> list[Row]:
-    """One row a policy; differences are taken seed by seed from the first policy."""
+    """Return one row for each policy; differences from the first policy are taken seed by seed."""
     by_policy = {
-        p: sorted((r for r in runs if r["policy"] == p), key=lambda r: int(r["seed"])) for p in policies
+        policy_name: sorted(
+            (run for run in runs if run["policy"] == policy_name), key=lambda run: int(run["seed"])
+        )
+        for policy_name in policies
     }
-    first = by_policy[policies[0]]
-    table = []
+    reference_runs = by_policy[policies[0]]
+    result_rows = []
     for policy in policies:
-        mine = by_policy[policy]
-        if [r["seed"] for r in mine] != [r["seed"] for r in first]:
+        policy_runs = by_policy[policy]
+        if [run["seed"] for run in policy_runs] != [run["seed"] for run in reference_runs]:
             raise ValueError(f"{policy} has not played the seeds of {policies[0]}")
-        goals = sorted(r["goal"] for r in mine)
-        latency = _merged(mine)
-
-        def per(key: str, by: str, of: Sequence[dict[str, Any]] = mine) -> float:
-            return float(sum(r[key] for r in of) / max(sum(r[by] for r in of), 1e-9))
+        goals = sorted(run["goal"] for run in policy_runs)
+        latency = _merged(policy_runs)
+
+        def ratio(
+            numerator: str, denominator: str, selected_runs: Sequence[dict[str, Any]] = policy_runs
+        ) -> float:
+            return float(
+                sum(run[numerator] for run in selected_runs)
+                / max(sum(run[denominator] for run in selected_runs), 1e-9)
+            )
 
         def differences(
-            get: Callable[[dict[str, Any]], float], of: Sequence[dict[str, Any]] = mine
+            get: Callable[[dict[str, Any]], float], selected_runs: Sequence[dict[str, Any]] = policy_runs
         ) -> Interval:
-            return interval([get(a) - get(b) for a, b in zip(of, first, strict=True)])
+            return interval(
+                [
+                    get(run) - get(reference)
+                    for run, reference in zip(selected_runs, reference_runs, strict=True)
+                ]
+            )
 
-        table.append(
+        result_rows.append(
             Row(
                 policy,
                 float(np.mean(goals)),
-                float(np.mean([r["served"] for r in mine])),
+                float(np.mean([run["served"] for run in policy_runs])),
                 float(np.mean(goals[: max(1, len(goals) // 10)])),
-                None if policy == policies[0] else differences(lambda r: float(r["goal"])),
-                None if policy == policies[0] else differences(lambda r: float(r["served"])),
+                None if policy == policies[0] else differences(lambda run: float(run["goal"])),
+                None if policy == policies[0] else differences(lambda run: float(run["served"])),
                 latency.get_value_at_percentile(50) / 1000.0,
                 latency.get_value_at_percentile(99) / 1000.0,
                 latency.get_value_at_percentile(99.9) / 1000.0,
-                per("handshakes", "calls"),
-                per("wasted_ms", "work_ms"),
-                per("attempts", "calls"),
-                float(sum(r["ends"]["refused"] for r in mine) / max(sum(r["requests"] for r in mine), 1)),
-                sum(r["breaches"] for r in mine),
+                ratio("handshakes", "calls"),
+                ratio("wasted_ms", "work_ms"),
+                ratio("attempts", "calls"),
+                float(
+                    sum(run["ends"]["refused"] for run in policy_runs)
+                    / max(sum(run["requests"] for run in policy_runs), 1)
+                ),
+                sum(run["breaches"] for run in policy_runs),
             )
         )
-    return table
+    return result_rows
--- a/crowpost/lab/live/processes.py
+++ b/crowpost/lab/live/processes.py
@@ -1,4 +1,4 @@
-"""Real node processes: their configuration, their start, their signals and their logs."""
+"""Real node processes: their configuration, start, signals and logs."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 
 class NodeError(Exception):
-    """A node that did not start or did not end; one line."""
+    """A node that did not start or did not end; the text is one line."""
 
 
 def settings_json(settings: Settings, scenario: Scenario) -> dict[str, Any]:
-    """Settings with the names and the nesting of a node's configuration."""
+    """Return settings with the names and the nesting of a node's configuration."""
     return {
         "azs": [f"zone-{i}" for i in range(scenario.network.zones)],
         "locality": settings.zone,
         "balancers": settings.node_count,
         "ordinal": settings.node_index,
         "stage": settings.tier,
-        "layers": [t.name for t in scenario.tiers],
-        "models": [k.name for k in scenario.tiers[settings.tier].kinds],
+        "layers": [tier.name for tier in scenario.tiers],
+        "models": [kind.name for kind in scenario.tiers[settings.tier].kinds],
         "registryMode": "pushed",
         "tickMs": settings.tick_ms,
         "weights": "off",
@@ -63,24 +63,25 @@
         "loadInfo": {"columns": list(settings.load_report_columns)},
         "profiles": [
             {
-                "name": c.name,
-                "aimMs": c.latency_objective_ms,
-                "deadlineMs": c.deadline_ms,
-                "worth": c.priority_weight,
-                "effect": c.effect.value,
-                "group": c.idempotency_scope.value,
-                "windowMs": c.idempotency_window_ms,
+                "name": request_class.name,
+                "aimMs": request_class.latency_objective_ms,
+                "deadlineMs": request_class.deadline_ms,
+                "worth": request_class.priority_weight,
+                "effect": request_class.effect.value,
+                "group": request_class.idempotency_scope.value,
+                "windowMs": request_class.idempotency_window_ms,
             }
-            for c in settings.classes
+            for request_class in settings.classes
         ],
         "tenants": [
-            {"name": t.name, "fraction": t.fraction, "quotaPerS": t.quota_per_s} for t in settings.tenants
+            {"name": tenant.name, "fraction": tenant.fraction, "quotaPerS": tenant.quota_per_s}
+            for tenant in settings.tenants
         ],
     }
 
 
 class NodeProcess:
-    """One node: started again it keeps its address; its log is kept in memory, the last lines of it."""
+    """One node, which keeps its address over restarts; the last lines of its log are kept in memory."""
 
     def __init__(
         self,
@@ -93,15 +94,15 @@
         state: bool = False,
         environment: Mapping[str, str] | None = None,
     ) -> None:
-        self.state = state  # whether it keeps a state directory
-        self.environment = dict(environment or {})  # beside what every node is told
+        self.state = state  # whether it has a state directory
+        self.environment = dict(environment or {})  # in addition to the variables of every node
         self.name, self.folder, self.discovery, self.seed = name, folder, discovery, seed
         self.settings, self.known = settings, known
         self.port = 0
         self.up = False
         self.starts = 0
         self.log: deque[str] = deque(maxlen=400)
-        self.listener: int | None = None  # a listening socket that every process of it inherits
+        self.listener: int | None = None  # listening socket that every process of the node inherits
         self.command = [sys.executable, "-m", "crowpost"]
         self._process: asyncio.subprocess.Process | None = None
         self._ending: list[asyncio.subprocess.Process] = []
@@ -109,7 +110,7 @@
         self._listens = asyncio.Event()
 
     async def start(self) -> None:
-        """Start it and wait until `GET /ready` says yes; NodeError if it does not within 20 s."""
+        """Start the process and wait for a 200 of `GET /ready`; raise NodeError if none comes within 20 s."""
         config = self.folder / f"{self.name}-{self.starts}.json"
         self.starts += 1
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": 512}
@@ -140,23 +141,23 @@
         try:
             await asyncio.wait_for(self._until_ready(), READY_S)
         except TimeoutError:
-            raise NodeError(f"{self.name} is not ready after {READY_S:g} s: {self.last_words()}") from None
+            raise NodeError(f"{self.name} is not ready after {READY_S:g} s: {self.last_log_line()}") from None
         self.up = True
 
     @property
     def pid(self) -> int:
-        """Of the present process."""
+        """Process id of the present process."""
         assert self._process is not None
         return self._process.pid
 
     def ended(self) -> str | None:
-        """How it ended, and its last words; None while it runs."""
+        """Return the exit code and the last log line; None while the process runs."""
         code = self._process.returncode if self._process is not None else None
-        return None if code is None else f"exit code {code}: {self.last_words()}"
+        return None if code is None else f"exit code {code}: {self.last_log_line()}"
 
-    def last_words(self) -> str:
-        """The last line of its log."""
-        return self.log[-1] if self.log else "it said nothing"
+    def last_log_line(self) -> str:
+        """Return the last line of the log."""
+        return self.log[-1] if self.log else "no output"
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
@@ -172,10 +173,10 @@
     async def _until_ready(self) -> None:
         process = self._process
         assert process is not None
-        waits = {asyncio.ensure_future(self._listens.wait()), asyncio.ensure_future(process.wait())}
-        _, late = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for wait in late:
-            wait.cancel()
+        waiters = {asyncio.ensure_future(self._listens.wait()), asyncio.ensure_future(process.wait())}
+        _, pending = await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
+        for waiter in pending:
+            waiter.cancel()
         while process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 reader, writer = await asyncio.open_connection(HOST, self.port)
@@ -185,10 +186,10 @@
                 if b" 200" in status:
                     return
             await asyncio.sleep(0.02)
-        raise NodeError(f"{self.name} ended with {process.returncode}: {self.last_words()}")
+        raise NodeError(f"{self.name} ended with {process.returncode}: {self.last_log_line()}")
 
     async def terminate(self, kill_after_s: float) -> int:
-        """SIGTERM, and SIGKILL after a time; the exit code."""
+        """Send SIGTERM, and SIGKILL after a time; return the exit code."""
         process = self._process
         assert process is not None
         self.up = False
@@ -204,14 +205,14 @@
         return await process.wait()
 
     async def upgrade(self, kill_after_s: float) -> int:
-        """A second process takes over the inherited listener; the first one's exit code."""
+        """Start a second process that takes over the inherited listener; return the first one's exit code."""
         old = self._process
         assert old is not None and self.listener is not None
         await self.start()
         return await self._end(old, kill_after_s)
 
     async def kill(self) -> None:
-        """SIGKILL, if it still runs."""
+        """Send SIGKILL if the process still runs."""
         self.up = False
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
@@ -220,7 +221,7 @@
             await self._reader
 
     def memory_mb(self) -> float:
-        """Resident memory now, from /proc; 0 if it has ended."""
+        """Return the resident memory now, from /proc; 0 if the process has ended."""
         if self._process is None or self._process.returncode is not None:
             return 0.0
         pages = int(Path(f"/proc/{self._process.pid}/statm").read_text().split()[1])
--- a/crowpost/lab/machines.py
+++ b/crowpost/lab/machines.py
@@ -1,6 +1,6 @@
-"""Servers in simulated time: slots, a waiting room, connections, cold starts, crowding and faults.
+"""Servers in simulated time: slots, a waiting room, connections, slow start, contention and faults.
 
-A server is a queue of the field's ordinary kind, a G/G/k station whose rate changes.
+A server is a G/G/k queue whose service rate changes.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 if TYPE_CHECKING:
     from crowpost.lab.nodes import SimNode, SimulatedRequest
 
-ERROR_MS = 1.0  # a quick error takes this long
-COLD_STEPS = 12  # a cold server's rate is set anew this often until it is warm
-FALL_SLACK = 1.2  # what chance may add to the budget of a cold server
+ERROR_MS = 1.0  # duration of a call that fails at once
+WARM_UP_STEPS = 12  # times that the rate of a server is updated while it is warming up
+OVERLOAD_SLACK = 1.2  # margin of the load budget of a server that is warming up, for random variation
 
 
 @dataclass(slots=True, eq=False)
@@ -32,59 +32,59 @@
     number: int
     node: SimNode
     server: SimServer
-    epoch: int  # of the server's process that the connection leads to
+    epoch: int  # server process that the connection leads to
     sent: float
-    work: float = 0.0  # left for the half in hand
-    told: bool = True  # the node that sent it knows of the server's present process
+    work: float = 0.0  # work that remains for the second half of the call
+    informed: bool = True  # whether the sending node knows of the server's present process
     calls_left: int = 0
-    over: bool = False  # its outcome has been given to the node
+    ended: bool = False  # its outcome has been reported to the node
     cancelled: bool = False
-    below: SimulatedRequest | None = None  # the call that it waits for in the next tier
+    child_request: SimulatedRequest | None = None  # the call to the next tier that it waits for
 
 
 @dataclass(slots=True)
-class Trouble:
-    """What is wrong with a server at the moment; the parts add up."""
+class ActiveFaults:
+    """Faults that are active on a server; they combine."""
 
     errors: float = 0.0
     spoilt: float = 0.0
     slower: float = 1.0
-    taken: float = 0.0  # share of the machine that a neighbour has
+    taken: float = 0.0  # share of the machine that a neighbour uses
     paused: bool = False
-    cut: bool = False  # the machine says nothing
+    cut: bool = False  # the machine is unresponsive
     idle_ms: float | None = None  # closes idle connections after this long
 
 
 @dataclass(slots=True)
-class Tally:
-    """What a server did over the run."""
+class ServerCounts:
+    """Counts of a server over the run."""
 
     calls: int = 0
     served: int = 0
-    turned_away: int = 0
+    rejected: int = 0
 
 
 @dataclass(slots=True)
-class Pressure:
-    """Work sent to a cold server within the last window, for rule 4."""
+class ColdServerLoad:
+    """Work sent to a server that is warming up within the last window, for rule 4."""
 
     window: deque[tuple[float, float, bool]] = field(default_factory=deque)
     total: float = 0.0
-    from_told: float = 0.0
+    from_informed: float = 0.0
 
-    def add(self, now: float, work: float, told: bool, span: float) -> None:
-        """Count work that comes in; what came before the span falls out."""
-        self.window.append((now, work, told))
+    def add(self, now: float, work: float, informed: bool, span: float) -> None:
+        """Add work that arrives, and remove what is older than the window `span` in ms."""
+        self.window.append((now, work, informed))
         self.total += work
-        self.from_told += work if told else 0.0
+        self.from_informed += work if informed else 0.0
         while self.window[0][0] < now - span:
-            _, gone, knew = self.window.popleft()
-            self.total -= gone
-            self.from_told -= gone if knew else 0.0
+            _, expired, was_informed = self.window.popleft()
+            self.total -= expired
+            self.from_informed -= expired if was_informed else 0.0
 
 
 class SimServer:
-    """One server.  Its id stays the same over restarts; `epoch` counts its processes."""
+    """One server. Its id stays the same over restarts; `epoch` counts its processes."""
 
     def __init__(
         self,
@@ -102,113 +102,118 @@
         self.engine, self.tier, self.stage, self.kind = engine, tier, stage, kind
         self.name, self.zone, self.cell, self.kind_index = name, zone, cell, kind_index
         self.rng, self.limits = rng, limits
-        self.place = 0  # in its tier
+        self.place = 0  # index in its tier
         self.speed = kind.speed[0] + (kind.speed[1] - kind.speed[0]) * rng.random()
         self.up = True
-        self.fallen = False
+        self.overloaded = False
         self.draining = False
         self.epoch = 0
-        self.started = 0.0  # 0: long ago
-        self.trouble = Trouble()
-        self.tally = Tally()
+        self.started = 0.0  # 0: before the run, so it is warm
+        self.faults = ActiveFaults()
+        self.counts = ServerCounts()
         self.connections = 0
-        self.node: SimNode | None = None  # its own, for the next tier
+        self.node: SimNode | None = None  # its own node, for calls to the next tier
         self.on_answer: Callable[[Call, Outcome], None]
-        self.on_fall: Callable[[SimServer, float], None]
+        self.on_overload: Callable[[SimServer, float], None]
         self.report: tuple[float, ...] = (0.0, 0.0, 0.0)
         self._report_at = -1e9
         self.report_delay = 0.0
         self._errors = deque[float]()
         self._slots: set[Call] = set()
-        self._room: deque[Call] = deque()
-        self._pressure = Pressure()
-        self.crowd = Contention(engine, tier.crowding, kind.cores, self.retime)
-        self._cores = Cores(engine, kind.cores, self.rate, self._watch_crowd)
+        self._queue: deque[Call] = deque()
+        self._cold_load = ColdServerLoad()
+        self.contention = Contention(engine, tier.crowding, kind.cores, self.retime)
+        self._cores = Cores(engine, kind.cores, self.rate, self._update_contention)
 
     # ------------------------------------------------------------ rate
 
-    def ramp(self) -> float:
-        """The part of its capacity that it has by now."""
+    def warm_up_fraction(self) -> float:
+        """Return the part of its full capacity that the server has now."""
         if not self.started:
             return 1.0
         age = (self.engine.now - self.started) / self.kind.warm_up_ms
         return min(1.0, self.kind.cold_from + (1.0 - self.kind.cold_from) * max(age, 0.0))
 
     def rate(self) -> float:
-        """Work in ms that each core does in a ms."""
-        trouble = self.trouble
-        if trouble.paused or not self.up:
+        """Return the work in ms that each core does in a ms."""
+        faults = self.faults
+        if faults.paused or not self.up:
             return 0.0
-        return self.speed * self.ramp() * (1.0 - trouble.taken) / (trouble.slower * self.crowd.slower)
+        return (
+            self.speed
+            * self.warm_up_fraction()
+            * (1.0 - faults.taken)
+            / (faults.slower * self.contention.slower)
+        )
 
     def backlog(self) -> float:
-        """Work in ms that stands before a call that comes now, without what waits for the next tier."""
-        return self._cores.backlog() + sum(c.work for c in self._room)
+        """Return the work in ms ahead of a call that arrives now, except calls waiting for the next tier."""
+        return self._cores.backlog() + sum(call.work for call in self._queue)
 
     def outstanding(self) -> int:
-        """Calls held, waiting or in work."""
-        return len(self._slots) + len(self._room)
+        """Return the number of calls that are waiting or in work."""
+        return len(self._slots) + len(self._queue)
 
     def retime(self) -> None:
-        """What the rate hangs on has changed."""
+        """Recompute the ends of running work after a change of the rate."""
         self._cores.retime()
 
-    def _watch_crowd(self) -> None:
-        self.crowd.watch(self._cores.waiting + len(self._room), self._cores.busy)
+    def _update_contention(self) -> None:
+        self.contention.watch(self._cores.waiting + len(self._queue), self._cores.busy)
 
     # ------------------------------------------------------------ calls
 
     def connect(self) -> None:
-        """A new connection: its handshake costs a core."""
+        """Accept a connection: its handshake takes time of a core."""
         self.connections += 1
-        self._cores.compute(self.kind.handshake_work_ms, _nothing)
+        self._cores.compute(self.kind.handshake_work_ms, _no_op)
 
-    def probe(self, then: Callable[[], None]) -> None:
-        """A probe costs a core as well."""
-        self._cores.compute(self.kind.probe_work_ms, then)
+    def check_health(self, on_done: Callable[[], None]) -> None:
+        """Answer a health check, which takes time of a core as well."""
+        self._cores.compute(self.kind.probe_work_ms, on_done)
 
-    def take(self, call: Call) -> None:
-        """A call's last byte has come."""
+    def receive(self, call: Call) -> None:
+        """Receive a call whose last byte has arrived."""
         if call.epoch != self.epoch or not self.up:
             self.on_answer(call, Outcome.RESET)
             return
-        if self.trouble.cut:
-            self.connections -= 1  # nothing is heard of it again
+        if self.faults.cut:
+            self.connections -= 1  # the call is never answered
             return
-        self.tally.calls += 1
-        work = self._work_of(call)
-        if self.started and self.ramp() < 1.0 and self._pressed(call, work):
+        self.counts.calls += 1
+        work = self._draw_work(call)
+        if self.started and self.warm_up_fraction() < 1.0 and self._overloads(call, work):
             return
-        errors = self.trouble.errors or self.kind.error_rate
+        errors = self.faults.errors or self.kind.error_rate
         if errors and self.rng.random() < errors:
             self._errors.append(self.engine.now)
             self.engine.after(ERROR_MS, self.on_answer, call, Outcome.ERROR)
         elif len(self._slots) < self.kind.slots:
             self._start(call, work)
-        elif len(self._room) < self.kind.waiting_room:
+        elif len(self._queue) < self.kind.waiting_room:
             call.work = work
-            self._room.append(call)
-            self._watch_crowd()
+            self._queue.append(call)
+            self._update_contention()
         else:
-            self.tally.turned_away += 1
+            self.counts.rejected += 1
             self.on_answer(call, Outcome.FULL)
 
-    def _work_of(self, call: Call) -> float:
+    def _draw_work(self, call: Call) -> float:
         noise = 0.8 + 0.4 * self.rng.random()
         return call.request.work * self.tier.work_part * noise
 
-    def _pressed(self, call: Call, work: float) -> bool:
-        """Rule 4: whether this call is one more than a cold server bears; it then falls and stays down."""
+    def _overloads(self, call: Call, work: float) -> bool:
+        """Return whether a call overloads a server that is warming up (rule 4); it then stops for good."""
         limits = self.limits
-        self._pressure.add(self.engine.now, work, call.told, limits.overload_window_ms)
-        capacity = self.speed * self.kind.cores * self.ramp()
-        most = FALL_SLACK * limits.overload_factor * capacity * limits.overload_window_ms
-        if self._pressure.total <= most:
+        self._cold_load.add(self.engine.now, work, call.informed, limits.overload_window_ms)
+        capacity = self.speed * self.kind.cores * self.warm_up_fraction()
+        budget = OVERLOAD_SLACK * limits.overload_factor * capacity * limits.overload_window_ms
+        if self._cold_load.total <= budget:
             return False
-        told = self._pressure.from_told / self._pressure.total
-        self.fallen = True
+        informed = self._cold_load.from_informed / self._cold_load.total
+        self.overloaded = True
         self.stop()
-        self.on_fall(self, told)
+        self.on_overload(self, informed)
         return True
 
     def _start(self, call: Call, work: float) -> None:
@@ -216,22 +221,24 @@
         call.calls_left = call.request.calls[self.stage]
         half = 0.5 * work if call.calls_left else work
         call.work = work - half
-        self._cores.compute(half, lambda: self._descend(call, self.epoch))
+        self._cores.compute(half, lambda: self._call_next_tier(call, self.epoch))
 
-    def _descend(self, call: Call, epoch: int) -> None:
-        """Call the next tier as often as the request wants, then do the other half."""
+    def _call_next_tier(self, call: Call, epoch: int) -> None:
+        """Make the calls to the next tier that the request needs, then do the second half of the work."""
         if epoch != self.epoch:
             return
         if call.calls_left and self.node is not None:
             call.calls_left -= 1
-            call.below = self.node.accept_below(call, lambda served: self._back(call, epoch, served))
+            call.child_request = self.node.accept_from_server(
+                call, lambda served: self._next_tier_answered(call, epoch, served)
+            )
         else:
             self._cores.compute(call.work, lambda: self._answer(call, epoch, Outcome.OK))
 
-    def _back(self, call: Call, epoch: int, served: bool) -> None:
-        call.below = None
+    def _next_tier_answered(self, call: Call, epoch: int, served: bool) -> None:
+        call.child_request = None
         if served:
-            self._descend(call, epoch)
+            self._call_next_tier(call, epoch)
         else:
             self._answer(call, epoch, Outcome.ERROR)
 
@@ -240,27 +247,27 @@
             return
         self._slots.discard(call)
         if outcome is Outcome.OK:
-            self.tally.served += 1
-            if self.trouble.spoilt and self.rng.random() < self.trouble.spoilt:
+            self.counts.served += 1
+            if self.faults.spoilt and self.rng.random() < self.faults.spoilt:
                 outcome = Outcome.RESET
         else:
             self._errors.append(self.engine.now)
-        while self._room and len(self._slots) < self.kind.slots:
-            waiting = self._room.popleft()
+        while self._queue and len(self._slots) < self.kind.slots:
+            waiting = self._queue.popleft()
             if not (waiting.cancelled and self.tier.drops_cancelled):
                 self._start(waiting, waiting.work)
-        if self.trouble.cut:
+        if self.faults.cut:
             self.connections -= 1
         else:
             self.on_answer(call, outcome)
 
     @property
     def work(self) -> float:
-        """Work in ms of a core of speed 1 that it has taken on over the run."""
+        """Work in ms of a core of speed 1 that the server has accepted over the run."""
         return self._cores.done_work
 
     def load(self) -> tuple[float, ...]:
-        """The load report of an answer: outstanding, backlog, errors a second; refreshed now and then."""
+        """Return the load report: outstanding, backlog, errors a second; refreshed every report interval."""
         now = self.engine.now
         if now - self._report_at >= self.tier.report_ms + self.report_delay:
             self._report_at = now
@@ -268,7 +275,7 @@
                 self._errors.popleft()
             self.report = (
                 float(self.outstanding()),
-                float(self._cores.waiting + len(self._room)),
+                float(self._cores.waiting + len(self._queue)),
                 float(len(self._errors)),
             )
         return self.report
@@ -276,40 +283,40 @@
     # ------------------------------------------------------------ life
 
     def stop(self) -> list[Call]:
-        """The process ends; what it held is returned, each of which its node sees reset."""
-        held = [*self._slots, *self._room]
-        held.sort(key=lambda c: (c.sent, c.request.id, c.number))
+        """End the process and return its unfinished calls; the node of each sees a reset."""
+        unfinished = [*self._slots, *self._queue]
+        unfinished.sort(key=lambda call: (call.sent, call.request.id, call.number))
         self._slots.clear()
-        self._room.clear()
+        self._queue.clear()
         self._cores.clear()
-        self.crowd.clear()
+        self.contention.clear()
         self.up = False
         self.epoch += 1
         self.connections = 0
         if self.node is not None:
             self.node.stop()
             self.node = None
-        for call in held:
+        for call in unfinished:
             self.on_answer(call, Outcome.RESET)
-        return held
+        return unfinished
 
     def start(self) -> None:
-        """A new process, cold."""
-        if self.fallen:
+        """Start a new process, which is cold."""
+        if self.overloaded:
             return
         self.up, self.draining = True, False
         self.started = self.engine.now
-        self._pressure = Pressure()
+        self._cold_load = ColdServerLoad()
         self.retime()
-        for step in range(1, COLD_STEPS + 1):
-            self.engine.after(step * self.kind.warm_up_ms / COLD_STEPS, self._warm, self.epoch)
+        for step in range(1, WARM_UP_STEPS + 1):
+            self.engine.after(step * self.kind.warm_up_ms / WARM_UP_STEPS, self._warm, self.epoch)
 
     def _warm(self, epoch: int) -> None:
         if epoch == self.epoch:
             self.retime()
 
     def entry(self) -> EndpointEntry:
-        """Its row in the list."""
+        """Return the row of the server in the endpoint list."""
         if not self.up:
             readiness = Readiness.GONE
         else:
@@ -317,5 +324,5 @@
         return EndpointEntry(self.name, readiness, 1.0, self.kind_index, self.zone, self.cell, self.started)
 
 
-def _nothing() -> None:
-    """A handshake is followed by no call of its own."""
+def _no_op() -> None:
+    """Do nothing: no call follows a handshake."""
--- a/crowpost/lab/nodes.py
+++ b/crowpost/lab/nodes.py
@@ -36,77 +36,77 @@
 )
 from crowpost.lab.engine import Engine, Planned
 from crowpost.lab.machines import Call, SimServer
-from crowpost.lab.rules import Tried
+from crowpost.lab.rules import SentAttempt
 
 if TYPE_CHECKING:
     from crowpost.lab.platform import Platform
 
-PROBE_TIMEOUT_MS = 400.0
+HEALTH_CHECK_TIMEOUT_MS = 400.0
 
 
 class Policy(Protocol):
-    """What decides: the decision module, a baseline, or an earlier version."""
+    """A decision maker: the decision module, a baseline, or an earlier version."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """The actions that follow from an event at a time in ms."""
+        """Return the actions that follow from an event at a time in ms."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedRequest:
-    """A request as one node has it, and all that happened to it."""
+    """A request as one node sees it, with its history."""
 
     id: int
     kind: RequestClass
     class_index: int
     arrived: float
     deadline: float
-    work: float  # of the whole request, in ms of a core of speed 1
-    calls: tuple[int, ...]  # of the next tier, for each stage
+    work: float  # work of the whole request, in ms of a core of speed 1
+    calls: tuple[int, ...]  # calls to the next tier, by tier index
     reply: Callable[[str, float], None]
-    top: int = 0  # the client's request that it belongs to
+    client_request: int = 0  # index of the client request that it belongs to
     tenant: int = 0
     hint: float = 0.0
     is_repeat: bool = False
     answered: str | None = None
-    gone: bool = False
-    tried: list[Tried] = field(default_factory=list)
-    out: list[Call] = field(default_factory=list)
-    story: list[tuple[float, str, EndpointId]] = field(default_factory=list)
-
-    def story_lines(self) -> list[str]:
-        """All that happened to it, a line each."""
-        who = f"request {self.id} ({self.kind.name}, deadline {self.deadline:.1f})"
+    abandoned: bool = False
+    sent_attempts: list[SentAttempt] = field(default_factory=list)
+    in_flight: list[Call] = field(default_factory=list)
+    history: list[tuple[float, str, EndpointId]] = field(default_factory=list)
+
+    def history_lines(self) -> list[str]:
+        """Return the history of the request, a line for each event."""
+        label = f"request {self.id} ({self.kind.name}, deadline {self.deadline:.1f})"
         return [
-            f"  {self.arrived:10.1f} {who} arrives",
-            *(f"  {at:10.1f} {what} {server.decode()}".rstrip() for at, what, server in self.story),
+            f"  {self.arrived:10.1f} {label} arrives",
+            *(f"  {at:10.1f} {event} {server.decode()}".rstrip() for at, event, server in self.history),
         ]
 
 
 @dataclass(slots=True)
 class Connection:
-    """A connection to a server's process, idle since a time in ms."""
+    """A connection to a server process, idle since a time in ms."""
 
     epoch: int
     idle_since: float
 
 
 @dataclass(slots=True)
-class NodeTally:
-    """What a node did over the run."""
+class NodeCounts:
+    """Counts of a node over the run."""
 
     requests: int = 0
     attempts: int = 0
-    copies: int = 0  # attempts sent while another was out
+    hedges: int = 0  # attempts sent while another was in flight
     handshakes: int = 0
-    probes: int = 0
-    refused: int = 0
+    health_checks: int = 0
+    rejected: int = 0
     failed: int = 0
     log: list[tuple[float, str]] = field(default_factory=list)
 
 
 class SimNode:
-    """One node: feeds its policy, carries out what it says, and shows every action to the rules."""
+    """One node: passes events to its policy, performs the actions, and has them checked by the rules."""
 
     def __init__(
         self,
@@ -117,7 +117,7 @@
         settings: Settings,
         policy: Policy,
         rng: Random,
-        rows: Iterable[EndpointEntry],
+        entries: Iterable[EndpointEntry],
     ) -> None:
         self.platform, self.engine, self.rules = platform, platform.engine, platform.rules
         self.name: str = name
@@ -128,35 +128,35 @@
         self.rng = rng
         self.up: bool = True
         self.known: dict[EndpointId, EndpointEntry] = {}
-        self.leaving: dict[EndpointId, float] = {}
+        self.draining_since: dict[EndpointId, float] = {}
         self.requests: dict[int, SimulatedRequest] = {}
-        self.tally = NodeTally()
-        self._calls: dict[tuple[int, int], Call] = {}  # those that are out
+        self.counts = NodeCounts()
+        self._calls: dict[tuple[int, int], Call] = {}  # calls in flight, by request id and attempt
         self._idle: dict[EndpointId, list[Connection]] = {}
         self._version = 0
-        self.tell(ListKind.FULL, tuple(rows))
+        self.update_list(ListKind.FULL, tuple(entries))
 
     # ------------------------------------------------------------ events
 
-    def tell(self, kind: ListKind, rows: tuple[EndpointEntry, ...]) -> None:
-        """News of the list has reached this node."""
+    def update_list(self, kind: ListKind, entries: tuple[EndpointEntry, ...]) -> None:
+        """Apply a change of the endpoint list that has reached this node."""
         if not self.up:
             return
         now = self.engine.now
-        for row in rows:
-            self.rules.told(self, row, now)
+        for entry in entries:
+            self.rules.list_updated(self, entry, now)
         self._version += 1
-        self._feed(EndpointList(kind, rows, self._version))
+        self._feed(EndpointList(kind, entries, self._version))
 
     def hear(self, event: NodesPresent | StateRestored) -> None:
-        """News of its membership has reached this node, or of what its predecessor knew."""
+        """Pass on a change of the nodes present, or the restored state of the previous process."""
         self._feed(event)
 
     def accept(self, request: SimulatedRequest) -> None:
-        """A request's last byte has come; its final answer goes to `ask.reply`."""
-        self.tally.requests += 1
+        """Accept a request whose last byte has arrived; `request.reply` gets its final answer."""
+        self.counts.requests += 1
         self.requests[request.id] = request
-        self.engine.at(request.deadline, self._overdue, request)
+        self.engine.at(request.deadline, self._deadline_passed, request)
         self._feed(
             RequestArrived(
                 request.id,
@@ -168,38 +168,38 @@
             )
         )
 
-    def accept_below(self, call: Call, then: Callable[[bool], None]) -> SimulatedRequest:
-        """A server's call of the next tier, with the time that its own request has left."""
-        above = call.request
-        request = self.platform.new_request(above, self.stage, lambda kind, _: then(kind == "ok"))
-        # Its own node is on the same machine; a call of its own breaks the recursion.
-        self.engine.at(self.engine.now, self._accept_late, request)
+    def accept_from_server(self, call: Call, on_end: Callable[[bool], None]) -> SimulatedRequest:
+        """Accept a call to the next tier from this node's server, with the deadline of its own request."""
+        parent = call.request
+        request = self.platform.new_request(parent, self.stage, lambda kind, _: on_end(kind == "ok"))
+        # The node is on the same machine, so there is no delay; a scheduled call avoids recursion.
+        self.engine.at(self.engine.now, self._accept_if_up, request)
         return request
 
-    def _accept_late(self, request: SimulatedRequest) -> None:
-        if self.up and not request.gone:
+    def _accept_if_up(self, request: SimulatedRequest) -> None:
+        if self.up and not request.abandoned:
             self.accept(request)
 
-    def leave(self, request: SimulatedRequest) -> None:
-        """The client has gone away; no answer is owed."""
-        if request.answered is None and not request.gone:
-            request.gone = True
+    def abandon(self, request: SimulatedRequest) -> None:
+        """Abandon a request because its client has disconnected; no answer is due."""
+        if request.answered is None and not request.abandoned:
+            request.abandoned = True
             if self.up and self.requests.pop(request.id, None) is not None:
-                request.story.append((self.engine.now, "the client leaves", b""))
+                request.history.append((self.engine.now, "the client disconnects", b""))
                 self._feed(RequestAbandoned(request.id))
 
     def stop(self) -> None:
-        """The process is killed: what it held gets no answer from it, and its calls are withdrawn."""
+        """Kill the process: its requests get no answer from it, and its calls are dropped."""
         self.up = False
         for call in self._calls.values():
-            call.over = True
+            call.ended = True
         self._calls.clear()
         for request in self.requests.values():
-            request.gone = True
+            request.abandoned = True
         self.requests.clear()
         for server, connections in self._idle.items():
             target = self.platform.servers[server]
-            target.connections -= sum(1 for c in connections if c.epoch == target.epoch)
+            target.connections -= sum(1 for connection in connections if connection.epoch == target.epoch)
         self._idle.clear()
 
     def _feed(self, event: Event) -> None:
@@ -214,54 +214,54 @@
         if isinstance(action, Send):
             self._send(action)
         elif isinstance(action, SetTimer):
-            self.engine.at(action.at_ms, self._fire, action.token)
+            self.engine.at(action.at_ms, self._timer_fired, action.token)
         elif isinstance(action, Reject):
             request = self.requests.get(action.request)
             if request is not None:
-                self.rules.refused(self, request, self.engine.now)
-                self.tally.refused += 1
+                self.rules.check_reject(self, request, self.engine.now)
+                self.counts.rejected += 1
                 self._answer(request, "refused", action.retry_after_ms)
         elif isinstance(action, Fail):
             request = self.requests.get(action.request)
             if request is not None:
-                self.tally.failed += 1
+                self.counts.failed += 1
                 self._answer(request, "failed", 0.0)
         elif isinstance(action, Cancel):
             self._cancel(action)
         elif isinstance(action, HealthCheck):
-            self._probe(action.server)
+            self._check_health(action.server)
         elif isinstance(action, CloseIdle):
             self._close_idle(action.server)
         elif isinstance(action, Log):
-            if len(self.tally.log) < 200:
-                self.tally.log.append((self.engine.now, action.text))
+            if len(self.counts.log) < 200:
+                self.counts.log.append((self.engine.now, action.text))
         elif isinstance(action, Subscribe):
-            self.engine.after(1.0, self.tell, ListKind.CHANGES, ())
+            self.engine.after(1.0, self.update_list, ListKind.CHANGES, ())
 
-    def _fire(self, token: int) -> None:
+    def _timer_fired(self, token: int) -> None:
         self._feed(TimerFired(token))
 
     def _answer(self, request: SimulatedRequest, kind: str, retry_after: float) -> None:
         now = self.engine.now
-        self.rules.answered(self, request, now)
-        request.story.append((now, f"answered: {kind}", b""))
+        self.rules.check_answer(self, request, now)
+        request.history.append((now, f"answered: {kind}", b""))
         if request.answered is None:
             request.answered = kind
             del self.requests[request.id]
             self.engine.at(now, request.reply, kind, retry_after)
 
-    def _overdue(self, request: SimulatedRequest) -> None:
-        """The client's time is over: attempts still out end as timed out."""
+    def _deadline_passed(self, request: SimulatedRequest) -> None:
+        """End attempts that are still in flight as timed out once the client no longer waits."""
         if not self.up:
             return
-        for call in list(request.out):
+        for call in list(request.in_flight):
             call.cancelled = True  # its connection is closed
             self._ended(call, Outcome.TIMEOUT, ())
-        self.engine.after(self.settings.answer_slack_ms, self._check, request)
+        self.engine.after(self.settings.answer_slack_ms, self._check_answered, request)
 
-    def _check(self, request: SimulatedRequest) -> None:
+    def _check_answered(self, request: SimulatedRequest) -> None:
         if self.up:
-            self.rules.overdue(self, request, self.engine.now)
+            self.rules.check_answered(self, request, self.engine.now)
 
     # ------------------------------------------------------------ attempts
 
@@ -269,49 +269,51 @@
         engine, now = self.engine, self.engine.now
         request = self.requests.get(action.request)
         if request is None:
-            self.rules.bad_action(self, f"a send for request {action.request}, which is not open", None, now)
+            self.rules.invalid_action(
+                self, f"a send for request {action.request}, which is not open", None, now
+            )
             return
-        self.rules.sent(self, request, action.server, self.settings, now)
+        self.rules.check_send(self, request, action.server, self.settings, now)
         server = self.platform.servers[action.server]
         entry = self.known.get(action.server, server.entry())
-        call = Call(request, len(request.tried), self, server, server.epoch, now)
-        call.told = entry.started_ms >= server.started
-        self.tally.attempts += 1
-        self.tally.copies += 1 if request.out else 0
-        request.tried.append(Tried(entry, now))
-        request.story.append((now, f"attempt {call.number} to", action.server))
-        request.out.append(call)
+        call = Call(request, len(request.sent_attempts), self, server, server.epoch, now)
+        call.informed = entry.started_ms >= server.started
+        self.counts.attempts += 1
+        self.counts.hedges += 1 if request.in_flight else 0
+        request.sent_attempts.append(SentAttempt(entry, now))
+        request.history.append((now, f"attempt {call.number} to", action.server))
+        request.in_flight.append(call)
         self._calls[request.id, call.number] = call
-        self.platform.count_send(self.stage, server)
+        self.platform.record_send(self.stage, server)
         one_way = self.platform.one_way(self.zone, server.zone, self.rng)
         if self._idle_connection(server):
-            engine.after(one_way, self._reach, call, True)
+            engine.after(one_way, self._deliver, call, True)
             return
         network = self.platform.scenario.network
-        if server.trouble.cut:
+        if server.faults.cut:
             engine.after(network.connect_timeout_ms, self._ended, call, Outcome.CONNECT_FAILED, ())
         elif not server.up or server.connections >= server.kind.connections:
             engine.after(2.0 * one_way, self._ended, call, Outcome.CONNECT_FAILED, ())
         else:
-            self.tally.handshakes += 1
+            self.counts.handshakes += 1
             server.connect()
-            engine.after((1.0 + 2.0 * network.handshake_round_trips) * one_way, self._reach, call, False)
+            engine.after((1.0 + 2.0 * network.handshake_round_trips) * one_way, self._deliver, call, False)
 
-    def _reach(self, call: Call, reused: bool) -> None:
-        """The request's last byte has come to the server, or nobody is there any more."""
+    def _deliver(self, call: Call, reused: bool) -> None:
+        """Deliver the last byte of the request, or end the call if the server's process is gone."""
         server = call.server
         if server.epoch == call.epoch and server.up:
-            server.take(call)
+            server.receive(call)
         else:
             self._ended(call, Outcome.RESET if reused else Outcome.CONNECT_FAILED, ())
 
-    def answer_from(self, call: Call, outcome: Outcome) -> None:
-        """A server has ended a call; the news is on its way."""
+    def send_answer(self, call: Call, outcome: Outcome) -> None:
+        """Send the answer of a server to this node, with the network delay."""
         one_way = self.platform.one_way(self.zone, call.server.zone, self.rng)
         load = call.server.load() if outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL) else ()
-        self.engine.after(one_way, self._arrived, call, outcome, load)
+        self.engine.after(one_way, self._answer_arrived, call, outcome, load)
 
-    def _arrived(self, call: Call, outcome: Outcome, load: tuple[float, ...]) -> None:
+    def _answer_arrived(self, call: Call, outcome: Outcome, load: tuple[float, ...]) -> None:
         server = call.server
         if outcome is not Outcome.RESET and server.epoch == call.epoch and self.up and not call.cancelled:
             self._idle.setdefault(server.name, []).append(Connection(call.epoch, self.engine.now))
@@ -320,18 +322,18 @@
         self._ended(call, outcome, load)
 
     def _ended(self, call: Call, outcome: Outcome, load: tuple[float, ...]) -> None:
-        if call.over or not self.up:
+        if call.ended or not self.up:
             return
-        call.over = True
+        call.ended = True
         now, request = self.engine.now, call.request
-        request.out.remove(call)
+        request.in_flight.remove(call)
         del self._calls[request.id, call.number]
-        request.tried[call.number].outcome = outcome
-        request.story.append((now, f"attempt {call.number} ends: {outcome.value},", call.server.name))
-        served = outcome is Outcome.OK and request.answered is None and not request.gone
+        request.sent_attempts[call.number].outcome = outcome
+        request.history.append((now, f"attempt {call.number} ends: {outcome.value},", call.server.name))
+        served = outcome is Outcome.OK and request.answered is None and not request.abandoned
         if served:
             self._answer(request, "ok", 0.0)
-        finished = request.answered is not None or request.gone
+        finished = request.answered is not None or request.abandoned
         event = AttemptEnded(
             request.id, call.number, call.server.name, outcome, now - call.sent, finished, load
         )
@@ -340,20 +342,22 @@
     def _cancel(self, action: Cancel) -> None:
         call = self._calls.get((action.request, action.attempt))
         if call is None or call.cancelled or action.answered:
-            return  # of an answered request the late answer is read away, and the connection kept
+            # The late answer to a request that has its final answer is read and discarded, and the connection
+            # kept.
+            return
         call.cancelled = True
         self.engine.at(self.engine.now, self._ended, call, Outcome.CANCELLED, ())
 
     # ------------------------------------------------------------ connections and probes
 
     def _idle_connection(self, server: SimServer) -> bool:
-        """Take the youngest idle connection that its server has not closed meanwhile."""
+        """Take the latest idle connection that its server has not closed; return whether there was one."""
         idle = self._idle.get(server.name)
         if not idle:
             return False
         longest = self.platform.scenario.network.idle_ms
-        if server.trouble.idle_ms is not None:
-            longest = min(longest, server.trouble.idle_ms)
+        if server.faults.idle_ms is not None:
+            longest = min(longest, server.faults.idle_ms)
         while idle:
             connection = idle.pop()
             if connection.epoch != server.epoch:
@@ -369,27 +373,31 @@
             if connection.epoch == server.epoch:
                 server.connections -= 1
 
-    def _probe(self, name: EndpointId) -> None:
+    def _check_health(self, name: EndpointId) -> None:
         now = self.engine.now
         if not self.settings.may_check_health:
-            self.rules.bad_action(self, "a probe, which the settings forbid", None, now)
+            self.rules.invalid_action(self, "a health check, which the settings forbid", None, now)
             return
-        self.tally.probes += 1
+        self.counts.health_checks += 1
         server = self.platform.servers[name]
         one_way = self.platform.one_way(self.zone, server.zone, self.rng)
-        if server.trouble.cut or not server.up:
-            late = PROBE_TIMEOUT_MS if server.trouble.cut else 2.0 * one_way
-            end = Outcome.TIMEOUT if server.trouble.cut else Outcome.CONNECT_FAILED
-            self.engine.after(late, self._probed, name, end, now, ())
+        if server.faults.cut or not server.up:
+            delay = HEALTH_CHECK_TIMEOUT_MS if server.faults.cut else 2.0 * one_way
+            end = Outcome.TIMEOUT if server.faults.cut else Outcome.CONNECT_FAILED
+            self.engine.after(delay, self._health_check_ended, name, end, now, ())
             return
-        overdue: Planned = self.engine.after(PROBE_TIMEOUT_MS, self._probed, name, Outcome.TIMEOUT, now, ())
+        timeout: Planned = self.engine.after(
+            HEALTH_CHECK_TIMEOUT_MS, self._health_check_ended, name, Outcome.TIMEOUT, now, ()
+        )
 
         def done() -> None:
-            if overdue[2] is not None and self.engine.now < overdue[0]:
-                Engine.cancel(overdue)
-                self.engine.after(one_way, self._probed, name, Outcome.OK, now, server.load())
+            if timeout[2] is not None and self.engine.now < timeout[0]:
+                Engine.cancel(timeout)
+                self.engine.after(one_way, self._health_check_ended, name, Outcome.OK, now, server.load())
 
-        server.probe(done)
+        server.check_health(done)
 
-    def _probed(self, name: EndpointId, outcome: Outcome, since: float, load: tuple[float, ...]) -> None:
+    def _health_check_ended(
+        self, name: EndpointId, outcome: Outcome, since: float, load: tuple[float, ...]
+    ) -> None:
         self._feed(HealthCheckEnded(name, outcome, self.engine.now - since, load))
--- a/crowpost/lab/platform.py
+++ b/crowpost/lab/platform.py
@@ -1,4 +1,4 @@
-"""A whole platform in simulated time, built from a scenario, a seed and a policy: one seed, one run."""
+"""A whole platform in simulated time, built from a scenario, a seed and a policy that determine the run."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from crowpost.lab.nodes import Policy, SimNode, SimulatedRequest
 from crowpost.lab.rules import Rules
 from crowpost.lab.scenario import Kind, Scenario
-from crowpost.lab.traffic import Clients, PlannedRequest, draw, spread
+from crowpost.lab.traffic import Clients, PlannedRequest, choose_node, draw
 
-# Builds a node's policy from its settings, a seed of its own, and the node's place on the platform.
+# Builds the policy of a node from its settings, a seed of its own, the platform and the index of the tier.
 PolicyFactory = Callable[[Settings, int, "Platform", int], Policy]
 SAMPLE_MS = 1000.0
-FRONT_NOTICE_MS = 2500.0  # until the front notices that a node has died
+FRONT_NOTICE_MS = 2500.0  # time in which the front would notice that a node has died
 
 
 class Platform:
@@ -30,11 +30,12 @@
     def __init__(self, scenario: Scenario, seed: int, policy: PolicyFactory) -> None:
         self.scenario, self.seed, self.engine = scenario, seed, Engine()
         limits = scenario.limits
-        # A stream of chance for each concern, so that one policy's draws never move another's world.
+        # Separate random streams for each purpose, so that the draws of a policy never change its
+        # environment.
         streams = np.random.SeedSequence([seed, 0x0C20]).spawn(4)
-        self.world = Random(int(streams[0].generate_state(2, np.uint64)[0]))
+        self.rng = Random(int(streams[0].generate_state(2, np.uint64)[0]))
         self._policy_seeds = Random(int(streams[1].generate_state(2, np.uint64)[0]))
-        self._news = Random(int(streams[2].generate_state(2, np.uint64)[0]))
+        self._discovery_rng = Random(int(streams[2].generate_state(2, np.uint64)[0]))
         self.classes = request_classes(scenario)
         self.rules = Rules(limits.drain_grace_ms + 50.0, limits.answer_slack_ms + 50.0)
         self.on_new_node: Callable[[SimNode], None] = lambda _node: None
@@ -42,16 +43,19 @@
         self.policy = policy
         self.servers: dict[EndpointId, SimServer] = {}
         self.tiers: list[list[SimServer]] = [[] for _ in scenario.tiers]
-        self.sends: list[list[int]] = [[] for _ in scenario.tiers]  # to each server within this second
+        # attempts to each server in the current second
+        self.sends: list[list[int]] = [[] for _ in scenario.tiers]
         for stage, tier in enumerate(scenario.tiers):
             for i in range(tier.servers):
                 self.new_server(stage, tier.kind_index(i), i)
         self.nodes: list[list[SimNode]] = [[] for _ in scenario.tiers]
         self.retired: list[SimNode] = []
-        self.leaving: list[SimNode] = []  # replaced, but still with requests of their own
+        self.draining_nodes: list[SimNode] = []  # replaced, but still with open requests
         self.requests = 0
         self.stalled_until = 0.0
-        self.hot: tuple[float, int] | None = None  # share of traffic, nodes that share it
+        self.hot_nodes: tuple[float, int] | None = (
+            None  # share of the traffic, and number of nodes that receive it
+        )
         self.samples: dict[str, list[Any]] = {"calls_out": [], "limit": [], "sends": [], "sends_slow": []}
         for i in range(scenario.nodes):
             self.nodes[0].append(self.new_node(f"n{i}", 0, i % scenario.network.zones, i))
@@ -64,17 +68,17 @@
     # ------------------------------------------------------------ building
 
     def new_server(self, stage: int, kind_index: int, place: int) -> SimServer:
-        """A further server of a tier, warm, and known to nobody yet; zone and cell go by its place."""
+        """Add a warm server to a tier, not announced yet; its index determines zone and cell."""
         tier = self.scenario.tiers[stage]
         kind: Kind = tier.kinds[kind_index]
         zone, cell = place % self.scenario.network.zones, place // tier.cell_size
-        rng = Random(self.world.getrandbits(64))
+        rng = Random(self.rng.getrandbits(64))
         name = f"{tier.name}-{len(self.tiers[stage])}".encode()
         server = SimServer(
             self.engine, tier, stage, kind, kind_index, name, zone, cell, rng, self.scenario.limits
         )
         server.on_answer = self._answered
-        server.on_fall = self._fell
+        server.on_overload = self._on_overload
         server.place = len(self.tiers[stage])
         self.servers[server.name] = server
         self.tiers[stage].append(server)
@@ -82,39 +86,39 @@
         return server
 
     def new_node(self, name: str, stage: int, zone: int, node_index: int) -> SimNode:
-        """A node that starts from nothing but the list as it is now."""
+        """Return a new node that knows nothing but the present endpoint list."""
         settings = node_settings(self.scenario, stage, node_index, zone)
         policy = self.policy(settings, self._policy_seeds.getrandbits(63), self, stage)
-        rows = [s.entry() for s in self.tiers[stage] if s.up]
+        entries = [server.entry() for server in self.tiers[stage] if server.up]
         rng = Random(self._policy_seeds.getrandbits(63))
-        node = SimNode(self, name, stage, zone, settings, policy, rng, rows)
+        node = SimNode(self, name, stage, zone, settings, policy, rng, entries)
         self.on_new_node(node)
         return node
 
     def restart_node(self, place: int, down_ms: float) -> None:
-        """A front node is killed, and comes back knowing nothing."""
+        """Kill a front node and start it again without state."""
         old = self.nodes[0][place]
         for request in list(old.requests.values()):
-            self.clients.lost(request)
+            self.clients.node_killed(request)
         old.stop()
         self.retired.append(old)
 
-        def back() -> None:
+        def start_again() -> None:
             self.nodes[0][place] = self.new_node(old.name, 0, old.zone, place)
 
-        self.engine.after(down_ms, back)
+        self.engine.after(down_ms, start_again)
 
     def upgrade_node(self, place: int) -> None:
-        """A new process takes over the listener; the old one answers what it has taken."""
+        """Replace a front node by a new process; the old one answers the requests that it has accepted."""
         old = self.nodes[0][place]
         self.retired.append(old)
-        self.leaving.append(old)
+        self.draining_nodes.append(old)
         self.nodes[0][place] = self.new_node(old.name, 0, old.zone, place)
 
     # ------------------------------------------------------------ servers come and go
 
     def start_server(self, server: SimServer) -> None:
-        """A process starts, cold, with a node of its own where there is a next tier; the list follows."""
+        """Start a cold process, with a node of its own if there is a next tier, and announce it."""
         server.start()
         if not server.up:
             return
@@ -124,53 +128,55 @@
         self.announce(server, self.scenario.discovery.add_ms)
 
     def stop_server(self, server: SimServer) -> None:
-        """A process ends; the list learns it late."""
+        """End a process; the nodes are notified after a delay."""
         if server.node is not None:
             self.retired.append(server.node)
         server.stop()
         self.announce(server, self.scenario.discovery.gone_ms)
 
     def drain_server(self, server: SimServer) -> None:
-        """A planned end begins."""
+        """Begin a planned stop: announce that the server drains."""
         server.draining = True
         self.announce(server, self.scenario.discovery.drain_ms)
 
     def announce(self, server: SimServer, span: tuple[float, float]) -> None:
-        """Tell each node of the tier, each with a delay of its own, and none before a stall ends."""
+        """Notify each node of the tier with a delay of its own, and none before a stall of discovery ends."""
         entry = server.entry()
         for node in self.live_nodes(server.stage):
-            late = self._news.uniform(*span)
-            when = max(self.engine.now + late, self.stalled_until)
-            self.engine.at(when, self._tell, node, entry)
+            delay = self._discovery_rng.uniform(*span)
+            when = max(self.engine.now + delay, self.stalled_until)
+            self.engine.at(when, self._update_list, node, entry)
 
-    def _tell(self, node: SimNode, entry: EndpointEntry) -> None:
+    def _update_list(self, node: SimNode, entry: EndpointEntry) -> None:
         if self.engine.now < self.stalled_until:
-            self.engine.at(self.stalled_until, self._tell, node, entry)
+            self.engine.at(self.stalled_until, self._update_list, node, entry)
         elif entry.started_ms >= node.known.get(entry.server, entry).started_ms:
-            node.tell(ListKind.CHANGES, (entry,))
+            node.update_list(ListKind.CHANGES, (entry,))
 
     def live_nodes(self, stage: int) -> list[SimNode]:
-        """The nodes that send into a tier at the moment."""
+        """Return the nodes that send to a tier at present."""
         if stage == 0:
-            return [n for n in self.nodes[0] if n.up] + [n for n in self.leaving if n.requests]
-        return [s.node for s in self.tiers[stage - 1] if s.node is not None]
+            return [node for node in self.nodes[0] if node.up] + [
+                node for node in self.draining_nodes if node.requests
+            ]
+        return [server.node for server in self.tiers[stage - 1] if server.node is not None]
 
     # ------------------------------------------------------------ requests
 
-    def choose_front(self, planned: PlannedRequest) -> SimNode | None:
-        """The front spreads tries evenly over the nodes that are up, but for a hot caller's."""
-        nodes = [n for n in self.nodes[0] if n.up]
+    def choose_front_node(self, planned: PlannedRequest) -> SimNode | None:
+        """Return the node for a try: evenly among the nodes that are up, except for the hot nodes' share."""
+        nodes = [node for node in self.nodes[0] if node.up]
         if not nodes:
             return None
-        return nodes[spread(planned, len(nodes), self.hot)]
+        return nodes[choose_node(planned, len(nodes), self.hot_nodes)]
 
     def new_client_request(
         self, planned: PlannedRequest, reply: Callable[[str, float], None]
     ) -> SimulatedRequest:
-        """A client's try as the node gets it."""
+        """Return the request that a node receives for a client's try."""
         self.requests += 1
         now, kind = self.engine.now, self.classes[planned.class_index]
-        marked = self.scenario.clients.marks_retry and planned.tries > 1
+        is_repeat = self.scenario.clients.marks_retry and planned.tries > 1
         return SimulatedRequest(
             self.requests,
             kind,
@@ -183,69 +189,73 @@
             planned.index,
             planned.tenant,
             planned.hint,
-            marked,
+            is_repeat,
         )
 
     def new_request(
-        self, above: SimulatedRequest, stage: int, reply: Callable[[str, float], None]
+        self, parent: SimulatedRequest, stage: int, reply: Callable[[str, float], None]
     ) -> SimulatedRequest:
-        """A server's call of the next tier, within the time of the request that it is for."""
+        """Return a server's call to the next tier, with the deadline of the request that it is for."""
         self.requests += 1
-        kind, now = above.kind, self.engine.now
-        deadline = max(above.deadline, now + 1.0)
+        kind, now = parent.kind, self.engine.now
+        deadline = max(parent.deadline, now + 1.0)
         return SimulatedRequest(
             self.requests,
             kind,
-            above.class_index,
+            parent.class_index,
             now,
             deadline,
-            above.work,
-            above.calls,
+            parent.work,
+            parent.calls,
             reply,
-            above.top,
-            above.tenant,
-            above.hint,
+            parent.client_request,
+            parent.tenant,
+            parent.hint,
         )
 
-    def one_way(self, here: int, there: int, rng: Random) -> float:
-        """A delay in ms between two machines."""
+    def one_way(self, from_zone: int, to_zone: int, rng: Random) -> float:
+        """Return a one-way delay in ms between two machines."""
         network = self.scenario.network
-        base = network.one_way_ms if here == there else network.cross_zone_ms
+        base = network.one_way_ms if from_zone == to_zone else network.cross_zone_ms
         return base * (1.0 + network.jitter * rng.random())
 
-    def count_send(self, stage: int, server: SimServer) -> None:
-        """An attempt was sent to this server."""
+    def record_send(self, stage: int, server: SimServer) -> None:
+        """Count an attempt that was sent to a server."""
         self.sends[stage][server.place] += 1
 
     def _answered(self, call: Call, outcome: Outcome) -> None:
-        call.node.answer_from(call, outcome)
+        call.node.send_answer(call, outcome)
 
-    def _fell(self, server: SimServer, told: float) -> None:
+    def _on_overload(self, server: SimServer, informed_share: float) -> None:
         nodes = self.live_nodes(server.stage)
         if nodes:
-            names = f"{len(nodes)} nodes"
-            self.rules.fell(names, server.name, told, self.engine.now, nodes[0])
+            node_names = f"{len(nodes)} nodes"
+            self.rules.check_overload(node_names, server.name, informed_share, self.engine.now, nodes[0])
         self.announce(server, self.scenario.discovery.gone_ms)
 
     # ------------------------------------------------------------ the run
 
     def _sample(self) -> None:
-        self.samples["calls_out"].append([sum(s.outstanding() for s in t) for t in self.tiers])
-        limits = [getattr(n.policy, "limit", None) for n in self.live_nodes(0)]
+        self.samples["calls_out"].append(
+            [sum(server.outstanding() for server in tier) for tier in self.tiers]
+        )
+        limits = [getattr(node.policy, "limit", None) for node in self.live_nodes(0)]
         known = [limit for limit in limits if isinstance(limit, float)]
         self.samples["limit"].append(round(sum(known), 3) if known else None)
         self.samples["sends"].append([list(counts) for counts in self.sends])
-        slow = [[s.place for s in tier if s.trouble.slower > 1.0] for tier in self.tiers]
+        slow_servers = [
+            [server.place for server in tier if server.faults.slower > 1.0] for tier in self.tiers
+        ]
         self.samples["sends_slow"].append(
-            [sum(counts[i] for i in places) for counts, places in zip(self.sends, slow, strict=True)]
+            [sum(counts[i] for i in places) for counts, places in zip(self.sends, slow_servers, strict=True)]
         )
-        self.sends = [[0] * len(t) for t in self.tiers]
+        self.sends = [[0] * len(tier) for tier in self.tiers]
         if self.engine.now < self.scenario.duration_s * 1000.0:
             self.engine.after(SAMPLE_MS, self._sample)
 
     def run(self) -> None:
-        """Play to the end: the last arrival, and the longest time that anybody waits for it."""
+        """Run to the last arrival, and on for the longest time that a client may wait for it."""
         end = self.scenario.duration_s * 1000.0
         self.engine.run(end)
-        longest = max(c.deadline_ms for c in self.classes)
+        longest = max(kind.deadline_ms for kind in self.classes)
         self.engine.run(end + (self.scenario.clients.retries + 1) * 2.0 * longest)
--- a/crowpost/lab/policies.py
+++ b/crowpost/lab/policies.py
@@ -1,4 +1,4 @@
-"""Policies by name: the module, a baseline, or the module as it stood at a git revision (`rev:NAME`)."""
+"""Policies by name: the module, a baseline, or the module at a git revision (`rev:NAME`)."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from crowpost.lab.revisions import PolicyError, revision
 
 MODULE = "module"
-MEMBERS = "+members"  # behind a policy's name: its front nodes are members and know how many are present
+# Suffix of a policy's name: its front nodes are members and know how many nodes are present.
+MEMBERS = "+members"
 
 
 def factory(name: str) -> PolicyFactory:
-    """What builds the nodes' policies; PolicyError if there is none by that name."""
+    """Return the factory of the policy of that name; raise PolicyError if there is none."""
     for suffix in (MEMBERS, *VARIANTS):
         name = name.removesuffix(suffix)
-    plain = {
+    baseline_classes = {
         "random": baselines.RandomChoice,
         "round-robin": baselines.RoundRobin,
         "least-outstanding": baselines.LeastOutstanding,
@@ -26,15 +27,21 @@
     }
     if name == MODULE:
         return lambda settings, seed, _platform, _stage: Balancer(settings, seed)
-    if name in plain:
-        return lambda settings, seed, _platform, _stage: plain[name](settings, seed)
+    if name in baseline_classes:
+        return lambda settings, seed, _platform, _stage: baseline_classes[name](settings, seed)
     if name == "true-state":
         return _true_state
     if name.startswith("rev:"):
         earlier = revision(name.removeprefix("rev:"))
         return lambda settings, seed, _platform, _stage: earlier(settings, seed)
     known = ", ".join(
-        (MODULE, *baselines.names(), "rev:GIT-REVISION", MODULE + MEMBERS, *(MODULE + v for v in VARIANTS))
+        (
+            MODULE,
+            *baselines.names(),
+            "rev:GIT-REVISION",
+            MODULE + MEMBERS,
+            *(MODULE + suffix for suffix in VARIANTS),
+        )
     )
     raise PolicyError(f"{name}: no such policy; known are {known}")
 
--- a/crowpost/lab/report.py
+++ b/crowpost/lab/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page of a run folder: plots of one run, and a table of all."""
+"""A self-contained HTML page of a run folder: plots of one run, and a table of all."""
 
 from __future__ import annotations
 
@@ -47,7 +47,8 @@
 
 
 def _axes(height: float = 2.6) -> tuple[Any, Axes]:
-    from matplotlib.figure import Figure  # here: it takes longer to import than most commands take
+    # The import is local because it takes longer than most commands.
+    from matplotlib.figure import Figure
 
     figure = Figure(figsize=(10.5, height), layout="constrained")
     axes = figure.add_subplot()
@@ -63,14 +64,14 @@
     return text.getvalue()[text.getvalue().index("<svg") :]
 
 
-def _bands(axes: Axes, run: dict[str, Any], end: float) -> None:
-    """Faults as bands, each named at its top."""
+def _draw_faults(axes: Axes, run: dict[str, Any], end: float) -> None:
+    """Draw each fault as a vertical band with its kind at the top."""
     for i, fault in enumerate(run["faults"]):
         stop = min(fault["at_s"] + fault["for_s"], end)
         axes.axvspan(fault["at_s"], stop, color="#c0392b", alpha=0.08, linewidth=0)
-        place = 1.0 - 0.09 * (i % 3)
+        height = 1.0 - 0.09 * (i % 3)
         axes.text(
-            fault["at_s"], place, f" {fault['kind']}", transform=axes.get_xaxis_transform(), va="top", size=8
+            fault["at_s"], height, f" {fault['kind']}", transform=axes.get_xaxis_transform(), va="top", size=8
         )
 
 
@@ -82,22 +83,22 @@
         seconds, np.where(asked > 0, served / np.maximum(asked, 1e-9), np.nan), where="post", color="#2a7f5f"
     )
     axes.set_ylim(0, 1.03)
-    _bands(axes, run, len(asked))
-    axes.set(xlabel="second in which the request was due", ylabel="worth served of asked")
+    _draw_faults(axes, run, len(asked))
+    axes.set(xlabel="second in which the request was due", ylabel="share of priority weight served")
     return _svg(figure)
 
 
 def _ends(run: dict[str, Any]) -> str:
     figure, axes = _axes()
     seconds = len(run["series"]["worth_asked"])
-    floor = np.zeros(seconds)
+    bottom = np.zeros(seconds)
     for end, colour in ENDS.items():
         count = np.array(run["series"][end])
         axes.bar(
-            np.arange(seconds) + 0.5, count, 1.0, bottom=floor, color=colour, label=end.replace("_", " ")
+            np.arange(seconds) + 0.5, count, 1.0, bottom=bottom, color=colour, label=end.replace("_", " ")
         )
-        floor = floor + count
-    _bands(axes, run, seconds)
+        bottom = bottom + count
+    _draw_faults(axes, run, seconds)
     axes.legend(ncols=5, fontsize=8, loc="upper center", bbox_to_anchor=(0.5, 1.2), frameon=False)
     axes.set(xlabel="second", ylabel="requests", xlim=(0, seconds))
     return _svg(figure)
@@ -107,35 +108,35 @@
     figure, axes = _axes(3.2)
     for run in runs:
         histogram = HdrHistogram.decode(run["histogram"].encode())
-        values = [histogram.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES]
+        values = [histogram.get_value_at_percentile(percentile) / 1000.0 for percentile in PERCENTILES]
         axes.plot(1.0 / (1.0 - PERCENTILES / 100.0), values, label=f"{run['policy']}, seed {run['seed']}")
     ticks = [50, 90, 99, 99.9, 99.99]
     axes.set_xscale("log")
-    axes.set_xticks([1.0 / (1.0 - t / 100.0) for t in ticks], [f"{t:g}%" for t in ticks])
+    axes.set_xticks([1.0 / (1.0 - tick / 100.0) for tick in ticks], [f"{tick:g}%" for tick in ticks])
     axes.minorticks_off()
     axes.set_yscale("log")
     axes.legend(fontsize=8, frameon=False)
-    axes.set(xlabel="percentile", ylabel="ms from when it was due")
+    axes.set(xlabel="percentile", ylabel="ms since the request was due")
     return _svg(figure)
 
 
-def _calls_out(run: dict[str, Any]) -> str:
+def _calls_in_flight(run: dict[str, Any]) -> str:
     figure, axes = _axes()
-    out = np.array(run["series"]["calls_out"], dtype=float)
-    seconds = np.arange(1, len(out) + 1)
-    for stage in range(out.shape[1] if out.size else 0):
-        axes.plot(seconds, out[:, stage], label=f"held by tier {stage}")
+    in_flight = np.array(run["series"]["calls_out"], dtype=float)
+    seconds = np.arange(1, len(in_flight) + 1)
+    for stage in range(in_flight.shape[1] if in_flight.size else 0):
+        axes.plot(seconds, in_flight[:, stage], label=f"held by tier {stage}")
     limit = [np.nan if value is None else value for value in run["series"]["limit"]]
     if not np.all(np.isnan(limit)):
         axes.plot(seconds, limit, color="#1d2430", linestyle="--", label="limit of all front nodes")
-    _bands(axes, run, len(run["series"]["worth_asked"]))
+    _draw_faults(axes, run, len(run["series"]["worth_asked"]))
     axes.legend(ncols=4, fontsize=8, loc="upper center", bbox_to_anchor=(0.5, 1.2), frameon=False)
     axes.set(xlabel="second", ylabel="calls")
     return _svg(figure)
 
 
 def _shares(run: dict[str, Any]) -> str:
-    """The share of the first tier's attempts that each server got, by second, as a map of colours."""
+    """Return a heat map of the share of the first tier's attempts that each server got, by second."""
     figure, axes = _axes(3.4)
     names = run["servers"][0]
     rows = [[*second[0], *[0] * (len(names) - len(second[0]))] for second in run["series"]["sends"]]
@@ -151,19 +152,31 @@
 
 
 def page(scenario: dict[str, Any], runs: Sequence[dict[str, Any]]) -> str:
-    """The page as text; the plots are of the first run, the latencies of up to eight."""
+    """Return the page as text; the plots are of the first run, the latencies of up to eight."""
     first = runs[0]
-    whose = f"{first['policy']}, seed {first['seed']}"
+    run_label = f"{first['policy']}, seed {first['seed']}"
     plots = [
-        ("Service", f"Worth answered within the aim, by second ({whose}).", _service(first)),
-        ("How requests ended", f"First tries with all their repeats ({whose}).", _ends(first)),
+        (
+            "Service",
+            f"Priority weight answered within the latency objective, by second ({run_label}).",
+            _service(first),
+        ),
+        ("How requests ended", f"Each request with all its retries ({run_label}).", _ends(first)),
         (
             "Latency",
-            "From when the first try was due, so that waiting clients count in full.",
+            "Measured from when the first try was due, so that all waiting of clients counts.",
             _latencies(runs[:8]),
         ),
-        ("Calls out and limit", f"What servers hold at the end of each second ({whose}).", _calls_out(first)),
-        ("Share of each server", f"Attempts of the front nodes, by second ({whose}).", _shares(first)),
+        (
+            "Calls in flight and limit",
+            f"Calls at servers at the end of each second ({run_label}).",
+            _calls_in_flight(first),
+        ),
+        (
+            "Share of attempts by server",
+            f"Attempts of the front nodes, by second ({run_label}).",
+            _shares(first),
+        ),
     ]
     heads = (
         "policy",
@@ -193,13 +206,14 @@
         for run in runs
     ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
-    marked = [(name, text, Markup(svg)) for name, text, svg in plots]  # drawn here, from numbers
+    # The plots are generated above from numbers, so their markup is safe.
+    safe_plots = [(name, text, Markup(svg)) for name, text, svg in plots]
     stories = ["\n".join(story) for run in runs for story in run["stories"]][:20]
     return environment.from_string(PAGE).render(
         title=f"crowpost lab: {scenario['name']}",
         about=scenario["about"],
         heads=heads,
         table=table,
-        plots=marked,
+        plots=safe_plots,
         stories=stories,
     )
--- a/crowpost/lab/restored_state.py
+++ b/crowpost/lab/restored_state.py
@@ -1,8 +1,8 @@
-"""The state that front nodes leave for their next process on a simulated platform, in records on no disk.
+"""State that front nodes leave to their next process on a simulated platform, in memory instead of on disk.
 
-Variants of a policy, by a suffix of its name: `+state` restores the state as it was written, `+state-old` one
-hour older, and `+state-wrong` fresh but of other endpoints than it was learned of, with a limit that is far
-off and ejections of endpoints that have no fault.
+Variants of a policy, by a suffix of its name: `+state` restores the state as it was written, `+state-old`
+makes it an hour older, and `+state-wrong` keeps its age but gives each endpoint the values of another one, a
+limit that is far off, and ejections of endpoints without a fault.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from crowpost.node.state.node_state import NodeState
 from crowpost.node.state.records import LearnedEndpoints, LearnedLimit
 
-WRITE_INTERVAL_MS = 1_000.0  # the default of a real node
+WRITE_INTERVAL_MS = 1_000.0  # the default interval of a real node
 HOUR_MS = 3_600_000.0
 WRONG_LIMIT_FACTORS = (0.2, 5.0)
 WRONG_EJECTION_PROBABILITY = 0.3
@@ -29,7 +29,7 @@
 
 
 class FrontNodeStates:
-    """Records what each front node learns, and restores it to the process that follows."""
+    """Records what each front node learns, and restores it to the next process."""
 
     def __init__(self, platform: Platform, variant: str, seed: int) -> None:
         self._platform = platform
@@ -52,19 +52,19 @@
     def _restore(self, node: SimNode) -> None:
         state = self._states.get(node.name)
         if node.stage == 0 and state is not None:
-            node.hear(self._vary(state.restored_event(self._platform.engine.now)))
+            node.hear(self._apply_variant(state.restored_event(self._platform.engine.now)))
 
-    def _vary(self, event: StateRestored) -> StateRestored:
+    def _apply_variant(self, event: StateRestored) -> StateRestored:
         """Return the event as the variant changes it."""
         if self._variant == OLD:
             return _aged(event)
         if self._variant == WRONG:
-            return self._mixed_up(event)
+            return self._shuffled(event)
         return event
 
-    def _mixed_up(self, event: StateRestored) -> StateRestored:
-        others = list(event.endpoints)
-        self._rng.shuffle(others)
+    def _shuffled(self, event: StateRestored) -> StateRestored:
+        shuffled_endpoints = list(event.endpoints)
+        self._rng.shuffle(shuffled_endpoints)
         endpoints = tuple(
             replace(
                 endpoint,
@@ -72,7 +72,7 @@
                 average_ms=other.average_ms,
                 ejected=self._rng.random() < WRONG_EJECTION_PROBABILITY,
             )
-            for endpoint, other in zip(event.endpoints, others, strict=True)
+            for endpoint, other in zip(event.endpoints, shuffled_endpoints, strict=True)
         )
         limit = event.limit_each * self._rng.choice(WRONG_LIMIT_FACTORS)
         return StateRestored(endpoints, limit, event.limit_age_ms)
--- a/crowpost/lab/revisions.py
+++ b/crowpost/lab/revisions.py
@@ -1,8 +1,8 @@
-"""The decision module of a git revision, played beside the present one.
+"""The decision module of a git revision, run beside the present one.
 
-A revision is loaded whole, under a package name of its own, with the events and actions that it had.  A
-policy translates between those and the present ones, so that types, fields and members may be renamed:
-`ALIASES` holds what they were called before.
+A revision is loaded as a whole, under a package name of its own, with the events and actions that it had. A
+policy translates between those and the present ones, so types, fields and members may be renamed: `ALIASES`
+lists their earlier names.
 """
 
 from __future__ import annotations
@@ -27,10 +27,11 @@
 from crowpost.lab.checkout import PACKAGES, ROOT, GitError, commit_of, git, package_archive, package_of
 from crowpost.lab.nodes import Policy
 
-INTERFACES = ("decision_api", "interface")  # modules that have held events and actions, the present one first
+# modules that have defined events and actions, the present one first
+INTERFACES = ("decision_api", "interface")
 LEFT_OUT = ("lab", "cli")  # subpackages that no decision needs
 
-# Earlier names, by the present one: of a type, or of a field or member as "Type.name".
+# Earlier names by present name: of a type, or of a field or member as "Type.name".
 ALIASES: dict[str, tuple[str, ...]] = {
     "AttemptEnded.body_consumed": ("spent",),
     "EndpointEntry": ("ServerEntry",),
@@ -75,30 +76,30 @@
 
 
 class PolicyError(Exception):
-    """No such policy, or a revision whose module cannot be played; one line."""
+    """An unknown policy, or a revision whose module cannot be run; the text is one line."""
 
 
 # ---------------------------------------------------------------- loading
 
 
 class _Sources:
-    """Imports modules from sources held in memory: text, and whether it is a package, by dotted name."""
+    """Imports modules from sources in memory: text and whether it is a package, by dotted name."""
 
     def __init__(self, sources: dict[str, tuple[str, bool]]) -> None:
         self._sources = sources
 
     def find_spec(self, fullname: str, _path: object = None, _target: object = None) -> Any:
-        """Return the module's spec, or None for a module of another place."""
+        """Return the spec of a module, or None for a module that is not in memory."""
         if fullname not in self._sources:
             return None
         is_package = self._sources[fullname][1]
         return importlib.util.spec_from_loader(fullname, cast(Any, self), is_package=is_package)
 
     def create_module(self, spec: object) -> None:
-        """Leave the making of the module to the import system."""
+        """Let the import system create the module."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run the module's source."""
+        """Run the source of the module."""
         source, _ = self._sources[module.__name__]
         exec(compile(source, f"<{module.__name__}>", "exec"), module.__dict__)
 
@@ -108,7 +109,7 @@
 
 
 def _package_sources(root: Path, commit: str, package: str) -> dict[str, str]:
-    """Return the revision's Python files by path, without those that no decision needs."""
+    """Return the revision's Python files by path, without subpackages that no decision needs."""
     sources: dict[str, str] = {}
     with tarfile.open(fileobj=io.BytesIO(package_archive(root, commit, package))) as archive:
         for member in archive:
@@ -134,19 +135,19 @@
     sys.meta_path.insert(0, cast(Any, _Sources(renamed)))
 
 
-def _first(names: Sequence[str], what: str) -> ModuleType:
+def _import_first(names: Sequence[str], description: str) -> ModuleType:
     for name in names:
         if importlib.util.find_spec(name) is not None:
             return importlib.import_module(name)
-    raise PolicyError(f"rev: there is no {what} among {', '.join(names)}")
+    raise PolicyError(f"rev: there is no {description} among {', '.join(names)}")
 
 
 @cache
 def revision(name: str, root: Path = ROOT) -> Callable[[Settings, int], Policy]:
-    """Return what builds the policy of a git revision from settings and a seed.
+    """Return a function that builds the policy of a git revision from settings and a seed.
 
-    Its decision module is the class `Balancer` of its policy files, as its own deploy file names them.
-    Raises PolicyError where there is no such revision, or its module cannot be played.
+    The decision module is the class `Balancer` in the policy files that the revision's own deploy file names.
+    Raises PolicyError if there is no such revision, or if its module cannot be run.
     """
     try:
         commit = commit_of(root, name)
@@ -157,10 +158,14 @@
         raise PolicyError(f"rev: {error}") from error
     prefix = f"{PACKAGES[0]}_{commit[:12]}"
     _install(sources, package, prefix)
-    listed = [path for path in sources if any(path == f or path.startswith(f"{f}/") for f in files)]
+    policy_paths = [
+        path
+        for path in sources
+        if any(path == policy_file or path.startswith(f"{policy_file}/") for policy_file in files)
+    ]
     try:
-        interface = _first([f"{prefix}.{module}" for module in INTERFACES], "module of events")
-        for path in sorted(listed):
+        interface = _import_first([f"{prefix}.{module}" for module in INTERFACES], "module of events")
+        for path in sorted(policy_paths):
             module = importlib.import_module(_dotted(path).replace(package, prefix, 1))
             if hasattr(module, "Balancer"):
                 balancer = module.Balancer
@@ -174,17 +179,17 @@
 
 
 def _known_as(name: str) -> tuple[str, ...]:
-    """The names that a type, or a field or member of one, has had, the present one first."""
+    """Return the names that a type, field or member has had, the present one first."""
     return (name.rpartition(".")[2], *ALIASES.get(name, ()))
 
 
 def _is_present(kind: type[Any]) -> bool:
-    """Return whether a type belongs to the present interface, and not to a revision's."""
+    """Return whether a type belongs to the present interface rather than to that of a revision."""
     return f"{kind.__module__}.".startswith(f"{api.__name__}.")
 
 
 class Translator:
-    """Translates events to a revision's types, and its actions to the present ones, by name."""
+    """Translates events to a revision's types, and its actions to the present types, by name."""
 
     def __init__(self, interface: ModuleType) -> None:
         self._interface = interface
@@ -198,19 +203,19 @@
         }
 
     def to_revision(self, value: Any) -> Any:
-        """Return the value in the revision's types; None for an event that it does not have."""
+        """Return a value in the revision's types; None for an event that the revision does not have."""
         kind = type(value)
         if kind not in self._to_revision:
             self._to_revision[kind] = self._translation(kind, self._revision_type(kind), self.to_revision)
         return self._to_revision[kind](value)
 
     def to_present(self, value: Any) -> Any:
-        """Return a value of the revision's in the present types."""
+        """Return a value of the revision in the present types."""
         kind = type(value)
         if kind not in self._to_present:
             present = self._present_types.get(kind.__name__)
             if present is None and (dataclasses.is_dataclass(kind) or issubclass(kind, Enum)):
-                raise PolicyError(f"rev: {kind.__name__} is unknown now")
+                raise PolicyError(f"rev: {kind.__name__} has no present counterpart")
             self._to_present[kind] = self._translation(kind, present, self.to_present)
         return self._to_present[kind](value)
 
@@ -224,7 +229,7 @@
     def _translation(
         self, source: type[Any], target: type[Any] | None, inner: Callable[[Any], Any]
     ) -> Callable[[Any], Any]:
-        """Return what turns a value of one type into one of its counterpart."""
+        """Return a function that translates a value of one type to its counterpart."""
         if issubclass(source, Enum):
             return lambda value: _member(cast(type[Enum], target), value)
         if dataclasses.is_dataclass(source):
@@ -232,15 +237,17 @@
                 return lambda _value: None
             present = source if _is_present(source) else target
             pairs = _field_pairs(source, target, present)
-            made = target
-            return lambda value: made(**{to: inner(getattr(value, at)) for at, to in pairs})
+            constructor = target
+            return lambda value: constructor(
+                **{target_name: inner(getattr(value, source_name)) for source_name, target_name in pairs}
+            )
         if source is tuple:
             return lambda value: tuple(inner(item) for item in value)
         return lambda value: value
 
 
 def _member(target: type[Enum], value: Enum) -> Enum:
-    """The counterpart of an enum's member, by its value, and else by a name that it has had."""
+    """Return the counterpart of an enum member, by its value or else by a name that it has had."""
     try:
         return target(value.value)
     except ValueError:
@@ -254,7 +261,7 @@
 
 
 def _field_pairs(source: type[Any], target: type[Any], present: type[Any]) -> list[tuple[str, str]]:
-    """Pairs of field names, of the source and of the target; a field that the target lacks is left out."""
+    """Return pairs of source and target field names; fields that the target lacks are left out."""
     names = {field.name for field in dataclasses.fields(target)}
     pairs = []
     for field in dataclasses.fields(source):
@@ -273,7 +280,7 @@
 
 
 class RevisionPolicy:
-    """A revision's decision module behind the present interface.  limit: its limit of concurrent calls."""
+    """A revision's decision module behind the present interface. limit: its limit of concurrent calls."""
 
     def __init__(self, balancer: Any, interface: ModuleType, settings: Settings, seed: int) -> None:
         self._translator = Translator(interface)
@@ -281,7 +288,7 @@
 
     @property
     def limit(self) -> float | None:
-        """The limit of concurrent calls; None where the revision has none."""
+        """The limit of concurrent calls; None if the revision has none."""
         return getattr(self._balancer, "limit", None)
 
     @property
@@ -291,15 +298,15 @@
 
     @property
     def pool_size(self) -> int:
-        """The number of servers that it knows."""
+        """The number of endpoints that it knows."""
         return int(self._balancer.pool_size)
 
     def remember(self, first: int, most: int) -> list[RememberedEndpoint]:
-        """Return what it knows of so many servers, from a place of its order on."""
+        """Return what it knows of up to `most` endpoints, from the index `first` of its order."""
         return [self._translator.to_present(memory) for memory in self._balancer.remember(first, most)]
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Return the actions that follow from an event at a time in ms; none for one that it cannot know."""
+        """Return the actions that follow from an event at a time in ms; none for an event unknown to it."""
         translated = self._translator.to_revision(event)
         if translated is None:
             return []
--- a/crowpost/lab/scenario.py
+++ b/crowpost/lab/scenario.py
@@ -1,8 +1,8 @@
-"""Scenarios: TOML files that say how large a platform is, what is asked of it, and what goes wrong when.
+"""Scenarios: TOML files that describe a platform, its traffic and its faults.
 
-Every key names its unit.  A file may extend another: its tables are laid over that one's, its lists replace
-them.  It is checked whole: an unknown key, a wrong type or an impossible value is a ScenarioError of one line
-with the file and the key.
+Every key names its unit. A file may extend another: its tables are merged over the tables of that file, its
+lists replace them. The whole file is checked: an unknown key, a wrong type or an impossible value raises a
+ScenarioError of one line with the file and the key.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
 NotNegative = Annotated[float, Meta(ge=0.0, le=1e9)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
-Span = tuple[NotNegative, NotNegative]  # least and most, drawn evenly
+Span = tuple[NotNegative, NotNegative]  # minimum and maximum of a uniform distribution
 FaultKind = Literal[
     "errors",
     "slow",
@@ -45,7 +45,7 @@
 ]
 
 
-# Keys of the scenario files, which are told apart from the names of fields.
+# TOML key by field name, for the fields whose key has another name.
 SCENARIO_KEYS = {
     "latency_objective_ms": "aim_ms",
     "priority_weight": "worth",
@@ -57,11 +57,11 @@
 
 
 class ScenarioError(Exception):
-    """A scenario that cannot be played; its text names file and key in one line."""
+    """A scenario that cannot be loaded; the text names file and key in one line."""
 
 
 class Phase(Struct, forbid_unknown_fields=True, frozen=True):
-    """From one time to another the rate of requests is multiplied."""
+    """Multiplies the request rate between two times."""
 
     from_s: NotNegative
     to_s: Positive
@@ -69,28 +69,29 @@
 
 
 class Traffic(Struct, forbid_unknown_fields=True, frozen=True):
-    """Open-loop arrivals: requests come when they come, whatever became of those before."""
+    """Open-loop arrivals: a request is sent at its time, whether earlier ones have ended or not."""
 
     requests_per_s: Positive
     arrivals: Literal["poisson", "steady", "bursty"] = "poisson"
-    burst_mean_s: Positive = 2.0  # bursty: how long each rate holds, in the mean
-    burst_swing: Share = 0.3  # and how far it lies from the mean
+    burst_mean_s: Positive = 2.0  # bursty: mean time for which a rate holds
+    burst_swing: Share = 0.3  # bursty: relative distance of both rates from the mean
     phases: tuple[Phase, ...] = ()
 
 
 class Clients(Struct, forbid_unknown_fields=True, frozen=True):
-    """What clients do when an answer does not come or is no."""
+    """How clients wait and retry."""
 
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
     backoff: Literal["none", "fixed", "exponential"] = "exponential"
     backoff_ms: NotNegative = 300.0
     honour_retry_after: Share = 0.8
-    patience: tuple[Share, Share] = (0.6, 1.0)  # of the class's deadline
+    # range of the time a client waits, as a part of the class deadline
+    patience: tuple[Share, Share] = (0.6, 1.0)
     marks_retry: bool = False
 
 
 class Network(Struct, forbid_unknown_fields=True, frozen=True):
-    """Delays between machines, and what a connection costs."""
+    """Network delays between machines, and the cost of a connection."""
 
     zones: Count = 1
     one_way_ms: NotNegative = 0.2
@@ -103,7 +104,7 @@
 
 
 class Discovery(Struct, forbid_unknown_fields=True, frozen=True):
-    """How late news of the list reaches each node."""
+    """Delays in ms after which a change of the endpoint list reaches a node."""
 
     add_ms: Span = (600.0, 3000.0)
     drain_ms: Span = (100.0, 500.0)
@@ -111,7 +112,7 @@
 
 
 class Limits(Struct, forbid_unknown_fields=True, frozen=True, rename=SCENARIO_KEYS):
-    """What nodes may do, and the figures of the rules."""
+    """What nodes are allowed to do, and the parameters of the rules."""
 
     max_attempts: Count = 5
     second_copies: bool = True
@@ -142,7 +143,7 @@
 
 
 class Tenant(Struct, forbid_unknown_fields=True, frozen=True):
-    """One of those who share the service; what it asks beyond its quota is worth little."""
+    """A tenant of the service; requests beyond its quota have a low weight."""
 
     name: str
     share: Positive
@@ -168,7 +169,7 @@
 
 
 class Crowding(Struct, forbid_unknown_fields=True, frozen=True):
-    """So many calls waiting for each core over this time turn a server slow until it has rested."""
+    """Contention: too many calls waiting per core for too long slow a server down until it has rested."""
 
     waiting_per_core: Positive = 6.0
     after_ms: Positive = 2000.0
@@ -178,30 +179,30 @@
 
 
 class Tier(Struct, forbid_unknown_fields=True, frozen=True):
-    """Servers that do a part of a request's work and call the next tier, one call after another."""
+    """Servers that do a part of the work of a request and call the next tier, one call after another."""
 
     name: str
     servers: Count
     work_part: Positive
     kinds: Annotated[tuple[Kind, ...], Meta(min_length=1)]
-    calls: Span = (0.0, 0.0)  # calls of the next tier for each request, drawn for each
+    calls: Span = (0.0, 0.0)  # calls to the next tier for each request, drawn for each
     cell_size: Count = 6
     report_ms: Positive = 100.0
-    drops_cancelled: bool = False  # whether a call that waits is dropped when it is cancelled
+    drops_cancelled: bool = False  # whether a waiting call is dropped when it is cancelled
     crowding: Crowding | None = Crowding()
 
     def kind_index(self, place: int) -> int:
-        """The kind of the server at a place: each kind has its part of the tier, whatever the seed."""
-        left = (place + 0.5) / self.servers * sum(k.part for k in self.kinds)
+        """Return the kind of the server at an index: each kind has its part of the tier under any seed."""
+        offset = (place + 0.5) / self.servers * sum(kind.part for kind in self.kinds)
         for i, kind in enumerate(self.kinds):
-            if left < kind.part:
+            if offset < kind.part:
                 return i
-            left -= kind.part
+            offset -= kind.part
         return len(self.kinds) - 1
 
 
 class Fault(Struct, forbid_unknown_fields=True, frozen=True):
-    """What goes wrong with `part` of the tier's servers, or of the nodes where the kind names nodes."""
+    """A fault of `part` of the tier's servers, or of that part of the nodes for kinds that affect nodes."""
 
     kind: FaultKind
     at_s: NotNegative
@@ -209,16 +210,16 @@
     tier: str = ""  # empty: every tier
     part: Share = 0.1
     size: NotNegative = (
-        0.5  # errors, spoilt: share of calls; neighbour: share of the machine; slow, burst: times
+        0.5  # errors, spoilt: share of calls; neighbour: share of the machine; slow, burst: factor
     )
     pause_ms: Positive = 300.0
     every_ms: Positive = 2000.0
-    down_ms: NotNegative = 1000.0  # crash, release, restart_nodes: from end to start
-    steps: Count = 4  # release, join: how many turns it takes
+    down_ms: NotNegative = 1000.0  # crash, release, restart_nodes: time from stop to start
+    steps: Count = 4  # release, join: number of batches
 
 
 class Scenario(Struct, forbid_unknown_fields=True, frozen=True):
-    """A whole day of a platform."""
+    """A whole run: the platform, its traffic and its faults."""
 
     schema: int
     name: str
@@ -236,31 +237,31 @@
     faults: tuple[Fault, ...] = field(default=())
 
     def digest(self) -> str:
-        """Sixteen hex digits of the whole content: equal scenarios have equal digests."""
+        """Return 16 hex digits that identify the content: equal scenarios have equal digests."""
         return hashlib.blake2b(msgspec.json.encode(self), digest_size=8).hexdigest()
 
 
 def shipped(folder: str = "scenarios") -> dict[str, Path]:
-    """The scenarios, or other files of such a folder, that come with the package, by name."""
-    found = Path(str(resources.files("crowpost.lab") / folder)).glob("*.toml")
-    return {path.stem: path for path in sorted(found)}
+    """Return the scenarios that come with the package by name, or the files of another folder of the lab."""
+    paths = Path(str(resources.files("crowpost.lab") / folder)).glob("*.toml")
+    return {path.stem: path for path in sorted(paths)}
 
 
 def load(name: str) -> Scenario:
-    """A shipped scenario by name, or one in a file; ScenarioError with one line if it cannot be played."""
+    """Return a shipped scenario by name, or one of a file; raise a one-line ScenarioError if invalid."""
     path = shipped().get(name) or Path(name)
     raw = _read(path, ())
     try:
         scenario = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as error:
-        raise ScenarioError(f"{path}: {_named(str(error))}") from None
-    for key, text in _impossible(scenario):
+        raise ScenarioError(f"{path}: {_key_first(str(error))}") from None
+    for key, text in _inconsistencies(scenario):
         raise ScenarioError(f"{path}: {key}: {text}")
     return scenario
 
 
-def _read(path: Path, above: tuple[Path, ...]) -> dict[str, Any]:
-    """A file's tables over those of the scenario that it `extends`; lists are replaced whole."""
+def _read(path: Path, extending: tuple[Path, ...]) -> dict[str, Any]:
+    """Return the tables of a file merged over those of the scenario that it `extends`; lists are replaced."""
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except FileNotFoundError:
@@ -272,16 +273,16 @@
     if base is None:
         return raw
     if not isinstance(base, str):
-        raise ScenarioError(f"{path}: extends: the name of a scenario, not {base!r}")
-    below = shipped().get(base) or path.parent / base
-    if below in (path, *above):
+        raise ScenarioError(f"{path}: extends: expected the name of a scenario, got {base!r}")
+    base_path = shipped().get(base) or path.parent / base
+    if base_path in (path, *extending):
         raise ScenarioError(f"{path}: extends: {base} extends this file in turn")
-    return _merged(_read(below, (path, *above)), raw)
+    return _merged(_read(base_path, (path, *extending)), raw)
 
 
-def _merged(under: dict[str, Any], over: dict[str, Any]) -> dict[str, Any]:
-    merged = dict(under)
-    for key, value in over.items():
+def _merged(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
+    merged = dict(base)
+    for key, value in overrides.items():
         old = merged.get(key)
         merged[key] = _merged(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
     return merged
@@ -291,28 +292,28 @@
     return " ".join(str(error).split())
 
 
-def _named(text: str) -> str:
-    """The validation library's message with its path, `$.tiers[0].servers`, in front as the key."""
-    said, at, key = text.partition(" - at `")
+def _key_first(text: str) -> str:
+    """Return a message of the validation library with its path, `$.tiers[0].servers`, first, as the key."""
+    message, at, key = text.partition(" - at `")
     key = key.rstrip("`").removeprefix("$").removeprefix(".")
-    return f"{key}: {said}" if at else said
+    return f"{key}: {message}" if at else message
 
 
-def _impossible(scenario: Scenario) -> list[tuple[str, str]]:
-    """What no single field can show: key and what is wrong."""
-    found: list[tuple[str, str]] = []
+def _inconsistencies(scenario: Scenario) -> list[tuple[str, str]]:
+    """Return key and problem of each inconsistency that no single field shows."""
+    problems: list[tuple[str, str]] = []
     if scenario.schema != SCHEMA:
-        found.append(("schema", f"{scenario.schema} is not known, this version reads {SCHEMA}"))
+        problems.append(("schema", f"{scenario.schema} is not known, this version reads {SCHEMA}"))
     for i, phase in enumerate(scenario.traffic.phases):
         if phase.to_s <= phase.from_s:
-            found.append((f"traffic.phases[{i}].to_s", f"{phase.to_s} is not after from_s {phase.from_s}"))
+            problems.append((f"traffic.phases[{i}].to_s", f"{phase.to_s} is not after from_s {phase.from_s}"))
     if scenario.clients.patience[0] > scenario.clients.patience[1]:
-        found.append(("clients.patience", "the least is above the most"))
+        problems.append(("clients.patience", "the minimum is above the maximum"))
     if scenario.clients.patience[0] <= 0.0:
-        found.append(("clients.patience", "clients that wait for no time ask nothing"))
+        problems.append(("clients.patience", "the minimum must be above 0, or clients would not wait at all"))
     for i, kind in enumerate(scenario.classes):
         if kind.deadline_ms < kind.latency_objective_ms:
-            found.append(
+            problems.append(
                 (
                     f"classes[{i}].deadline_ms",
                     f"{kind.deadline_ms} is below aim_ms {kind.latency_objective_ms}",
@@ -326,32 +327,32 @@
     ):
         seen = [item.name for item in items]
         if len(set(seen)) < len(seen):
-            found.append((label, "two have the same name"))
+            problems.append((label, "names must be unique"))
     for i, tier in enumerate(scenario.tiers):
         last = i == len(scenario.tiers) - 1
         if last and tier.calls[1] > 0:
-            found.append((f"tiers[{i}].calls", "there is no next tier to call"))
+            problems.append((f"tiers[{i}].calls", "there is no next tier to call"))
         if not last and tier.calls[1] <= 0:
-            found.append((f"tiers[{i}].calls", "the next tier would never be called"))
+            problems.append((f"tiers[{i}].calls", "must be above 0, or the next tier would never be called"))
         for j, machine in enumerate(tier.kinds):
             if machine.speed[0] <= 0 or machine.speed[0] > machine.speed[1]:
-                found.append((f"tiers[{i}].kinds[{j}].speed", f"no such range: {list(machine.speed)}"))
+                problems.append((f"tiers[{i}].kinds[{j}].speed", f"no range above 0: {list(machine.speed)}"))
             if machine.cold_from <= 0:
-                found.append(
-                    (f"tiers[{i}].kinds[{j}].cold_from", "a server that starts with nothing never warms")
+                problems.append(
+                    (f"tiers[{i}].kinds[{j}].cold_from", "must be above 0, or the server would never warm up")
                 )
     for i, fault in enumerate(scenario.faults):
         if fault.tier and fault.tier not in names:
-            found.append((f"faults[{i}].tier", f"{fault.tier!r} is none of {', '.join(sorted(names))}"))
+            problems.append((f"faults[{i}].tier", f"{fault.tier!r} is none of {', '.join(sorted(names))}"))
         if fault.at_s >= scenario.duration_s:
-            found.append((f"faults[{i}].at_s", f"{fault.at_s} is past the end, {scenario.duration_s}"))
+            problems.append((f"faults[{i}].at_s", f"{fault.at_s} is past the end, {scenario.duration_s}"))
         if fault.kind in ("errors", "spoilt", "neighbour", "hot_caller") and fault.size > 1.0:
-            found.append((f"faults[{i}].size", f"a share of {fault.size}"))
+            problems.append((f"faults[{i}].size", f"{fault.size} is not a share: it must be at most 1"))
         if fault.kind == "zone_loss" and scenario.network.zones < 2:
-            found.append((f"faults[{i}].kind", "zone_loss needs network.zones of at least 2"))
-    return found
+            problems.append((f"faults[{i}].kind", "zone_loss needs network.zones of at least 2"))
+    return problems
 
 
 def fault_kinds() -> tuple[str, ...]:
-    """Every kind of fault that a scenario may hold."""
+    """Return every kind of fault that a scenario may contain."""
     return tuple(get_args(FaultKind))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command as its users see it: output, errors of one line, and exit codes."""
+"""The command line: output, one-line errors and exit codes."""
 
 from __future__ import annotations
 
@@ -30,18 +30,20 @@
 
 
 @pytest.fixture
-def small(tmp_path: Path) -> str:
+def small_scenario(tmp_path: Path) -> str:
     file = tmp_path / "small.toml"
     file.write_text(SMALL)
     return str(file)
 
 
-def test_run_compare_and_report_in_one_folder(small: str, tmp_path: Path) -> None:
+def test_run_compare_and_report_in_one_folder(small_scenario: str, tmp_path: Path) -> None:
     folder = str(tmp_path / "kept")
-    done = crowpost("lab", "run", small, "--out", folder, "--json")
+    done = crowpost("lab", "run", small_scenario, "--out", folder, "--json")
     assert done.returncode == 0, done.stderr
     assert json.loads(done.stdout)["requests"] > 50
-    done = crowpost("lab", "compare", small, "--policy", "module,random", "--seeds", "1-2", "--out", folder)
+    done = crowpost(
+        "lab", "compare", small_scenario, "--policy", "module,random", "--seeds", "1-2", "--out", folder
+    )
     assert done.returncode == 0 and "random" in done.stdout and "[" in done.stdout, done.stderr
     done = crowpost("lab", "report", folder)
     assert done.returncode == 0, done.stderr
@@ -49,25 +51,25 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "said"),
+    ("arguments", "expected"),
     [
         (
             ("lab", "run", "nowhere.toml"),
             "crowpost: nowhere.toml: no such file, and no shipped scenario: burst",
         ),
         (("lab", "run", "calm", "--policy", "best"), "crowpost: best: no such policy; known are module"),
-        (("lab", "report", "/nonexistent"), "crowpost: /nonexistent: no run folder"),
+        (("lab", "report", "/nonexistent"), "crowpost: /nonexistent: not a run folder"),
         (("lab", "compare", "calm", "--seeds", "x"), "not seeds: 'x'"),
     ],
 )
-def test_what_cannot_be_used_is_said_and_ends_with_2(arguments: tuple[str, ...], said: str) -> None:
+def test_unusable_arguments_give_an_error_and_exit_code_2(arguments: tuple[str, ...], expected: str) -> None:
     done = crowpost(*arguments)
-    assert done.returncode == 2 and said in done.stderr and "Traceback" not in done.stderr
+    assert done.returncode == 2 and expected in done.stderr and "Traceback" not in done.stderr
 
 
-def test_a_scenario_on_sockets_serves_and_keeps_the_rules(small: str) -> None:
-    """Real nodes before stand-in servers of two tiers, one of which fails half of its calls."""
-    done = crowpost("lab", "live", small, "--json")
+def test_scenario_on_sockets_is_served_without_breaches(small_scenario: str) -> None:
+    """Real nodes and stand-in servers of two tiers, one of which fails half of its calls."""
+    done = crowpost("lab", "live", small_scenario, "--json")
     assert done.returncode == 0, done.stderr
     result = json.loads(done.stdout)
     assert result["breaches"] == 0 and sum(result["ends"].values()) == result["requests"] > 50
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab in simulated time: its queue against theory, its rules against policies that break them."""
+"""The lab in simulated time: its queue against theory, and its rules against policies that break them."""
 
 from __future__ import annotations
 
@@ -43,24 +43,24 @@
 
 
 def short(name: str, seconds: float = 6.0, **changes: Any) -> Scenario:
-    """A shipped scenario cut short, with other changes."""
+    """Return a shipped scenario with a shorter duration and other changes."""
     return msgspec.structs.replace(scenario.load(name), duration_s=seconds, **changes)
 
 
-def idle() -> None:
-    """A call that nobody waits for."""
+def do_nothing() -> None:
+    """Do nothing on a change of the queue."""
 
 
 # ---------------------------------------------------------------- engine and cores
 
 
-def test_calls_are_made_by_time_then_by_plan_and_not_once_cancelled() -> None:
+def test_calls_run_by_time_then_scheduling_order_unless_cancelled() -> None:
     engine, made = Engine(), list[str]()
     engine.at(5.0, made.append, "late")
     engine.at(2.0, made.append, "first")
-    gone = engine.at(2.0, made.append, "cancelled")
+    cancelled = engine.at(2.0, made.append, "cancelled")
     engine.at(2.0, made.append, "second")
-    Engine.cancel(gone)
+    Engine.cancel(cancelled)
     engine.run(4.0)
     assert made == ["first", "second"] and engine.now == 4.0
     engine.run(9.0)
@@ -68,61 +68,61 @@
 
 
 @pytest.mark.parametrize("cores", [1, 3])
-def test_a_queue_waits_as_long_as_theory_says(cores: int) -> None:
+def test_mean_time_in_system_matches_erlang_c(cores: int) -> None:
     """M/M/k at 70%: the mean time in the system by Erlang's C formula, to within 6%."""
     engine, rng = Engine(), Random(4)
-    station = Cores(engine, cores, lambda: 1.0, idle)
-    spent: list[float] = []
+    station = Cores(engine, cores, lambda: 1.0, do_nothing)
+    times_in_system: list[float] = []
 
     def arrive() -> None:
         now = engine.now
-        station.compute(rng.expovariate(1 / 10.0), lambda: spent.append(engine.now - now))
+        station.compute(rng.expovariate(1 / 10.0), lambda: times_in_system.append(engine.now - now))
         engine.after(rng.expovariate(0.7 * cores / 10.0), arrive)
 
     arrive()
     engine.run(600_000.0)
     load = 0.7 * cores
-    terms, term = 0.0, 1.0
+    term_sum, term = 0.0, 1.0
     for i in range(cores):
-        terms += term
+        term_sum += term
         term *= load / (i + 1)
-    waits = term / (1 - 0.7) / (terms + term / (1 - 0.7))
-    expected = 10.0 + waits * 10.0 / (cores * (1 - 0.7))
-    assert abs(sum(spent) / len(spent) / expected - 1.0) < 0.06
+    wait_probability = term / (1 - 0.7) / (term_sum + term / (1 - 0.7))
+    expected = 10.0 + wait_probability * 10.0 / (cores * (1 - 0.7))
+    assert abs(sum(times_in_system) / len(times_in_system) / expected - 1.0) < 0.06
 
 
-def test_a_change_of_rate_moves_the_end_of_what_runs() -> None:
+def test_rate_change_reschedules_running_work() -> None:
     engine, ends, rate = Engine(), list[float](), [1.0]
-    station = Cores(engine, 1, lambda: rate[0], idle)
+    station = Cores(engine, 1, lambda: rate[0], do_nothing)
     station.compute(100.0, lambda: ends.append(engine.now))
-    for when, to in ((40.0, 0.0), (70.0, 0.5)):  # 60 are left, nothing for 30 ms, then half as fast
+    for when, to in ((40.0, 0.0), (70.0, 0.5)):  # 60 ms remain; no progress for 30 ms, then half the speed
         engine.at(when, rate.__setitem__, 0, to)
         engine.at(when, station.retime)
     engine.run(1000.0)
     assert ends == [190.0]
 
 
-def test_a_crowd_slows_a_server_until_it_has_rested() -> None:
+def test_contention_slows_server_until_rested() -> None:
     engine, changes = Engine(), list[float]()
-    law = Crowding(waiting_per_core=2.0, after_ms=100.0, slower=3.0, rest_ms=50.0, at_most_ms=1000.0)
-    crowd = Contention(engine, law, 1, lambda: changes.append(crowd.slower))
-    crowd.watch(3, 1)
+    crowding = Crowding(waiting_per_core=2.0, after_ms=100.0, slower=3.0, rest_ms=50.0, at_most_ms=1000.0)
+    contention = Contention(engine, crowding, 1, lambda: changes.append(contention.slower))
+    contention.watch(3, 1)
     engine.run(60.0)
-    crowd.watch(1, 1)  # gone before its time: nothing happens
+    contention.watch(1, 1)  # shorter than after_ms, so there is no slowdown
     engine.run(200.0)
-    assert crowd.slower == 1.0 and not changes
-    crowd.watch(3, 1)
+    assert contention.slower == 1.0 and not changes
+    contention.watch(3, 1)
     engine.run(301.0)
-    assert crowd.slower == 3.0
-    crowd.watch(0, 1)
+    assert contention.slower == 3.0
+    contention.watch(0, 1)
     engine.run(400.0)
-    assert crowd.slower == 1.0 and changes == [3.0, 1.0]
+    assert contention.slower == 1.0 and changes == [3.0, 1.0]
 
 
 # ---------------------------------------------------------------- scenarios
 
 
-def test_every_shipped_scenario_loads_and_says_what_it_is() -> None:
+def test_every_shipped_scenario_loads_with_a_description() -> None:
     names = scenario.shipped()
     assert len(names) >= 12
     for name in names:
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("nodes = 0\n", "nodes: Expected `int` >= 1"),
         ('nodes = "two"\n', "nodes: Expected `int`, got `str`"),
@@ -145,17 +145,19 @@
         ("nodes = [\n", "Invalid value"),
     ],
 )
-def test_a_wrong_scenario_is_one_line_with_file_and_key(tmp_path: Path, text: str, said: str) -> None:
+def test_invalid_scenario_error_is_one_line_with_file_and_key(
+    tmp_path: Path, text: str, expected: str
+) -> None:
     file = tmp_path / "mine.toml"
     head = "" if text.startswith("schema") else "schema = 1\n"
     file.write_text(f'extends = "calm"\nname = "mine"\n{head}{text}')
     with pytest.raises(ScenarioError) as error:
         scenario.load(str(file))
     line = str(error.value)
-    assert line.startswith(f"{file}: ") and said in line and "\n" not in line
+    assert line.startswith(f"{file}: ") and expected in line and "\n" not in line
 
 
-def test_scenarios_that_extend_each_other_are_an_error(tmp_path: Path) -> None:
+def test_cyclic_extends_is_an_error(tmp_path: Path) -> None:
     (tmp_path / "a.toml").write_text('extends = "b.toml"\n')
     (tmp_path / "b.toml").write_text('extends = "a.toml"\n')
     with pytest.raises(ScenarioError, match="extends this file in turn"):
@@ -165,16 +167,16 @@
 # ---------------------------------------------------------------- runs
 
 
-def test_one_seed_is_one_run_on_any_number_of_processes() -> None:
+def test_results_depend_on_the_seed_and_not_on_the_process_count() -> None:
     played = short("fast-errors", 3.0)
     one = list(compare.play_all(played, ["module", "random"], [1, 2], jobs=1))
     two = list(compare.play_all(played, ["module", "random"], [1, 2], jobs=2))
     assert json.dumps(one, sort_keys=True) == json.dumps(two, sort_keys=True)
-    assert one[0]["goal"] != one[2]["goal"]  # another seed is another run
+    assert one[0]["goal"] != one[2]["goal"]  # another seed gives another result
 
 
-def every_fault() -> tuple[Fault, ...]:
-    kinds = [k for k in scenario.fault_kinds() if k != "zone_loss"]
+def all_faults() -> tuple[Fault, ...]:
+    kinds = [kind for kind in scenario.fault_kinds() if kind != "zone_loss"]
     part = 0.2
     return tuple(
         Fault(kind, 0.3 * i, for_s=2.0, part=part, size=0.5, down_ms=300.0, steps=2)  # type: ignore[arg-type]
@@ -183,42 +185,44 @@
 
 
 @pytest.mark.parametrize("policy", ["module", "least-outstanding", "p2c-peak-ewma", "true-state"])
-def test_every_policy_keeps_the_rules_through_every_fault(policy: str) -> None:
-    """And each request comes to an end: what goes in comes out."""
-    result = runs.play(short("calm", 8.0, faults=every_fault()), 3, policy)
+def test_policies_keep_the_rules_under_every_fault(policy: str) -> None:
+    """Also, every request ends: as many ends as requests."""
+    result = runs.play(short("calm", 8.0, faults=all_faults()), 3, policy)
     assert result["breaches"] == 0, result["stories"]
-    assert result["requests"] == sum(result["ends"].values()) == len(_wishes(8.0)) > 500
+    assert result["requests"] == sum(result["ends"].values()) == len(_planned_requests(8.0)) > 500
 
 
-def _wishes(seconds: float) -> list[Any]:
-    platform = Platform(short("calm", seconds, faults=every_fault()), 3, factory("random"))
+def _planned_requests(seconds: float) -> list[Any]:
+    platform = Platform(short("calm", seconds, faults=all_faults()), 3, factory("random"))
     return platform.clients.planned_requests
 
 
-class Twice(LeastOutstanding):
-    """Sends whatever failed again, whether it may have run or not."""
+class RetriesUnsafely(LeastOutstanding):
+    """Retries whatever failed, even if it may have run."""
 
-    def _permitted(self, request: Any, arm: Any) -> bool:
+    def _permitted(self, request: Any, state: Any) -> bool:
         return True
 
 
-class Deaf(LeastOutstanding):
-    """Goes on sending to servers that drain."""
+class IgnoresDrain(LeastOutstanding):
+    """Continues to send to draining servers."""
 
     def _list(self, event: EndpointList) -> None:
         super()._list(event)
-        self.listed = [a for a in self.arms.values() if a.entry.readiness is not Readiness.GONE]
+        self.ready = [
+            state for state in self.endpoints.values() if state.entry.readiness is not Readiness.GONE
+        ]
 
 
-class Mute(LeastOutstanding):
+class NeverAnswersFailures(LeastOutstanding):
     """Never answers a request whose attempt has failed."""
 
     def _ended(self, event: AttemptEnded) -> list[Action]:
         return [] if event.outcome is not Outcome.OK else super()._ended(event)
 
 
-class Talker(LeastOutstanding):
-    """Fails a request, and sends for it afterwards."""
+class SendsAfterFail(LeastOutstanding):
+    """Fails a request, and sends an attempt for it afterwards."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
         actions = super().handle(event, now)
@@ -227,51 +231,51 @@
         return actions
 
 
-class Rusher(LeastOutstanding):
+class PrefersColdServers(LeastOutstanding):
     """Sends all that it can to servers that have just started."""
 
     def choose(self, allowed: list[Any], request: Any) -> Any:
-        return max(allowed, key=lambda a: a.entry.started_ms)
+        return max(allowed, key=lambda state: state.entry.started_ms)
 
-    def _warm_enough(self, arm: Any) -> bool:
+    def _warm_enough(self, state: Any) -> bool:
         return True
 
 
 @pytest.mark.parametrize(
-    ("broken", "fault", "rule"),
+    ("policy_class", "fault", "rule"),
     [
-        (Twice, Fault("errors", 0.5, part=0.5, size=0.6, for_s=4.0), "rule 2"),
-        (Deaf, Fault("release", 0.5, part=0.4, for_s=1.0, steps=1), "rule 3"),
-        (Mute, Fault("errors", 0.5, part=0.5, size=0.6, for_s=4.0), "rule 1"),
-        (Talker, None, "rule 0"),
-        (Rusher, Fault("crash", 0.5, tier="front", part=0.1, down_ms=200.0), "rule 4"),
+        (RetriesUnsafely, Fault("errors", 0.5, part=0.5, size=0.6, for_s=4.0), "rule 2"),
+        (IgnoresDrain, Fault("release", 0.5, part=0.4, for_s=1.0, steps=1), "rule 3"),
+        (NeverAnswersFailures, Fault("errors", 0.5, part=0.5, size=0.6, for_s=4.0), "rule 1"),
+        (SendsAfterFail, None, "rule 0"),
+        (PrefersColdServers, Fault("crash", 0.5, tier="front", part=0.1, down_ms=200.0), "rule 4"),
     ],
 )
-def test_a_policy_that_breaks_a_rule_is_found(
-    broken: Callable[[Settings, int], Policy], fault: Fault | None, rule: str
+def test_rule_breaches_are_detected(
+    policy_class: Callable[[Settings, int], Policy], fault: Fault | None, rule: str
 ) -> None:
     traffic = msgspec.structs.replace(scenario.load("calm").traffic, requests_per_s=300.0)
     played = short("calm", 9.0, faults=(fault,) if fault else (), traffic=traffic)
-    platform = Platform(played, 1, lambda settings, seed, _platform, _stage: broken(settings, seed))
+    platform = Platform(played, 1, lambda settings, seed, _platform, _stage: policy_class(settings, seed))
     Faults(platform)
     platform.run()
-    assert any(rule in b.lines()[0] for b in platform.rules.breaches)
+    assert any(rule in breach.lines()[0] for breach in platform.rules.breaches)
 
 
-def test_the_module_beats_plain_choice_where_one_server_is_slow() -> None:
+def test_module_beats_random_choice_with_a_slow_server() -> None:
     results = list(compare.play_all(short("slow-server", 20.0), ["module", "random"], [1, 2], jobs=1))
-    module, plain = compare.rows(results, ["module", "random"])
-    assert module.against is None and plain.against is not None
-    assert plain.against.mean < 0.0 and plain.p99 > module.p99
+    module, random_choice = compare.rows(results, ["module", "random"])
+    assert module.against is None and random_choice.against is not None
+    assert random_choice.against.mean < 0.0 and random_choice.p99 > module.p99
 
 
-def test_intervals_are_students_and_hold_zero_for_nothing() -> None:
+def test_intervals_are_student_t_and_include_zero_without_evidence() -> None:
     found = compare.interval([1.0, 2.0, 3.0, 4.0])
     assert found.mean == 2.5 and abs(found.high - (2.5 + 3.1824 * 0.6455)) < 1e-3 and found.apart()
     assert not compare.interval([-1.0, 1.0]).apart() and not compare.interval([5.0]).apart()
 
 
-def test_seeds_are_read_as_they_are_written() -> None:
+def test_seed_ranges_are_parsed() -> None:
     assert compare.seeds("1,4,9-12") == [1, 4, 9, 10, 11, 12]
     for wrong in ("", "a", "3-", "5-1", "-2"):
         with pytest.raises(ValueError, match="not seeds"):
@@ -281,23 +285,23 @@
 # ---------------------------------------------------------------- what is kept
 
 
-def test_a_run_folder_keeps_runs_and_names_what_is_broken(tmp_path: Path) -> None:
+def test_run_folder_stores_runs_and_names_damaged_lines(tmp_path: Path) -> None:
     played = short("calm", 2.0)
     folder = runs.Folder(tmp_path / "kept")
     folder.begin(played)
     folder.add(runs.play(played, 1, "random"))
-    folder.begin(played)  # the same scenario may go on
+    folder.begin(played)  # the same scenario may be continued
     kept = folder.read()
-    assert [r["policy"] for r in kept] == ["random"]
+    assert [run["policy"] for run in kept] == ["random"]
     text = page(folder.scenario(), kept)
     assert text.count("<svg") == 5 and "src=" not in text and 'href="http' not in text
     with pytest.raises(runs.RunFolderError, match="another scenario, calm"):
         folder.begin(short("burst", 2.0))
     with (tmp_path / "kept" / runs.RUNS).open("a") as file:
         file.write('{"schema": 1, "digest"')
-    with pytest.raises(runs.RunFolderError, match="line 2 is no JSON"):
+    with pytest.raises(runs.RunFolderError, match="line 2 is not JSON"):
         folder.read()
-    with pytest.raises(runs.RunFolderError, match="no run folder"):
+    with pytest.raises(runs.RunFolderError, match="not a run folder"):
         runs.Folder(tmp_path).read()
 
 
@@ -308,7 +312,7 @@
 
 
 @pytest.mark.parametrize("package", ["crowpost", "fawngw"])
-def test_a_policy_may_be_a_revision_and_must_be_known(tmp_path: Path, package: str) -> None:
+def test_policy_may_be_a_git_revision_and_must_be_known(tmp_path: Path, package: str) -> None:
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "balancer.toml").write_text(f'policy = ["{package}/old.py"]\n')
     (tmp_path / package).mkdir()
@@ -337,7 +341,7 @@
 
 
 @pytest.mark.parametrize("suffix", ["", "+members", "+state"])
-def test_the_revision_before_the_package_was_renamed_plays_as_it_did(
+def test_revision_before_package_rename_gives_equal_results(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, suffix: str
 ) -> None:
     with tarfile.open(HERE / "revision-878089b.tar.gz") as archive:
@@ -352,7 +356,7 @@
     assert played[0] == played[1] and played[0]["attempts"] > 500
 
 
-def test_a_node_imports_none_of_the_labs_libraries() -> None:
+def test_node_imports_no_lab_libraries() -> None:
     tools = (
         "aiohttp",
         "hdrh",
@@ -371,7 +375,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_sends_are_counted_where_they_went() -> None:
+def test_sends_are_counted_by_server() -> None:
     result = runs.play(short("calm", 4.0), 1, "round-robin")
     sent = sum(sum(tier) for second in result["series"]["sends"] for tier in second)
     assert 0.9 * result["attempts"] <= sent <= result["attempts"]
