--- a/crowpost/lab/bench.py
+++ b/crowpost/lab/bench.py
@@ -64,7 +64,7 @@
     )
 
 
-class Drive:
+class LoadDriver:
     """Sends one policy a steady stream of requests; each is answered while the next few are in flight."""
 
     def __init__(self, policy: Policy, seed: int) -> None:
@@ -107,7 +107,7 @@
 
 def cost(build_policy: PolicyBuilder, servers: int, requests: int = 2000) -> Cost:
     """Return the measured cost at one number of servers."""
-    driver = Drive(build_policy(_settings(), 1), 1)
+    driver = LoadDriver(build_policy(_settings(), 1), 1)
     driver.feed(EndpointList(ListKind.FULL, rows(servers)))
     driver.requests(max(200, servers // 20))
     began = time.process_time()
--- a/crowpost/lab/live/play.py
+++ b/crowpost/lab/live/play.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from crowpost.lab.live.processes import NodeError, NodeProcess, settings_json
-from crowpost.lab.live.stand import HOST, Books, Errand, LiveDiscovery, LiveServer, now_ms
+from crowpost.lab.live.stand import HOST, LiveDiscovery, LiveServer, RequestRegistry, TrackedRequest, now_ms
 from crowpost.lab.measure import Measure
 from crowpost.lab.node_settings import node_settings, request_classes
 from crowpost.lab.runs import Counts, outcome, useful_ms
@@ -56,7 +56,7 @@
         self.planned_requests = draw(scenario, streams[3])
         self.classes = request_classes(scenario)
         self.measure = Measure(int(np.ceil(scenario.duration_s)))
-        self.registry = Books()
+        self.registry = RequestRegistry()
         self.tiers: list[list[LiveServer]] = [[] for _ in scenario.tiers]
         self.discoveries = [LiveDiscovery(self.registry) for _ in scenario.tiers]
         self.front: list[NodeProcess] = []
@@ -105,7 +105,7 @@
                 self.server_nodes[server] = node
             await node.start()
 
-            async def call_next_tier(tracked: Errand) -> bool:
+            async def call_next_tier(tracked: TrackedRequest) -> bool:
                 return await self._call_next_tier(server, tracked)
 
             server.call_next_tier = call_next_tier
@@ -147,14 +147,14 @@
 
     # ------------------------------------------------------------ requests
 
-    def _track(self, source: PlannedRequest | Errand, deadline: float) -> Errand:
+    def _track(self, source: PlannedRequest | TrackedRequest, deadline: float) -> TrackedRequest:
         self._ids += 1
         number = f"{self._ids:016x}"
         if isinstance(source, PlannedRequest):
             planned, kind = source, self.scenario.classes[source.class_index]
             tenants = self.scenario.tenants
             tenant = tenants[planned.tenant].name if tenants else "all"
-            tracked = Errand(
+            tracked = TrackedRequest(
                 number,
                 kind.name,
                 kind.effect,
@@ -163,11 +163,11 @@
                 deadline,
                 tenant,
                 planned.hint,
-                top=number,
+                root_id=number,
             )
         else:
             parent = source
-            tracked = Errand(
+            tracked = TrackedRequest(
                 number,
                 parent.name,
                 parent.effect,
@@ -176,12 +176,12 @@
                 deadline,
                 parent.tenant,
                 parent.hint,
-                top=parent.top,
+                root_id=parent.root_id,
             )
-        self.registry.errands[number] = tracked
+        self.registry.requests[number] = tracked
         return tracked
 
-    async def _send_request(self, port: int, tracked: Errand) -> tuple[str, float]:
+    async def _send_request(self, port: int, tracked: TrackedRequest) -> tuple[str, float]:
         """Send a request to a node; return its end, and the Retry-After of the answer in ms."""
         assert self._session is not None
         left = max(tracked.deadline - now_ms(), 1.0)
@@ -193,7 +193,7 @@
             "X-Cost-Hint": f"{tracked.hint * 1000.0:.0f}",
         }
         if tracked.effect == "keyed":
-            headers["Idempotency-Key"] = tracked.top.rjust(32, "0")
+            headers["Idempotency-Key"] = tracked.root_id.rjust(32, "0")
         method = "GET" if tracked.effect == "safe" else "POST"
         data = None if method == "GET" else b'{"text":"hello"}'
         timeout = aiohttp.ClientTimeout(total=(left + ANSWER_SLACK_MS) / 1000.0)
@@ -215,7 +215,7 @@
         except aiohttp.ClientError:
             return "failed", 0.0
 
-    async def _call_next_tier(self, server: LiveServer, parent: Errand) -> bool:
+    async def _call_next_tier(self, server: LiveServer, parent: TrackedRequest) -> bool:
         node = self.server_nodes[server]
         if not node.up or now_ms() >= parent.deadline:
             return False
--- a/crowpost/lab/live/processes.py
+++ b/crowpost/lab/live/processes.py
@@ -162,9 +162,9 @@
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := (await process.stderr.readline()).decode(errors="replace").rstrip():
-            self._hear(line)
+            self._handle_line(line)
 
-    def _hear(self, line: str) -> None:
+    def _handle_line(self, line: str) -> None:
         self.log.append(line)
         if (found := LISTENS.search(line)) is not None:
             self.port = int(found[1])
--- a/crowpost/lab/live/stand.py
+++ b/crowpost/lab/live/stand.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Errand:
+class TrackedRequest:
     """A request sent by a client or a server, with what a server needs to check the rules."""
 
     id: str
@@ -39,14 +39,14 @@
     tenant: str
     hint: float
     runs: int = 0  # number of times that its work was begun
-    top: str = ""
+    root_id: str = ""  # id of the client request that it belongs to
 
 
 @dataclass
-class Books:
+class RequestRegistry:
     """All requests by id, and the breaches of rules that were observed."""
 
-    errands: dict[str, Errand] = field(default_factory=dict)
+    requests: dict[str, TrackedRequest] = field(default_factory=dict)
     breach_reports: list[list[str]] = field(default_factory=list)
     breaches: int = 0
     began: float = field(default_factory=now_ms)
@@ -59,7 +59,7 @@
 
 
 # Sends a call to the next tier through the server's own node; returns whether it was served.
-CallNextTier = Callable[[Errand], Awaitable[bool]]
+CallNextTier = Callable[[TrackedRequest], Awaitable[bool]]
 
 
 async def _close_all(server: asyncio.Server | None, handlers: web.Server | None) -> None:
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        registry: Books,
+        registry: RequestRegistry,
         tier: Tier,
         stage: int,
         kind: Kind,
@@ -179,7 +179,7 @@
         number = request.headers.get("X-Request-Id")
         if number is None:
             return web.Response(status=404)
-        tracked = self.registry.errands.get(number)
+        tracked = self.registry.requests.get(number)
         if tracked is None:
             self.registry.record_breach(2, f"{self.name} got request {number}, which no client sent")
             return web.Response(status=400)
@@ -209,7 +209,7 @@
             await self._never_answer()
         return self._reply(200 if served else 500)
 
-    def _check_drain_rule(self, tracked: Errand) -> None:
+    def _check_drain_rule(self, tracked: TrackedRequest) -> None:
         grace_ms = self.limits.drain_grace_ms + 50.0
         if self.drain_notified_ms is not None and now_ms() - self.drain_notified_ms > grace_ms:
             elapsed_ms = now_ms() - self.drain_notified_ms
@@ -237,7 +237,7 @@
         self.registry.record_breach(4, f"cold server {self.name} was overloaded")
         return True
 
-    async def _work(self, tracked: Errand, work: float) -> bool:
+    async def _work(self, tracked: TrackedRequest, work: float) -> bool:
         epoch = self._epoch
         self.in_flight += 1
         tracked.runs += 1
@@ -300,7 +300,7 @@
 class LiveDiscovery:
     """Discovery agent for the nodes of one tier: the whole list, and a watch that pushes delayed changes."""
 
-    def __init__(self, registry: Books) -> None:
+    def __init__(self, registry: RequestRegistry) -> None:
         self.registry = registry
         self.rows: dict[str, dict[str, Any]] = {}
         self.generation = 1
--- a/crowpost/lab/membership/front_nodes.py
+++ b/crowpost/lab/membership/front_nodes.py
@@ -63,4 +63,4 @@
         tracker = self._trackers[process.name]
         share = tracker.update(core.view.members, process.name, self._platform.engine.now)
         if share is not None:
-            self._nodes[process.name].hear(NodesPresent(share.node_count, share.node_index))
+            self._nodes[process.name].notify(NodesPresent(share.node_count, share.node_index))
--- a/crowpost/lab/nodes.py
+++ b/crowpost/lab/nodes.py
@@ -148,7 +148,7 @@
         self._version += 1
         self._feed(EndpointList(kind, entries, self._version))
 
-    def hear(self, event: NodesPresent | StateRestored) -> None:
+    def notify(self, event: NodesPresent | StateRestored) -> None:
         """Pass on a change of the nodes present, or the restored state of the previous process."""
         self._feed(event)
 
--- a/crowpost/lab/overhead/platform.py
+++ b/crowpost/lab/overhead/platform.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from crowpost.lab.live.processes import NodeProcess
-from crowpost.lab.live.stand import HOST, Books, LiveDiscovery
+from crowpost.lab.live.stand import HOST, LiveDiscovery, RequestRegistry
 from crowpost.lab.overhead import profile
 from crowpost.lab.overhead.caller import Plan
 from crowpost.lab.overhead.stand import CLASSES
@@ -216,7 +216,7 @@
         self.front = ports[0]
         discoveries = []
         for tier in ports:
-            discovery = LiveDiscovery(Books())
+            discovery = LiveDiscovery(RequestRegistry())
             await discovery.start([_row(i, port) for i, port in enumerate(tier)])
             self._stack.push_async_callback(discovery.stop)
             discoveries.append(discovery)
--- a/crowpost/lab/restored_state.py
+++ b/crowpost/lab/restored_state.py
@@ -52,7 +52,7 @@
     def _restore(self, node: SimNode) -> None:
         state = self._states.get(node.name)
         if node.stage == 0 and state is not None:
-            node.hear(self._apply_variant(state.restored_event(self._platform.engine.now)))
+            node.notify(self._apply_variant(state.restored_event(self._platform.engine.now)))
 
     def _apply_variant(self, event: StateRestored) -> StateRestored:
         """Return the event as the variant changes it."""
--- a/crowpost/lab/scale/real.py
+++ b/crowpost/lab/scale/real.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from crowpost.lab.live.processes import NodeProcess, settings_json
-from crowpost.lab.live.stand import HOST, Books, Errand, LiveDiscovery, LiveServer, now_ms
+from crowpost.lab.live.stand import HOST, LiveDiscovery, LiveServer, RequestRegistry, TrackedRequest, now_ms
 from crowpost.lab.node_settings import node_settings
 from crowpost.lab.scale.hollow import CLUSTER
 from crowpost.lab.scale.places import Place
@@ -69,8 +69,8 @@
             self.environment["NODE_MEMBERS"] = str(file)
         await self.start()
 
-    def _hear(self, line: str) -> None:
-        super()._hear(line)
+    def _handle_line(self, line: str) -> None:
+        super()._handle_line(line)
         if (found := MANAGED.search(line)) is not None:
             self.managed = found[1], int(found[2])
         elif (found := LISTENS.search(line)) is not None:
@@ -132,7 +132,7 @@
     def __init__(self, folder: Path, seed: int, nodes: int, calls_per_s: float) -> None:
         self._folder, self._rng, self._calls_per_s = folder, Random(f"calls {seed}"), calls_per_s
         self._scenario = scenario(nodes, calls_per_s * nodes)
-        self._books = Books()
+        self._books = RequestRegistry()
         self._servers: list[LiveServer] = []
         self._discovery = LiveDiscovery(self._books)
         self._session: aiohttp.ClientSession | None = None
@@ -218,8 +218,8 @@
         self._ids += 1
         number, began = f"{self._ids:016x}", now_ms()
         deadline = began + kind.deadline_ms
-        self._books.errands[number] = Errand(
-            number, kind.name, kind.effect, kind.work_ms, (0,), deadline, "all", kind.work_ms, top=number
+        self._books.requests[number] = TrackedRequest(
+            number, kind.name, kind.effect, kind.work_ms, (0,), deadline, "all", kind.work_ms, root_id=number
         )
         headers = {"X-Request-Id": number, "X-Class": kind.name, "X-Tenant": "all", "X-Deadline": "2.000"}
         tally = self.tallies[node.name]
@@ -236,7 +236,7 @@
         except (TimeoutError, aiohttp.ClientError):
             tally.other += 1
         finally:
-            del self._books.errands[number]
+            del self._books.requests[number]
 
     # ------------------------------------------------------------ looks
 
--- a/tests/decisions/test_scale.py
+++ b/tests/decisions/test_scale.py
@@ -16,7 +16,7 @@
 from crowpost.decisions.learning_automaton import FLOOR_FRACTION, NEWCOMER_FRACTION
 from crowpost.decisions.share_vector import with_floor
 from crowpost.decisions.timers import Timers
-from crowpost.lab.bench import Drive, _settings, rows
+from crowpost.lab.bench import LoadDriver, _settings, rows
 
 
 class Reference:
@@ -131,7 +131,7 @@
 
 def _calls(servers: int, settings: Settings) -> float:
     """Calls of Python functions a request, a measure of cost that no other load on the machine moves."""
-    drive = Drive(Balancer(settings, 1), 1)
+    drive = LoadDriver(Balancer(settings, 1), 1)
     drive.feed(EndpointList(ListKind.FULL, rows(servers)))
     drive.requests(100)
     count = 0
