--- a/crowpost/lab/checkout.py
+++ b/crowpost/lab/checkout.py
@@ -35,7 +35,7 @@
     for package in PACKAGES:
         if package in names:
             return package
-    raise GitError(f"{commit} holds none of the packages {', '.join(PACKAGES)}")
+    raise GitError(f"{commit} contains none of the packages {', '.join(PACKAGES)}")
 
 
 def package_archive(root: Path, commit: str, package: str) -> bytes:
--- a/crowpost/lab/compare.py
+++ b/crowpost/lab/compare.py
@@ -121,7 +121,7 @@
     for policy in policies:
         policy_runs = by_policy[policy]
         if [run["seed"] for run in policy_runs] != [run["seed"] for run in reference_runs]:
-            raise ValueError(f"{policy} has not played the seeds of {policies[0]}")
+            raise ValueError(f"{policy} has not run the seeds of {policies[0]}")
         goals = sorted(run["goal"] for run in policy_runs)
         latency = _merged(policy_runs)
 
--- a/crowpost/lab/cores.py
+++ b/crowpost/lab/cores.py
@@ -98,7 +98,7 @@
 
 
 class Contention:
-    """Slows a server while too many wait for too long, until it has rested or the limit is reached."""
+    """Slows a server once too many wait for too long, until it has rested or the time limit is reached."""
 
     def __init__(
         self, engine: Engine, crowding: Crowding | None, cores: int, on_change: Callable[[], None]
--- a/crowpost/lab/faults.py
+++ b/crowpost/lab/faults.py
@@ -108,7 +108,7 @@
                 engine.after(when + DRAIN_MS + fault.down_ms, self._platform.start_server, server)
 
     def _join(self, fault: Fault) -> None:
-        """Replace servers for good by new ones with new names."""
+        """Replace servers permanently by new ones with new names."""
         platform, engine = self._platform, self._platform.engine
         for servers in self._servers_by_tier(fault):
             for i, server in enumerate(servers):
@@ -150,7 +150,7 @@
     def _hot_caller(self, fault: Fault) -> None:
         platform = self._platform
         platform.hot_nodes = (fault.size, max(1, round(fault.part * platform.scenario.nodes)))
-        platform.engine.after(fault.for_s * 1000.0, setattr, platform, "hot", None)
+        platform.engine.after(fault.for_s * 1000.0, setattr, platform, "hot_nodes", None)
 
     def _choose_nodes(self, fault: Fault) -> list[int]:
         running = [i for i, node in enumerate(self._platform.nodes[0]) if node.up]
--- a/crowpost/lab/live/play.py
+++ b/crowpost/lab/live/play.py
@@ -143,7 +143,7 @@
                 node.port = socket.socket(fileno=socket.dup(node.listener)).getsockname()[1]
             self.front.append(node)
         await asyncio.gather(*(node.start() for node in self.front))
-        self.log(f"{len(self.front)} front nodes and {len(self.server_nodes)} beside servers are ready")
+        self.log(f"{len(self.front)} front nodes and {len(self.server_nodes)} nodes beside servers are ready")
 
     # ------------------------------------------------------------ requests
 
@@ -270,7 +270,7 @@
         if not task.cancelled() and task.exception() is not None:
             self.log(f"error in the lab: {task.exception()!r}")
 
-    # ------------------------------------------------------------ the list
+    # ------------------------------------------------------------ endpoint list
 
     async def _announce(self, server: LiveServer, span: tuple[float, float]) -> None:
         """Notify the tier's nodes after a delay; the server records when they were notified of a drain."""
--- a/crowpost/lab/live/stand.py
+++ b/crowpost/lab/live/stand.py
@@ -112,7 +112,7 @@
         self._epoch = 0
         self._pending_answers: list[asyncio.Future[None]] = []
 
-    # ------------------------------------------------------------ life
+    # ------------------------------------------------------------ process
 
     async def start(self, cold: bool) -> None:
         """Listen, on a free port at the first start and on the same one afterwards."""
@@ -218,7 +218,7 @@
             )
 
     def _overloads(self, work: float) -> bool:
-        """Return whether a call overloads a server that is warming up (rule 4); it then stops for good."""
+        """Return whether a call overloads a server that is warming up (rule 4); it then stops permanently."""
         if not self._started or self.warm_up_fraction() >= 1.0:
             return False
         span = self.limits.overload_window_ms
--- a/crowpost/lab/machines.py
+++ b/crowpost/lab/machines.py
@@ -34,7 +34,7 @@
     server: SimServer
     epoch: int  # server process that the connection leads to
     sent: float
-    work: float = 0.0  # work that remains for the second half of the call
+    work: float = 0.0  # work in ms that no core has been given yet
     informed: bool = True  # whether the sending node knows of the server's present process
     calls_left: int = 0
     ended: bool = False  # its outcome has been reported to the node
@@ -203,7 +203,7 @@
         return call.request.work * self.tier.work_part * noise
 
     def _overloads(self, call: Call, work: float) -> bool:
-        """Return whether a call overloads a server that is warming up (rule 4); it then stops for good."""
+        """Return whether a call overloads a server that is warming up (rule 4); it then stops permanently."""
         limits = self.limits
         self._cold_load.add(self.engine.now, work, call.informed, limits.overload_window_ms)
         capacity = self.speed * self.kind.cores * self.warm_up_fraction()
@@ -280,7 +280,7 @@
             )
         return self.report
 
-    # ------------------------------------------------------------ life
+    # ------------------------------------------------------------ process
 
     def stop(self) -> list[Call]:
         """End the process and return its unfinished calls; the node of each sees a reset."""
--- a/crowpost/lab/platform.py
+++ b/crowpost/lab/platform.py
@@ -68,7 +68,7 @@
     # ------------------------------------------------------------ building
 
     def new_server(self, stage: int, kind_index: int, place: int) -> SimServer:
-        """Add a warm server to a tier, not announced yet; its index determines zone and cell."""
+        """Add a warm server to a tier, not announced yet; `place` determines its zone and cell."""
         tier = self.scenario.tiers[stage]
         kind: Kind = tier.kinds[kind_index]
         zone, cell = place % self.scenario.network.zones, place // tier.cell_size
@@ -115,7 +115,7 @@
         self.draining_nodes.append(old)
         self.nodes[0][place] = self.new_node(old.name, 0, old.zone, place)
 
-    # ------------------------------------------------------------ servers come and go
+    # ------------------------------------------------------------ server processes
 
     def start_server(self, server: SimServer) -> None:
         """Start a cold process, with a node of its own if there is a next tier, and announce it."""
--- a/crowpost/lab/report.py
+++ b/crowpost/lab/report.py
@@ -208,7 +208,7 @@
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     # The plots are generated above from numbers, so their markup is safe.
     safe_plots = [(name, text, Markup(svg)) for name, text, svg in plots]
-    stories = ["\n".join(story) for run in runs for story in run["stories"]][:20]
+    stories = ["\n".join(breach_lines) for run in runs for breach_lines in run["stories"]][:20]
     return environment.from_string(PAGE).render(
         title=f"crowpost lab: {scenario['name']}",
         about=scenario["about"],
--- a/crowpost/lab/restored_state.py
+++ b/crowpost/lab/restored_state.py
@@ -22,10 +22,10 @@
 HOUR_MS = 3_600_000.0
 WRONG_LIMIT_FACTORS = (0.2, 5.0)
 WRONG_EJECTION_PROBABILITY = 0.3
-KEPT = "+state"
+UNCHANGED = "+state"
 OLD = "+state-old"
 WRONG = "+state-wrong"
-VARIANTS = (KEPT, OLD, WRONG)
+VARIANTS = (UNCHANGED, OLD, WRONG)
 
 
 class FrontNodeStates:
--- a/crowpost/lab/runs.py
+++ b/crowpost/lab/runs.py
@@ -74,7 +74,7 @@
 
 def outcome(scenario: Scenario, seed: int, policy: str, measure: Measure, counts: Counts) -> dict[str, Any]:
     """Return the part of a result that simulated runs and runs on sockets share, as JSON values."""
-    each = max(counts.calls, 1)
+    call_count = max(counts.calls, 1)
     return {
         "schema": SCHEMA,
         "scenario": scenario.name,
@@ -83,7 +83,7 @@
         "policy": policy,
         **measure.goal(counts.calls, counts.handshakes, counts.probes, counts.wasted_ms),
         **asdict(counts),
-        "attempts_each": counts.attempts / each,
+        "attempts_each": counts.attempts / call_count,
         "served": measure.whole.share(),
         "requests": measure.requests,
         "tries": measure.tries,
@@ -136,11 +136,11 @@
     total = 0.0
     for planned in planned_requests:
         if planned.in_time:
-            count, each = 1.0, 0.0
+            calls, work_per_request = 1.0, 0.0
             for stage, tier in enumerate(scenario.tiers):
-                each += count * tier.work_part
-                count *= planned.calls[stage]
-            total += planned.work * each
+                work_per_request += calls * tier.work_part
+                calls *= planned.calls[stage]
+            total += planned.work * work_per_request
     return total
 
 
@@ -159,7 +159,7 @@
                 old = self._header()
                 if old["digest"] != header["digest"]:
                     raise RunFolderError(
-                        f"{self.path}: holds runs of another scenario, {old['scenario']['name']}"
+                        f"{self.path}: contains runs of another scenario, {old['scenario']['name']}"
                     )
                 return
             content = {**header, "scenario": msgspec.to_builtins(scenario)}
--- a/crowpost/lab/scenario.py
+++ b/crowpost/lab/scenario.py
@@ -73,7 +73,7 @@
 
     requests_per_s: Positive
     arrivals: Literal["poisson", "steady", "bursty"] = "poisson"
-    burst_mean_s: Positive = 2.0  # bursty: mean time for which a rate holds
+    burst_mean_s: Positive = 2.0  # bursty: mean duration of each rate
     burst_swing: Share = 0.3  # bursty: relative distance of both rates from the mean
     phases: tuple[Phase, ...] = ()
 
@@ -242,7 +242,7 @@
 
 
 def shipped(folder: str = "scenarios") -> dict[str, Path]:
-    """Return the scenarios that come with the package by name, or the files of another folder of the lab."""
+    """Return the shipped scenarios, or the TOML files of another folder of the lab, by name."""
     paths = Path(str(resources.files("crowpost.lab") / folder)).glob("*.toml")
     return {path.stem: path for path in sorted(paths)}
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -168,9 +168,9 @@
 
 
 def test_results_depend_on_the_seed_and_not_on_the_process_count() -> None:
-    played = short("fast-errors", 3.0)
-    one = list(compare.play_all(played, ["module", "random"], [1, 2], jobs=1))
-    two = list(compare.play_all(played, ["module", "random"], [1, 2], jobs=2))
+    short_scenario = short("fast-errors", 3.0)
+    one = list(compare.play_all(short_scenario, ["module", "random"], [1, 2], jobs=1))
+    two = list(compare.play_all(short_scenario, ["module", "random"], [1, 2], jobs=2))
     assert json.dumps(one, sort_keys=True) == json.dumps(two, sort_keys=True)
     assert one[0]["goal"] != one[2]["goal"]  # another seed gives another result
 
@@ -255,8 +255,10 @@
     policy_class: Callable[[Settings, int], Policy], fault: Fault | None, rule: str
 ) -> None:
     traffic = msgspec.structs.replace(scenario.load("calm").traffic, requests_per_s=300.0)
-    played = short("calm", 9.0, faults=(fault,) if fault else (), traffic=traffic)
-    platform = Platform(played, 1, lambda settings, seed, _platform, _stage: policy_class(settings, seed))
+    short_scenario = short("calm", 9.0, faults=(fault,) if fault else (), traffic=traffic)
+    platform = Platform(
+        short_scenario, 1, lambda settings, seed, _platform, _stage: policy_class(settings, seed)
+    )
     Faults(platform)
     platform.run()
     assert any(rule in breach.lines()[0] for breach in platform.rules.breaches)
@@ -282,15 +284,15 @@
             compare.seeds(wrong)
 
 
-# ---------------------------------------------------------------- what is kept
+# ---------------------------------------------------------------- run folders and revisions
 
 
 def test_run_folder_stores_runs_and_names_damaged_lines(tmp_path: Path) -> None:
-    played = short("calm", 2.0)
+    short_scenario = short("calm", 2.0)
     folder = runs.Folder(tmp_path / "kept")
-    folder.begin(played)
-    folder.add(runs.play(played, 1, "random"))
-    folder.begin(played)  # the same scenario may be continued
+    folder.begin(short_scenario)
+    folder.add(runs.play(short_scenario, 1, "random"))
+    folder.begin(short_scenario)  # the same scenario may be continued
     kept = folder.read()
     assert [run["policy"] for run in kept] == ["random"]
     text = page(folder.scenario(), kept)
@@ -350,10 +352,10 @@
     old = revision("HEAD", tmp_path)
     assert type(old(Settings((RequestClass("r", 1.0, 2.0),)), 1)).__name__ == "RevisionPolicy"
     monkeypatch.setattr(policies, "revision", lambda name: old)
-    played = [runs.play(short("restart-60", 8.0), 3, name + suffix) for name in ("rev:878089b", "module")]
-    for result in played:
+    results = [runs.play(short("restart-60", 8.0), 3, name + suffix) for name in ("rev:878089b", "module")]
+    for result in results:
         result.pop("policy")
-    assert played[0] == played[1] and played[0]["attempts"] > 500
+    assert results[0] == results[1] and results[0]["attempts"] > 500
 
 
 def test_node_imports_no_lab_libraries() -> None:
