--- a/crowpost/lab/live/stand.py
+++ b/crowpost/lab/live/stand.py
@@ -96,7 +96,8 @@
         self.call_next_tier: CallNextTier | None = None
         self.up, self.draining, self.overloaded = False, False, False
         self.started_unix_ms = 0.0
-        self.drain_notified_ms: float | None = None  # when the last node was notified of its drain
+        # Time at which the last node was notified that this server drains or is gone.
+        self.drain_notified_ms: float | None = None
         self.received = 0  # requests received in the current second
         self.connections = 0  # connections opened over the run
         self.work = 0.0  # work in ms of a core of speed 1, over the run
--- a/crowpost/lab/nodes.py
+++ b/crowpost/lab/nodes.py
@@ -128,7 +128,7 @@
         self.rng = rng
         self.up: bool = True
         self.known: dict[EndpointId, EndpointEntry] = {}
-        self.draining_since: dict[EndpointId, float] = {}
+        self.not_ready_since: dict[EndpointId, float] = {}
         self.requests: dict[int, SimulatedRequest] = {}
         self.counts = NodeCounts()
         self._calls: dict[tuple[int, int], Call] = {}  # calls in flight, by request id and attempt
--- a/crowpost/lab/rules.py
+++ b/crowpost/lab/rules.py
@@ -75,9 +75,9 @@
         known = node.known.get(entry.server)
         node.known[entry.server] = entry
         if entry.readiness is Readiness.READY:
-            node.draining_since.pop(entry.server, None)
+            node.not_ready_since.pop(entry.server, None)
         elif known is None or known.readiness is Readiness.READY:
-            node.draining_since[entry.server] = now
+            node.not_ready_since[entry.server] = now
 
     def check_send(
         self, node: SimNode, request: SimulatedRequest, server: EndpointId, settings: Settings, now: float
@@ -87,10 +87,10 @@
         if entry is None:
             self._record(now, 3, node, f"sent to {server!r}, which no list has named", request)
             return
-        drain_notified = node.draining_since.get(server)
-        if drain_notified is not None and now - drain_notified > self._grace:
+        since = node.not_ready_since.get(server)
+        if since is not None and now - since > self._grace:
             self._record(
-                now, 3, node, f"sent {now - drain_notified:.0f} ms after the node knew of the drain", request
+                now, 3, node, f"sent {now - since:.0f} ms after the list marked it not ready", request
             )
         if request.answered is not None:
             self._record(now, 1, node, "sent for a request that has its final answer", request)
