--- a/crowpost/cli/state.py
+++ b/crowpost/cli/state.py
@@ -144,13 +144,13 @@
     if as_json:
         values = {
             "files": [_file_values(file) for file in report.files],
-            "refused": report.refusal,
+            "refused": report.recovery_error,
             "notes": report.notes,
         }
         print(json.dumps(values, sort_keys=True))
     else:
         _print_report(directory, report)
-    if report.refusal or report.notes:
+    if report.recovery_error or report.notes:
         raise typer.Exit(1)
 
 
@@ -178,8 +178,8 @@
     out.print(table)
     for note in report.notes:
         out.print(f"note: {note}")
-    if report.refusal:
-        out.print(f"refused: {report.refusal}")
+    if report.recovery_error:
+        out.print(f"refused: {report.recovery_error}")
         out.print(f"`crowpost state repair {directory}` lists what can be saved, and copies first")
     elif not report.notes:
         out.print("whole")
--- a/crowpost/storage/__init__.py
+++ b/crowpost/storage/__init__.py
@@ -1,6 +1,6 @@
 """Storage: an append-only log with snapshots whose acknowledged records survive a power loss.
 
-`core` plans what is written when, without I/O: it hands out jobs of disk operations and is given the result
-of each.  `recovery` reads what a directory holds, `runner` executes the jobs on a thread of its own, and
-`repair` saves what is intact of a directory that recovery refuses.
+`core` plans the writes without doing I/O: it returns jobs of disk operations and processes their results.
+`recovery` reads the content of a directory, `runner` executes the jobs on a separate thread, and `repair`
+saves the intact part of a directory that recovery rejects.
 """
--- a/crowpost/storage/config.py
+++ b/crowpost/storage/config.py
@@ -9,10 +9,10 @@
 from crowpost.storage.errors import StoreError
 from crowpost.tables import Table, TableError, read_file
 
-# Keys of the table [state], which are an external form; each error lists them in this order.
+# Keys of the table [state].  They are part of the file format; error messages list them in this order.
 KEYS = ("directory", "owner", "every_ms", "bytes_per_s", "snapshot_bytes", "on_damage")
-START_ON_DAMAGE = "start"  # without the state, and leave the directory as it is
-REFUSE_ON_DAMAGE = "refuse"  # to start
+START_ON_DAMAGE = "start"  # the node starts without its state and does not change the directory
+REFUSE_ON_DAMAGE = "refuse"  # the node does not start
 ON_DAMAGE_CHOICES = (START_ON_DAMAGE, REFUSE_ON_DAMAGE)
 DEFAULT_WRITE_INTERVAL_MS = 1_000.0
 DEFAULT_BYTES_PER_S = 65_536.0
@@ -24,17 +24,17 @@
     """The content of the table [state]."""
 
     directory: Path
-    owner: str  # of the directory: the node's name
-    write_interval_ms: float = DEFAULT_WRITE_INTERVAL_MS  # between two writes of what was learned
-    bytes_per_s: float = DEFAULT_BYTES_PER_S  # written on average
+    owner: str  # name of the node that the directory belongs to
+    write_interval_ms: float = DEFAULT_WRITE_INTERVAL_MS  # time between two writes of learned values
+    bytes_per_s: float = DEFAULT_BYTES_PER_S  # average write rate
     snapshot_bytes: int = DEFAULT_SNAPSHOT_BYTES  # bytes written to the log between two snapshots
     on_damage: str = START_ON_DAMAGE
 
 
 def load(path: str, name: str = "") -> StateConfig:
-    """Read the table [state] of a file.
+    """Read the table [state] of a TOML file.
 
-    name: the owner if the file has none.  Raise StoreError with file and key for a value that cannot be used.
+    name: the owner if the file names none.  Raise StoreError with file and key for an invalid value.
     """
     try:
         return _read(read_file(path), name)
--- a/crowpost/storage/core.py
+++ b/crowpost/storage/core.py
@@ -1,8 +1,8 @@
-"""The writing side of a store, without I/O: records and times in; jobs of disk operations out, one at a time.
+"""The write path of a store, without I/O: it accepts records and returns jobs of disk operations.
 
-While a job is executed further records wait and become the next job, so that one fsync serves them all.
-After any operation that failed nothing more is written: what a failed fsync has lost is not known, and a
-second fsync would succeed without writing it.
+There is one job at a time.  Records that arrive while it is executed become the next job, so that one fsync
+serves them all.  After any failed operation nothing more is written: it is not known which data a failed
+fsync has lost, and a second fsync would succeed without writing it.
 """
 
 from __future__ import annotations
@@ -41,18 +41,18 @@
 
 @dataclass(slots=True)
 class WriteCounters:
-    """Counts since the start."""
+    """Number of records, bytes, jobs and snapshots written since the start."""
 
     records: int = 0
     bytes: int = 0
-    log_bytes: int = 0  # of these, other than snapshots
+    log_bytes: int = 0  # the part of `bytes` that was written to the log, not to snapshots
     jobs: int = 0
     snapshots: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """A snapshot that is to be written: the state after a record, as pieces."""
+    """A snapshot to be written: the state after the record `sequence`, in pieces."""
 
     sequence: int
     pieces: Iterable[bytes]
@@ -61,15 +61,15 @@
 class Store:
     """Plans the writes of one directory.
 
-    Give it records, job results, and times in ms that never decrease; execute the jobs of `next_job`.
-    recovered: the result of recovery, whose repairs have been executed.
+    The owner executes the jobs that `next_job` returns and reports their results.  All times are in ms and
+    never decrease.  recovered: the result of recovery, whose repairs have been executed.
     """
 
     def __init__(self, recovered: RecoveredState, now: float, policy: WritePolicy | None = None) -> None:
         self.policy = policy or WritePolicy()
         self.next_sequence = recovered.next_sequence
-        self.durable_sequence = recovered.last_sequence  # of the last record that is durable
-        self.failure = ""  # why nothing is written any more
+        self.durable_sequence = recovered.last_sequence  # sequence number of the last durable record
+        self.failure = ""  # the error that stopped all writing; empty if there was none
         self.closed = False
         self.counters = WriteCounters()
         self._identity = recovered.identity
@@ -77,12 +77,12 @@
         self._snapshots = list(recovered.snapshots)
         self._open_segment(self._segments[-1], recovered.tail_bytes)
         self._waiting: list[Record] = []
-        self._due = math.inf  # when the waiting records should be written
-        self._urgent = False  # one of them has to be acknowledged
+        self._due = math.inf  # time in ms at which the waiting records are to be written
+        self._urgent = False  # True if a waiting record has durability ACKNOWLEDGED
         self._requested_snapshot: SnapshotRequest | None = None
         self._job: Job | None = None
         self._closing = False
-        self._sealing = False  # the last job seals the log
+        self._sealing = False  # True if the job being executed seals the log
         self._budget = WriteBudget(self.policy, now)
 
     def _open_segment(self, segment: StoredFile, size: int) -> None:
@@ -93,13 +93,13 @@
     def _log_header(self, first_sequence: int) -> Header:
         return Header(FileKind.LOG, self._identity, first_sequence)
 
-    # ------------------------------------------------------------ input
+    # ------------------------------------------------------------ records and results
 
     def append(self, payload: bytes, durability: Durability, now: float) -> int:
         """Accept a record and return its sequence number.
 
-        The record is durable once `durable_sequence` has reached it.  Raise StoreError once writing has
-        stopped.
+        The record is durable once `durable_sequence` is at least that number.  Raise StoreError if writing
+        has stopped.
         """
         self._require_open()
         sequence = self.next_sequence
@@ -113,18 +113,17 @@
         """Request a snapshot of the state after the last accepted record.
 
         The pieces are generated while they are written.  Once the snapshot is durable, segments and snapshots
-        that are not needed any more are removed.  A request that has not been started is replaced by a later
-        one.
+        that are no longer needed are removed.  A later request replaces one that has not been started.
         """
         self._require_open()
         self._requested_snapshot = SnapshotRequest(self.next_sequence - 1, pieces)
 
     def close(self) -> None:
-        """Write what waits and seal the log; `closed` is set once that is done."""
+        """Write the waiting records and seal the log; `closed` becomes True once that is done."""
         self._closing = True
 
     def complete_job(self, number: int, result: JobResult) -> None:
-        """Take in the result of the job that was being executed."""
+        """Process the result of the job that was being executed."""
         job = self._job
         self._job = None
         if job is None or job.number != number:
@@ -150,7 +149,7 @@
         if self.failure:
             raise StoreError(f"writing has stopped: {self.failure}")
 
-    # ------------------------------------------------------------ output
+    # ------------------------------------------------------------ jobs
 
     @property
     def busy(self) -> bool:
@@ -168,7 +167,7 @@
         return self.next_sequence - 1 - self.durable_sequence
 
     def next_job_at(self) -> float:
-        """Return the time in ms at which a job is due; infinity if none will be, or while one is executed."""
+        """Return the time in ms at which the next job is due; infinity if none is due or one is executed."""
         if self._job is not None or self.failure or self.closed:
             return math.inf
         if self._urgent or self._closing:
@@ -177,7 +176,7 @@
         return self._budget.available_at(due)
 
     def next_job(self, now: float) -> Job | None:
-        """Return the next job if one is due."""
+        """Return the next job if one is due, else None."""
         self._budget.refill(now)
         if self.next_job_at() > now:
             return None
@@ -211,7 +210,7 @@
         return self._append_to_log(b"".join(frames))
 
     def _seal_segment(self) -> list[Operation]:
-        """End the segment; all records before the seal are durable by the operations before it."""
+        """End the segment with a seal; the operations before it make all records before it durable."""
         last = self.next_sequence - 1
         return self._append_to_log(self._codec.encode(FrameKind.SEAL, last, last))
 
@@ -230,10 +229,10 @@
         return [Create(segment.name, header), Sync(segment.name), SyncDirectory()]
 
     def _write_snapshot_file(self, request: SnapshotRequest) -> list[Operation]:
-        """Write a snapshot, give it its name once it is complete, and remove what is not needed any more."""
+        """Write a snapshot to a temporary file, rename it, and remove the files it makes unnecessary."""
         sequence = request.sequence
         if self._snapshots and self._snapshots[-1].sequence == sequence:
-            return []  # no record was written since the last snapshot
+            return []  # no record has been written since the last snapshot
         name = snapshot_file_name(sequence)
         temporary = name + TEMPORARY_SUFFIX
         header = Header(FileKind.SNAPSHOT, self._identity, sequence)
--- a/crowpost/storage/disk.py
+++ b/crowpost/storage/disk.py
@@ -1,4 +1,4 @@
-"""A directory on a real disk: its lock, its operations, and texts for its errors.  All calls block."""
+"""A directory on a real disk: its lock, its operations, and its error messages.  All calls block."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def describe_os_error(error: OSError) -> str:
-    """Return one line for an error of the disk."""
+    """Return a one-line description of a disk error."""
     if not error.errno:
         return str(error)
     return _DESCRIPTIONS.get(error.errno, os.strerror(error.errno))
@@ -42,8 +42,9 @@
 class Disk:
     """One directory.
 
-    With `lock` only one process at a time can use it; the lock ends with `close` or with the process.  Raise
-    DirectoryLockedError if another process has the lock, and StoreError if the directory cannot be opened.
+    lock: create the directory if it does not exist, and lock it, so that only one process at a time uses it;
+    `close` or the end of the process releases the lock.  Raise DirectoryLockedError if another process holds
+    the lock, and StoreError if the directory cannot be opened.
     """
 
     def __init__(self, path: Path, *, lock: bool) -> None:
@@ -111,7 +112,7 @@
         return self._files[name]
 
     def _write(self, name: str, data: bytes) -> int:
-        """Write all of it: a call may write only a part, and then the next one raises the error."""
+        """Write all the data: after a partial write the next call continues, or raises the disk error."""
         descriptor = self._descriptor(name)
         remaining = memoryview(data)
         while remaining:
--- a/crowpost/storage/errors.py
+++ b/crowpost/storage/errors.py
@@ -1,16 +1,16 @@
-"""The errors of the storage package; the text of each is one line."""
+"""The errors of the storage package; each has a one-line message."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """A state directory cannot be used; the text names what to do where that is known."""
+    """A state directory cannot be used; the message says what to do where that is known."""
 
 
 class CorruptionError(StoreError):
-    """A file's content is not what was written and synced.
+    """The content of a file is not what was written and synced.
 
-    offset: the byte at which the content stops being valid.  reason: what is wrong there.
+    offset: position of the first invalid byte.  reason: what is invalid there.
     """
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
@@ -21,7 +21,7 @@
 
 
 class OwnerMismatchError(StoreError):
-    """The directory belongs to another owner: a mistake of the configuration, not corruption."""
+    """The directory belongs to another owner: a configuration error, not corruption."""
 
 
 class DirectoryLockedError(StoreError):
--- a/crowpost/storage/file_format.py
+++ b/crowpost/storage/file_format.py
@@ -1,14 +1,15 @@
-"""The format on disk: the store file, file headers, and frames with length, sequence number and CRC32C.
+"""The on-disk format: the store file, file headers, and frames with length, sequence number and CRC32C.
 
     store            two lines: JSON with format, owner and identity; its CRC32C in hexadecimal
-    log-N.2          a header, then frames of records from sequence N on, and a seal if it was closed in order
-    snapshot-N.2     a header, then frames of pieces and one with their count: the state after record N
-
-A frame is marker, kind, length, sequence, synced, CRC and payload.  `synced` is the last record that was
-known to be durable when the frame was written.  It distinguishes a torn tail, which is truncated, from
-corruption of acknowledged records, which is an error.  The CRC also covers the header of the file, so that a
-frame of another file or another directory is never accepted.  CRC32C (Castagnoli, 1993) as in iSCSI, RFC
-3720.
+    log-N.2          a header, then frames of records from sequence number N on, and a seal if it was closed
+                     normally
+    snapshot-N.2     the state after record N: a header, frames of pieces, and a frame with their count
+
+A frame consists of marker, kind, length, sequence number, `synced`, CRC and payload.  `synced` is the
+sequence number of the last record that was known to be durable when the frame was written.  It distinguishes
+a torn tail, which is truncated, from corruption of acknowledged records, which is an error.  The CRC also
+covers the header of the file, so that a frame of another file or another directory is never accepted.  The
+CRC is CRC32C (Castagnoli, 1993) as in iSCSI, RFC 3720.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 from crowpost.storage.model import FORMAT_VERSION, MAX_RECORD_BYTES
 
 STORE_FILE = "store"
-TEMPORARY_SUFFIX = ".new"  # of a file that is renamed once it is complete
+TEMPORARY_SUFFIX = ".new"  # suffix of a file that is renamed once it is complete
 IDENTITY_BYTES = 8
 
 _MARKER = b"\xa7R"
 _MAGIC = b"CROWPOST"
 _FRAME = struct.Struct("<2sBIQQI")
-_FRAME_VERSION_1 = struct.Struct("<2sBIQI")  # without `synced`
+_FRAME_VERSION_1 = struct.Struct("<2sBIQI")  # format 1 has no field `synced`
 _HEADER = struct.Struct("<8sH1s8sQI")
 _CRC = struct.Struct("<I")
 _FILE_NAME = re.compile(r"(log|snapshot)-([0-9]{20})\.([0-9]+)")
@@ -41,24 +42,24 @@
 
 
 class FileKind(Enum):
-    """The kind of a file; the value is written in its header."""
+    """The kind of a file; the value is written to the file header."""
 
     LOG = b"L"
     SNAPSHOT = b"S"
 
 
 class FrameKind(IntEnum):
-    """What a frame holds."""
+    """The kind of content of a frame; the value is written to the frame."""
 
     RECORD = 0
-    SEAL = 1  # nothing: all records before it are durable, and the file was closed in order
-    SNAPSHOT_PIECE = 2  # its sequence is the index of the piece
-    SNAPSHOT_END = 3  # its sequence is the number of pieces
+    SEAL = 1  # has no payload: all records before it are durable, and the file was closed normally
+    SNAPSHOT_PIECE = 2  # its sequence number is the index of the piece
+    SNAPSHOT_END = 3  # its sequence number is the number of pieces
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A valid frame, and the positions at which it starts and ends in its file."""
+    """A valid frame, and its start and end positions in the file."""
 
     kind: FrameKind
     sequence: int
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileName:
-    """The content of the name of a log segment or snapshot."""
+    """The parsed name of a log segment or snapshot."""
 
     kind: FileKind
     sequence: int
@@ -81,17 +82,17 @@
 
 
 def log_file_name(first_sequence: int) -> str:
-    """Return the name of the log segment that begins with this record."""
+    """Return the name of the log segment whose first record has this sequence number."""
     return f"log-{first_sequence:020d}.{FORMAT_VERSION}"
 
 
 def snapshot_file_name(sequence: int) -> str:
-    """Return the name of the snapshot of the state after this record."""
+    """Return the name of the snapshot of the state after the record with this sequence number."""
     return f"snapshot-{sequence:020d}.{FORMAT_VERSION}"
 
 
 def parse_file_name(name: str) -> FileName | None:
-    """Return what a file name says; None for a file that is no log segment and no snapshot."""
+    """Parse a file name; return None for a file that is neither a log segment nor a snapshot."""
     match = _FILE_NAME.fullmatch(name)
     if match is None:
         return None
@@ -112,7 +113,7 @@
     format_version: int = FORMAT_VERSION
 
     def encode(self) -> bytes:
-        """Return the first bytes of the file."""
+        """Return the header as the first bytes of the file."""
         fields = (_MAGIC, self.format_version, self.kind.value, self.identity, self.sequence, 0)
         body = _HEADER.pack(*fields)[: -_CRC.size]
         return body + _CRC.pack(google_crc32c.value(body))
@@ -121,7 +122,7 @@
         """Raise CorruptionError if the data of a file does not begin with this header."""
         first = data[:HEADER_BYTES]
         if len(first) < HEADER_BYTES:
-            raise CorruptionError(file, len(first), "its header is cut short")
+            raise CorruptionError(file, len(first), "its header is incomplete")
         if first == self.encode():
             return
         body = first[: -_CRC.size]
@@ -131,8 +132,8 @@
 
 
 def identity_in_header(data: bytes) -> bytes:
-    """Return the identity in a file's header, which may be corrupt."""
-    start = len(_MAGIC) + 3  # after the format version and the kind
+    """Return the identity in the header of a file; the header is not verified."""
+    start = len(_MAGIC) + 3  # the identity follows the format version and the kind
     return data[start : start + IDENTITY_BYTES]
 
 
@@ -144,7 +145,7 @@
 
 
 class FrameCodec:
-    """Encodes and decodes the frames of the file with this header."""
+    """Encoder and decoder of the frames of the file with this header."""
 
     def __init__(self, header: Header) -> None:
         self._context = header.encode()
@@ -152,15 +153,15 @@
         self._struct = _FRAME if self._has_synced else _FRAME_VERSION_1
 
     def encode(self, kind: FrameKind, sequence: int, synced: int, payload: bytes = b"") -> bytes:
-        """Return one frame.  Raise StoreError for a payload above MAX_RECORD_BYTES."""
+        """Return an encoded frame.  Raise StoreError for a payload larger than MAX_RECORD_BYTES."""
         if len(payload) > MAX_RECORD_BYTES:
-            raise StoreError(f"a record of {len(payload)} bytes, {MAX_RECORD_BYTES} at the most")
+            raise StoreError(f"a record has {len(payload)} bytes, the limit is {MAX_RECORD_BYTES}")
         numbers = (sequence, synced) if self._has_synced else (sequence,)
         fields = self._struct.pack(_MARKER, kind, len(payload), *numbers, 0)[: -_CRC.size]
         return fields + _CRC.pack(_checksum(self._context, fields, payload)) + payload
 
     def decode_at(self, data: bytes, start: int) -> Frame | None:
-        """Return the valid frame that starts at a position; None if there is none."""
+        """Return the frame that starts at a position; None if there is no valid one."""
         size = self._struct.size
         if not data.startswith(_MARKER, start) or start + size > len(data):
             return None
@@ -188,7 +189,7 @@
 
 
 def encode_snapshot(header: Header, pieces: Iterable[bytes]) -> Iterator[bytes]:
-    """Yield the frames of a snapshot, without its header; the pieces are generated on demand."""
+    """Yield the frames of a snapshot, without the file header; the pieces are generated on demand."""
     codec = FrameCodec(header)
     count = 0
     for piece in pieces:
@@ -198,7 +199,7 @@
 
 
 def decode_snapshot(file: str, data: bytes, header: Header) -> list[bytes]:
-    """Return the pieces of a snapshot.  Raise CorruptionError unless it is valid to its last byte."""
+    """Return the pieces of a snapshot.  Raise CorruptionError unless the whole file is valid."""
     header.verify(file, data)
     codec = FrameCodec(header)
     pieces: list[bytes] = []
@@ -234,9 +235,10 @@
 
     @classmethod
     def decode(cls, data: bytes) -> StoreFile:
-        """Read the content of the file.
+        """Parse the content of the file.
 
-        Raise CorruptionError for a wrong checksum, and StoreError for a format that this version cannot read.
+        Raise CorruptionError if the checksum does not match, and StoreError for invalid content or a format
+        version that this version of crowpost cannot read.
         """
         line, _, crc = data.partition(b"\n")
         if crc != b"%08x\n" % google_crc32c.value(line):
@@ -246,14 +248,14 @@
             content = cls(str(raw["owner"]), bytes.fromhex(raw["identity"]), int(raw["format"]))
         except (ValueError, KeyError, TypeError) as error:
             raise StoreError(f"{STORE_FILE}: not the file of a store: {error}") from error
-        _require_known_format(content.format_version)
+        _require_supported_format(content.format_version)
         return content
 
 
-def _require_known_format(version: int) -> None:
+def _require_supported_format(version: int) -> None:
     if version > FORMAT_VERSION:
-        known = f"{FORMAT_VERSION}, the newest known: use a newer crowpost"
-        raise StoreError(f"{STORE_FILE}: format {version} is newer than {known}")
+        supported = f"{FORMAT_VERSION}, the newest supported: use a newer version of crowpost"
+        raise StoreError(f"{STORE_FILE}: format {version} is newer than {supported}")
     if version < FORMAT_VERSION - 1:
-        known = f"{FORMAT_VERSION - 1} is the oldest that is migrated"
-        raise StoreError(f"{STORE_FILE}: format {version} is too old, {known}")
+        supported = f"{FORMAT_VERSION - 1} is the oldest that can be migrated"
+        raise StoreError(f"{STORE_FILE}: format {version} is too old, {supported}")
--- a/crowpost/storage/log_segment.py
+++ b/crowpost/storage/log_segment.py
@@ -1,4 +1,4 @@
-"""The content of one log segment, and the decision between a torn tail and corruption."""
+"""Encoding and reading of a log segment, and the distinction of a torn tail from corruption."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
     records: list[Record]
     valid_bytes: int
-    sealed: bool  # the last valid frame is a seal
+    sealed: bool  # True if the last valid frame is a seal
 
 
 def decode_log(file: str, data: bytes, header: Header) -> LogContent:
-    """Return the records up to the first frame that is not valid.
+    """Return the records up to the first invalid frame.
 
     Raise CorruptionError if the file does not begin with this header.
     """
@@ -47,7 +47,7 @@
 
 
 def encode_log(header: Header, records: Iterable[Record]) -> bytes:
-    """Return a log segment of records that are all durable before it is used."""
+    """Return a complete log segment; the caller makes it durable before it is used."""
     codec = FrameCodec(header)
     frames = [
         codec.encode(FrameKind.RECORD, record.sequence, record.sequence - 1, record.payload)
@@ -57,14 +57,14 @@
 
 
 def segment_header(state: RecoveredState, segment: StoredFile) -> Header:
-    """Return the header that a segment of a directory must have."""
+    """Return the header that a segment of the directory must have."""
     return Header(FileKind.LOG, state.identity, segment.sequence, state.format_version)
 
 
 def read_segment(state: RecoveredState, segment: StoredFile, data: bytes, *, is_last: bool) -> list[Record]:
-    """Return the records of a segment up to a torn tail, which is noted in the state.
+    """Return the records of a segment; a torn tail is left out and noted in the state.
 
-    Raise CorruptionError if a record that was durable is not valid.
+    Raise CorruptionError if a durable record is not valid.
     """
     header = segment_header(state, segment)
     content = decode_log(segment.name, data, header)
@@ -83,15 +83,18 @@
 ) -> None:
     """Note a torn tail, which is cut off when the segment is rewritten.
 
-    A power loss may leave any part of what was not synced, also later bytes without earlier ones.  A valid
-    frame after the gap that names the missing record as synced shows corruption: raise CorruptionError.
+    A power loss may leave any part of the unsynced data, even later bytes without earlier ones.  Raise
+    CorruptionError if a valid frame after the gap marks the missing record as synced, or if this is not the
+    last segment.
     """
     header = segment_header(state, segment)
     position = content.valid_bytes
     missing = segment.sequence + len(content.records)
     following = list(FrameCodec(header).scan_after(data, position))
-    # Format 1 did not say what was synced: any valid frame after the gap counts.
-    was_durable = any(f.synced >= missing or header.format_version < FORMAT_VERSION for f in following)
+    # Format 1 did not record what was synced: any valid frame after the gap counts as proof.
+    was_durable = any(
+        frame.synced >= missing or header.format_version < FORMAT_VERSION for frame in following
+    )
     if was_durable or not is_last:
         raise CorruptionError(segment.name, position, f"record {missing} is not as written, and was durable")
     lost = f", {len(following)} valid records among them" if following else ""
--- a/crowpost/storage/migration.py
+++ b/crowpost/storage/migration.py
@@ -1,4 +1,4 @@
-"""Migration of a directory from the format before to the present one."""
+"""Migration of a directory from the previous format version to the current one."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def migrate(state: RecoveredState, old_files: Sequence[str]) -> None:
-    """Write the recovered state in the present format; the rename of the store file commits it."""
+    """Add repairs that rewrite the state in the current format; renaming the store file commits them."""
     state.notes.append(f"migrated from format {state.format_version} to {FORMAT_VERSION}")
     already_removed = {repair.file for repair in state.repairs if isinstance(repair, Remove)}
     if state.snapshots:
--- a/crowpost/storage/operations.py
+++ b/crowpost/storage/operations.py
@@ -1,4 +1,4 @@
-"""The disk operations that the core and the recovery ask for; nothing here does I/O."""
+"""The disk operations that the core and recovery return; nothing here does I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """Create a file that must not exist, with these first bytes."""
+    """Create a file that must not exist yet, with this content."""
 
     label: ClassVar[str] = "creation"
     file: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendPieces:
-    """Append pieces to a file, each of which is generated while it is written."""
+    """Append pieces to a file; each piece is generated just before it is written."""
 
     label: ClassVar[str] = "generated append"
     file: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """Call fsync for a file."""
+    """Call fsync on a file."""
 
     label: ClassVar[str] = "fsync"
     file: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncDirectory:
-    """Call fsync for the directory, which makes created, renamed and removed names durable."""
+    """Call fsync on the directory, which makes created, renamed and removed names durable."""
 
     label: ClassVar[str] = "fsync of the directory"
 
@@ -70,7 +70,7 @@
 
 
 def describe(operation: Operation, directory: object) -> str:
-    """Return what an operation does, for an error text.  directory: its path."""
+    """Return a description of an operation for an error message.  directory: the path of the directory."""
     if isinstance(operation, SyncDirectory):
         return f"{operation.label} {directory}"
     return f"{operation.label} of {directory}/{operation.file}"
@@ -80,8 +80,8 @@
 class Job:
     """Operations to execute in order, up to the first that fails.
 
-    number: identifies the job when its result is reported.  last_sequence: the last record that is durable
-    once all operations are done.
+    number: identifies the job when its result is reported.  last_sequence: sequence number of the last record
+    that is durable once all operations are done.
     """
 
     number: int
@@ -91,10 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobResult:
-    """How the execution of a job ended.
+    """The result of executing a job.
 
-    error: why it stopped before its last operation; None if all were done.  generated_bytes: bytes written by
-    AppendPieces, whose size the core cannot know in advance.
+    error: description of the operation that failed and its error; None if none failed.  generated_bytes:
+    bytes written by AppendPieces, whose size the core cannot know in advance.
     """
 
     error: str | None = None
--- a/crowpost/storage/recovery.py
+++ b/crowpost/storage/recovery.py
@@ -1,6 +1,6 @@
-"""Recovery: what a directory holds after a crash, and the repairs needed before anything is written.
+"""Recovery of the content of a directory, and the repairs needed before anything is written.
 
-It reads and decides; the repairs are returned as disk operations.
+Recovery only reads; the repairs are returned as disk operations.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 from crowpost.storage.model import FORMAT_VERSION, RETAINED_SNAPSHOTS, RecoveredState, StoredFile
 from crowpost.storage.operations import Create, Operation, Remove, Rename, Sync, SyncDirectory
 
-FileReader = Callable[[str], bytes]  # returns the content of a file
+FileReader = Callable[[str], bytes]  # returns the content of the file with a name
 _FIRST_SEGMENT = StoredFile(1, log_file_name(1))
 
 
 def find_store_files(names: Iterable[str], read: FileReader) -> list[str]:
-    """Return the files that only a store leaves; none means that the directory holds no store.
+    """Return the names of files that belong to a store; none means that the directory holds no store.
 
-    The first segment is created before the store file, and no record is written to it until then: a first
-    segment without a record does not count.
+    The first segment is created before the store file, and it gets no record before the store file exists: a
+    first segment without a record is therefore left out.
     """
     candidates = [name for name in names if name == STORE_FILE or parse_file_name(name) is not None]
     if STORE_FILE in candidates:
@@ -45,11 +45,11 @@
 def recover(
     names: Iterable[str], read: FileReader, expected_owner: str, new_identity: bytes
 ) -> RecoveredState:
-    """Return what the directory with these files holds.
+    """Return the recovered content of the directory with these files.
 
-    expected_owner: empty for any.  new_identity: 8 random bytes, used if the directory holds no store yet.
-    Raise CorruptionError or StoreError if anything durable is not there as written: nothing is skipped, and
-    no older snapshot is chosen, without an operator's decision.
+    expected_owner: empty to accept any owner.  new_identity: 8 random bytes, used if the directory holds no
+    store yet.  Raise CorruptionError or StoreError if durable data is missing or corrupt: without an
+    operator's decision no data is skipped and no older snapshot is used.
     """
     present = sorted(names)
     if STORE_FILE not in present:
@@ -63,7 +63,7 @@
     state.repairs += _remove_temporary_files(present)
     data_files = _data_files(present)
     current = [name for name in data_files if _format_version(name) == store.format_version]
-    # Files of another format are of a migration that was interrupted, or that has just ended.
+    # Files of another format were left by an interrupted migration, or by one that has just ended.
     state.repairs += [Remove(name) for name in data_files if name not in current]
     read_files(state, current, read)
     if store.format_version != FORMAT_VERSION:
@@ -83,7 +83,7 @@
 
 
 def _remove_temporary_files(present: Sequence[str]) -> list[Operation]:
-    """Remove the files that were never renamed: nothing depends on them."""
+    """Return the removal of files that were never renamed: nothing depends on them."""
     return [Remove(name) for name in present if name.endswith(TEMPORARY_SUFFIX)]
 
 
@@ -104,7 +104,10 @@
 
 
 def create_store(owner: str, identity: bytes) -> list[Operation]:
-    """Return the operations that create a store.  The store file is last: without it nothing can be lost."""
+    """Return the operations that create a store.
+
+    The store file is created last: no record is written before it exists, so that none can be lost.
+    """
     header = Header(FileKind.LOG, identity, _FIRST_SEGMENT.sequence)
     temporary = STORE_FILE + TEMPORARY_SUFFIX
     return [
@@ -124,8 +127,8 @@
 def rewrite_last_segment(state: RecoveredState, read: FileReader) -> list[Operation]:
     """Return the operations that write the valid part of the last segment to a new file.
 
-    What is read may be in the page cache only: left there by a process that was killed, or after a failed
-    fsync, which a second fsync would not report.  A new file is durable, and a torn tail is cut off.
+    The data that was read may exist only in the page cache: left there by a killed process, or by a failed
+    fsync, which a second fsync would not report.  The new file is synced, and it leaves out a torn tail.
     """
     name = state.segments[-1].name
     temporary = name + TEMPORARY_SUFFIX
@@ -134,7 +137,7 @@
 
 
 def read_files(state: RecoveredState, names: Sequence[str], read: FileReader) -> None:
-    """Read the snapshots and segments of these names into the state."""
+    """Read the snapshots and segments with these names into the state."""
     state.snapshots = _stored_files(names, FileKind.SNAPSHOT)
     segments = _stored_files(names, FileKind.LOG)
     if segments and _is_unfinished(state, segments[-1], read):
@@ -157,11 +160,15 @@
 
 def _stored_files(names: Sequence[str], kind: FileKind) -> list[StoredFile]:
     parsed = [(name, parse_file_name(name)) for name in names]
-    return sorted(StoredFile(p.sequence, name) for name, p in parsed if p is not None and p.kind is kind)
+    return sorted(
+        StoredFile(file_name.sequence, name)
+        for name, file_name in parsed
+        if file_name is not None and file_name.kind is kind
+    )
 
 
 def _is_unfinished(state: RecoveredState, segment: StoredFile, read: FileReader) -> bool:
-    """Return whether a segment has no valid header and no valid frame: a crash cut off its creation."""
+    """Return whether a segment has no valid header and no valid frame: a crash interrupted its creation."""
     data = read(segment.name)
     header = segment_header(state, segment)
     try:
@@ -172,16 +179,16 @@
 
 
 def _read_segments(state: RecoveredState, segments: Sequence[StoredFile], read: FileReader) -> int:
-    """Read the records after the snapshot into the state, and return the sequence of the last one."""
+    """Read the records after the snapshot into the state, and return the sequence number of the last."""
     base = state.snapshot_sequence
-    spare = [segment for segment in segments if segment.sequence <= base + 1][:-1]
-    needed = segments[len(spare) :]
+    superseded = [segment for segment in segments if segment.sequence <= base + 1][:-1]
+    needed = segments[len(superseded) :]
     if needed and needed[0].sequence > base + 1:
         raise StoreError(
             f"the log lacks records {base + 1} to {needed[0].sequence - 1}, before {needed[0].name}"
         )
-    for segment in spare:
-        _check_spare_segment(state, segment, read)
+    for segment in superseded:
+        _check_superseded_segment(state, segment, read)
     last = base
     for segment in needed:
         if segment is not needed[0] and segment.sequence != last + 1:
@@ -194,12 +201,12 @@
     return last
 
 
-def _check_spare_segment(state: RecoveredState, segment: StoredFile, read: FileReader) -> None:
-    """Note corruption of a segment that only an older snapshot needs; no record is lost by it."""
+def _check_superseded_segment(state: RecoveredState, segment: StoredFile, read: FileReader) -> None:
+    """Note corruption of a segment that only an older snapshot needs; no record is lost."""
     try:
         read_segment(state, segment, read(segment.name), is_last=False)
     except CorruptionError as error:
-        state.notes.append(f"{error}; a later snapshot holds all that is in it")
+        state.notes.append(f"{error}; a later snapshot contains all its records")
 
 
 # ---------------------------------------------------------------- snapshots
@@ -211,7 +218,7 @@
 
 
 def _read_snapshots(state: RecoveredState, segments: Sequence[StoredFile], read: FileReader) -> None:
-    """Read the last snapshot into the state, and check the others that are retained."""
+    """Read the last snapshot into the state, and verify the other retained ones."""
     if not state.snapshots:
         return
     newest = state.snapshots[-1]
@@ -229,12 +236,12 @@
 
 
 def _describe_fallback(state: RecoveredState, segments: Sequence[StoredFile], read: FileReader) -> str:
-    """Return which snapshot could replace the last one."""
+    """Return a sentence on which older snapshot could replace the last one."""
     for snapshot in reversed(state.snapshots[:-1]):
         try:
             _load_snapshot(state, snapshot, read)
         except CorruptionError:
             continue
         if any(segment.sequence <= snapshot.sequence + 1 for segment in segments):
-            return f"{snapshot.name} is whole: `crowpost state repair` goes back to it and the log after it"
-    return "no other snapshot is whole: `crowpost state repair` lists what would be lost"
+            return f"{snapshot.name} is intact: `crowpost state repair` goes back to it and the log after it"
+    return "no other snapshot is intact: `crowpost state repair` lists what would be lost"
--- a/crowpost/storage/repair.py
+++ b/crowpost/storage/repair.py
@@ -1,7 +1,7 @@
-"""Repair of a directory that recovery refuses: a copy that can be opened, and a list of what is lost.
+"""Repair of a directory that recovery rejects: a copy that can be opened, and a list of what is lost.
 
-The directory itself is never written: a repair copies it first, writes what can be saved beside the copy, and
-leaves it to the operator to put that in place.
+The directory itself is never written to.  A repair copies it first and writes a repaired directory beside the
+copy; the operator then moves that to the place of the original.
 """
 
 from __future__ import annotations
@@ -39,24 +39,24 @@
 
 @dataclass(slots=True)
 class Salvage:
-    """What can be saved of a directory: a state without a gap, and one line for each thing that is lost."""
+    """The salvageable content of a directory: a state without a gap, and one line for each loss."""
 
     owner: str
     identity: bytes
-    snapshot_sequence: int = 0  # of the snapshot that is used; 0: none
+    snapshot_sequence: int = 0  # sequence number of the snapshot that is used; 0 if there is none
     snapshot: list[bytes] = field(default_factory=list)
     records: list[Record] = field(default_factory=list)
     dropped: list[str] = field(default_factory=list)
 
     @property
     def last_sequence(self) -> int:
-        """The last record that is saved."""
+        """Sequence number of the last salvaged record."""
         return self.snapshot_sequence + len(self.records)
 
 
 @dataclass(frozen=True, slots=True)
 class _DataFile:
-    """A log segment or snapshot of a directory that is repaired."""
+    """A log segment or snapshot of the directory to repair."""
 
     name: str
     kind: FileKind
@@ -67,13 +67,14 @@
         return Header(self.kind, identity, self.sequence, self.format_version)
 
 
-# ---------------------------------------------------------------- what can be saved
+# ---------------------------------------------------------------- reading the damaged directory
 
 
 def salvage(names: Iterable[str], read: FileReader, owner: str = "") -> Salvage:
     """Return the longest intact state without a gap: the newest intact snapshot and the records after it.
 
-    owner: for a directory whose store file cannot be read.  Raise StoreError if the owner is unknown.
+    owner: used if the store file cannot be read.  Raise StoreError if the owner is then empty, or if no file
+    has a valid header.
     """
     present = sorted(names)
     files = _data_files(present)
@@ -92,20 +93,27 @@
 
 def _data_files(present: Iterable[str]) -> list[_DataFile]:
     parsed = [(name, parse_file_name(name)) for name in present]
-    return [_DataFile(name, p.kind, p.sequence, p.format_version) for name, p in parsed if p is not None]
+    return [
+        _DataFile(name, file_name.kind, file_name.sequence, file_name.format_version)
+        for name, file_name in parsed
+        if file_name is not None
+    ]
 
 
 def _read_store_file(
     present: list[str], read: FileReader, files: list[_DataFile], owner: str
 ) -> tuple[StoreFile, list[str]]:
-    """Return the store file, or one made up from the owner and the other files, and what that drops."""
+    """Return the content of the store file, or a replacement, and lines on what is lost by replacing it.
+
+    The replacement is made from the owner and the headers of the other files.
+    """
     try:
         return StoreFile.decode(read(STORE_FILE) if STORE_FILE in present else b""), []
     except StoreError as error:
         if not owner:
-            raise StoreError(f"{error}; name its owner with --owner to repair it all the same") from error
+            raise StoreError(f"{error}; name its owner with --owner to repair it anyway") from error
         version = max((file.format_version for file in files), default=FORMAT_VERSION)
-        dropped = [f"{STORE_FILE}: {error}; written anew for {owner!r}"]
+        dropped = [f"{STORE_FILE}: {error}; replaced by a new one for {owner!r}"]
         return StoreFile(owner, _find_identity(files, read), version), dropped
 
 
@@ -120,7 +128,7 @@
 
 
 def _salvage_snapshot(saved: Salvage, file: _DataFile, data: bytes) -> bool:
-    """Take in a snapshot if it is intact; return whether it is."""
+    """Use a snapshot if it is intact; return whether it is."""
     try:
         saved.snapshot = decode_snapshot(file.name, data, file.header(saved.identity))
     except CorruptionError as error:
@@ -131,7 +139,7 @@
 
 
 def _salvage_segment(saved: Salvage, file: _DataFile, data: bytes) -> None:
-    """Take in the records of a segment that continue the state, and note the others as dropped."""
+    """Add the records of a segment that continue the state, and note the others as dropped."""
     header = file.header(saved.identity)
     try:
         content = decode_log(file.name, data, header)
@@ -143,7 +151,7 @@
     expected = saved.last_sequence + 1
     if records and records[0].sequence > expected:
         span = f"{records[0].sequence} to {records[-1].sequence}"
-        saved.dropped.append(f"{file.name}: records {span}; those from {expected} on before them are lost")
+        saved.dropped.append(f"{file.name}: records {span}; the records from {expected} up to these are lost")
     else:
         saved.records += [record for record in records if record.sequence >= expected]
     if valid_bytes < len(data):
@@ -161,15 +169,15 @@
 
 
 def repaired_path(copy: Path) -> Path:
-    """Return where the repaired directory is written, beside the copy."""
+    """Return the path of the repaired directory, beside the copy."""
     return copy.with_name(f"{copy.name}{REPAIRED_SUFFIX}")
 
 
 def copy_and_repair(path: Path, copy: Path, owner: str = "") -> Salvage:
-    """Copy a directory as it is, and write what can be saved of it to `repaired_path(copy)`.
+    """Copy a directory unchanged, and write its salvageable content to `repaired_path(copy)`.
 
-    The directory is locked meanwhile and not changed.  Raise StoreError if nothing can be saved or one of the
-    two copies exists.
+    The directory is locked meanwhile and not changed.  Raise StoreError if nothing can be salvaged, or if the
+    copy or the repaired directory exists already.
     """
     disk = Disk(path, lock=True)
     try:
@@ -186,7 +194,7 @@
 
 
 def _encode_files(saved: Salvage) -> dict[str, bytes]:
-    """Return the content of the files by name, in the present format."""
+    """Return the files of the repaired directory by name, in the current format."""
     files: dict[str, bytes] = {}
     base = saved.snapshot_sequence
     if base:
--- a/crowpost/storage/runner.py
+++ b/crowpost/storage/runner.py
@@ -1,4 +1,4 @@
-"""The runner executes a store's jobs on a thread of its own, so that no fsync blocks the event loop."""
+"""Execution of a store's jobs on a separate thread, so that no fsync blocks the event loop."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 
 log = logging.getLogger(__name__)
 
-INSPECT_ATTEMPTS = 4  # for a directory that another process may be writing
+INSPECT_ATTEMPTS = 4  # another process may be writing to the directory meanwhile
 
 
 # ---------------------------------------------------------------- opening
 
 
 def inspect_store(path: Path, owner: str = "") -> RecoveredState:
-    """Return what a directory holds, without the lock and without a change; a torn tail stays as it is.
+    """Return the content of a directory without locking or changing it; a torn tail is not cut off.
 
-    A process that writes may remove a file while it is read, so this is attempted a few times.
+    A process that writes to the directory may remove a file while it is being read, so recovery is attempted
+    INSPECT_ATTEMPTS times.
     """
     disk = Disk(path, lock=False)
     try:
@@ -46,7 +47,7 @@
 
 
 def recover_disk(disk: Disk, owner: str) -> RecoveredState:
-    """Recover a locked directory and execute the repairs.  Raise StoreError if that is not possible."""
+    """Recover a locked directory and execute the repairs.  Raise StoreError if either fails."""
     state = recover(disk.names(), disk.read, owner, os.urandom(IDENTITY_BYTES))
     for operation in state.repairs:
         try:
@@ -69,9 +70,9 @@
 
 
 def open_store(path: Path, owner: str) -> OpenedStore:
-    """Lock a directory and recover it, which blocks.
+    """Lock a directory and recover it.  This call blocks.
 
-    Raise DirectoryLockedError if another process has it, and StoreError if it cannot be recovered.
+    Raise DirectoryLockedError if another process holds the lock, and StoreError if recovery fails.
     """
     disk = Disk(path, lock=True)
     try:
@@ -92,22 +93,22 @@
             generated += disk.perform(operation)
         except OSError as error:
             return JobResult(_describe_failure(disk, operation, error), generated)
-        except Exception as error:  # a generator may raise anything, and the store needs a result
-            log.exception("fault in a job of the store")
+        except Exception as error:  # a generator may raise anything, and every job needs a result
+            log.exception("unexpected error in a job of the store")
             return JobResult(f"{describe(operation, disk.path)}: {error!r}", generated)
     return JobResult(generated_bytes=generated)
 
 
 @dataclass(frozen=True, slots=True)
 class _Waiter:
-    """A caller that waits for a record to be durable."""
+    """A task that waits for a record to become durable."""
 
     sequence: int
     future: asyncio.Future[None]
 
 
 class StoreRunner:
-    """A directory that is written from a running event loop."""
+    """A store in an open directory, used from a running event loop."""
 
     def __init__(self, opened: OpenedStore, policy: WritePolicy | None = None) -> None:
         recovered = opened.recovered
@@ -135,13 +136,13 @@
         return 1000.0 * self._loop.time()
 
     def append(self, payload: bytes, durability: Durability) -> int:
-        """Accept a record and return its sequence number.  Raise StoreError once writing has stopped."""
+        """Accept a record and return its sequence number.  Raise StoreError if writing has stopped."""
         sequence = self.store.append(payload, durability, self.now())
         self._run_next_job()
         return sequence
 
     async def wait_durable(self, sequence: int) -> None:
-        """Wait until a record is durable.  Raise StoreError once writing has stopped."""
+        """Wait until a record is durable.  Raise StoreError if writing stops before that."""
         self.store.require_no_failure()
         if sequence > self.store.durable_sequence:
             future: asyncio.Future[None] = self._loop.create_future()
@@ -149,7 +150,7 @@
             await future
 
     def write_snapshot(self, pieces: Iterable[bytes]) -> None:
-        """Write the state after the last record; the pieces are generated on the thread that writes."""
+        """Request a snapshot of the state after the last record; the writing thread generates the pieces."""
         self.store.write_snapshot(pieces)
         self._run_next_job()
 
@@ -198,12 +199,12 @@
         self._waiters = waiting
 
     def release(self) -> None:
-        """Release the directory without writing; nothing may have been appended."""
+        """Release the directory without writing; no record may have been appended."""
         self._thread.shutdown(wait=True)
         self._disk.close()
 
     async def close(self) -> None:
-        """Write what waits, seal the log and release the directory."""
+        """Write the waiting records, seal the log and release the directory."""
         if not self.store.failure:
             self.store.close()
             self._run_next_job()
@@ -216,5 +217,5 @@
 
 
 def log_event(event: str, **values: object) -> None:
-    """Write one structured line to the log."""
+    """Log one structured line with an event and its values."""
     log.info("state %s", json.dumps({"event": event, **values}))
--- a/crowpost/storage/verification.py
+++ b/crowpost/storage/verification.py
@@ -1,4 +1,4 @@
-"""A check of every file of a directory, and of the directory as a whole; it changes nothing."""
+"""Verification of every file of a directory, and of the directory as a whole; it changes nothing."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class FileReport:
-    """What one file holds, read by itself."""
+    """The result of reading one file on its own."""
 
     name: str
     bytes: int
@@ -36,21 +36,21 @@
 
 @dataclass(slots=True)
 class VerificationReport:
-    """The files of a directory, and the result of a recovery."""
+    """The files of a directory, and the result of recovering the directory."""
 
     files: list[FileReport] = field(default_factory=list)
     owner: str = ""
     recovered: RecoveredState | None = None
-    refusal: str = ""  # why a starting process would refuse the directory
+    recovery_error: str = ""  # why recovery rejects the directory; empty if it does not
 
     @property
     def notes(self) -> list[str]:
-        """What recovery would report to an operator."""
+        """The notes of recovery, which an operator has to see; empty if recovery failed."""
         return self.recovered.notes if self.recovered is not None else []
 
 
 def verify(names: Iterable[str], read: FileReader) -> VerificationReport:
-    """Read every file by itself, then the directory as a whole."""
+    """Read every file on its own, then recover the directory as a whole."""
     present = sorted(names)
     report = VerificationReport()
     identity = bytes(IDENTITY_BYTES)
@@ -60,16 +60,16 @@
             report.owner = store.owner
             identity = store.identity
     except StoreError as error:
-        report.refusal = str(error)
+        report.recovery_error = str(error)
     for name in present:
         parsed = parse_file_name(name)
         if parsed is not None:
             report.files.append(_check_file(name, parsed, read(name), identity))
-    if not report.refusal:
+    if not report.recovery_error:
         try:
             report.recovered = recover(present, read, "", identity)
         except StoreError as error:
-            report.refusal = str(error)
+            report.recovery_error = str(error)
     return report
 
 
--- a/tests/storage/helpers.py
+++ b/tests/storage/helpers.py
@@ -1,4 +1,4 @@
-"""Directories with known records, for the tests of the storage."""
+"""Directories with known records, for the storage tests."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 def write(
     path: Path, records: int, *, policy: WritePolicy | None = None, close: bool = True, snapshot: int = 0
 ) -> Store:
-    """A directory with so many records; a snapshot after one of them."""
+    """Create a directory with this number of records, and a snapshot after the record `snapshot`."""
     disk = Disk(path, lock=True)
     recovered = recover_disk(disk, "n0")
     store = Store(recovered, 0.0, policy)
@@ -57,26 +57,28 @@
 
 
 def payloads(recovered: RecoveredState) -> list[bytes]:
-    return [r.payload for r in recovered.records]
+    return [record.payload for record in recovered.records]
 
 
 def write_format_1(path: Path, records: list[bytes], snapshot: list[bytes] | None = None) -> None:
-    """A directory as the format before wrote it: frames that do not say what was synced, and no seals."""
+    """Create a directory in format 1: its frames do not record what was synced, and it has no seals."""
     path.mkdir()
     base = 0
     if snapshot is not None:
         base = 10
         header = Header(FileKind.SNAPSHOT, ID, base, 1)
         codec = FrameCodec(header)
-        pieces = [codec.encode(FrameKind.SNAPSHOT_PIECE, i, 0, piece) for i, piece in enumerate(snapshot)]
+        pieces = [
+            codec.encode(FrameKind.SNAPSHOT_PIECE, index, 0, piece) for index, piece in enumerate(snapshot)
+        ]
         pieces.append(codec.encode(FrameKind.SNAPSHOT_END, len(snapshot), 0))
         (path / "snapshot-00000000000000000010.1").write_bytes(header.encode() + b"".join(pieces))
     header = Header(FileKind.LOG, ID, base + 1, 1)
     codec = FrameCodec(header)
-    frames = [codec.encode(FrameKind.RECORD, base + 1 + i, 0, data) for i, data in enumerate(records)]
+    frames = [codec.encode(FrameKind.RECORD, base + 1 + index, 0, data) for index, data in enumerate(records)]
     (path / f"log-{base + 1:020d}.1").write_bytes(header.encode() + b"".join(frames))
     (path / STORE_FILE).write_bytes(StoreFile("n0", ID, 1).encode())
 
 
 def listing(path: Path) -> tuple[list[str], FileReader]:
-    return [p.name for p in path.iterdir()], lambda name: (path / name).read_bytes()
+    return [file.name for file in path.iterdir()], lambda name: (path / name).read_bytes()
--- a/tests/storage/test_config.py
+++ b/tests/storage/test_config.py
@@ -1,4 +1,4 @@
-"""The table [state] of a file."""
+"""Reading the table [state] of a TOML file."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from crowpost.storage.errors import StoreError
 
 
-def test_the_file_names_directory_and_owner(tmp_path: Path) -> None:
+def test_a_valid_table_is_read_with_defaults_for_missing_keys(tmp_path: Path) -> None:
     file = tmp_path / "s.toml"
     file.write_text('[state]\ndirectory = "/var/x"\nevery_ms = 250\non_damage = "refuse"\n')
     assert load(str(file), "n0") == StateConfig(Path("/var/x"), "n0", 250.0, on_damage="refuse")
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("", "state: the table is missing"),
         ("[state]\n", "state.directory: is missing"),
@@ -26,9 +26,9 @@
         ('[state]\ndirectory = "x"\non_damage = "x"\n', "state.on_damage: one of start, refuse, not 'x'"),
     ],
 )
-def test_an_invalid_value_is_an_error_with_file_and_key(tmp_path: Path, text: str, said: str) -> None:
+def test_an_invalid_value_is_an_error_with_file_and_key(tmp_path: Path, text: str, message: str) -> None:
     file = tmp_path / "s.toml"
     file.write_text(text)
     with pytest.raises(StoreError) as error:
         load(str(file), "n0")
-    assert str(error.value).startswith(f"{file}: {said}")
+    assert str(error.value).startswith(f"{file}: {message}")
--- a/tests/storage/test_core.py
+++ b/tests/storage/test_core.py
@@ -1,4 +1,4 @@
-"""The writing side of a store, without I/O."""
+"""The write path of a store, without I/O."""
 
 from __future__ import annotations
 
@@ -33,12 +33,14 @@
     assert job is not None and first == 1
     for number in range(2, 12):
         assert store.append(b"b", ACKNOWLEDGED, 1.0) == number
-    assert store.next_job(1.0) is None and store.next_job_at() == float("inf")  # one job at a time
+    assert store.next_job(1.0) is None and store.next_job_at() == float("inf")  # there is one job at a time
     store.complete_job(job.number, JobResult())
     assert store.durable_sequence == 1
     job = store.next_job(2.0)
     assert (
-        job is not None and sum(isinstance(o, Sync) for o in job.operations) == 1 and job.last_sequence == 11
+        job is not None
+        and sum(isinstance(operation, Sync) for operation in job.operations) == 1
+        and job.last_sequence == 11
     )
 
 
@@ -51,9 +53,9 @@
     assert job is not None
     store.complete_job(job.number, JobResult())
     store.append(bytes(10), DELAYED, 211.0)
-    assert 700.0 < store.next_job_at() < 800.0  # half a second's bytes were overdrawn
+    assert 700.0 < store.next_job_at() < 800.0  # the budget of half a second was overdrawn
     store.append(b"x", ACKNOWLEDGED, 300.0)
-    assert store.next_job(300.0) is not None  # that never waits
+    assert store.next_job(300.0) is not None  # an acknowledged record does not wait for the budget
 
 
 def test_after_a_disk_error_nothing_more_is_written() -> None:
@@ -77,7 +79,7 @@
         if number % 10 == 0:
             store.write_snapshot([b"%d" % number])
         run(disk, store)
-    retained = sorted(n for n in disk.names() if n.startswith(("log", "snapshot")))
+    retained = sorted(name for name in disk.names() if name.startswith(("log", "snapshot")))
     assert retained == [log_file_name(31), log_file_name(41), snapshot_file_name(30), snapshot_file_name(40)]
     disk.close()
     recovered = inspect_store(tmp_path / "s")
--- a/tests/storage/test_disk.py
+++ b/tests/storage/test_disk.py
@@ -1,4 +1,4 @@
-"""The lock of a directory on a real disk, and the errors of opening it."""
+"""Locking a directory on a real disk, and the errors of opening it."""
 
 from __future__ import annotations
 
--- a/tests/storage/test_migration.py
+++ b/tests/storage/test_migration.py
@@ -1,4 +1,4 @@
-"""Migration from the format before."""
+"""Migration from the previous format version."""
 
 from __future__ import annotations
 
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of directories that a crash, a fault of the disk or an operator has left."""
+"""Recovery of directories after a crash, a disk error or a mistake of an operator."""
 
 from __future__ import annotations
 
@@ -77,5 +77,5 @@
 def test_recovery_renames_a_file_only_after_its_fsync(tmp_path: Path) -> None:
     write(tmp_path / "s", 2, close=False)
     repairs = recover(*listing(tmp_path / "s"), "n0", ID).repairs
-    renamed = next(i for i, o in enumerate(repairs) if isinstance(o, Rename))
+    renamed = next(index for index, operation in enumerate(repairs) if isinstance(operation, Rename))
     assert isinstance(repairs[renamed - 1], Sync)
--- a/tests/storage/test_repair.py
+++ b/tests/storage/test_repair.py
@@ -1,4 +1,4 @@
-"""Verification and repair of a directory that recovery refuses."""
+"""Verification and repair of a directory that recovery rejects."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 
 
-def test_a_corrupt_snapshot_is_an_error_that_offers_the_one_before(tmp_path: Path) -> None:
+def test_a_corrupt_snapshot_is_an_error_that_names_the_previous_snapshot(tmp_path: Path) -> None:
     write(tmp_path / "s", 4, snapshot=2, close=False)
     disk = Disk(tmp_path / "s", lock=True)
     recovered = recover_disk(disk, "n0")
@@ -37,7 +37,7 @@
     newest = tmp_path / "s" / snapshot_file_name(5)
     newest.write_bytes(newest.read_bytes()[:-3])
     with pytest.raises(
-        CorruptionError, match=f"{snapshot_file_name(2)} is whole: `crowpost state repair` goes back"
+        CorruptionError, match=f"{snapshot_file_name(2)} is intact: `crowpost state repair` goes back"
     ):
         inspect_store(tmp_path / "s")
     saved = copy_and_repair(tmp_path / "s", tmp_path / "copy")
@@ -46,13 +46,13 @@
         and saved.last_sequence == 5
         and snapshot_file_name(5) in saved.dropped[0]
     )
-    assert sorted(p.name for p in (tmp_path / "copy").iterdir()) == sorted(
-        p.name for p in (tmp_path / "s").iterdir()
+    assert sorted(file.name for file in (tmp_path / "copy").iterdir()) == sorted(
+        file.name for file in (tmp_path / "s").iterdir()
     )
-    mended = inspect_store(tmp_path / "copy-repaired")
-    assert mended.snapshot == [b"state", b"2"]
-    assert payloads(mended) == [b"record 3", b"record 4", b"record 5"]
-    assert newest.exists()  # the directory itself is as it was
+    repaired = inspect_store(tmp_path / "copy-repaired")
+    assert repaired.snapshot == [b"state", b"2"]
+    assert payloads(repaired) == [b"record 3", b"record 4", b"record 5"]
+    assert newest.exists()  # the directory itself is unchanged
 
 
 def test_repair_lists_what_it_drops(tmp_path: Path) -> None:
@@ -63,7 +63,10 @@
     log.write_bytes(data)
     (tmp_path / "s" / STORE_FILE).write_bytes(b"gone")
     with pytest.raises(StoreError, match="name its owner"):
-        salvage([p.name for p in (tmp_path / "s").iterdir()], lambda n: (tmp_path / "s" / n).read_bytes())
+        salvage(
+            [file.name for file in (tmp_path / "s").iterdir()],
+            lambda name: (tmp_path / "s" / name).read_bytes(),
+        )
     saved = copy_and_repair(tmp_path / "s", tmp_path / "copy", "n0")
     assert saved.last_sequence == 3 and any(
         "valid records 5 to 9 among them" in line for line in saved.dropped
@@ -73,15 +76,25 @@
         b"record 2",
         b"record 3",
     ]
-    report = verify([p.name for p in (tmp_path / "s").iterdir()], lambda n: (tmp_path / "s" / n).read_bytes())
-    assert report.refusal.startswith("store is damaged")
+    report = verify(
+        [file.name for file in (tmp_path / "s").iterdir()], lambda name: (tmp_path / "s" / name).read_bytes()
+    )
+    assert report.recovery_error.startswith("store is damaged")
 
 
 def test_verify_reads_every_file(tmp_path: Path) -> None:
     write(tmp_path / "s", 6, snapshot=3)
-    report = verify([p.name for p in (tmp_path / "s").iterdir()], lambda n: (tmp_path / "s" / n).read_bytes())
-    assert not report.refusal and report.owner == "n0" and [f.damage for f in report.files] == [""] * 3
-    assert [(f.first_sequence, f.last_sequence) for f in report.files if f.name.startswith("log")] == [
+    report = verify(
+        [file.name for file in (tmp_path / "s").iterdir()], lambda name: (tmp_path / "s" / name).read_bytes()
+    )
+    assert (
+        not report.recovery_error
+        and report.owner == "n0"
+        and [file.damage for file in report.files] == [""] * 3
+    )
+    assert [
+        (file.first_sequence, file.last_sequence) for file in report.files if file.name.startswith("log")
+    ] == [
         (1, 3),
         (4, 6),
     ]
--- a/tests/storage/test_runner.py
+++ b/tests/storage/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner on a real disk that reports errors."""
+"""The runner, with error codes from the operating system."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_a_full_disk_stops_writing_with_a_reason(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def full(descriptor: int, data: memoryview) -> int:
+    def raise_no_space(descriptor: int, data: memoryview) -> int:
         raise OSError(errno.ENOSPC, "no space left")
 
     async def scenario() -> str:
@@ -26,7 +26,7 @@
         sequence = runner.append(b"kept", ACKNOWLEDGED)
         await runner.wait_durable(sequence)
         with monkeypatch.context() as patch:
-            patch.setattr("crowpost.storage.disk.os.write", full)
+            patch.setattr("crowpost.storage.disk.os.write", raise_no_space)
             with pytest.raises(StoreError, match="writing has stopped: append of .*: the disk is full"):
                 await runner.wait_durable(runner.append(b"lost", ACKNOWLEDGED))
         with pytest.raises(StoreError, match="writing has stopped"):
@@ -39,22 +39,22 @@
 
 
 def test_a_failed_fsync_is_not_repeated(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    asked = 0
+    fsync_calls = 0
 
-    def fails(descriptor: int) -> None:
-        nonlocal asked
-        asked += 1
+    def raise_error(descriptor: int) -> None:
+        nonlocal fsync_calls
+        fsync_calls += 1
         raise OSError(errno.EIO, "input/output error")
 
     async def scenario() -> None:
         runner = StoreRunner(open_store(tmp_path / "s", "n0"))
-        monkeypatch.setattr("crowpost.storage.disk.os.fsync", fails)
+        monkeypatch.setattr("crowpost.storage.disk.os.fsync", raise_error)
         with pytest.raises(StoreError, match="the disk reports an input/output error"):
             await runner.wait_durable(runner.append(b"lost", ACKNOWLEDGED))
         await runner.close()
 
     asyncio.run(scenario())
-    assert asked == 1
+    assert fsync_calls == 1
 
 
 @pytest.mark.parametrize(
@@ -68,10 +68,10 @@
 def test_a_failed_repair_names_operation_and_file(
     call: str, text: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def fails(*arguments: object) -> None:
+    def raise_error(*arguments: object) -> None:
         raise OSError(errno.EROFS, "read-only")
 
-    monkeypatch.setattr(f"crowpost.storage.disk.os.{call}", fails)
+    monkeypatch.setattr(f"crowpost.storage.disk.os.{call}", raise_error)
     with pytest.raises(StoreError, match=text):
         open_store(tmp_path / "s", "n0")
 
--- a/tests/storage/test_write_policy.py
+++ b/tests/storage/test_write_policy.py
@@ -1,4 +1,4 @@
-"""The budget of bytes that follows from a write policy."""
+"""The byte budget of a write policy."""
 
 from __future__ import annotations
 
