--- a/crowpost/lab/crash_consistency/__init__.py
+++ b/crowpost/lab/crash_consistency/__init__.py
@@ -1,1 +1,1 @@
-"""Crash consistency of the store: every state that a power loss may leave, recovered from and checked."""
+"""Crash consistency of the store: recovery is checked from every state that a power loss may leave."""
--- a/crowpost/lab/crash_consistency/benchmark.py
+++ b/crowpost/lab/crash_consistency/benchmark.py
@@ -1,4 +1,4 @@
-"""Measure a store on a real disk: appends, a long log and a large snapshot."""
+"""Benchmark of a store on a real disk: appends, a long log and a large snapshot."""
 
 from __future__ import annotations
 
@@ -23,17 +23,20 @@
 OWNER = "speed"
 RECORD_BYTES = 256
 LONG_LOG_BYTES = 100_000_000
-LONG_LOG_BATCH = 500  # records
-BATCHES = (1, 10, 100)  # records for each fsync
+LONG_LOG_BATCH = 500  # number of records
+BATCHES = (1, 10, 100)  # number of records for each fsync
 ENDPOINTS = 10_000
-MEASURED_S = 1.5  # for each rate
+MEASURED_S = 1.5  # duration of each measured rate
 POLICY = WritePolicy(bytes_per_s=1e12, burst_bytes=1e12)
 
-Row = dict[str, Any]  # what, figure and unit: the keys of the command's --json
+Row = dict[str, Any]  # its keys what, figure and unit are those of the command's --json
 
 
 def measure(directory: Path) -> list[Row]:
-    """Return the results.  The directory is created and removed; raise StoreError if it cannot be created."""
+    """Return the results.
+
+    The directory is created, and removed at the end.  Raise StoreError if it cannot be created.
+    """
     try:
         directory.mkdir()
     except OSError as error:
@@ -41,10 +44,10 @@
     try:
         rows: list[Row] = []
         for batch in BATCHES:
-            appends = _measure_appends(directory / f"a{batch}", batch)
-            raw = _measure_raw_file(directory / f"r{batch}", batch)
-            rows.append(_row(f"appends with an fsync for each {batch}", appends, "a second"))
-            rows.append(_row(f"the raw file, an fsync for each {batch}", raw, "a second"))
+            appends_per_s = _measure_appends(directory / f"a{batch}", batch)
+            raw_appends_per_s = _measure_raw_file(directory / f"r{batch}", batch)
+            rows.append(_row(f"appends with an fsync for each {batch}", appends_per_s, "a second"))
+            rows.append(_row(f"the raw file, an fsync for each {batch}", raw_appends_per_s, "a second"))
         rows += _measure_long_log(directory / "long")
         rows += _measure_snapshot(directory / "snapshot")
         return rows
@@ -108,8 +111,8 @@
             _execute_jobs(opened.disk, store)
     started = time.perf_counter()
     with _opened(path):
-        opening = time.perf_counter() - started
-    return [_row("a long log", store.counters.bytes / 1e6, "MB"), _row("opening it", opening, "s")]
+        opened_in_s = time.perf_counter() - started
+    return [_row("a long log", store.counters.bytes / 1e6, "MB"), _row("opening it", opened_in_s, "s")]
 
 
 def _measure_snapshot(path: Path) -> list[Row]:
@@ -119,20 +122,20 @@
         store.append(b"\x00", Durability.DELAYED, 0.0)
         started = time.perf_counter()
         pieces = state.snapshot_pieces()
-        copied = time.perf_counter() - started
+        copied_in_s = time.perf_counter() - started
         store.write_snapshot(pieces)
         _execute_jobs(opened.disk, store)
-        written = time.perf_counter() - started
+        written_in_s = time.perf_counter() - started
         size = store.counters.bytes - store.counters.log_bytes
     started = time.perf_counter()
     with _opened(path) as opened:
         read_node_state(opened.recovered)
-        read = time.perf_counter() - started
+        read_in_s = time.perf_counter() - started
     return [
-        _row(f"a snapshot of {ENDPOINTS} servers", written * 1000.0, "ms"),
-        _row("of which the loop is held", copied * 1000.0, "ms"),
+        _row(f"a snapshot of {ENDPOINTS} servers", written_in_s * 1000.0, "ms"),
+        _row("of which the loop is held", copied_in_s * 1000.0, "ms"),
         _row("its size", size / 1e6, "MB"),
-        _row("reading it back", read * 1000.0, "ms"),
+        _row("reading it back", read_in_s * 1000.0, "ms"),
     ]
 
 
@@ -140,18 +143,18 @@
     state = NodeState()
     instances = [
         {
-            "instanceId": f"s-{i:08x}",
-            "hostPort": f"10.0.{i // 250}.{i % 250}:8080",
+            "instanceId": f"s-{index:08x}",
+            "hostPort": f"10.0.{index // 250}.{index % 250}:8080",
             "zone": "a",
             "lifecycle": "SERVING",
             "machineType": "m",
-            "cell": i % 20,
+            "cell": index % 20,
             "weight": 1.0,
-            "startedAtMs": 1_700_000_000_000 + i,
+            "startedAtMs": 1_700_000_000_000 + index,
         }
-        for i in range(ENDPOINTS)
+        for index in range(ENDPOINTS)
     ]
-    learned = [RememberedEndpoint(str(i).encode(), 1.0, 1.0, 20.0) for i in range(ENDPOINTS)]
+    learned = [RememberedEndpoint(str(index).encode(), 1.0, 1.0, 20.0) for index in range(ENDPOINTS)]
     state.apply(EndpointListPart(True, 1, instances))
     state.apply(LearnedEndpoints(1.0, learned))
     return state
--- a/crowpost/lab/crash_consistency/checker.py
+++ b/crowpost/lab/crash_consistency/checker.py
@@ -1,7 +1,7 @@
-"""Checks of a store after a power loss at each step of its work: what recovery must hold afterwards.
+"""Checks of the recovered state of a store after a power loss at each step of its work.
 
-All acknowledged records are there, nothing is invented, and there is no gap; the same holds again after
-further records and another power loss.
+Recovery must return all acknowledged records, no record that was not written, and no gap.  The same must hold
+after further records and another power loss.
 """
 
 from __future__ import annotations
@@ -29,14 +29,16 @@
 from crowpost.storage.operations import JobResult
 from crowpost.storage.recovery import recover
 
-NESTED_ONE_IN = 8  # recoveries, one of which is itself interrupted, and one of so many of those again
+# One of so many recoveries, chosen at random, is itself interrupted by power losses.  The same holds for the
+# recoveries after those, up to MAX_DEPTH.
+NESTED_ONE_IN = 8
 MAX_DEPTH = 2
-RANDOM_STATES = 3  # of each power loss
-FURTHER_RECORDS = 3  # written after a recovery
+RANDOM_STATES = 3  # number of random states that are checked for each power loss
+FURTHER_RECORDS = 3  # number of records written after a recovery
 
 
 class CrashChecker:
-    """The checks of one workload from one seed."""
+    """The checks of one workload with one seed."""
 
     def __init__(self, seed: int, results: CheckResults, records: int = RECORDS) -> None:
         self._seed = seed
@@ -47,10 +49,10 @@
         self._workload = Workload(seed, self._rng, self._identity, records)
         self._checked: set[int] = set()
 
-    # ------------------------------------------------------------ what is tried
+    # ------------------------------------------------------------ injected faults
 
     def check_power_losses(self) -> SimulatedDisk:
-        """Lose power after every step of two processes, and return the disk as it is at the end."""
+        """Check a power loss after every step of two processes, and return the disk at the end."""
         disk = SimulatedDisk()
         for close in (False, True):
             for _ in self._workload.run(disk, close=close):
@@ -59,17 +61,20 @@
         return disk
 
     def check_disk_errors(self) -> None:
-        """Let each operation in turn fail by a full disk or an error, then end the process or lose power."""
+        """Check a full disk and a disk error at each operation, followed by a kill or a power loss."""
         for number in range(self._count_operations()):
             for code in (errno.ENOSPC, errno.EIO):
                 checker = CrashChecker(self._seed, self._results, self._records)
                 checker.check_disk_error(number, code)
 
     def check_disk_error(self, number: int, code: int) -> None:
-        """Let one operation fail, and check what is left."""
+        """Let one operation fail with an errno, and check the states that may be left.
+
+        number: index of the operation.  code: the errno.
+        """
         disk = SimulatedDisk(fail=(number, code))
         workload = self._workload
-        with suppress(OSError):  # while the store is opened: the process does not start
+        with suppress(OSError):  # an error while the store is opened: the process does not start
             for _ in workload.run(disk):
                 pass
         kind = "disk full" if code == errno.ENOSPC else "disk error"
@@ -79,7 +84,7 @@
             self._check(state, SimulatedDisk(files), workload.durable, MAX_DEPTH)
 
     def _count_operations(self) -> int:
-        """Return the number of operations of one process of this seed, without an effect on this checker."""
+        """Return the number of operations of one process with this seed; this checker is unaffected."""
         checker = CrashChecker(self._seed, CheckResults(), self._records)
         return checker.run_one_process()
 
@@ -91,8 +96,8 @@
         return disk.operations
 
     def check_flipped_bits(self, disk: SimulatedDisk, step: int) -> None:
-        """Flip every `step`-th bit of a closed store; recovery must refuse it or note it."""
-        files = disk.seen()
+        """Flip every `step`-th bit of a closed store; recovery must reject the store or note it."""
+        files = disk.visible_files()
         number = 0
         for name, data in files.items():
             for bit in range(8 * len(data)):
@@ -101,12 +106,12 @@
                     self._check_flipped_bit(files, name, bit)
 
     def _check_flipped_bit(self, files: Files, name: str, bit: int) -> None:
-        changed = bytearray(files[name])
-        changed[bit // 8] ^= 1 << bit % 8
-        flipped = {**files, name: bytes(changed)}
+        corrupted_data = bytearray(files[name])
+        corrupted_data[bit // 8] ^= 1 << bit % 8
+        corrupted_files = {**files, name: bytes(corrupted_data)}
         self._results.states["a bit flipped"] += 1
         try:
-            recovered = recover(list(flipped), flipped.__getitem__, OWNER, self._identity)
+            recovered = recover(list(corrupted_files), corrupted_files.__getitem__, OWNER, self._identity)
         except StoreError:
             return
         violation = self._find_violation(recovered, self._workload.durable)
@@ -114,15 +119,15 @@
             description = f"seed {self._seed}, bit {bit} of {name} {violation}"
             self._results.record_violation("a flipped bit passed over", description)
 
-    # ------------------------------------------------------------ what must hold
+    # ------------------------------------------------------------ checks of one state
 
     def _check_crash_states(self, disk: SimulatedDisk, prefix: str, durable: int, depth: int) -> None:
         for kind, files in disk.crash_states(self._rng, RANDOM_STATES):
             self._check(prefix + kind, SimulatedDisk(files), durable, depth)
 
     def _check(self, kind: str, disk: SimulatedDisk, durable: int, depth: int = 0) -> None:
-        """Recover from what a disk shows, check the result, write further records, and check that too."""
-        key = hash((durable, len(disk.changes), frozenset(disk.seen().items())))
+        """Recover the visible content of a disk and check it; then write further records and check again."""
+        key = hash((durable, len(disk.changes), frozenset(disk.visible_files().items())))
         if key in self._checked:
             return
         self._checked.add(key)
@@ -143,7 +148,7 @@
     def _execute_repairs(
         self, disk: SimulatedDisk, recovered: RecoveredState, durable: int, depth: int
     ) -> None:
-        """Execute the repairs; some of them are themselves interrupted by a power loss at each step."""
+        """Execute the repairs; in some of the recoveries, check a power loss after each operation."""
         is_interrupted = depth < MAX_DEPTH and self._rng.random() < 1.0 / NESTED_ONE_IN
         for operation in recovered.repairs:
             disk.perform(operation)
@@ -153,7 +158,7 @@
     def _check_further_records(
         self, disk: SimulatedDisk, recovered: RecoveredState, description: str
     ) -> None:
-        """Write further records, and lose power so that only what was synced is left."""
+        """Write further records, lose all unsynced data, and check the recovered state."""
         before = recovered.last_sequence
         last = before + FURTHER_RECORDS
         store = Store(recovered, 0.0, POLICY)
@@ -163,14 +168,17 @@
             generated = sum(disk.perform(operation) for operation in job.operations)
             store.complete_job(job.number, JobResult(None, generated))
         _, files = next(iter(disk.crash_states(self._rng, 0)))
-        again = recover(list(files), files.__getitem__, OWNER, self._identity)
-        violation = self._find_violation(again, last, appended=last)
+        recovered_again = recover(list(files), files.__getitem__, OWNER, self._identity)
+        violation = self._find_violation(recovered_again, last, appended=last)
         if violation:
             text = f"{description}, {before} before"
             self._results.record_violation(f"{violation} after writing on", text)
 
     def _find_violation(self, recovered: RecoveredState, durable: int, appended: int | None = None) -> str:
-        """Return what is wrong with a recovered state; an empty text if nothing is."""
+        """Return the kind of the first violation of a recovered state; empty if there is none.
+
+        durable, appended: sequence numbers of the last durable and the last appended record.
+        """
         base = recovered.snapshot_sequence
         if recovered.snapshot != (snapshot_pieces(base, self._seed) if recovered.snapshots else []):
             return "a snapshot invented"
@@ -190,7 +198,7 @@
 def check_seed(
     seed: int, flip_step: int = 29, *, stop_at_first: bool = False, records: int = RECORDS
 ) -> CheckResults:
-    """Run all checks of one seed.  stop_at_first: only until a violation is found."""
+    """Run all checks with one seed.  stop_at_first: stop at the first violation."""
     results = CheckResults(stop_at_first=stop_at_first)
     checker = CrashChecker(seed, results, records)
     with suppress(ViolationFoundError):
@@ -201,9 +209,10 @@
 
 
 def check_fault(name: str, seeds: int = 20, records: int = RECORDS) -> tuple[int, CheckResults]:
-    """Run the checks with a seeded fault, seed after seed, until one finds it.
+    """Run the checks on a store with a seeded fault, seed after seed, until one finds a violation.
 
-    Return the number of seeds and the results; results without a violation mean that it was not found.
+    Return the last seed, which is the number of seeds tried, and the results; results without a violation
+    mean that the fault was not found.
     """
     total = CheckResults()
     for seed in range(1, seeds + 1):
--- a/crowpost/lab/crash_consistency/kills.py
+++ b/crowpost/lab/crash_consistency/kills.py
@@ -1,8 +1,8 @@
-"""Kill real processes that write to real directories: python -m crowpost.lab.crash_consistency.kills DIR.
+"""Check recovery after kills of processes that write: python -m crowpost.lab.crash_consistency.kills DIR.
 
-A worker writes numbered records and snapshots, and prints the number of each record once it was
-acknowledged.  It is killed by SIGKILL, what it printed is compared with what recovery finds, and the next
-worker continues in the same directory.
+A worker process writes numbered records and snapshots, and prints the number of each record once it has been
+acknowledged.  It is killed by SIGKILL, its output is compared with the recovered state, and the next worker
+continues in the same directory.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 
 MODULE = "crowpost.lab.crash_consistency.kills"
 POLICY = WritePolicy(segment_bytes=20_000, bytes_per_s=1e9, burst_bytes=1e9)
-MAX_LIFETIME_S = 0.25  # of a worker after its first line
-MAX_PAUSE_S = 0.002  # of a worker between its batches
+MAX_LIFETIME_S = 0.25  # time from the first line of a worker to its kill
+MAX_PAUSE_S = 0.002  # pause of a worker between its batches
 BATCH_SIZES = (1, 1, 3, 20)
 SNAPSHOT_PROBABILITY = 0.05
 
@@ -39,7 +39,7 @@
 
 
 async def write_records(path: Path, seed: int) -> None:
-    """Write without end, and print a line for each acknowledged record."""
+    """Write records until the process is killed, and print a line for each acknowledged one."""
     runner = StoreRunner(open_store(path, OWNER), POLICY)
     rng = Random(os.getpid())
     waiting: set[asyncio.Task[None]] = set()
@@ -65,39 +65,39 @@
     os.write(sys.stdout.fileno(), b"%d\n" % sequence)
 
 
-# ---------------------------------------------------------------- the kills
+# ---------------------------------------------------------------- killing the workers
 
 
 @dataclass
 class KillResults:
-    """What was found in one directory."""
+    """The results of the kills in one directory."""
 
     kills: int = 0
-    records: int = 0  # acknowledged
+    records: int = 0  # sequence number of the last acknowledged record
     violations: list[str] = field(default_factory=list)
 
 
 def kill_repeatedly(path: Path, seed: int, kills: int) -> KillResults:
-    """Kill one worker after another in one directory, and check it after each."""
+    """Start and kill workers in one directory, one after another, and check recovery after each kill."""
     rng = Random(f"kills {seed}")
     results = KillResults()
     for number in range(kills):
         results.records = max([results.records, *_run_and_kill(path, seed, rng)])
         results.kills += 1
-        place = f"seed {seed}, kill {number}"
+        label = f"seed {seed}, kill {number}"
         try:
             recovered = inspect_store(path, OWNER)
         except StoreError as error:
-            results.violations.append(f"{place}: {error}")
+            results.violations.append(f"{label}: {error}")
             break
         results.violations += [
-            f"{place}: {text}" for text in _find_violations(recovered, seed, results.records)
+            f"{label}: {text}" for text in _find_violations(recovered, seed, results.records)
         ]
     return results
 
 
 def _run_and_kill(path: Path, seed: int, rng: Random) -> list[int]:
-    """Return the sequence numbers that a worker has printed until it was killed."""
+    """Return the sequence numbers that a worker printed before it was killed."""
     command = [sys.executable, "-m", MODULE, str(path), "--work", str(seed)]
     with Popen(command, stdout=PIPE, stderr=DEVNULL) as worker:
         assert worker.stdout is not None
@@ -113,21 +113,21 @@
     last = recovered.last_sequence
     base = recovered.snapshot_sequence
     if last < acknowledged:
-        violations.append(f"{acknowledged} was acknowledged, {last} is there")
+        violations.append(f"record {acknowledged} was acknowledged, the last recovered one is {last}")
     if recovered.snapshot != (snapshot_pieces(base, seed) if base else []):
-        violations.append(f"the snapshot of {base} is not what was written")
+        violations.append(f"the snapshot of record {base} differs from what was written")
     if any(record.payload != record_payload(record.sequence, seed) for record in recovered.records):
-        violations.append("a record is not what was written")
+        violations.append("a record differs from what was written")
     return violations
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command; return 1 if a violation was found, else 0."""
+    """Run the command line; return 1 if a violation was found, else 0."""
     parser = argparse.ArgumentParser(prog=f"python -m {MODULE}")
     parser.add_argument("path", type=Path)
     parser.add_argument("--kills", type=int, default=500)
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
-    parser.add_argument("--work", type=int, help="be a worker with this seed")
+    parser.add_argument("--work", type=int, help="run as a worker with this seed")
     options = parser.parse_args(arguments)
     if options.work is not None:
         with contextlib.suppress(KeyboardInterrupt):
@@ -142,13 +142,13 @@
 
 
 def _kill_in_parallel(path: Path, kills: int, jobs: int) -> list[KillResults]:
-    """Divide the kills over as many directories as there are jobs."""
+    """Divide the kills among `jobs` directories."""
     path.mkdir(parents=True, exist_ok=True)
-    shares = [kills // jobs + (index < kills % jobs) for index in range(jobs)]
+    kills_by_directory = [kills // jobs + (index < kills % jobs) for index in range(jobs)]
     with ThreadPoolExecutor(jobs) as pool:
         futures = [
-            pool.submit(kill_repeatedly, path / f"store-{seed}", seed, share)
-            for seed, share in enumerate(shares, 1)
+            pool.submit(kill_repeatedly, path / f"store-{seed}", seed, directory_kills)
+            for seed, directory_kills in enumerate(kills_by_directory, 1)
         ]
         return [future.result() for future in futures]
 
--- a/crowpost/lab/crash_consistency/report.py
+++ b/crowpost/lab/crash_consistency/report.py
@@ -1,4 +1,4 @@
-"""Crash consistency checks of many seeds, and of every seeded fault, on all cores."""
+"""Crash consistency checks with many seeds, and of every seeded fault, in parallel processes."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultReport:
-    """How a seeded fault was found; the fields are the keys of the command's --json."""
+    """How the checks found a seeded fault; the fields are the keys of the command's --json."""
 
     name: str
-    breach: str  # the kind of the first violation; empty: the fault was not found
+    breach: str  # the kind of the first violation; empty if the fault was not found
     seed: int
     states: int
-    seconds: float  # of one core
+    seconds: float  # wall-clock time of the checks, which use one core
 
 
 def check_seeds(seeds: Sequence[int], flip_step: int, jobs: int) -> CheckResults:
@@ -34,7 +34,7 @@
 
 
 def check_faults(seeds: int, jobs: int) -> list[FaultReport]:
-    """Check each seeded fault on at most so many seeds."""
+    """Run the checks with each seeded fault, on at most `seeds` seeds."""
     with ProcessPoolExecutor(jobs) as pool:
         return list(pool.map(partial(_check_fault, seeds), FAULTS))
 
--- a/crowpost/lab/crash_consistency/results.py
+++ b/crowpost/lab/crash_consistency/results.py
@@ -1,4 +1,4 @@
-"""The results of crash consistency checks: states tried by kind, and violations found."""
+"""The results of crash consistency checks: checked states and violations, counted by kind."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class ViolationFoundError(Exception):
-    """The first violation was found, where one is enough."""
+    """A violation was found, and the run stops at the first one."""
 
 
 @dataclass
 class CheckResults:
-    """States tried and violations, by kind."""
+    """Checked states and violations, counted by kind."""
 
     states: Counter[str] = field(default_factory=Counter)
     violations: Counter[str] = field(default_factory=Counter)
-    descriptions: list[str] = field(default_factory=list)  # of the first violations
+    descriptions: list[str] = field(default_factory=list)  # the first MAX_DESCRIPTIONS violations
     stop_at_first: bool = False
 
     @property
     def state_count(self) -> int:
-        """Number of states tried."""
+        """Number of checked states."""
         return sum(self.states.values())
 
     def add(self, other: CheckResults) -> None:
@@ -33,7 +33,7 @@
         self.descriptions = (self.descriptions + other.descriptions)[:MAX_DESCRIPTIONS]
 
     def record_violation(self, kind: str, description: str) -> None:
-        """Record a violation.  Raise ViolationFoundError if the first one is to end the run."""
+        """Record a violation.  Raise ViolationFoundError if the run stops at the first one."""
         self.violations[kind] += 1
         if len(self.descriptions) < MAX_DESCRIPTIONS:
             self.descriptions.append(f"{kind}: {description}")
--- a/crowpost/lab/crash_consistency/seeded_faults.py
+++ b/crowpost/lab/crash_consistency/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are seeded into the store, each by name, to show that the checks find them."""
+"""Faults that are seeded into the store by patches, to verify that the checks find them."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 )
 
 Patch = Callable[[], AbstractContextManager[Any]]
-_SEGMENTS = "_segments"  # an attribute of the store that a fault changes
+_SEGMENTS = "_segments"  # attribute of Store that a fault changes
 
 
 def _original(name: str) -> Callable[..., Any]:
-    """Return a method of the store as it is without a fault."""
+    """Return the unpatched method of Store with this name."""
     method: Callable[..., Any] = vars(Store)[name]
     return method
 
@@ -55,7 +55,7 @@
     return [operation for operation in operations if not isinstance(operation, kinds)]
 
 
-# ---------------------------------------------------------------- faults of the writing side
+# ---------------------------------------------------------------- faults of the write path
 
 
 def _snapshot_without_directory_sync(self: Store, *args: Any) -> list[Operation]:
@@ -71,15 +71,26 @@
 
 
 def _segments_removed_first(self: Store, *args: Any) -> list[Operation]:
-    """The segments that the snapshot replaces are removed before it is written, and none is retained."""
+    """Remove the segments that the snapshot replaces before it is written, and retain none of them."""
     before: list[StoredFile] = list(getattr(self, _SEGMENTS))
     operations = _write_snapshot_file(self, *args)
     remaining = [segment for segment in getattr(self, _SEGMENTS) if segment not in before]
     setattr(self, _SEGMENTS, remaining)
     removals = [Remove(segment.name) for segment in before] if remaining else []
     names = {segment.name for segment in before}
-    seal = [o for o in operations if isinstance(o, Append | Sync) and o.file in names]
-    return [*removals, *(o for o in operations if not isinstance(o, Remove) and o not in seal)]
+    seal = [
+        operation
+        for operation in operations
+        if isinstance(operation, Append | Sync) and operation.file in names
+    ]
+    return [
+        *removals,
+        *(
+            operation
+            for operation in operations
+            if not isinstance(operation, Remove) and operation not in seal
+        ),
+    ]
 
 
 def _records_not_synced(self: Store) -> list[Operation]:
@@ -121,8 +132,16 @@
 def _store_file_first(owner: str, identity: bytes) -> list[Operation]:
     operations = _create_store(owner, identity)
     temporary = STORE_FILE + TEMPORARY_SUFFIX
-    segment = [o for o in operations if isinstance(o, Create | Sync) and o.file != temporary]
-    return [*(o for o in operations if o not in segment), *segment, SyncDirectory()]
+    segment = [
+        operation
+        for operation in operations
+        if isinstance(operation, Create | Sync) and operation.file != temporary
+    ]
+    return [
+        *(operation for operation in operations if operation not in segment),
+        *segment,
+        SyncDirectory(),
+    ]
 
 
 def _corruption_as_torn_tail(state: RecoveredState, *_args: Any, **_options: Any) -> None:
@@ -135,7 +154,7 @@
 
 
 def _newest_snapshot_ignored(state: RecoveredState, names: list[str], read: recovery.FileReader) -> None:
-    """Of several snapshots the oldest is used, and the log after it is not required."""
+    """Use the oldest of several snapshots, and do not require the log after it."""
     snapshots = sorted(name for name in names if _is_snapshot(name))
     _read_files(state, [name for name in names if name not in snapshots[1:]], read)
 
--- a/crowpost/lab/crash_consistency/simulated_disk.py
+++ b/crowpost/lab/crash_consistency/simulated_disk.py
@@ -1,10 +1,10 @@
-"""A simulated disk that tracks what was not synced, and the states that a power loss may leave of it.
+"""A simulated disk that tracks unsynced data, and the states that a power loss may leave on it.
 
-The model is the harshest that a POSIX file system allows.  Of the writes to a file that were not synced, any
-sector of 512 bytes may be there or not, in any order, and the file may be as long as if all were.  A name
-that was created, renamed or removed is durable only after an fsync of the directory, whatever happened to its
-data. Of two changes to one name the earlier comes first.  A failed fsync loses the writes that it should
-sync, while reads still show them until the power is lost.
+The model is the worst case that a POSIX file system allows.  Of the unsynced writes to a file, any sector of
+512 bytes may be present or missing, in any order, and the file may be as long as if all were present.  A name
+that was created, renamed or removed is durable only after an fsync of the directory, even if the data of the
+file is durable.  Two changes to one name are applied in order.  A failed fsync loses the writes that it
+should have synced, while reads still return them until the power loss.
 """
 
 from __future__ import annotations
@@ -26,28 +26,29 @@
     SyncDirectory,
 )
 
-SECTOR_BYTES = 512  # that a disk writes completely or not at all
+SECTOR_BYTES = 512  # unit that a disk writes completely or not at all
 
-Files = dict[str, bytes]  # the content by name: what a machine has after a restart
+Files = dict[str, bytes]  # content of the files by name, for example after a restart of the machine
 
 
 @dataclass
 class Inode:
-    """A file's durable content, and the writes that are not synced."""
+    """The durable content of a file, and its unsynced writes."""
 
     durable: bytes = b""
-    pending: list[tuple[int, bytes]] = field(default_factory=list)  # offset and data
-    lost: list[tuple[int, bytes]] = field(default_factory=list)  # by a failed fsync, and still shown by reads
+    pending: list[tuple[int, bytes]] = field(default_factory=list)  # unsynced writes: offset and data
+    # Writes lost by a failed fsync: reads return them until the power loss.
+    lost: list[tuple[int, bytes]] = field(default_factory=list)
     size: int = 0
 
-    def seen(self) -> bytes:
-        """Return what a read shows."""
-        return self.with_pieces(self.lost + self.pending, self.size)
+    def visible_content(self) -> bytes:
+        """Return the content that a read returns."""
+        return self.with_writes(self.lost + self.pending, self.size)
 
-    def with_pieces(self, pieces: list[tuple[int, bytes]], size: int | None = None) -> bytes:
-        """Return the durable content with some of the pending writes; bytes between them are zeros."""
+    def with_writes(self, writes: list[tuple[int, bytes]], size: int | None = None) -> bytes:
+        """Return the durable content with some of the unsynced writes, extended with zeros to a size."""
         content = bytearray(self.durable)
-        for offset, data in pieces:
+        for offset, data in writes:
             content.extend(bytes(max(0, offset - len(content))))
             content[offset : offset + len(data)] = data
         if size is not None:
@@ -55,7 +56,7 @@
         return bytes(content)
 
     def sectors(self) -> list[tuple[int, bytes]]:
-        """Return the pending writes in parts that are written completely or not at all."""
+        """Return the pending writes, split at sector boundaries."""
         parts = []
         for offset, data in self.pending:
             while data:
@@ -68,9 +69,9 @@
 
 @dataclass(frozen=True)
 class NameChange:
-    """A change of the directory that is not synced.
+    """An unsynced change of a name in the directory.
 
-    inode: None if the name is removed.  old_name: the name before a rename.
+    inode: index of the file; None if the name is removed.  old_name: the name before a rename, else empty.
     """
 
     name: str
@@ -79,14 +80,14 @@
 
 
 class SimulatedDisk:
-    """Executes a store's operations in memory.
+    """A disk in memory that executes the operations of a store.
 
-    fail: the number of the operation that fails, and its errno.
+    fail: the index of the operation that fails, and its errno.
     """
 
     def __init__(self, files: Files | None = None, fail: tuple[int, int] | None = None) -> None:
         self.inodes = [Inode(data, size=len(data)) for data in (files or {}).values()]
-        self.durable = {name: i for i, name in enumerate(files or {})}
+        self.durable = {name: index for index, name in enumerate(files or {})}
         self.current = dict(self.durable)
         self.changes: list[NameChange] = []
         self.operations = 0
@@ -98,26 +99,26 @@
 
     def read(self, name: str) -> bytes:
         """Return the content of a file as a process sees it."""
-        return self.inodes[self.current[name]].seen()
+        return self.inodes[self.current[name]].visible_content()
 
-    def seen(self) -> Files:
-        """Return all files as a process sees them; they are left if it is killed while the machine runs."""
-        return {name: self.inodes[i].seen() for name, i in self.current.items()}
+    def visible_files(self) -> Files:
+        """Return all files as a process sees them; a kill of the process does not change them."""
+        return {name: self.inodes[index].visible_content() for name, index in self.current.items()}
 
     def survivor(self) -> SimulatedDisk:
-        """Return the same disk for another process, after this one has ended while the machine runs."""
+        """Return a copy of the disk for the next process, after the end of this one without a power loss."""
         other = copy.deepcopy(self)
         other.fail = None
         return other
 
     def steps(self, operation: Operation) -> list[Operation]:
-        """Return the operation in steps between which the power may be lost."""
+        """Return the operation as steps; a power loss may occur between them."""
         if isinstance(operation, AppendPieces):
             return [Append(operation.file, piece) for piece in operation.pieces]
         return [operation]
 
     def perform(self, operation: Operation) -> int:
-        """Execute one operation.  Raise OSError if it is the one that fails."""
+        """Execute one operation, and return the bytes appended.  Raise OSError if it is the one to fail."""
         if isinstance(operation, AppendPieces):
             return sum(self.perform(step) for step in self.steps(operation)) or 0
         failing = self.fail is not None and self.operations == self.fail[0]
@@ -136,7 +137,7 @@
                 return len(data)
             case Sync(file):
                 inode = self._inode(file)
-                inode.durable = inode.with_pieces(inode.pending)
+                inode.durable = inode.with_writes(inode.pending)
                 inode.pending = []
             case SyncDirectory():
                 self.durable = dict(self.current)
@@ -148,7 +149,7 @@
         return 0
 
     def _fail(self, operation: Operation, number: int) -> None:
-        """Write one half of an Append; lose what a Sync should make durable, though reads still show it."""
+        """Raise OSError after half of an Append, or after a Sync has lost the pending writes."""
         if isinstance(operation, Append):
             self._write(operation.file, operation.data[: len(operation.data) // 2])
         if isinstance(operation, Sync):
@@ -172,13 +173,13 @@
         self.changes.append(change)
         _apply_change(self.current, change)
 
-    # ------------------------------------------------------------ what a power loss may leave
+    # ------------------------------------------------------------ states after a power loss
 
     def crash_states(self, rng: Random, samples: int) -> Iterator[tuple[str, Files]]:
-        """Yield the states that a power loss may leave, with their kinds; `samples` of random ones."""
+        """Yield the states that a power loss may leave, each with its kind, and `samples` random ones."""
         every = list(range(len(self.changes)))
         none: dict[int, list[tuple[int, bytes]]] = {}
-        parts = {i: inode.sectors() for i, inode in enumerate(self.inodes) if inode.pending}
+        parts = {index: inode.sectors() for index, inode in enumerate(self.inodes) if inode.pending}
         yield "nothing unsynced", self._state([], none)
         yield "all unsynced", self._state(every, parts)
         if not parts and not every:
@@ -187,18 +188,29 @@
         yield "data without names", self._state([], parts)
         yield "sizes without data", self._state(every, none, sized=True)
         for skip in every:
-            yield "a name missing", self._state([c for c in every if c != skip], parts)
+            yield "a name missing", self._state([change for change in every if change != skip], parts)
             yield "a single name", self._state([skip], parts)
-        for i, sectors in parts.items():
+        for index, sectors in parts.items():
             for cut in range(len(sectors)):
-                yield "torn", self._state(every, {**parts, i: sectors[:cut]})
-                yield "a sector missing", self._state(every, {**parts, i: sectors[:cut] + sectors[cut + 1 :]})
-                yield "later without earlier", self._state(every, {**parts, i: sectors[cut:]})
-                yield "torn, with its size", self._state(every, {**parts, i: sectors[:cut]}, sized=True)
-            yield "a file missing", self._state(every, {j: s for j, s in parts.items() if j != i})
+                yield "torn", self._state(every, {**parts, index: sectors[:cut]})
+                yield (
+                    "a sector missing",
+                    self._state(every, {**parts, index: sectors[:cut] + sectors[cut + 1 :]}),
+                )
+                yield "later without earlier", self._state(every, {**parts, index: sectors[cut:]})
+                yield "torn, with its size", self._state(every, {**parts, index: sectors[:cut]}, sized=True)
+            yield (
+                "a file missing",
+                self._state(
+                    every, {other: other_sectors for other, other_sectors in parts.items() if other != index}
+                ),
+            )
         for _ in range(samples):
-            some = {i: [s for s in sectors if rng.random() < 0.5] for i, sectors in parts.items()}
-            names = [c for c in every if rng.random() < 0.5]
+            some = {
+                index: [sector for sector in sectors if rng.random() < 0.5]
+                for index, sectors in parts.items()
+            }
+            names = [change for change in every if rng.random() < 0.5]
             yield "any part", self._state(names, some, sized=rng.random() < 0.5)
 
     def _state(
@@ -208,15 +220,15 @@
         for number in changes:
             _apply_change(names, self.changes[number])
         files = {}
-        for name, i in names.items():
-            inode = self.inodes[i]
+        for name, index in names.items():
+            inode = self.inodes[index]
             size = inode.size if sized and inode.pending else None
-            files[name] = inode.with_pieces(parts.get(i, []), size)
+            files[name] = inode.with_writes(parts.get(index, []), size)
         return files
 
 
 def _apply_change(names: dict[str, int], change: NameChange) -> None:
-    """Apply a change; a rename also removes the old name, since no file system leaves both or neither."""
+    """Apply a change.  A rename also removes the old name: no file system leaves both names or neither."""
     if change.inode is None:
         names.pop(change.name, None)
         return
--- a/crowpost/lab/crash_consistency/workload.py
+++ b/crowpost/lab/crash_consistency/workload.py
@@ -1,7 +1,7 @@
-"""A store at work on a simulated disk, which pauses after each step of the disk.
+"""A workload of a store on a simulated disk, which can be interrupted after each step of the disk.
 
-Records are numbered and their content follows from the number, so that whatever is recovered can be compared
-with what was written.
+Records are numbered and their content follows from the number, so that recovered records can be compared with
+what was written.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from crowpost.storage.write_policy import WritePolicy
 
 OWNER = "n0"
-RECORDS = 36  # of each of two processes, one after the other
+RECORDS = 36  # number of records of each process; two processes run one after the other
 POLICY = WritePolicy(segment_bytes=1_500, bytes_per_s=1e9, burst_bytes=1e9)
 LATER_MS = 1e6  # a time at which every job is due
 BATCH_SIZES = (1, 1, 2, 5)
@@ -27,24 +27,27 @@
 
 
 def record_payload(number: int, seed: int) -> bytes:
-    """Return the content of a record, of 1 to 700 bytes."""
+    """Return the content of the record with a number, of 1 to 700 bytes."""
     digest = hashlib.blake2b(b"%d %d" % (number, seed), digest_size=32).digest()
     return digest * (1 + digest[0] % 22) if digest[1] % 3 else digest[: 1 + digest[2] % 31]
 
 
 def snapshot_pieces(number: int, seed: int) -> list[bytes]:
-    """Return the pieces of a snapshot after a record."""
+    """Return the pieces of the snapshot after the record with a number."""
     recent = range(max(1, number - 8), number + 1)
-    return [b"%d" % number, *(record_payload(n, seed)[:64] for n in recent)]
+    return [b"%d" % number, *(record_payload(recent_number, seed)[:64] for recent_number in recent)]
 
 
 def recover_disk(disk: SimulatedDisk, identity: bytes, owner: str = OWNER) -> RecoveredState:
-    """Return what a simulated disk holds; the repairs are not executed."""
+    """Return the recovered content of a simulated disk; the repairs are not executed."""
     return recover(disk.names(), disk.read, owner, identity)
 
 
 def run_jobs(disk: SimulatedDisk, store: Store, on_result: Callable[[], None]) -> Iterator[None]:
-    """Execute all jobs of a store, one step at a time; on_result is called after the result of each."""
+    """Execute all jobs of a store, and yield after each step.
+
+    on_result: called after the store has processed the result of a job.
+    """
     while (job := store.next_job(LATER_MS)) is not None:
         result = yield from _run_job(disk, job)
         store.complete_job(job.number, result)
@@ -65,20 +68,20 @@
 
 
 class Workload:
-    """Two processes that write one after the other, from one seed."""
+    """Processes that write one after the other with one seed; each call of `run` is one process."""
 
     def __init__(self, seed: int, rng: Random, identity: bytes, records: int = RECORDS) -> None:
         self.seed = seed
-        self.appended = 0  # records accepted by the store
-        self.durable = 0  # records reported as durable
+        self.appended = 0  # number of records that the store accepted
+        self.durable = 0  # number of records that the store reported as durable
         self._rng = rng
         self._identity = identity
         self._records = records
 
     def run(self, disk: SimulatedDisk, *, close: bool = False) -> Iterator[None]:
-        """Open, write records and snapshots, and close if that is asked for.
+        """Open the store, write records and snapshots, and close the store if `close` is set.
 
-        Pauses after every step of the disk, and ends early once the store has stopped writing.
+        Yields after every step of the disk, and ends early if the store has stopped writing.
         """
         last = self.appended + self._records
         recovered = recover_disk(disk, self._identity)
