--- a/crowpost/cli/__init__.py
+++ b/crowpost/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `crowpost` command.  It imports the lab and the node; neither imports it."""
+"""The `crowpost` command line.  It imports the lab and the node; neither imports it."""
--- a/crowpost/cli/capacity.py
+++ b/crowpost/cli/capacity.py
@@ -1,4 +1,4 @@
-"""`crowpost lab capacity`: the page of the size that is coming, from its records."""
+"""`crowpost lab capacity`: the capacity page for the planned size, rendered from committed records."""
 
 from __future__ import annotations
 
@@ -11,15 +11,21 @@
 
 def capacity(
     docs: Annotated[
-        Path, typer.Option(help="the folder of the page; its records and assumptions are in capacity/")
+        Path,
+        typer.Option(
+            help="the folder of the page; its subfolder capacity/ holds the records and assumptions"
+        ),
     ] = Path("docs"),
-    target: Annotated[str, typer.Option(help="a target file; default: the one shipped")] = "",
+    target: Annotated[str, typer.Option(help="a target file; default: the one in the package")] = "",
     write: Annotated[bool, typer.Option("--write", help="write the page")] = False,
     check: Annotated[
-        bool, typer.Option("--check", help="say where page and records part; exit code 1 if they do")
+        bool,
+        typer.Option(
+            "--check", help="print the differences between page and records; exit code 1 if there are any"
+        ),
     ] = False,
 ) -> None:
-    """What the coming size needs of each role, from committed records: printed, written or checked.
+    """Print, write or check the page of what the planned size needs for each role, from committed records.
 
     Example: crowpost lab capacity --check
     """
@@ -27,16 +33,16 @@
     from crowpost.lab.scale.target import load
 
     if write and check:
-        raise typer.BadParameter("--write and --check: one of them")
-    wanted = load(target or None)
+        raise typer.BadParameter("--write and --check cannot be combined")
+    parsed_target = load(target or None)
     if write:
-        print(page.write(docs, wanted))
+        print(page.write(docs, parsed_target))
         return
     if check:
-        found = page.check(docs, wanted)
-        for line in found:
+        differences = page.check(docs, parsed_target)
+        for line in differences:
             print(line, file=sys.stderr)
-        if found:
+        if differences:
             raise typer.Exit(1)
         return
-    print(page.render(wanted, records.read(docs / page.FOLDER))[0], end="")
+    print(page.render(parsed_target, records.read(docs / page.FOLDER))[0], end="")
--- a/crowpost/cli/feed.py
+++ b/crowpost/cli/feed.py
@@ -17,24 +17,32 @@
     from crowpost.config_feed.documents import Document
     from crowpost.config_feed.messages import PublishRequest
 
-app = typer.Typer(help="Configuration for a whole fleet, published once.", no_args_is_help=True)
+app = typer.Typer(
+    help="Configuration that is published once and distributed to a whole fleet.", no_args_is_help=True
+)
 out = console()
 At = Annotated[
-    str, typer.Option("--at", envvar="CROWPOST_FEED", help="publishers and relays, host:port[,host:port...]")
+    str,
+    typer.Option(
+        "--at", envvar="CROWPOST_FEED", help="addresses of publishers and relays, host:port[,host:port...]"
+    ),
 ]
 Cluster = Annotated[
     str, typer.Option("--cluster", envvar="CROWPOST_FEED_CLUSTER", help="name of the cluster")
 ]
 Author = Annotated[str, typer.Option("--author", envvar="USER", help="who publishes")]
-Reason = Annotated[str, typer.Option("--reason", help="why, for those who look at it later")]
+Reason = Annotated[str, typer.Option("--reason", help="reason for the change, stored with the document")]
 IfVersion = Annotated[
-    int, typer.Option("--if-version", min=-1, help="only if the scope is at this version; 0: if it has none")
+    int,
+    typer.Option(
+        "--if-version", min=-1, help="publish only if the scope is at this version; 0: if it has no document"
+    ),
 ]
 AsJson = Annotated[bool, typer.Option("--json", help="print JSON")]
 
-STATUS_TIMEOUT_S = 1.5  # for all servers, which are asked at once
+STATUS_TIMEOUT_S = 1.5  # timeout for all servers, which are asked at the same time
 PUBLISH_TIMEOUT_S = 10.0
-WATCH_ROLE = "watch"  # neither node, relay nor publisher: it is not listed as a follower
+WATCH_ROLE = "watch"  # not a node, relay or publisher: statuses do not list it as a follower
 
 
 def _addresses(at: str) -> list[str]:
@@ -42,7 +50,9 @@
 
     addresses = [address.strip() for address in at.split(",") if address.strip()]
     if not addresses:
-        raise typer.BadParameter("name publishers and relays with --at HOST:PORT,... or in CROWPOST_FEED")
+        raise typer.BadParameter(
+            "set the addresses of publishers and relays with --at HOST:PORT,... or CROWPOST_FEED"
+        )
     for address in addresses:
         split_address(address)
     return addresses
@@ -50,7 +60,7 @@
 
 def _cluster(cluster: str) -> str:
     if not cluster:
-        raise typer.BadParameter("name the cluster with --cluster, or in CROWPOST_FEED_CLUSTER")
+        raise typer.BadParameter("set the name of the cluster with --cluster or CROWPOST_FEED_CLUSTER")
     return cluster
 
 
@@ -58,10 +68,10 @@
 def run(
     file: Annotated[str, typer.Argument(help="a TOML file with [feed]")],
     restored: Annotated[
-        bool, typer.Option("--restored", help="the directory is from a backup: begin the next era")
+        bool, typer.Option("--restored", help="the directory was restored from a backup: begin the next era")
     ] = False,
 ) -> None:
-    """Be a publisher or a relay until SIGTERM.
+    """Run a publisher or a relay until SIGTERM.
 
     Example: crowpost feed run publisher.toml
     """
@@ -72,17 +82,19 @@
 
 @app.command("publish")
 def publish(
-    file: Annotated[str, typer.Argument(help="a file with the JSON document; - for standard input")],
+    file: Annotated[str, typer.Argument(help="a file with a JSON document; - for standard input")],
     scope: Annotated[str, typer.Option("--scope", help="all, region/R, service/S or node/N")],
     at: At = "",
     cluster: Cluster = "",
     author: Author = "",
     reason: Reason = "",
     if_version: IfVersion = -1,
-    region: Annotated[str, typer.Option("--region", help="of a node, with its first document")] = "",
+    region: Annotated[
+        str, typer.Option("--region", help="region of a node, given with its first document")
+    ] = "",
     as_json: AsJson = False,
 ) -> None:
-    """Publish a document: durable once this has ended with 0.  Exit code 1 if it is refused.
+    """Publish a document, which is durable once the command exits with 0.  Exit code 1 if it is rejected.
 
     Example: crowpost feed publish moved.json --scope region/north --reason "lists moved" --at 10.0.0.9:7400
     """
@@ -113,7 +125,7 @@
     if_version: IfVersion = -1,
     as_json: AsJson = False,
 ) -> None:
-    """Publish the document before the one in force, as a new version.  Exit code 1 if it is refused.
+    """Publish the previous document again, as a new version.  Exit code 1 if it is rejected.
 
     Example: crowpost feed back region/north --reason "calls fail since" --if-version 12 --at 10.0.0.9:7400
     """
@@ -128,8 +140,8 @@
     from crowpost.config_feed.request_reply import request_reply
 
     _check(request)
-    sending = request_reply(_addresses(at)[0], request, _cluster(cluster), PUBLISH_TIMEOUT_S)
-    answer = asyncio.run(sending)
+    reply = request_reply(_addresses(at)[0], request, _cluster(cluster), PUBLISH_TIMEOUT_S)
+    answer = asyncio.run(reply)
     if isinstance(answer, PublishRejected):
         if as_json:
             print(json.dumps({"published": False, "why": answer.why}))
@@ -154,7 +166,7 @@
 
 
 def _check(request: PublishRequest) -> None:
-    """Raise FeedError, before any server is asked, for what is invalid or fits no frame."""
+    """Raise FeedError for a request that is invalid or too large, before it is sent."""
     from crowpost.config_feed.documents import make_document
     from crowpost.config_feed.errors import FeedError
     from crowpost.config_feed.scopes import parse_scope
@@ -169,9 +181,10 @@
 
 @app.command("status")
 def status(at: At = "", cluster: Cluster = "", as_json: AsJson = False) -> None:
-    """Who has what, since when, who lags, refused or was not heard of; within 2 s, whoever is silent.
+    """Print which versions are in force, and the followers that lag, reject a document or have no contact.
 
-    Exit code 1 if any of that is so, or any of those asked did not answer.
+    Takes at most 2 s, even if servers are unresponsive.  Exit code 1 if there is any such follower, or any
+    server did not answer.
 
     Example: crowpost feed status --at 10.0.0.9:7400,10.0.1.9:7400 --cluster c1
     """
@@ -194,10 +207,12 @@
 def watch(
     at: At = "",
     cluster: Cluster = "",
-    count: Annotated[int, typer.Option("--count", min=0, help="end after so many lines; 0: never")] = 0,
+    count: Annotated[
+        int, typer.Option("--count", min=0, help="exit after this number of lines; 0: never")
+    ] = 0,
     as_json: AsJson = False,
 ) -> None:
-    """Print a line for each document, first those that there are, then each new one, until interrupted.
+    """Print a line for each current document, then for each new one, until interrupted.
 
     Example: crowpost feed watch --at 10.0.0.9:7400,10.0.1.9:7400 --cluster c1
     """
--- a/crowpost/cli/feed_simulation.py
+++ b/crowpost/cli/feed_simulation.py
@@ -1,4 +1,4 @@
-"""`crowpost lab feed`: how long a change of configuration takes in a simulated fleet, and its bytes."""
+"""`crowpost lab feed`: the latency and traffic of configuration changes in a simulated fleet."""
 
 from __future__ import annotations
 
@@ -15,19 +15,22 @@
 def feed(
     cases: Annotated[
         list[str] | None,
-        typer.Argument(help="calm, loss, burst, zone, ...; without any, calm", show_default=False),
+        typer.Argument(help="calm, loss, burst, zone, ...; default: calm", show_default=False),
     ] = None,
     nodes: Annotated[int, typer.Option(min=7, max=5_000)] = 790,
     seed: Annotated[int, typer.Option(min=0)] = 1,
     as_json: Annotated[bool, typer.Option("--json", help="print JSON")] = False,
     into: Annotated[
-        Path | None, typer.Option("--into", help="put the runs into this record, in place of equal ones")
+        Path | None,
+        typer.Option(
+            "--into", help="add the runs to this record; a run replaces one of the same case, size and seed"
+        ),
     ] = None,
     table: Annotated[
-        Path | None, typer.Option("--table", help="play nothing, and print this record as a Markdown table")
+        Path | None, typer.Option("--table", help="run nothing, and print this record as a Markdown table")
     ] = None,
 ) -> None:
-    """Play changes of configuration through a simulated fleet: seconds to in force, and bytes a second.
+    """Simulate configuration changes in a fleet: seconds until a change is in force, and bytes a second.
 
     Example: crowpost lab feed calm relay-dies --nodes 140 --seed 2
     """
@@ -40,7 +43,7 @@
 
     cases = cases or ["calm"]
     if unknown := [case for case in cases if case not in CASES]:
-        raise FeedError(f"no case {unknown[0]!r}; there are {', '.join(CASES)}")
+        raise FeedError(f"unknown case {unknown[0]!r}; known are {', '.join(CASES)}")
     runs: list[dict[str, Any]] = []
     for case in cases:
         run = play(case, nodes, seed)
@@ -72,7 +75,7 @@
 
 
 def _table(path: Path) -> str:
-    """Return the runs of a record as a table, a row each; bytes are of the busiest process of a role."""
+    """Return the runs of a record as a Markdown table; bytes are those of the busiest process of a role."""
     from crowpost.lab.feed.records import read_record
 
     lines = [_row(COLUMNS), "|---" * len(COLUMNS) + "|"]
@@ -103,7 +106,7 @@
 
 
 def _show(run: dict[str, Any]) -> None:
-    """Print a run for people."""
+    """Print the result of a run for people."""
     latency = run["in_force_s"]
     out = console()
     out.print(
@@ -113,6 +116,8 @@
     )
     bytes_per_s = {role: run[f"{role}_bytes_per_s"] for role in ("node", "relay", "publisher")}
     busiest = run.get("node_bytes_per_s_busiest_10s", "-")
-    out.print(f"    bytes a second, of the busiest: {bytes_per_s}; of a node in its busiest 10 s: {busiest}")
+    out.print(
+        f"    bytes a second of the busiest process: {bytes_per_s}; of a node in its busiest 10 s: {busiest}"
+    )
     for fault in run["faults"]:
-        out.print(f"    broken: {fault}")
+        out.print(f"    violation: {fault}")
--- a/crowpost/cli/feed_status.py
+++ b/crowpost/cli/feed_status.py
@@ -1,4 +1,4 @@
-"""Statuses of publishers and relays: asked for, merged into one, and shown."""
+"""Requesting, merging and printing the statuses of publishers and relays."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from crowpost.config_feed.errors import FeedError
 
-SILENT_MS = 10_000.0  # a follower that was not heard of for so long is listed
-GONE_MS = 600_000.0  # and after so long it counts as replaced
-MAX_LISTED = 40  # followers with problems
+UNRESPONSIVE_MS = 10_000.0  # a follower without contact for longer is listed as a problem
+GONE_MS = 600_000.0  # a disconnected follower without contact for longer counts as replaced
+MAX_LISTED = 40  # number of printed lines about followers with problems
 MINUTES_FROM_MS = 120_000  # shorter ages are shown in seconds
 
 StatusMap = dict[str, Any]
@@ -24,19 +24,19 @@
 
 @dataclass
 class StatusAnswers:
-    """The statuses that servers answered with, and by address why others did not."""
+    """The statuses that servers returned, and the errors of the others by address."""
 
     statuses: list[StatusMap] = field(default_factory=list)
     errors: dict[str, str] = field(default_factory=dict)
 
 
 async def collect_statuses(addresses: Sequence[str], cluster: str, timeout_s: float) -> StatusAnswers:
-    """Ask all servers at once, and return what was answered in time."""
+    """Request the statuses of all servers at once, and return those that arrive before the timeout."""
     from crowpost.config_feed.errors import FeedError
 
     answers = StatusAnswers()
-    asking = (_ask(address, cluster, timeout_s) for address in addresses)
-    for address, result in zip(addresses, await asyncio.gather(*asking), strict=True):
+    requests = (_request_status(address, cluster, timeout_s) for address in addresses)
+    for address, result in zip(addresses, await asyncio.gather(*requests), strict=True):
         if isinstance(result, FeedError):
             answers.errors[address] = str(result)
         else:
@@ -44,7 +44,7 @@
     return answers
 
 
-async def _ask(address: str, cluster: str, timeout_s: float) -> StatusMap | FeedError:
+async def _request_status(address: str, cluster: str, timeout_s: float) -> StatusMap | FeedError:
     from crowpost.config_feed.errors import FeedError
     from crowpost.config_feed.messages import StatusRequest, StatusResponse
     from crowpost.config_feed.request_reply import request_reply
@@ -58,21 +58,25 @@
 
 
 def summarize(answers: StatusAnswers) -> StatusMap:
-    """Return the statuses as one map, as `crowpost feed status --json` prints it.
+    """Return the merged statuses as a map, as `crowpost feed status --json` prints it.
 
-    Keys: `heads` with how many nodes have each applied, `followers`, `gone`, `conflicts`, `silent` and
-    `answered` servers, `stopped` publishers, and `whole`, whether everything is applied everywhere.
+    Keys: `heads`, the headers by scope with the number of nodes that apply each; `followers`; `gone`, the
+    names of replaced followers; `conflicts`; `silent`, the servers that did not answer; `answered`;
+    `stopped`, the publishers that stopped writing; and `whole`, whether every follower applies all its
+    documents and there is no error.
     """
     from crowpost.config_feed.status_merge import merge_statuses
 
     summary = merge_statuses(answers.statuses)
-    followers = {name: one for name, one in summary["followers"].items() if one["role"] != "watch"}
-    summary["gone"] = sorted(name for name, one in followers.items() if _is_gone(one))
-    followers = {name: one for name, one in followers.items() if not _is_gone(one)}
+    followers = {
+        name: follower for name, follower in summary["followers"].items() if follower["role"] != "watch"
+    }
+    summary["gone"] = sorted(name for name, follower in followers.items() if _is_gone(follower))
+    followers = {name: follower for name, follower in followers.items() if not _is_gone(follower)}
     for follower in followers.values():
-        follower["unheard"] = not follower["linked"] or follower["age_ms"] > SILENT_MS
+        follower["unheard"] = not follower["linked"] or follower["age_ms"] > UNRESPONSIVE_MS
     summary["followers"] = followers
-    nodes = {name: one for name, one in followers.items() if one["role"] == "node"}
+    nodes = {name: follower for name, follower in followers.items() if follower["role"] == "node"}
     for scope, header in summary["heads"].items():
         _count_nodes(scope, header, nodes)
     summary["silent"] = answers.errors
@@ -82,7 +86,9 @@
         for status in answers.statuses
         if status["counts"].get("stopped")
     }
-    has_problems = any(one["lags"] or one["refused"] or one["unheard"] for one in followers.values())
+    has_problems = any(
+        follower["lags"] or follower["refused"] or follower["unheard"] for follower in followers.values()
+    )
     summary["whole"] = not (has_problems or answers.errors or summary["conflicts"] or summary["stopped"])
     return summary
 
@@ -92,21 +98,21 @@
 
 
 def _count_nodes(scope: str, header: StatusMap, nodes: dict[str, StatusMap]) -> None:
-    """Add to a header how many nodes it applies to, and how many have it applied."""
+    """Add to a header the number of nodes that its scope covers, and of those that have applied it."""
     from crowpost.config_feed.scopes import applies_to_node
 
-    meant = [
+    target_nodes = [
         node for name, node in nodes.items() if applies_to_node(scope, node["region"], node["service"], name)
     ]
     applied = [
         status
-        for node in meant
+        for node in target_nodes
         for status in node["standings"]
         if status["scope"] == scope
         and status["state"] == "in force"
         and status["version"] == header["version"]
     ]
-    header["meant"] = len(meant)
+    header["meant"] = len(target_nodes)
     header["in_force"] = len(applied)
     header["last_since_ms"] = min((status["since_ms"] for status in applied), default=None)
 
@@ -115,19 +121,19 @@
     """Print a summary for people."""
     out = console()
     out.print(_header_table(summary["heads"]))
-    lines = [line for name, one in summary["followers"].items() for line in _problems(name, one)]
+    lines = [line for name, follower in summary["followers"].items() for line in _problems(name, follower)]
     for line in lines[:MAX_LISTED]:
         out.print(line)
     if len(lines) > MAX_LISTED:
-        out.print(f"and {len(lines) - MAX_LISTED} more: --json has them all")
+        out.print(f"and {len(lines) - MAX_LISTED} more: --json prints all of them")
     for conflict in summary["conflicts"]:
         out.print(_conflict_line(conflict))
     for name in summary["stopped"]:
-        out.print(f"{name} takes no documents: its disk has failed, see its log")
+        out.print(f"{name} accepts no documents: its disk has failed, see its log")
     for error in summary["silent"].values():
         out.print(error)
     if summary["gone"]:
-        out.print(f"{len(summary['gone'])} have not been here for ten minutes, and are left out")
+        out.print(f"{len(summary['gone'])} followers without contact for ten minutes are left out")
     if summary["whole"]:
         out.print(f"all {len(summary['followers'])} that watch have all that is meant for them")
 
@@ -153,20 +159,20 @@
     winner = conflict["kept"]
     loser = conflict["dropped"]
     return (
-        f"two answers for {winner['scope']}: version {winner['version']} of {winner['writer']} holds,"
-        f" version {loser['version']} of {loser['writer']} does not, by the rule: {conflict['rule']}"
+        f"two answers for {winner['scope']}: version {winner['version']} of {winner['writer']} is kept,"
+        f" version {loser['version']} of {loser['writer']} is dropped by the rule: {conflict['rule']}"
     )
 
 
 def _problems(name: str, follower: StatusMap) -> list[str]:
-    lines = [f"{name} refused {scope}: {why}" for scope, why in follower["refused"].items()]
+    lines = [f"{name} rejected {scope}: {why}" for scope, why in follower["refused"].items()]
     lagging = [scope for scope in follower["lags"] if scope not in follower["refused"]]
     if lagging:
         versions = {status["scope"]: status["version"] for status in follower["standings"]}
         lags = ", ".join(f"{scope} (has {versions.get(scope, 0)})" for scope in lagging)
         lines.append(f"{name} lags: {lags}")
     if follower["unheard"]:
-        lines.append(f"{name} was not heard of for {_duration(follower['age_ms'])}")
+        lines.append(f"{name} has had no contact for {_duration(follower['age_ms'])}")
     return lines
 
 
--- a/crowpost/cli/lab.py
+++ b/crowpost/cli/lab.py
@@ -1,4 +1,4 @@
-"""`crowpost lab`: play scenarios, compare policies on paired seeds, and report."""
+"""`crowpost lab`: run scenarios, compare policies on paired seeds, and write reports."""
 
 from __future__ import annotations
 
@@ -15,7 +15,15 @@
 from crowpost.cli.capacity import capacity
 from crowpost.cli.feed_simulation import feed
 from crowpost.cli.lab_cores import disk, powerloss, swarm
-from crowpost.cli.lab_output import AsJson, OutFolder, Which, out, run_folder, show, stories
+from crowpost.cli.lab_output import (
+    AsJson,
+    OutFolder,
+    ScenarioArgument,
+    open_run_folder,
+    out,
+    print_result,
+    report_violations,
+)
 from crowpost.cli.lab_processes import live, storm
 from crowpost.cli.overhead import overhead
 from crowpost.cli.scale import scale
@@ -24,42 +32,49 @@
 from crowpost.lab.scenario import load, shipped
 
 app = typer.Typer(
-    help="Scenarios of a whole platform: simulated, or on loopback sockets.", no_args_is_help=True
+    help="Scenarios of a whole platform, in simulated time or on loopback sockets.", no_args_is_help=True
 )
 for command in (capacity, feed, overhead, scale, live, storm, powerloss, disk, swarm):
     app.command()(command)
-Policies = Annotated[str, typer.Option(help="names with commas; see `crowpost lab policies`")]
+Policies = Annotated[str, typer.Option(help="comma-separated names; see `crowpost lab policies`")]
 DEFAULT_POLICIES = "module,random,round-robin,least-outstanding,p2c-peak-ewma,true-state"
 
 
 @app.command("list")
 def list_scenarios(as_json: AsJson = False) -> None:
-    """The scenarios that come with the package."""
-    found = [load(name) for name in shipped()]
+    """List the scenarios in the package."""
+    scenarios = [load(name) for name in shipped()]
     if as_json:
-        print(json.dumps([{"name": s.name, "about": s.about, "duration_s": s.duration_s} for s in found]))
+        print(
+            json.dumps(
+                [
+                    {"name": scenario.name, "about": scenario.about, "duration_s": scenario.duration_s}
+                    for scenario in scenarios
+                ]
+            )
+        )
         return
     table = Table("name", "nodes", "servers", "seconds", "about", box=None)
-    for s in found:
-        servers = "+".join(str(t.servers) for t in s.tiers)
-        table.add_row(s.name, str(s.nodes), servers, f"{s.duration_s:g}", s.about)
+    for scenario in scenarios:
+        servers = "+".join(str(tier.servers) for tier in scenario.tiers)
+        table.add_row(scenario.name, str(scenario.nodes), servers, f"{scenario.duration_s:g}", scenario.about)
     out.print(table)
 
 
 @app.command()
 def policies() -> None:
-    """The policies that may be played."""
+    """List the policies that can be run."""
     from crowpost.lab import baselines
 
     about = {
-        "module": "the decision module as it stands",
-        "module+members": "the same, with the front nodes told by membership how many are present",
+        "module": "the decision module of this version",
+        "module+members": "the same, with the number of present front nodes taken from membership",
         "random": baselines.RandomChoice.__doc__,
         "round-robin": baselines.RoundRobin.__doc__,
         "least-outstanding": baselines.LeastOutstanding.__doc__,
         "p2c-peak-ewma": baselines.PeakEwma.__doc__,
         "true-state": baselines.TrueState.__doc__,
-        "rev:NAME": "the module as it stood at a git revision, e.g. rev:HEAD~5",
+        "rev:NAME": "the decision module of a git revision, e.g. rev:HEAD~5",
     }
     for name, text in about.items():
         out.print(f"{name:18} {(text or '').splitlines()[0]}")
@@ -67,77 +82,77 @@
 
 @app.command()
 def check(files: Annotated[list[str], typer.Argument(help="scenarios, by name or file")]) -> None:
-    """Check scenarios without playing them."""
+    """Check scenarios without running them."""
     for name in files:
         scenario = load(name)
-        out.print(f"{name}: good, digest {scenario.digest()}")
+        out.print(f"{name}: valid, digest {scenario.digest()}")
 
 
 @app.command()
 def run(
-    scenario: Which,
+    scenario: ScenarioArgument,
     seed: Annotated[int, typer.Option(min=0)] = 1,
     policy: Annotated[str, typer.Option(help="see `crowpost lab policies`")] = "module",
     folder: OutFolder = None,
     as_json: AsJson = False,
 ) -> None:
-    """Play one run in simulated time; exit code 1 if a rule was broken."""
+    """Run a scenario in simulated time; exit code 1 if a rule was violated."""
     from crowpost.lab.runs import play
 
-    played = load(scenario)
-    kept = run_folder(folder, played)
-    began = time.perf_counter()
-    result = play(played, seed, policy)
-    took = time.perf_counter() - began
-    if kept is not None:
-        kept.add(result)
+    loaded = load(scenario)
+    run_folder = open_run_folder(folder, loaded)
+    started = time.perf_counter()
+    result = play(loaded, seed, policy)
+    elapsed_s = time.perf_counter() - started
+    if run_folder is not None:
+        run_folder.add(result)
     if as_json:
         print(json.dumps(result, sort_keys=True))
     else:
-        show(played, result, took)
-    stories([result])
+        print_result(loaded, result, elapsed_s)
+    report_violations([result])
 
 
 @app.command()
 def compare(
-    scenario: Which,
+    scenario: ScenarioArgument,
     policy: Policies = DEFAULT_POLICIES,
     seeds: Annotated[str, typer.Option(help="3, 1-20 or 1,4,9-12")] = "1-20",
     jobs: Annotated[int, typer.Option(min=0, help="worker processes; 0: one for each core")] = 0,
     folder: OutFolder = None,
     as_json: AsJson = False,
 ) -> None:
-    """Play policies on the same seeds; differences from the first with a 95% interval."""
-    from crowpost.lab import compare as tool
+    """Run policies on the same seeds; print differences from the first policy with 95% intervals."""
+    from crowpost.lab import compare as comparison
 
-    played = load(scenario)
+    loaded = load(scenario)
     names = [name.strip() for name in policy.split(",")]
     try:
-        numbers = tool.seeds(seeds)
+        numbers = comparison.seeds(seeds)
     except ValueError as error:
         raise typer.BadParameter(str(error)) from None
-    kept = run_folder(folder, played)
+    run_folder = open_run_folder(folder, loaded)
     results = []
     with Progress(console=console(stderr=True), transient=True) as progress:
-        task = progress.add_task(played.name, total=len(names) * len(numbers))
-        for result in tool.play_all(played, names, numbers, jobs):
+        task = progress.add_task(loaded.name, total=len(names) * len(numbers))
+        for result in comparison.play_all(loaded, names, numbers, jobs):
             results.append(result)
             progress.advance(task)
-            if kept is not None:
-                kept.add(result)
-    table = tool.rows(results, names)
+            if run_folder is not None:
+                run_folder.add(result)
+    table = comparison.rows(results, names)
     if as_json:
         print(json.dumps([asdict(row) for row in table]))
     else:
-        out.print(f"[bold]{played.name}[/bold]  {len(numbers)} seeds  digest {played.digest()}")
+        out.print(f"[bold]{loaded.name}[/bold]  {len(numbers)} seeds  digest {loaded.digest()}")
         out.print(_table(table, names[0]))
-    stories(results)
+    report_violations(results)
 
 
 def _table(rows: list[Any], first: str) -> Table:
-    heads = ("policy", "G", f"against {first}, 95%", "served", "against, 95%", "worst tenth")
-    more = ("p50", "p99", "p99.9 ms", "handshakes", "waste", "attempts", "refused", "breaches")
-    table = Table(*heads, *more, box=None)
+    columns = ("policy", "G", f"against {first}, 95%", "served", "against, 95%", "G of worst 10%")
+    more_columns = ("p50", "p99", "p99.9 ms", "handshakes", "waste", "attempts", "rejected", "violations")
+    table = Table(*columns, *more_columns, box=None)
     for row in rows:
         table.add_row(
             row.policy,
@@ -160,21 +175,21 @@
 
 @app.command()
 def report(
-    folder: Annotated[Path, typer.Argument(help="a run folder, from --out")],
+    folder: Annotated[Path, typer.Argument(help="a run folder written with --out")],
     page: Annotated[
-        Path | None, typer.Option(help="the file to write; default: report.html in the folder")
+        Path | None, typer.Option(help="the file to write; default: report.html in the run folder")
     ] = None,
 ) -> None:
-    """Write one HTML page with plots of a run folder."""
+    """Write an HTML page with plots of the runs in a run folder."""
     from crowpost.lab.report import page as render
 
-    kept = Folder(folder)
-    runs = kept.read()
+    run_folder = Folder(folder)
+    runs = run_folder.read()
     if not runs:
         raise RunFolderError(f"{folder}: holds no run")
     target = page or folder / "report.html"
     try:
-        target.write_text(render(kept.scenario(), runs), encoding="utf-8")
+        target.write_text(render(run_folder.scenario(), runs), encoding="utf-8")
     except OSError as error:
         raise RunFolderError(f"{target}: {error.strerror}") from None
     out.print(str(target))
@@ -183,13 +198,13 @@
 @app.command()
 def bench(
     servers: Annotated[
-        str, typer.Option(help="sizes of the fleet, with commas")
+        str, typer.Option(help="comma-separated numbers of servers")
     ] = "10,60,200,1000,2000,10000",
-    rev: Annotated[str, typer.Option(help="a git revision to measure in place of the present module")] = "",
+    rev: Annotated[str, typer.Option(help="a git revision to measure in place of the current module")] = "",
     requests: Annotated[int, typer.Option(min=100)] = 2000,
     as_json: AsJson = False,
 ) -> None:
-    """What a decision costs by the size of the fleet: processor time and memory of the module alone."""
+    """Measure the processor time and memory of the decision module for several fleet sizes."""
     from crowpost import Balancer
     from crowpost.lab.bench import cost
     from crowpost.lab.revisions import revision
@@ -197,22 +212,28 @@
     try:
         sizes = [int(text) for text in servers.split(",")]
     except ValueError:
-        raise typer.BadParameter(f"not sizes: {servers!r}") from None
-    make = revision(rev) if rev else Balancer
-    costs = [cost(make, size, requests) for size in sizes]
+        raise typer.BadParameter(f"not a comma-separated list of numbers: {servers!r}") from None
+    make_balancer = revision(rev) if rev else Balancer
+    costs = [cost(make_balancer, size, requests) for size in sizes]
     if as_json:
-        print(json.dumps([asdict(c) for c in costs]))
+        print(json.dumps([asdict(cost_of_size) for cost_of_size in costs]))
         return
-    heads = ("servers", "us a request", "against the first", "ms a list change", "dearest in a storm")
-    table = Table(*heads, "bytes a server", "bytes an open request", box=None)
-    for c in costs:
+    columns = (
+        "servers",
+        "us a request",
+        "against the first",
+        "ms a list change",
+        "slowest ms in a mass replacement",
+    )
+    table = Table(*columns, "bytes a server", "bytes an open request", box=None)
+    for cost_of_size in costs:
         table.add_row(
-            str(c.servers),
-            f"{c.request_us:.0f}",
-            f"{c.request_us / costs[0].request_us:.2f}",
-            f"{c.change_ms:.1f}",
-            f"{c.storm_most_ms:.1f}",
-            f"{c.server_bytes:.0f}",
-            f"{c.request_bytes:.0f}",
+            str(cost_of_size.servers),
+            f"{cost_of_size.request_us:.0f}",
+            f"{cost_of_size.request_us / costs[0].request_us:.2f}",
+            f"{cost_of_size.change_ms:.1f}",
+            f"{cost_of_size.storm_most_ms:.1f}",
+            f"{cost_of_size.server_bytes:.0f}",
+            f"{cost_of_size.request_bytes:.0f}",
         )
     out.print(table)
--- a/crowpost/cli/main.py
+++ b/crowpost/cli/main.py
@@ -1,4 +1,4 @@
-"""`crowpost`: the command's entry, and the errors that end it in one line with exit code 2."""
+"""`crowpost`: the entry point, and the errors that are reported in one line with exit code 2."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 app = typer.Typer(
     name="crowpost",
-    help="A load balancer node for services that call services, and the lab it is tried in.",
+    help="A load balancer node for services that call services, and the lab that tests it.",
     no_args_is_help=True,
     pretty_exceptions_enable=False,
 )
@@ -26,7 +26,10 @@
 
 
 def main() -> None:
-    """Exit code 0 if all went well, 1 if a rule was broken, 2 with one plain line for what cannot be used."""
+    """Run the command line.
+
+    The exit code is 0 for success, 1 if a check failed, and 2 with a one-line message for invalid input.
+    """
     from crowpost.config_feed.errors import FeedError
     from crowpost.lab.revisions import PolicyError
     from crowpost.lab.runs import RunFolderError
--- a/crowpost/cli/overhead.py
+++ b/crowpost/cli/overhead.py
@@ -1,4 +1,4 @@
-"""`crowpost lab overhead`: what a node adds to a call."""
+"""`crowpost lab overhead`: the latency and processor time that a node adds to a call."""
 
 from __future__ import annotations
 
@@ -15,49 +15,51 @@
 EFFECTS = ("safe", "keyed", "unsafe")
 
 
-def numbers(text: str, what: str, least: float, most: float, *, whole: bool = False) -> list[float]:
-    """Numbers with commas between; typer.Exit with code 2 and one line for anything else."""
-    found = []
+def parse_numbers(
+    text: str, option: str, minimum: float, maximum: float, *, whole: bool = False
+) -> list[float]:
+    """Return the numbers of a comma-separated list.  Raise typer.Exit with code 2 for an invalid one."""
+    parsed = []
     for part in text.split(",") if text.strip() else []:
         try:
             value = float(part)
         except ValueError:
             value = -1.0
-        if not least <= value <= most or (whole and value != int(value)):
+        if not minimum <= value <= maximum or (whole and value != int(value)):
             kind = "whole number" if whole else "number"
-            unusable(f"{what}: {part.strip()!r} is no {kind} from {least:g} to {most:g}")
-        found.append(value)
-    return found
+            exit_invalid(f"{option}: {part.strip()!r} is no {kind} from {minimum:g} to {maximum:g}")
+        parsed.append(value)
+    return parsed
 
 
-def unusable(text: str) -> None:
-    """End with one plain line and exit code 2."""
+def exit_invalid(text: str) -> None:
+    """Print a one-line message and exit with code 2."""
     print(f"crowpost: {text}", file=sys.stderr)
     raise typer.Exit(2)
 
 
 def overhead(
-    servers: Annotated[str, typer.Option(help="servers in each tier, with commas")] = "10,100",
+    servers: Annotated[str, typer.Option(help="servers in each tier, comma-separated")] = "10,100",
     rates: Annotated[
-        str, typer.Option(help="calls a second of open loops, with commas; '' for none")
+        str, typer.Option(help="calls a second of open loops, comma-separated; '' for none")
     ] = "41,150",
-    callers: Annotated[str, typer.Option(help="callers of closed loops, with commas; '' for none")] = "4",
-    chains: Annotated[str, typer.Option(help="how many tiers with a node each, with commas")] = "1",
-    against: Annotated[str, typer.Option(help="git revisions to play in turn, with commas")] = "",
-    seconds: Annotated[float, typer.Option(help="of each arm of each case")] = 20.0,
-    effect: Annotated[str, typer.Option(help="of the calls: safe, keyed or unsafe")] = "safe",
+    callers: Annotated[str, typer.Option(help="clients of closed loops, comma-separated; '' for none")] = "4",
+    chains: Annotated[str, typer.Option(help="numbers of tiers with a node each, comma-separated")] = "1",
+    against: Annotated[str, typer.Option(help="git revisions to compare with, comma-separated")] = "",
+    seconds: Annotated[float, typer.Option(help="duration of each arm of each case")] = 20.0,
+    effect: Annotated[str, typer.Option(help="effect of the calls: safe, keyed or unsafe")] = "safe",
     seed: Annotated[int, typer.Option(min=0)] = 1,
     profile: Annotated[
-        bool, typer.Option("--profile", help="run nodes under a profiler: where their time goes; slower")
+        bool, typer.Option("--profile", help="run the nodes under a profiler, which is slower")
     ] = False,
     folder: Annotated[
-        Path | None, typer.Option("--out", help="keep the record and a page with plots here")
+        Path | None, typer.Option("--out", help="write the record and a page with plots to this folder")
     ] = None,
     as_json: Annotated[bool, typer.Option("--json", help="print JSON")] = False,
 ) -> None:
-    """What a node adds to a call: direct calls and calls through nodes, in turn within one run.
+    """Measure what a node adds to a call, with direct calls and calls through nodes in turn in one run.
 
-    Exit code 1 if any call had no answer of its own.
+    Exit code 1 if any call did not get exactly one successful answer.
 
     Example: crowpost lab overhead --servers 10 --rates 41 --against HEAD~3
     """
@@ -66,15 +68,15 @@
     from crowpost.lab.overhead.versions import OverheadError
 
     if effect not in EFFECTS:
-        unusable(f"--effect: {effect!r} is none of {', '.join(EFFECTS)}")
+        exit_invalid(f"--effect: {effect!r} is none of {', '.join(EFFECTS)}")
     if not 1.0 <= seconds <= 600.0:
-        unusable(f"--seconds: {seconds:g} is not from 1 to 600")
-    sizes = [int(n) for n in numbers(servers, "--servers", 1, 1000, whole=True)]
-    depths = [int(n) for n in numbers(chains, "--chains", 1, 25, whole=True)]
-    loops = [(rate, 0) for rate in numbers(rates, "--rates", 0.1, 5000)]
-    loops += [(0.0, int(n)) for n in numbers(callers, "--callers", 1, 100, whole=True)]
+        exit_invalid(f"--seconds: {seconds:g} is not from 1 to 600")
+    sizes = [int(number) for number in parse_numbers(servers, "--servers", 1, 1000, whole=True)]
+    depths = [int(number) for number in parse_numbers(chains, "--chains", 1, 25, whole=True)]
+    loops = [(rate, 0) for rate in parse_numbers(rates, "--rates", 0.1, 5000)]
+    loops += [(0.0, int(number)) for number in parse_numbers(callers, "--callers", 1, 100, whole=True)]
     if not sizes or not depths or not loops:
-        unusable("--servers, --chains, and --rates or --callers must name some")
+        exit_invalid("--servers, --chains, and --rates or --callers must name some")
     cases = [Case(size, depth, *loop) for size in sizes for depth in depths for loop in loops]
     revisions = [name.strip() for name in against.split(",") if name.strip()]
     err = console(stderr=True)
@@ -85,13 +87,13 @@
             revisions,
             How(seconds, EFFECTS.index(effect), seed, profile),
             say=err.print,
-            keep=lambda _run, found: slices.append(found["slices"]),
+            keep=lambda _run, result: slices.append(result["slices"]),
         )
     except OverheadError as error:
-        unusable(str(error))
+        exit_invalid(str(error))
         return
     if folder is not None:
-        _keep(folder, record, slices)
+        _write_results(folder, record, slices)
     if as_json:
         print(json.dumps(record))
     else:
@@ -100,7 +102,7 @@
             console().print(_profiles(record["profiles"]))
     if any(run["extra"] or set(run["ends"]) != {"served"} for run in record["runs"]):
         for run in record["runs"]:
-            print(f"{run['version']}: ends {run['ends']}, {run['extra']} answers too many", file=sys.stderr)
+            print(f"{run['version']}: ends {run['ends']}, {run['extra']} surplus answers", file=sys.stderr)
         raise typer.Exit(1)
 
 
@@ -129,7 +131,7 @@
     return table
 
 
-def _keep(folder: Path, record: dict[str, Any], slices: list[list[dict[str, Any]]]) -> None:
+def _write_results(folder: Path, record: dict[str, Any], slices: list[list[dict[str, Any]]]) -> None:
     from crowpost.lab.overhead.report import page
 
     try:
@@ -137,4 +139,4 @@
         (folder / "overhead.json").write_text(json.dumps(record, indent=1) + "\n", encoding="utf-8")
         (folder / "overhead.html").write_text(page(record, slices), encoding="utf-8")
     except OSError as error:
-        unusable(f"--out: {folder}: {error.strerror}")
+        exit_invalid(f"--out: {folder}: {error.strerror}")
--- a/crowpost/cli/scale.py
+++ b/crowpost/cli/scale.py
@@ -1,4 +1,4 @@
-"""`crowpost lab scale`: what duties cost by size and rate, and what troubles set off, measured."""
+"""`crowpost lab scale`: measured costs of duties by size and rate, and the effects of faults."""
 
 from __future__ import annotations
 
@@ -16,20 +16,33 @@
 
 
 def scale(
-    file: Annotated[str, typer.Option("--target", help="a target file; default: the shipped one")] = "",
-    short: Annotated[bool, typer.Option("--short", help="the small form: about five minutes")] = False,
-    sizes: Annotated[str, typer.Option(help="members, with commas; default: of the file")] = "",
-    duties: Annotated[str, typer.Option(help="idle,membership,changes,configuration,simulated; `none`")] = "",
-    troubles: Annotated[str, typer.Option(help="kinds, with commas; `none`; default: of the file")] = "",
+    file: Annotated[
+        str, typer.Option("--target", help="a target file; default: the one in the package")
+    ] = "",
+    short: Annotated[bool, typer.Option("--short", help="a short run of about five minutes")] = False,
+    sizes: Annotated[
+        str, typer.Option(help="numbers of members, comma-separated; default: those of the target file")
+    ] = "",
+    duties: Annotated[
+        str, typer.Option(help="some of idle,membership,changes,configuration,simulated, or `none`")
+    ] = "",
+    troubles: Annotated[
+        str,
+        typer.Option(help="kinds of faults, comma-separated, or `none`; default: those of the target file"),
+    ] = "",
     seed: Annotated[int | None, typer.Option(min=0)] = None,
-    folder: Annotated[Path | None, typer.Option("--out", help="keep record.json and page.html here")] = None,
-    add: Annotated[bool, typer.Option("--add", help="lay the results over the record in --out")] = False,
+    folder: Annotated[
+        Path | None, typer.Option("--out", help="write record.json and page.html to this folder")
+    ] = None,
+    add: Annotated[bool, typer.Option("--add", help="merge the results into the record in --out")] = False,
     as_json: Annotated[bool, typer.Option("--json", help="print the record as JSON")] = False,
 ) -> None:
-    """Hollow processes beside real ones: slopes of the duties with 95% intervals, and troubles over time.
+    """Measure the costs of duties with 95% intervals, and the effects of faults over time.
 
-    Examples: crowpost lab scale --short --out kept
-    crowpost lab scale --duties membership --sizes 790 --troubles none --out kept --add
+    The nodes are simulated ones beside real ones.
+
+    Examples: crowpost lab scale --short --out results
+    crowpost lab scale --duties membership --sizes 790 --troubles none --out results --add
     """
     from crowpost.lab.scale import record as records
     from crowpost.lab.scale.page import page
@@ -39,14 +52,15 @@
     target = load(file or None)
     choice = Choice(short, _sizes(sizes), _names(duties), _names(troubles), seed)
     if add and folder is None:
-        raise ScaleError("--add: there is no --out to add to")
+        raise ScaleError("--add requires --out")
     if folder is not None:
         try:
             folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
             raise ScaleError(f"--out: {error}") from None
         if add and (folder / "record.json").exists():
-            records.read(folder / "record.json")  # one that cannot be added to is told of before the run
+            # Raises an error before the run if the results cannot be added to this record.
+            records.read(folder / "record.json")
     err = console(stderr=True)
     columns = (SpinnerColumn(), TextColumn("{task.description}"), TimeElapsedColumn())
     with Progress(*columns, console=err, transient=True) as shown:
@@ -76,12 +90,12 @@
     if not text:
         return None
     try:
-        found = tuple(int(part) for part in text.split(","))
+        sizes = tuple(int(part) for part in text.split(","))
     except ValueError:
-        raise ScaleError(f"--sizes: numbers with commas, not {text!r}") from None
-    if not all(2 <= size <= MOST_MEMBERS for size in found):
+        raise ScaleError(f"--sizes: not comma-separated numbers: {text!r}") from None
+    if not all(2 <= size <= MOST_MEMBERS for size in sizes):
         raise ScaleError(f"--sizes: from 2 to {MOST_MEMBERS} members, not {text!r}")
-    return found
+    return sizes
 
 
 def _names(text: str) -> tuple[str, ...] | None:
@@ -91,7 +105,7 @@
 
 
 def show(record: dict[str, Any]) -> None:
-    """The record as tables."""
+    """Print a record as tables."""
     from crowpost.lab.scale.page import table
 
     out = console()
@@ -100,17 +114,35 @@
         fits.add_row(*row)
     out.print(fits)
     for name, duty in record["duties"].items():
-        for both in duty["agreement"]:
-            if not both["agree"]:
-                sides = f"hollow {both['hollow'][0]:.4g}, real {both['real'][0]:.4g}"
-                out.print(f"{name} {both['x']:g}: {both['measure']} differs, {sides}")
+        for comparison in duty["agreement"]:
+            if not comparison["agree"]:
+                values = f"simulated {comparison['hollow'][0]:.4g}, real {comparison['real'][0]:.4g}"
+                out.print(f"{name} {comparison['x']:g}: {comparison['measure']} differs, {values}")
     if record["troubles"]:
-        heads = ("trouble", "members", "hit", "datagrams", "bytes a member", "most B/s", "one view after s")
-        found = Table(*heads, "and after its end", "source", box=None)
-        for t in record["troubles"]:
-            figures = (t["members"], t["victims"], t["messages"], f"{t['bytes_per_member']:.0f}")
-            more = (t["most_bytes_per_s"], t["settled_s"], t["settled_after_s"], t["source"])
-            found.add_row(t["kind"], *map(str, (*figures, *more)))
-        out.print(found)
-    for left in record["left_out"]:
-        out.print(f"left out: {left['duty']} {left['x']:g} {left['process']}: {left['why']}")
+        columns = (
+            "fault",
+            "members",
+            "hit",
+            "datagrams",
+            "bytes a member",
+            "max. B/s",
+            "views agree after s",
+        )
+        faults = Table(*columns, "s after its end", "source", box=None)
+        for fault in record["troubles"]:
+            figures = (
+                fault["members"],
+                fault["victims"],
+                fault["messages"],
+                f"{fault['bytes_per_member']:.0f}",
+            )
+            more_figures = (
+                fault["most_bytes_per_s"],
+                fault["settled_s"],
+                fault["settled_after_s"],
+                fault["source"],
+            )
+            faults.add_row(fault["kind"], *map(str, (*figures, *more_figures)))
+        out.print(faults)
+    for omitted in record["left_out"]:
+        out.print(f"left out: {omitted['duty']} {omitted['x']:g} {omitted['process']}: {omitted['why']}")
--- a/crowpost/cli/state.py
+++ b/crowpost/cli/state.py
@@ -18,11 +18,13 @@
     from crowpost.storage.model import RecoveredState
     from crowpost.storage.verification import FileReport, VerificationReport
 
-app = typer.Typer(help="State directories: what a process keeps for the next one.", no_args_is_help=True)
+app = typer.Typer(
+    help="State directories, which keep the state of a process across restarts.", no_args_is_help=True
+)
 out = console()
 Directory = Annotated[Path, typer.Argument(help="a state directory", show_default=False)]
 AsJson = Annotated[bool, typer.Option("--json", help="print JSON")]
-MINUTES_FROM_S = 600.0  # ages from here on are shown in minutes
+MINUTES_FROM_S = 600.0  # ages of at least this are shown in minutes
 
 
 def _format_age(at_ms: float) -> str:
@@ -33,7 +35,7 @@
 
 
 def _require_store(directory: Path) -> None:
-    """Exit with one line and code 1 if the directory holds no store; nothing is changed or locked."""
+    """Exit with a one-line message and code 1 if the directory holds no store; do not change or lock it."""
     from crowpost.storage.disk import Disk
     from crowpost.storage.recovery import find_store_files
 
@@ -52,7 +54,7 @@
 
 @app.command()
 def show(directory: Directory, as_json: AsJson = False) -> None:
-    """What a node would find there.  Changes nothing, and may be asked while the node runs.
+    """Print the state that a node would recover.  Changes nothing, and may be used while the node runs.
 
     Example: crowpost state show /var/lib/crowpost/n3
     """
@@ -83,7 +85,7 @@
 
 
 def _state_values(recovered: RecoveredState, state: NodeState) -> dict[str, Any]:
-    """Return what --json prints; the keys are an external form."""
+    """Return the values that --json prints; the keys are a public interface."""
     return {
         "owner": recovered.owner,
         "format": recovered.format_version,
@@ -115,7 +117,7 @@
     rows = _endpoint_rows(state)
     if not rows:
         return
-    table = Table("server", "share of the mean", "average ms", "ejected", "known for", box=None)
+    table = Table("server", "share of the mean", "average ms", "ejected", "age", box=None)
     for row in rows:
         average = "-" if row["average_ms"] is None else f"{row['average_ms']:.1f}"
         ejected = "yes" if row["ejected"] else ""
@@ -128,7 +130,7 @@
 
 @app.command()
 def verify(directory: Directory, as_json: AsJson = False) -> None:
-    """Read every byte; exit code 1 if there is no store, or one that is refused or has anything amiss.
+    """Verify every file; exit code 1 if there is no store, recovery rejects it, or there are notes.
 
     Example: crowpost state verify /var/lib/crowpost/n3
     """
@@ -155,7 +157,7 @@
 
 
 def _file_values(file: FileReport) -> dict[str, Any]:
-    """Return what --json prints for a file; the keys are an external form."""
+    """Return the values that --json prints for a file; the keys are a public interface."""
     return {
         "name": file.name,
         "bytes": file.bytes,
@@ -170,19 +172,23 @@
 def _print_report(directory: Path, report: VerificationReport) -> None:
     table = Table("file", "bytes", "records", "end", "", box=None)
     for file in report.files:
-        several = file.last_sequence > file.first_sequence
-        records = f"{file.first_sequence} to {file.last_sequence}" if several else str(file.first_sequence)
+        has_several_records = file.last_sequence > file.first_sequence
+        records = (
+            f"{file.first_sequence} to {file.last_sequence}"
+            if has_several_records
+            else str(file.first_sequence)
+        )
         end = "sealed" if file.sealed else "open"
-        damage = f"{file.damage} at byte {file.damage_offset}" if file.damage else "whole"
+        damage = f"{file.damage} at byte {file.damage_offset}" if file.damage else "intact"
         table.add_row(file.name, str(file.bytes), records, end, damage)
     out.print(table)
     for note in report.notes:
         out.print(f"note: {note}")
     if report.recovery_error:
-        out.print(f"refused: {report.recovery_error}")
-        out.print(f"`crowpost state repair {directory}` lists what can be saved, and copies first")
+        out.print(f"rejected: {report.recovery_error}")
+        out.print(f"`crowpost state repair {directory}` copies the directory and lists what cannot be saved")
     elif not report.notes:
-        out.print("whole")
+        out.print("intact")
 
 
 # ---------------------------------------------------------------- repair
@@ -192,14 +198,14 @@
 def repair(
     directory: Directory,
     to: Annotated[
-        Path | None, typer.Option(help="the copy; default: the directory's name and the time")
+        Path | None, typer.Option(help="path of the copy; default: the name of the directory with the time")
     ] = None,
-    owner: Annotated[str, typer.Option(help="whose it is, where its own file cannot be read")] = "",
+    owner: Annotated[str, typer.Option(help="owner of the directory, if its store file cannot be read")] = "",
     as_json: AsJson = False,
 ) -> None:
-    """Copy the directory, and write what can be saved of it beside the copy; lists what that leaves out.
+    """Copy the directory, write a repaired one beside the copy, and print what the repair drops.
 
-    The directory itself stays as it is: move it away and the repaired one to its place when you agree.
+    The directory itself is not changed: to use the repaired one, move it to the place of the original.
 
     Example: crowpost state repair /var/lib/crowpost/n3
     """
@@ -220,7 +226,7 @@
         }
         print(json.dumps(values, sort_keys=True))
         return
-    out.print(f"copied as it was to {copy}")
+    out.print(f"copied unchanged to {copy}")
     for line in saved.dropped or ["nothing"]:
         out.print(f"dropped: {line}")
     start = f"the snapshot of {saved.snapshot_sequence} and " if saved.snapshot_sequence else ""
