--- a/crowpost/cli/lab_cores.py
+++ b/crowpost/cli/lab_cores.py
@@ -38,16 +38,16 @@
         raise typer.BadParameter(str(error)) from None
     workers = jobs or os.cpu_count() or 1
     if broken:
-        rows = report.check_faults(len(numbers), workers)
+        fault_reports = report.check_faults(len(numbers), workers)
         if as_json:
-            print(json.dumps([asdict(row) for row in rows]))
+            print(json.dumps([asdict(row) for row in fault_reports]))
         else:
             table = Table("seeded fault", "found as", "on seed", "after states", "and seconds", box=None)
-            for row in rows:
+            for row in fault_reports:
                 found = row.breach or "[bold]not found[/bold]"
                 table.add_row(row.name, found, str(row.seed), str(row.states), f"{row.seconds:.1f}")
             out.print(table)
-        if not all(row.breach for row in rows):
+        if not all(row.breach for row in fault_reports):
             raise typer.Exit(1)
         return
     started = time.perf_counter()
--- a/crowpost/cli/scale.py
+++ b/crowpost/cli/scale.py
@@ -63,18 +63,20 @@
             records.read(folder / "record.json")
     err = console(stderr=True)
     columns = (SpinnerColumn(), TextColumn("{task.description}"), TimeElapsedColumn())
-    with Progress(*columns, console=err, transient=True) as shown:
-        task = shown.add_task("")
+    with Progress(*columns, console=err, transient=True) as display:
+        task = display.add_task("")
 
         def progress(done: int, of: int, name: str) -> None:
-            shown.update(task, description=f"{done}/{of} {name}")
+            display.update(task, description=f"{done}/{of} {name}")
 
-        piece = play(target, choice, shown.console.print, progress)
-    before = None
+        results = play(target, choice, display.console.print, progress)
+    previous_record = None
     if folder is not None and add and (folder / "record.json").exists():
-        before = records.read(folder / "record.json")
+        previous_record = records.read(folder / "record.json")
     command = " ".join(["crowpost", *(shlex.quote(word) for word in sys.argv[1:])])
-    record = records.whole(piece, choice.run(target).seed if seed is None else seed, command, before)
+    record = records.whole(
+        results, choice.run(target).seed if seed is None else seed, command, previous_record
+    )
     if folder is not None:
         records.write(folder / "record.json", record)
         (folder / "page.html").write_text(page(record), encoding="utf-8")
--- a/crowpost/lab/crash_consistency/simulated_disk.py
+++ b/crowpost/lab/crash_consistency/simulated_disk.py
@@ -57,14 +57,14 @@
 
     def sectors(self) -> list[tuple[int, bytes]]:
         """Return the pending writes, split at sector boundaries."""
-        parts = []
+        sectors = []
         for offset, data in self.pending:
             while data:
                 size = SECTOR_BYTES - offset % SECTOR_BYTES
-                parts.append((offset, data[:size]))
+                sectors.append((offset, data[:size]))
                 offset += size
                 data = data[size:]
-        return parts
+        return sectors
 
 
 @dataclass(frozen=True)
@@ -177,44 +177,60 @@
 
     def crash_states(self, rng: Random, samples: int) -> Iterator[tuple[str, Files]]:
         """Yield the states that a power loss may leave, each with its kind, and `samples` random ones."""
-        every = list(range(len(self.changes)))
-        none: dict[int, list[tuple[int, bytes]]] = {}
-        parts = {index: inode.sectors() for index, inode in enumerate(self.inodes) if inode.pending}
-        yield "nothing unsynced", self._state([], none)
-        yield "all unsynced", self._state(every, parts)
-        if not parts and not every:
+        all_changes = list(range(len(self.changes)))
+        no_sectors: dict[int, list[tuple[int, bytes]]] = {}
+        sectors_by_inode = {
+            index: inode.sectors() for index, inode in enumerate(self.inodes) if inode.pending
+        }
+        yield "nothing unsynced", self._state([], no_sectors)
+        yield "all unsynced", self._state(all_changes, sectors_by_inode)
+        if not sectors_by_inode and not all_changes:
             return
-        yield "names without data", self._state(every, none)
-        yield "data without names", self._state([], parts)
-        yield "sizes without data", self._state(every, none, sized=True)
-        for skip in every:
-            yield "a name missing", self._state([change for change in every if change != skip], parts)
-            yield "a single name", self._state([skip], parts)
-        for index, sectors in parts.items():
+        yield "names without data", self._state(all_changes, no_sectors)
+        yield "data without names", self._state([], sectors_by_inode)
+        yield "sizes without data", self._state(all_changes, no_sectors, sized=True)
+        for skip in all_changes:
+            yield (
+                "a name missing",
+                self._state([change for change in all_changes if change != skip], sectors_by_inode),
+            )
+            yield "a single name", self._state([skip], sectors_by_inode)
+        for index, sectors in sectors_by_inode.items():
             for cut in range(len(sectors)):
-                yield "torn", self._state(every, {**parts, index: sectors[:cut]})
+                yield "torn", self._state(all_changes, {**sectors_by_inode, index: sectors[:cut]})
                 yield (
                     "a sector missing",
-                    self._state(every, {**parts, index: sectors[:cut] + sectors[cut + 1 :]}),
+                    self._state(all_changes, {**sectors_by_inode, index: sectors[:cut] + sectors[cut + 1 :]}),
+                )
+                yield (
+                    "later without earlier",
+                    self._state(all_changes, {**sectors_by_inode, index: sectors[cut:]}),
+                )
+                yield (
+                    "torn, with its size",
+                    self._state(all_changes, {**sectors_by_inode, index: sectors[:cut]}, sized=True),
                 )
-                yield "later without earlier", self._state(every, {**parts, index: sectors[cut:]})
-                yield "torn, with its size", self._state(every, {**parts, index: sectors[:cut]}, sized=True)
             yield (
                 "a file missing",
                 self._state(
-                    every, {other: other_sectors for other, other_sectors in parts.items() if other != index}
+                    all_changes,
+                    {
+                        other: other_sectors
+                        for other, other_sectors in sectors_by_inode.items()
+                        if other != index
+                    },
                 ),
             )
         for _ in range(samples):
-            some = {
+            chosen_sectors = {
                 index: [sector for sector in sectors if rng.random() < 0.5]
-                for index, sectors in parts.items()
+                for index, sectors in sectors_by_inode.items()
             }
-            names = [change for change in every if rng.random() < 0.5]
-            yield "any part", self._state(names, some, sized=rng.random() < 0.5)
+            chosen_changes = [change for change in all_changes if rng.random() < 0.5]
+            yield "any part", self._state(chosen_changes, chosen_sectors, sized=rng.random() < 0.5)
 
     def _state(
-        self, changes: list[int], parts: dict[int, list[tuple[int, bytes]]], *, sized: bool = False
+        self, changes: list[int], sectors_by_inode: dict[int, list[tuple[int, bytes]]], *, sized: bool = False
     ) -> Files:
         names = dict(self.durable)
         for number in changes:
@@ -223,7 +239,7 @@
         for name, index in names.items():
             inode = self.inodes[index]
             size = inode.size if sized and inode.pending else None
-            files[name] = inode.with_writes(parts.get(index, []), size)
+            files[name] = inode.with_writes(sectors_by_inode.get(index, []), size)
         return files
 
 
--- a/crowpost/storage/log_segment.py
+++ b/crowpost/storage/log_segment.py
@@ -47,7 +47,10 @@
 
 
 def encode_log(header: Header, records: Iterable[Record]) -> bytes:
-    """Return a complete log segment; the caller makes it durable before it is used."""
+    """Return a complete log segment.
+
+    Its frames mark all preceding records as durable, so that it has to be synced before it is used.
+    """
     codec = FrameCodec(header)
     frames = [
         codec.encode(FrameKind.RECORD, record.sequence, record.sequence - 1, record.payload)
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -57,7 +57,7 @@
         inspect_store(tmp_path / "s")
 
 
-def test_a_file_of_another_store_is_refused(tmp_path: Path) -> None:
+def test_a_file_of_another_store_is_rejected(tmp_path: Path) -> None:
     write(tmp_path / "a", 3)
     write(tmp_path / "b", 3)
     (tmp_path / "a" / log_file_name(1)).write_bytes((tmp_path / "b" / log_file_name(1)).read_bytes())
