--- a/crowpost/storage/runner.py
+++ b/crowpost/storage/runner.py
@@ -32,7 +32,7 @@
     """Return the content of a directory without locking or changing it; a torn tail is not cut off.
 
     A process that writes to the directory may remove a file while it is being read, so recovery is attempted
-    INSPECT_ATTEMPTS times.
+    up to INSPECT_ATTEMPTS times.
     """
     disk = Disk(path, lock=False)
     try:
@@ -142,7 +142,7 @@
         return sequence
 
     async def wait_durable(self, sequence: int) -> None:
-        """Wait until a record is durable.  Raise StoreError if writing stops before that."""
+        """Wait until a record is durable.  Raise StoreError if writing has stopped, or stops meanwhile."""
         self.store.require_no_failure()
         if sequence > self.store.durable_sequence:
             future: asyncio.Future[None] = self._loop.create_future()
--- a/crowpost/storage/verification.py
+++ b/crowpost/storage/verification.py
@@ -45,7 +45,7 @@
 
     @property
     def notes(self) -> list[str]:
-        """The notes of recovery, which an operator has to see; empty if recovery failed."""
+        """The notes of recovery for an operator; empty if recovery failed."""
         return self.recovered.notes if self.recovered is not None else []
 
 
