--- a/crowpost/storage/core.py
+++ b/crowpost/storage/core.py
@@ -167,7 +167,7 @@
         return self.next_sequence - 1 - self.durable_sequence
 
     def next_job_at(self) -> float:
-        """Return the time in ms at which the next job is due; infinity if there is none, or one is running."""
+        """Return the time in ms at which the next job is due; infinity if there is none or one is running."""
         if self._job is not None or self.failure or self.closed:
             return math.inf
         if self._urgent or self._closing:
