--- a/crowpost/cli/lab_processes.py
+++ b/crowpost/cli/lab_processes.py
@@ -57,8 +57,8 @@
     Example: crowpost lab storm small --seed 3 --out kept
     """
     from crowpost.lab.rig import plan
+    from crowpost.lab.rig.fault_injection import play
     from crowpost.lab.rig.processes import ProcessError
-    from crowpost.lab.rig.storm import play
 
     if name == "list":
         table = Table("name", "processes", "seconds", "about", box=None)
--- a/crowpost/lab/rig/__init__.py
+++ b/crowpost/lab/rig/__init__.py
@@ -1,1 +1,1 @@
-"""A rig of real processes on loopback, with relays between them and faults by one seeded timetable."""
+"""Fault injection on real processes on loopback: relays between them, and faults scheduled from a seed."""
--- a/crowpost/lab/rig/history.py
+++ b/crowpost/lab/rig/history.py
@@ -1,7 +1,7 @@
-"""One history of all processes of a storm, and the checks that read it afterwards.
+"""The event history of a fault-injection run, and the checks that read it afterwards.
 
 A line is a JSON object with `at_ms` (the machine's monotonic clock, common to all processes), `from` (a
-process, or `rig`) and `event`.  Checks look at nothing else, so a kept history can be checked again.
+process, or `rig`) and `event`.  The checks read nothing else, so a saved history can be checked again.
 """
 
 from __future__ import annotations
@@ -14,13 +14,15 @@
 
 import numpy as np
 
-NOT_REACHED = ("partition", "one_way", "stop", "slow_link")  # whose victims may be held dead for a while
-AFTER_MS = 15_000.0  # after such a trouble, or after a process came back
-REACHABLE_SIZE = 0.5  # loss beyond this part excuses a death, too
+# Faults whose victims cannot be reached, so that declaring them dead is correct for a while.
+UNREACHABLE_KINDS = ("partition", "one_way", "stop", "slow_link")
+# For so long after such a fault, or after a restart, a process may still be declared dead.
+RECOVERY_MS = 15_000.0
+MAX_REACHABLE_LOSS = 0.5  # a loss of more than this share also counts as unreachable
 
 
 class History:
-    """Lines in the order in which they came; kept in a file where one is named."""
+    """Event lines in order of arrival; also written to a file if a path is given."""
 
     def __init__(self, path: Path | None = None) -> None:
         self.lines: list[dict[str, Any]] = []
@@ -40,35 +42,37 @@
 
     @staticmethod
     def read(path: Path) -> list[dict[str, Any]]:
-        """The lines of a kept history."""
+        """Return the lines of a saved history."""
         return [json.loads(line) for line in path.read_text(encoding="utf-8").splitlines()]
 
 
 @dataclass
-class Verdict:
-    """What the checks found; breaches are one line each."""
+class CheckResult:
+    """The result of the checks; each breach is one line of text."""
 
     breaches: list[str] = field(default_factory=list)
-    deaths: int = 0  # kills that were long enough to be noticed
-    first_s: list[float] = field(default_factory=list)  # from a kill until any process held it dead
-    everywhere_s: list[float] = field(default_factory=list)  # and until all did that could
+    deaths: int = 0  # kills that lasted long enough to be detected
+    # From a kill until the first process declared the victim dead.
+    first_s: list[float] = field(default_factory=list)
+    # From a kill until every reachable process had declared the victim dead.
+    everywhere_s: list[float] = field(default_factory=list)
     changes: int = 0
-    ended: int = 0  # processes that ended though nothing told them to
+    ended: int = 0  # unexpected exits
     states: int = 0  # state directories read after a power loss
-    starts: int = 0  # starts after which a process was asked whether it stays empty
+    starts: int = 0  # starts after which a process was asked whether it serves or stays evacuated
 
-    def plain(self) -> dict[str, Any]:
-        """As JSON values, with percentiles."""
+    def to_json(self) -> dict[str, Any]:
+        """Return the result as JSON values, with percentiles."""
 
-        def at(values: list[float], part: float) -> float | None:
-            return round(float(np.percentile(values, part)), 2) if values else None
+        def percentile(values: list[float], percent: float) -> float | None:
+            return round(float(np.percentile(values, percent)), 2) if values else None
 
         return {
             **asdict(self),
-            "first_p50_s": at(self.first_s, 50),
-            "first_p99_s": at(self.first_s, 99),
-            "everywhere_p50_s": at(self.everywhere_s, 50),
-            "everywhere_p99_s": at(self.everywhere_s, 99),
+            "first_p50_s": percentile(self.first_s, 50),
+            "first_p99_s": percentile(self.first_s, 99),
+            "everywhere_p50_s": percentile(self.everywhere_s, 50),
+            "everywhere_p99_s": percentile(self.everywhere_s, 99),
         }
 
 
@@ -78,135 +82,148 @@
     end: float = float("inf")
 
 
-def check(lines: Iterable[dict[str, Any]]) -> Verdict:
-    """Return what a whole history says of the rules.
+def check(lines: Iterable[dict[str, Any]]) -> CheckResult:
+    """Check a complete history against the rules of membership and of stored state.
 
-    Nobody may die who could be reached, every death has to be noticed, and all views agree at the end.
+    No reachable process may be declared dead, every death has to be detected, and all views agree at the end.
     """
-    verdict = Verdict()
-    excused: dict[str, list[_Span]] = {}  # when a process may be held dead
+    result = CheckResult()
+    excused: dict[str, list[_Span]] = {}  # when a process may be declared dead
     down: dict[str, list[_Span]] = {}
-    told: list[tuple[float, str, str]] = []  # at, observer, about
-    final: dict[str, dict[str, Any]] = {}
+    declared_dead: list[tuple[float, str, str]] = []  # time in ms, observer, member
+    final_views: dict[str, dict[str, Any]] = {}
     ordered = sorted(lines, key=lambda line: line["at_ms"])
     for line in ordered:
         at, source, event = line["at_ms"], line["from"], line["event"]
         if event == "trouble":
-            if line["kind"] in NOT_REACHED or (line["kind"] == "loss" and line["size"] > REACHABLE_SIZE):
+            if line["kind"] in UNREACHABLE_KINDS or (
+                line["kind"] == "loss" and line["size"] > MAX_REACHABLE_LOSS
+            ):
                 names = {name for pair in line["links"] for name in pair} or set(line["victims"])
                 for name in names:
-                    excused.setdefault(name, []).append(_Span(at, line["until_ms"] + AFTER_MS))
+                    excused.setdefault(name, []).append(_Span(at, line["until_ms"] + RECOVERY_MS))
         elif event == "down":
             down.setdefault(line["about"], []).append(_Span(at))
         elif event == "up":
             for span in down.get(line["about"], []):
                 span.end = min(span.end, at)
         elif event == "ended":
-            verdict.ended += 1
-            verdict.breaches.append(f"{source} ended by itself with {line['code']}: {line['words']}")
+            result.ended += 1
+            result.breaches.append(f"{source} exited unexpectedly with {line['code']}: {line['words']}")
         elif event == "change":
-            verdict.changes += 1
+            result.changes += 1
             if line["after"] == "dead":
-                told.append((at, source, line["about"]))
+                declared_dead.append((at, source, line["about"]))
         elif event == "final":
-            final[source] = line
-    _false_deaths(told, excused, down, verdict)
-    _detections(told, excused, down, verdict)
-    _one_view(final, verdict)
-    _states(ordered, verdict)
-    return verdict
-
-
-def _states(lines: list[dict[str, Any]], verdict: Verdict) -> None:
-    """What was kept is there after each power loss, and a node that staff have emptied stays so."""
-    asked: dict[str, set[bool]] = {}  # what a process may hold: one value, two while staff are asking
+            final_views[source] = line
+    _check_false_deaths(declared_dead, excused, down, result)
+    _check_detections(declared_dead, excused, down, result)
+    _check_final_views(final_views, result)
+    _check_states(ordered, result)
+    return result
+
+
+def _check_states(lines: list[dict[str, Any]], result: CheckResult) -> None:
+    """Check that durable state survives each power loss, and that an evacuated node stays evacuated."""
+    # Permitted values of `emptied` at a start: one, or both while a request of staff is pending.
+    permitted: dict[str, set[bool]] = {}
     before: dict[str, dict[str, Any]] = {}
     for line in lines:
         event, about = line["event"], line.get("about", "")
         if event == "asking":
-            asked.setdefault(about, {False}).add(line["emptied"])
+            permitted.setdefault(about, {False}).add(line["emptied"])
         elif event == "asked":
-            asked[about] = {line["emptied"]}
+            permitted[about] = {line["emptied"]}
         elif event == "unanswered":
-            verdict.breaches.append(f"{about}: {line['words']}")
+            result.breaches.append(f"{about}: {line['words']}")
         elif event == "started":
-            verdict.starts += 1
-            if line["emptied"] not in asked.get(about, {False}):
-                verdict.breaches.append(
-                    f"{about} {'is empty' if line['emptied'] else 'serves'} after a start"
+            result.starts += 1
+            if line["emptied"] not in permitted.get(about, {False}):
+                result.breaches.append(
+                    f"{about} {'is evacuated' if line['emptied'] else 'serves'} after a start"
                 )
         elif event == "state":
             if "refused" in line:
-                verdict.breaches.append(f"{about}: {line['when']} the power loss: {line['refused']}")
+                result.breaches.append(f"{about}: {line['when']} the power loss: {line['refused']}")
             elif line["when"] == "before":
                 before[about] = line
             else:
-                verdict.states += 1
-                was = before[about]
-                if any(line[key] != was[key] for key in ("last", "emptied", "incarnation")):
-                    verdict.breaches.append(f"{about}: a power loss made {line} of {was}")
+                result.states += 1
+                previous = before[about]
+                if any(line[key] != previous[key] for key in ("last", "emptied", "incarnation")):
+                    result.breaches.append(f"{about}: a power loss changed {previous} to {line}")
 
 
-def _false_deaths(
-    told: list[tuple[float, str, str]],
+def _check_false_deaths(
+    declared_dead: list[tuple[float, str, str]],
     excused: dict[str, list[_Span]],
     down: dict[str, list[_Span]],
-    verdict: Verdict,
+    result: CheckResult,
 ) -> None:
-    seen: set[str] = set()
-    for at, observer, about in told:
+    reported: set[str] = set()
+    for at, observer, about in declared_dead:
         spans = excused.get(about, []) + excused.get(observer, [])
-        if any(s.begin <= at <= s.end for s in spans):
+        if any(span.begin <= at <= span.end for span in spans):
             continue
-        if any(s.begin <= at <= s.end + AFTER_MS for s in down.get(about, [])):
+        if any(span.begin <= at <= span.end + RECOVERY_MS for span in down.get(about, [])):
             continue
-        if about not in seen:
-            seen.add(about)
-            verdict.breaches.append(
-                f"{observer} held {about} dead at {at:.0f} ms, though it could be reached"
+        if about not in reported:
+            reported.add(about)
+            result.breaches.append(
+                f"{observer} declared {about} dead at {at:.0f} ms, though it was reachable"
             )
 
 
-def _detections(
-    told: list[tuple[float, str, str]],
+def _check_detections(
+    declared_dead: list[tuple[float, str, str]],
     excused: dict[str, list[_Span]],
     down: dict[str, list[_Span]],
-    verdict: Verdict,
+    result: CheckResult,
 ) -> None:
-    """Only of kills of at least 12 s: a shorter one may end before it is noticed, and is no fault then."""
+    """Check kills of at least 12 s; a shorter one may end before it is detected, which is no breach."""
     for about, spans in down.items():
         for span in spans:
             if span.end - span.begin < 12_000.0:
                 continue
-            verdict.deaths += 1
-            when = {o: at for at, o, a in reversed(told) if a == about and span.begin <= at <= span.end}
-            # Those that were themselves away, or cut off, need not know in time.
-            apart = [*down.items(), *excused.items()]
-            away = {n for n, s in apart if any(x.begin < span.end and span.begin < x.end for x in s)}
-            if not when:
-                verdict.breaches.append(f"nobody noticed that {about} was down from {span.begin:.0f} ms on")
+            result.deaths += 1
+            detected_at = {
+                observer: at
+                for at, observer, member in reversed(declared_dead)
+                if member == about and span.begin <= at <= span.end
+            }
+            # Processes that were themselves down or unreachable need not know in time.
+            unavailability = [*down.items(), *excused.items()]
+            unavailable = {
+                name
+                for name, other_spans in unavailability
+                if any(other.begin < span.end and span.begin < other.end for other in other_spans)
+            }
+            if not detected_at:
+                result.breaches.append(
+                    f"no process detected that {about} was down from {span.begin:.0f} ms on"
+                )
                 continue
-            verdict.first_s.append((min(when.values()) - span.begin) / 1000.0)
-            known = [at for observer, at in when.items() if observer not in away]
-            if known:
-                verdict.everywhere_s.append((max(known) - span.begin) / 1000.0)
+            result.first_s.append((min(detected_at.values()) - span.begin) / 1000.0)
+            detection_times = [at for observer, at in detected_at.items() if observer not in unavailable]
+            if detection_times:
+                result.everywhere_s.append((max(detection_times) - span.begin) / 1000.0)
 
 
-def _one_view(final: dict[str, dict[str, Any]], verdict: Verdict) -> None:
-    if not final:
-        verdict.breaches.append("no process told its view at the end")
+def _check_final_views(final_views: dict[str, dict[str, Any]], result: CheckResult) -> None:
+    if not final_views:
+        result.breaches.append("no process reported its view at the end")
         return
-    for name, line in sorted(final.items()):
+    for name, line in sorted(final_views.items()):
         if line.get("failed"):
-            verdict.breaches.append(f"{name} did not tell its view at the end: {line['failed']}")
-    views = {name: line for name, line in final.items() if not line.get("failed")}
-    running = set(final)
+            result.breaches.append(f"{name} did not report its view at the end: {line['failed']}")
+    views = {name: line for name, line in final_views.items() if not line.get("failed")}
+    running = set(final_views)
     for name, line in sorted(views.items()):
-        held = set(line["present"])
-        if held != running:
-            lacks, extra = sorted(running - held), sorted(held - running)
-            verdict.breaches.append(
-                f"{name} at the end lacks {lacks or 'none'} and holds {extra or 'none'} too many"
+        present = set(line["present"])
+        if present != running:
+            missing, extra = sorted(running - present), sorted(present - running)
+            result.breaches.append(
+                f"{name} at the end lacks {missing or 'none'} and has {extra or 'none'} too many"
             )
     if len({line["digest"] for line in views.values()}) > 1:
-        verdict.breaches.append("digests differ at the end")
+        result.breaches.append("view digests differ at the end")
--- a/crowpost/lab/rig/plan.py
+++ b/crowpost/lab/rig/plan.py
@@ -1,8 +1,8 @@
-"""Fault-injection plans, read from TOML files, and the timetable drawn from a seed.
+"""Fault schedules, read from TOML files, and the victims that are drawn from a seed.
 
-A plan says how many processes there are and which fault happens when.
+A schedule says how many processes there are and which fault happens when.
 
-The timetable is made before anything starts: equal file and seed give equal victims and times.
+Victims are drawn before anything starts: equal file and seed give equal victims and times.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from crowpost.lab.scenario import Count, NotNegative, Positive, ScenarioError, Share
 
 SCHEMA = 1
-BadKind = Literal[
+FaultKind = Literal[
     "loss",
     "delay",
     "duplicate",
@@ -40,22 +40,33 @@
 ]
 
 
-class Bad(Struct, forbid_unknown_fields=True, frozen=True):
-    """What goes wrong with `part` of the processes, or of the links where the kind names links."""
+class Fault(Struct, forbid_unknown_fields=True, frozen=True):
+    """A fault of `part` of the processes, or of their links for the kinds that are about links.
 
-    kind: BadKind
+    for_s: for kill and power_loss the time until the next start; for upgrade how long both processes run;
+    otherwise how long the fault lasts.
+    size: for loss, duplicate and reorder the share of datagrams; for starve the share of time in which the
+    process runs.
+    ms: for delay the largest delay; for reorder the delay of a reordered datagram.
+    bytes_per_s: for slow_link only.
+    """
+
+    kind: FaultKind
     at_s: NotNegative
-    for_s: Positive = 10.0  # kill, power_loss: until the next start; upgrade: both run; else how long
+    for_s: Positive = 10.0
     part: Share = 0.1
-    size: NotNegative = (
-        0.1  # loss, duplicate, reorder: share of datagrams; starve: share of time that it runs
-    )
-    ms: NotNegative = 50.0  # delay: at the most; reorder: by how much
-    bytes_per_s: Positive = 4_000.0  # slow_link
+    size: NotNegative = 0.1
+    ms: NotNegative = 50.0
+    bytes_per_s: Positive = 4_000.0
+
 
+class FaultSchedule(Struct, forbid_unknown_fields=True, frozen=True):
+    """A cluster of processes and its faults.
 
-class Storm(Struct, forbid_unknown_fields=True, frozen=True):
-    """A cluster of processes and its troubles.  quiet_s: after the last of them, for views to become one."""
+    quiet_s: the longest time after the last fault in which all views have to agree.
+    state: whether each node has a state directory.
+    tuning: values of members.toml.
+    """
 
     schema: int
     name: str
@@ -65,74 +76,93 @@
     quiet_s: Positive = 20.0
     zones: Count = 2
     program: Literal["node", "member"] = "node"
-    state: bool = False  # nodes keep a state directory each
-    bad: tuple[Bad, ...] = ()
-    tuning: dict[str, float] = msgspec.field(default_factory=dict)  # of members.toml
+    state: bool = False
+    bad: tuple[Fault, ...] = ()
+    tuning: dict[str, float] = msgspec.field(default_factory=dict)
 
 
 def shipped() -> dict[str, Path]:
-    """The storms that come with the package, by name."""
+    """Return the fault schedules that come with the package, by name."""
     return scenario.shipped("storms")
 
 
-def load(name: str) -> Storm:
-    """A shipped storm by name, or one in a file; ScenarioError with one line if it cannot be played."""
+def load(name: str) -> FaultSchedule:
+    """Return a shipped fault schedule by name, or one from a file.
+
+    Raise ScenarioError, with a message of one line, if it cannot be run.
+    """
     path = shipped().get(name) or Path(name)
     try:
-        storm = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Storm)
+        schedule = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), FaultSchedule)
     except FileNotFoundError:
         known = ", ".join(shipped())
-        raise ScenarioError(f"{path}: no such file, and no shipped storm: {known}") from None
+        raise ScenarioError(f"{path}: no such file, and no shipped fault schedule: {known}") from None
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ScenarioError(f"{path}: {' '.join(str(error).split())}") from None
-    if storm.schema != SCHEMA:
-        raise ScenarioError(f"{path}: schema: {storm.schema} is not known, this version reads {SCHEMA}")
-    for i, bad in enumerate(storm.bad):
-        if bad.at_s + bad.for_s > storm.duration_s:
-            raise ScenarioError(f"{path}: bad[{i}].for_s: it ends past the storm's end, {storm.duration_s} s")
-        if bad.kind in ("loss", "duplicate", "reorder", "starve") and bad.size > 1.0:
-            raise ScenarioError(f"{path}: bad[{i}].size: a share of {bad.size}")
-        if bad.kind in ("power_loss", "evacuate") and not (storm.state and storm.program == "node"):
-            raise ScenarioError(f"{path}: bad[{i}].kind: {bad.kind} needs nodes with state = true")
-    return storm
+    if schedule.schema != SCHEMA:
+        raise ScenarioError(f"{path}: schema: {schedule.schema} is not known, this version reads {SCHEMA}")
+    for i, fault in enumerate(schedule.bad):
+        if fault.at_s + fault.for_s > schedule.duration_s:
+            raise ScenarioError(
+                f"{path}: bad[{i}].for_s: it ends after the schedule, at {schedule.duration_s} s"
+            )
+        if fault.kind in ("loss", "duplicate", "reorder", "starve") and fault.size > 1.0:
+            raise ScenarioError(f"{path}: bad[{i}].size: a share of {fault.size} is more than 1")
+        if fault.kind in ("power_loss", "evacuate") and not (schedule.state and schedule.program == "node"):
+            raise ScenarioError(f"{path}: bad[{i}].kind: {fault.kind} needs nodes with state = true")
+    return schedule
 
 
 def kinds() -> tuple[str, ...]:
-    """Every kind of trouble that a storm may hold."""
-    return tuple(get_args(BadKind))
+    """Return every kind of fault that a schedule may contain."""
+    return tuple(get_args(FaultKind))
 
 
 @dataclass(frozen=True)
-class Act:
-    """One trouble with its victims.  Times are seconds from the moment at which all have joined."""
+class ScheduledFault:
+    """A fault with its victims; times are in seconds from the moment at which all processes have joined.
+
+    victims: processes, also for faults of links, where they are the first ends.
+    links: directed pairs of processes, for faults of links only.
+    """
 
-    bad: Bad
-    victims: tuple[str, ...]  # processes; for links: those at their first ends
-    links: frozenset[tuple[str, str]] = field(default_factory=frozenset)  # directed, for kinds of links
+    fault: Fault
+    victims: tuple[str, ...]
+    links: frozenset[tuple[str, str]] = field(default_factory=frozenset)
 
     @property
     def until_s(self) -> float:
-        """When the fault is over, in seconds from the start."""
-        return self.bad.at_s + self.bad.for_s
+        """Return when the fault is over, in seconds from the start."""
+        return self.fault.at_s + self.fault.for_s
 
 
-def timetable(storm: Storm, seed: int) -> list[Act]:
-    """Every trouble with its victims, in the order of time."""
-    rng = Random(f"{storm.name} {seed}")
-    names = [f"n{i}" for i in range(storm.processes)]
-    acts = []
-    for bad in sorted(storm.bad, key=lambda b: (b.at_s, b.kind)):
-        count = min(len(names) - 1, max(1, round(bad.part * len(names))))
+def draw_faults(schedule: FaultSchedule, seed: int) -> list[ScheduledFault]:
+    """Return every fault with its victims, in order of time."""
+    rng = Random(f"{schedule.name} {seed}")
+    names = [f"n{i}" for i in range(schedule.processes)]
+    scheduled = []
+    for fault in sorted(schedule.bad, key=lambda entry: (entry.at_s, entry.kind)):
+        count = min(len(names) - 1, max(1, round(fault.part * len(names))))
         victims = tuple(sorted(rng.sample(names, count), key=names.index))
-        inside = set(victims)
+        affected = set(victims)
         links: frozenset[tuple[str, str]] = frozenset()
-        if bad.kind == "partition":
-            links = frozenset((a, b) for a in names for b in names if (a in inside) != (b in inside))
-        elif bad.kind in ("loss", "delay", "duplicate", "reorder", "slow_link"):
-            links = frozenset((a, b) for a in names for b in names if a != b and (a in inside or b in inside))
-        elif bad.kind == "one_way":
-            # Each victim loses the way to another process, not the way back.
-            others = {v: rng.choice([n for n in names if n != v]) for v in victims}
-            links = frozenset(others.items())
-        acts.append(Act(bad, victims, links))
-    return acts
+        if fault.kind == "partition":
+            links = frozenset(
+                (sender, receiver)
+                for sender in names
+                for receiver in names
+                if (sender in affected) != (receiver in affected)
+            )
+        elif fault.kind in ("loss", "delay", "duplicate", "reorder", "slow_link"):
+            links = frozenset(
+                (sender, receiver)
+                for sender in names
+                for receiver in names
+                if sender != receiver and (sender in affected or receiver in affected)
+            )
+        elif fault.kind == "one_way":
+            # Each victim loses the link to one other process, but not the link back.
+            receivers = {victim: rng.choice([name for name in names if name != victim]) for victim in victims}
+            links = frozenset(receivers.items())
+        scheduled.append(ScheduledFault(fault, victims, links))
+    return scheduled
