--- a/crowpost/lab/feed/__init__.py
+++ b/crowpost/lab/feed/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration feed in the lab: a simulated fleet, and real processes on this machine."""
+"""Lab runs of the configuration feed: a simulated fleet, and real processes on this machine."""
--- a/crowpost/lab/feed/convergence.py
+++ b/crowpost/lab/feed/convergence.py
@@ -1,4 +1,4 @@
-"""Whether followers agree on the documents that they watch."""
+"""Checks whether followers agree on the documents that they watch."""
 
 from __future__ import annotations
 
--- a/crowpost/lab/feed/gossip_cost.py
+++ b/crowpost/lab/feed/gossip_cost.py
@@ -1,8 +1,8 @@
-"""The cost of the rejected alternative: changes passed on by gossip among the members.
+"""Computes the cost of the rejected alternative: changes distributed by gossip among the members.
 
-Measured on the broadcast queue of the membership: a member that learns of an update passes it on a number of
-times for each power of ten of members.  What a member sends until its queue is empty is what it receives in
-the mean.
+Measured on the broadcast queue of membership: a member that learns of an update forwards it a number of times
+for each power of ten of members.  The bytes that a member sends until its queue is empty equal those that it
+receives on average.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from crowpost.membership.model import Liveness, Phase, Profile, StateUpdate
 from crowpost.membership.settings import ProtocolSettings
 
-BODY_BYTES = 2_000  # bytes of a change
+BODY_BYTES = 2_000  # of a change
 
 
 def update(name: str, header: str) -> StateUpdate:
@@ -26,27 +26,28 @@
     return StateUpdate(name, 0xFFFF_FFFF, 7, Phase.PRESENT, Liveness.ALIVE, name, "", profile)
 
 
-def drained(updates: int, members: int, settings: ProtocolSettings) -> tuple[int, float]:
-    """Return the bytes of updates that one member sends until its queue is empty, and how often each."""
+def drain_queue(updates: int, members: int, settings: ProtocolSettings) -> tuple[int, float]:
+    """Return the bytes of updates that one member sends until its queue is empty, and the repeats."""
     queue = BroadcastQueue(settings)
     for i in range(updates):
         queue.enqueue(update(f"node-{i:04}", "all 1 12 0123456789abcdef"), members)
-    sent = rows = 0
+    sent = count = 0
     while len(queue):
         taken = queue.take(settings.max_datagram_bytes, 0.0)
         sent += sum(map(len, taken))
-        rows += len(taken)
-    return sent, rows / updates
+        count += len(taken)
+    return sent, count / updates
 
 
 def cost(members: int) -> dict[str, Any]:
-    """Return the bytes that a node sends for a change of 2 kB by gossip, and sends or receives by the feed.
+    """Return the bytes that a node sends by gossip, and sends or receives by the feed, for a change of 2 kB.
 
-    Also the seconds that the apply statuses of all would take within the budget of gossip.
+    The result also has the seconds that the apply statuses of all members would take within the send rate of
+    gossip.
     """
     settings = ProtocolSettings()
-    header, repeats = drained(1, members, settings)
-    apply_statuses, _ = drained(members, members, settings)
+    header, repeats = drain_queue(1, members, settings)
+    apply_statuses, _ = drain_queue(members, members, settings)
     document = make_document(
         "all", 1, 12, b"x" * BODY_BYTES, author="ops", reason="a change", writer="p-east"
     )
--- a/crowpost/lab/feed/network.py
+++ b/crowpost/lab/feed/network.py
@@ -1,10 +1,10 @@
-"""Simulated connections that behave as TCP does: bytes arrive in order, perhaps late, or not at all.
+"""Simulated connections that behave like TCP: bytes arrive in order, possibly late, or not at all.
 
-A lost segment is sent again after a retransmission timeout of 200 ms, doubled each time; all that was sent
-after it waits for it.  Fast retransmit and the congestion window are left out: the first makes this network
-harsher than a real one, the second milder, and a message here is seldom more than ten segments.  During a
-partition nothing is lost; what was sent arrives once it has healed and the timeout that grew meanwhile is
-over.
+A lost segment is sent again after a retransmission timeout of 200 ms, doubled each time; later data waits for
+it.  Fast retransmit and the congestion window are left out: without the former this network is harsher than a
+real one, without the latter milder, and a message is seldom more than ten segments.  A partition loses
+nothing: data sent during it arrives after it has healed and the retransmission timeout, which grew meanwhile,
+has expired.
 """
 
 from __future__ import annotations
@@ -16,23 +16,31 @@
 from crowpost.lab.engine import Engine
 
 SEGMENT_BYTES = 1_460  # payload
-PACKET_OVERHEAD_BYTES = 40  # of TCP and IP, counted for each segment; bare acknowledgements are not counted
+PACKET_OVERHEAD_BYTES = 40  # TCP and IP headers of each segment; bare acknowledgements are not counted
 RTO_MS = 200.0  # first retransmission timeout
 SYN_TIMEOUT_MS = 1_000.0  # until a lost SYN is sent again, doubled each time
 MAX_RTO_MS = 60_000.0
-MAX_UNREAD_BYTES = 262_144  # sent and not yet read, above which the sender's socket is blocked
+MAX_UNREAD_BYTES = 262_144  # with more bytes sent but not yet read, the sender's socket is blocked
 
 
 @dataclass(frozen=True)
 class NetworkConditions:
-    """The network and the machines; ranges of delays in ms."""
-
-    loss_fraction: float = 0.0  # of the segments
-    zone_delay_ms: tuple[float, float] = (0.1, 0.4)  # delay within a zone
-    region_delay_ms: tuple[float, float] = (0.4, 1.5)  # between zones of a region
-    cross_region_delay_ms: tuple[float, float] = (30.0, 40.0)  # between regions
-    bytes_per_ms: float = 12_500.0  # bandwidth of a machine
-    starved_fraction: float = 0.0  # of the processes, which are suspended again and again
+    """Conditions of the network and of the machines.
+
+    loss_fraction: share of segments that are lost.
+    zone_delay_ms: range of the delay within a zone.
+    region_delay_ms: between zones of a region.
+    cross_region_delay_ms: between regions.
+    bytes_per_ms: bandwidth of a machine.
+    starved_fraction: share of the processes, which are suspended repeatedly.
+    """
+
+    loss_fraction: float = 0.0
+    zone_delay_ms: tuple[float, float] = (0.1, 0.4)
+    region_delay_ms: tuple[float, float] = (0.4, 1.5)
+    cross_region_delay_ms: tuple[float, float] = (30.0, 40.0)
+    bytes_per_ms: float = 12_500.0
+    starved_fraction: float = 0.0
     suspension_ms: tuple[float, float] = (100.0, 1_500.0)
     running_ms: tuple[float, float] = (300.0, 3_000.0)
 
@@ -41,8 +49,13 @@
 class ConnectionEnd:
     """One end of a connection.
 
-    receive: called with bytes; close: called when the other end is closed; set_blocked: called when the
-    socket accepts no more, or does again.
+    receive: called with bytes.
+    close: called when the other end is closed.
+    set_blocked: called when the socket stops accepting data, or accepts it again.
+    sender_free_at: when the machine has sent all data so far.
+    last_arrival: when the last data sent arrives at the other end.
+    unread_bytes: bytes sent by this end that the other one has not read.
+    close_notified: whether `close` was called.
     """
 
     name: str
@@ -52,17 +65,17 @@
     close: Callable[[], None]
     set_blocked: Callable[[bool], None]
     connection: Connection | None = None
-    sender_free_at: float = 0.0  # when the machine has sent all so far
-    last_arrival: float = 0.0  # of what was sent last, at the other end
-    unread_bytes: int = 0  # of what this end sent
+    sender_free_at: float = 0.0
+    last_arrival: float = 0.0
+    unread_bytes: int = 0
     is_blocked: bool = False
-    closed: bool = False  # at this end
-    close_notified: bool = False  # `close` was called
+    closed: bool = False
+    close_notified: bool = False
 
 
 @dataclass(eq=False)
 class Connection:
-    """A connection between two ends; `delayed` is what waits for a partition to heal."""
+    """A connection between two ends; `delayed` is the data that waits for a partition to heal."""
 
     ends: tuple[ConnectionEnd, ConnectionEnd]
     delayed: list[tuple[ConnectionEnd, bytes | None]] = field(default_factory=list)
@@ -77,32 +90,32 @@
 
     def __init__(self, engine: Engine, rng: random.Random, conditions: NetworkConditions) -> None:
         self.engine, self.rng, self.conditions = engine, rng, conditions
-        self.partitions: dict[tuple[str, str], float] = {}  # pairs of regions, and since when
+        self.partitions: dict[tuple[str, str], float] = {}  # since when, by pair of regions
         self.unreachable: dict[str, bool] = {}  # machines that neither send nor receive
-        self.damage_fraction: dict[str, float] = {}  # of the sends of a process: a bit is flipped
-        self.sent_bytes: dict[str, int] = {}  # bytes with headers, by process
+        self.damage_fraction: dict[str, float] = {}  # share of sends with a flipped bit, by process
+        self.sent_bytes: dict[str, int] = {}  # with headers, by process
         self.received_bytes: dict[str, int] = {}
         self._connections: dict[Connection, None] = {}
 
     # ------------------------------------------------------------ partitions
 
-    def is_connected(self, a: ConnectionEnd, b: ConnectionEnd) -> bool:
-        """Return whether segments get from one end to the other."""
-        if self.unreachable.get(a.name) or self.unreachable.get(b.name):
+    def is_connected(self, one: ConnectionEnd, other: ConnectionEnd) -> bool:
+        """Return whether segments from one end reach the other."""
+        if self.unreachable.get(one.name) or self.unreachable.get(other.name):
             return False
-        return a.region == b.region or _pair(a.region, b.region) not in self.partitions
+        return one.region == other.region or _pair(one.region, other.region) not in self.partitions
 
     def partition(self, one: str, other: str) -> None:
         """Partition two regions."""
         self.partitions[_pair(one, other)] = self.engine.now
 
     def heal(self, one: str, other: str) -> None:
-        """Heal a partition; what waited arrives once the retransmission timeout, grown meanwhile, is over."""
+        """Heal a partition; delayed data arrives after the retransmission timeout, grown meanwhile."""
         since = self.partitions.pop(_pair(one, other))
-        most = min(max(self.engine.now - since, RTO_MS), MAX_RTO_MS)
+        max_wait_ms = min(max(self.engine.now - since, RTO_MS), MAX_RTO_MS)
         for connection in list(self._connections):
             if connection.delayed:
-                self.engine.after(self.rng.uniform(0.0, most), self._release, connection)
+                self.engine.after(self.rng.uniform(0.0, max_wait_ms), self._release, connection)
 
     def _release(self, connection: Connection) -> None:
         if not self.is_connected(*connection.ends):
@@ -112,44 +125,51 @@
         for end, data in delayed:
             self._arrive(connection, end, data)
 
-    def _delay(self, a: ConnectionEnd, b: ConnectionEnd) -> float:
+    def _delay(self, one: ConnectionEnd, other: ConnectionEnd) -> float:
         conditions = self.conditions
-        if a.region != b.region:
+        if one.region != other.region:
             low, high = conditions.cross_region_delay_ms
         else:
-            low, high = conditions.zone_delay_ms if a.zone == b.zone else conditions.region_delay_ms
+            low, high = conditions.zone_delay_ms if one.zone == other.zone else conditions.region_delay_ms
         return low + (high - low) * self.rng.random()
 
     # ------------------------------------------------------------ connections
 
     def dial(
-        self, a: ConnectionEnd, find: Callable[[], ConnectionEnd | None], up: Callable[[Connection], None]
+        self,
+        initiator: ConnectionEnd,
+        find: Callable[[], ConnectionEnd | None],
+        up: Callable[[Connection], None],
     ) -> None:
         """Open a connection.
 
-        find: returns the listening end, None where the connection is refused; up: called once it is open.
+        find: returns the listening end, or None if the connection is refused.
+        up: called once the connection is open.
         """
         target = find()
-        wait = self._wait_ms(SYN_TIMEOUT_MS)
+        wait_ms = self._wait_ms(SYN_TIMEOUT_MS)
         if target is None:
-            self.engine.after(1.0 + wait, a.close)
+            self.engine.after(1.0 + wait_ms, initiator.close)
             return
-        if not self.is_connected(a, target):
-            return  # no answer at all: the follower has a timeout of its own
-        self.engine.after(wait + 2.0 * self._delay(a, target), self._connect, a, find, up)
+        if not self.is_connected(initiator, target):
+            return  # no response: the follower has its own timeout
+        self.engine.after(wait_ms + 2.0 * self._delay(initiator, target), self._connect, initiator, find, up)
 
     def _connect(
-        self, a: ConnectionEnd, find: Callable[[], ConnectionEnd | None], up: Callable[[Connection], None]
+        self,
+        initiator: ConnectionEnd,
+        find: Callable[[], ConnectionEnd | None],
+        up: Callable[[Connection], None],
     ) -> None:
-        b = find()
-        if b is None:
-            if not a.closed:
-                a.close()
+        target = find()
+        if target is None:
+            if not initiator.closed:
+                initiator.close()
             return
-        if a.closed or not self.is_connected(a, b):
+        if initiator.closed or not self.is_connected(initiator, target):
             return
-        connection = Connection((a, b))
-        a.connection = b.connection = connection
+        connection = Connection((initiator, target))
+        initiator.connection = target.connection = connection
         self._connections[connection] = None
         up(connection)
 
@@ -174,21 +194,21 @@
         self.engine.at(end.last_arrival, self._arrive, connection, end, data)
 
     def _damage(self, end: ConnectionEnd, data: bytes) -> bytes:
-        """Flip a bit in some of the sends, in spite of TCP's checksum."""
+        """Flip a bit in some of the sends, as if TCP's checksum had not detected it."""
         fraction = self.damage_fraction.get(end.name, 0.0)
         if not fraction or self.rng.random() >= fraction:
             return data
-        at = self.rng.randrange(len(data))
-        return data[:at] + bytes([data[at] ^ (1 << self.rng.randrange(8))]) + data[at + 1 :]
+        index = self.rng.randrange(len(data))
+        return data[:index] + bytes([data[index] ^ (1 << self.rng.randrange(8))]) + data[index + 1 :]
 
     def _retransmission_ms(self, segments: int) -> float:
-        """Return for how long lost segments delay a send."""
+        """Return how long lost segments delay a send."""
         if not self.conditions.loss_fraction:
             return 0.0
         return max((self._wait_ms(RTO_MS) for _ in range(segments)), default=0.0)
 
     def _wait_ms(self, timeout_ms: float) -> float:
-        """Return the sum of the doubling timeouts until a segment is not lost."""
+        """Return the sum of the doubling timeouts until a segment arrives."""
         waited_ms = 0.0
         while self.rng.random() < self.conditions.loss_fraction and waited_ms < MAX_RTO_MS:
             waited_ms += timeout_ms
@@ -226,7 +246,7 @@
             other.set_blocked(False)
 
     def close(self, end: ConnectionEnd) -> None:
-        """Close an end; the other one is notified after all that was sent before."""
+        """Close an end; the other one is notified after all data that was sent before."""
         if end.closed:
             return
         end.closed = True
--- a/crowpost/lab/feed/process.py
+++ b/crowpost/lab/feed/process.py
@@ -1,4 +1,4 @@
-"""A simulated process of the feed: what survives its restarts, and one instance of it."""
+"""A simulated process of the feed: the data that survives its restarts, and its running instance."""
 
 from __future__ import annotations
 
@@ -18,12 +18,15 @@
 from crowpost.lab.engine import Planned
 from crowpost.lab.feed.network import ConnectionEnd
 
-MAX_CLOCK_OFFSET_MS = 1e6  # of a process from the simulated time
+MAX_CLOCK_OFFSET_MS = 1e6  # between the clock of a process and the simulated time
 
 
 @dataclass
 class ProcessSpec:
-    """What a process is, over its restarts."""
+    """Properties of a process that survive its restarts.
+
+    disk: documents on its disk, by scope.
+    """
 
     name: str
     role: str  # node, relay or publisher
@@ -32,11 +35,11 @@
     service: str
     address: str
     servers: tuple[UpstreamServer, ...]
-    disk: dict[str, Document] = field(default_factory=dict)  # documents that survive a restart, by scope
+    disk: dict[str, Document] = field(default_factory=dict)
 
 
 class Side(Enum):
-    """The core that a connection of a process belongs to."""
+    """The core of a process that owns a connection."""
 
     FOLLOWER = "follower"
     SERVER = "server"
@@ -59,17 +62,17 @@
         self.offset = offset  # of its clock, in ms
         self.up = True
         self.suspended = False
-        self.truncates_bodies = False  # a fault: half of each body is sent, then nothing
-        self.inbox: list[Callable[[], None]] = []  # calls that wait while it is suspended
+        self.truncates_bodies = False  # fault: half of each body is sent, then nothing more
+        self.inbox: list[Callable[[], None]] = []  # calls that wait until it is resumed
         self.timer: Planned | None = None
         self.timer_at = float("inf")
-        self.ends: dict[tuple[Side, int], ConnectionEnd] = {}  # by core and number
+        self.ends: dict[tuple[Side, int], ConnectionEnd] = {}  # by core and connection id
         self.accepted_connections = 0
-        self.immediate_ticks = 0  # in a row that were due at once
+        self.immediate_ticks = 0  # consecutive ticks that were due at once
 
 
 def new_instance(cluster: str, spec: ProcessSpec, rng: Random, engine_now: float, tuning: Tuning) -> Process:
-    """Return a new instance of a process, with a clock of its own and what its disk holds."""
+    """Return a new instance of a process, with its own clock and the documents on its disk."""
     offset = rng.uniform(0.0, MAX_CLOCK_OFFSET_MS)
     now = engine_now + offset
     instance_id = rng.getrandbits(32)
@@ -98,9 +101,13 @@
 
 @dataclass(eq=False)
 class Change:
-    """An acknowledged document: the nodes that are still to apply it, and the latency of those that did."""
+    """An acknowledged document and its application by the nodes.
+
+    pending: nodes that have yet to apply it, and the time from which their latency counts.
+    latency_ms: of the nodes that have applied it.
+    """
 
     header: DocumentHeader
     at: float
-    pending: dict[str, float]  # name, and since when it counts for that one
+    pending: dict[str, float]
     latency_ms: dict[str, float] = field(default_factory=dict)
--- a/crowpost/lab/feed/publishing.py
+++ b/crowpost/lab/feed/publishing.py
@@ -1,4 +1,4 @@
-"""Simulated publishers: the real publication log, on a disk that takes its time."""
+"""Simulated publishers: the real publication log, on a simulated disk with slow fsync."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from crowpost.lab.feed.world import World
 
 FSYNC_MS = (2.0, 10.0)  # range
-STEPS = ("received", "appended", "synced", "announced")  # of a publication, in order
+STEPS = ("received", "appended", "synced", "announced")  # steps of a publication, in order
 
 
 class Publishing:
-    """The publication logs of all publishers; a killed one keeps the records that were synced.
+    """The publication logs of all publishers; a killed publisher keeps the records that were synced.
 
-    A document is acknowledged and announced only once its record is synced.  authorities: by publisher; two
-    that do not agree lead to conflicts.
+    A document is acknowledged and announced only after its record is synced.
+    authorities: by publisher; two that disagree lead to conflicts.
     """
 
     def __init__(self, world: World, authorities: dict[str, WriteAuthority]) -> None:
         self.authorities = authorities
         self._world = world
         self._synced: dict[str, list[bytes]] = {}  # records on the disk, by publisher
-        self._logs: dict[str, PublicationLog] = {}  # of the running instances
+        self._logs: dict[str, PublicationLog] = {}  # of running publishers
         self._synced_at: dict[str, float] = {}
-        world.on_killed = self._killed
+        world.on_killed = self._discard_log
 
-    def _killed(self, name: str) -> None:
+    def _discard_log(self, name: str) -> None:
         self._logs.pop(name, None)
 
     def _log(self, name: str) -> PublicationLog:
@@ -42,7 +42,10 @@
         return self._logs[name]
 
     def publish(self, by: str, scope: str, body: bytes, crash: str = "") -> None:
-        """Publish at a publisher.  crash: the step at which it is killed, if any."""
+        """Publish a document at a publisher.
+
+        crash: the step at which the publisher is killed, if any.
+        """
         world = self._world
         process = world.processes[by]
         if process.suspended:
@@ -55,7 +58,7 @@
         try:
             record, document = self._log(by).publish(request, process.follower.table)
         except FeedError as error:
-            world.faults.append(f"{by} refuses: {error}")
+            world.faults.append(f"{by} rejects: {error}")
             return
         if self._crashes(process, crash, "appended"):
             return
@@ -80,12 +83,12 @@
         try:
             process.distribution_server.announce(document, world.engine.now + process.offset)
         except FeedError as error:
-            world.faults.append(f"{process.name} cannot hold what it acknowledged: {error}")
+            world.faults.append(f"{process.name} cannot store a document that it acknowledged: {error}")
         if crash == "announced":
             world.after(process)
             world.kill(process.name)
 
 
 def _accept_any(scope: str, body: bytes) -> None:
-    """Accept any body: bodies here are no configuration."""
+    """Accept any body: the bodies of a simulation are not configurations."""
     del scope, body
--- a/crowpost/lab/feed/real_processes.py
+++ b/crowpost/lab/feed/real_processes.py
@@ -1,9 +1,9 @@
-"""The feed with real processes on this machine, one relay of which is killed.
+"""Measures the feed with real processes on this machine; one case kills a relay.
 
 Run it with `python -m crowpost.lab.feed.real_processes`.
 
 Times are from the publish request to the node's own log line that the document is applied, both by the
-machine's monotonic clock.  Only processes that were started here are signalled, by their number.
+machine's monotonic clock.  Only processes that were started here are signalled, by their process id.
 """
 
 from __future__ import annotations
@@ -29,68 +29,74 @@
 
 HOST, CLUSTER = "127.0.0.1", "real"
 STARTS_AT_ONCE = 2
-RELAYS = 4  # one a zone
-SETTLE_S = 6.0  # a silent relay is given up after 4.5
-START_S, WAIT_S = 30.0, 13.0  # for a process to be up, and for a change to be in force
-CASE_S = 10.0  # a case lasts at least so long
-SIZE = 2_000  # bytes of a document, about
-LINE = re.compile(r'feed (\{"event": .*\})')
+RELAYS = 4  # one in each zone
+SETTLE_S = 6.0  # longer than the 4.5 s after which an unresponsive relay is abandoned
+START_TIMEOUT_S, CHANGE_TIMEOUT_S = 30.0, 13.0  # for a process to start, and for a change to be in force
+MIN_CASE_S = 10.0  # minimum duration of a case
+DOCUMENT_BYTES = 2_000  # approximate bytes of a document
+EVENT_LINE = re.compile(r'feed (\{"event": .*\})')
 SETTINGS = {
     "policyLimits": {"connectTimeoutMs": 100.0},
     "profiles": [{"name": "look", "effect": "safe", "aimMs": 1000.0, "deadlineMs": 4000.0}],
     "registryMode": "pushed",
-    "remarks": "x" * (SIZE - 200),
+    "remarks": "x" * (DOCUMENT_BYTES - 200),
 }
 
 
 @dataclass
 class Process:
-    """A process that was started here, and what its log tells."""
+    """A process that was started here, and the events of its log.
+
+    applied_at_ms: when each version was applied, in ms.
+    """
 
     name: str
     process: asyncio.subprocess.Process
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
     listens: str = ""
-    managed: str = ""
-    links: int = 0
-    taken: dict[int, float] = field(default_factory=dict)  # version and when, in ms
+    management_address: str = ""
+    connections: int = 0
+    applied_at_ms: dict[int, float] = field(default_factory=dict)
 
     async def read(self) -> None:
-        """Read the log of the process until its end."""
+        """Read the log of the process until it ends."""
         assert self.process.stderr is not None
         while line := (await self.process.stderr.readline()).decode():
             async with self.changed:
-                self._line(line)
+                self._handle_line(line)
                 self.changed.notify_all()
 
-    def _line(self, line: str) -> None:
+    def _handle_line(self, line: str) -> None:
         if found := re.search(r"is managed on ([\d.]+:\d+)", line):
-            self.managed = found[1]
-        elif found := LINE.search(line):
+            self.management_address = found[1]
+        elif found := EVENT_LINE.search(line):
             event = json.loads(found[1])
             if event["event"] == "start":
                 self.listens = event["listens"]
             elif event["event"] == "linked":
-                self.links += 1
+                self.connections += 1
             elif event["event"] == "in force":
-                self.taken[event["version"]] = event["at_ms"]
+                self.applied_at_ms[event["version"]] = event["at_ms"]
+
+    async def until(self, condition: str, within_s: float, min_version: int = 0) -> bool:
+        """Wait for a listening process, for two connections, or for an applied version (`in force`).
 
-    async def until(self, met: str, within_s: float, number: int = 0) -> bool:
-        """Wait for `listens`, `linked` or an applied version; return whether it came in time."""
-        checks = {
+        Return whether the condition was met in time.
+        """
+        conditions = {
             "listens": lambda: bool(self.listens),
-            "linked": lambda: self.links >= 2,
-            "in force": lambda: any(version >= number for version in self.taken),
+            "linked": lambda: self.connections >= 2,
+            "in force": lambda: any(version >= min_version for version in self.applied_at_ms),
         }
         try:
             async with asyncio.timeout(within_s), self.changed:
-                await self.changed.wait_for(checks[met])
+                await self.changed.wait_for(conditions[condition])
         except TimeoutError:
             return False
         return True
 
     def cpu_s(self) -> float:
-        """Return the processor time so far."""
+        """Return the processor time used so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(") ")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -101,52 +107,55 @@
 
 
 class Fleet:
-    """A publisher, its relays and its nodes; `end` kills them all."""
+    """A publisher, its relays and its nodes; `end` kills all of them."""
 
     def __init__(self, folder: Path, nodes: int, seed: int) -> None:
         self.folder, self.count, self.rng = folder, nodes, Random(seed)
         self.publisher: Process | None = None
         self.relays: list[Process] = []
         self.nodes: list[Process] = []
-        self._reading: list[asyncio.Task[None]] = []
+        self._log_readers: list[asyncio.Task[None]] = []
 
     async def _start(self, name: str, *arguments: str, **environment: str) -> Process:
-        started = await asyncio.create_subprocess_exec(
+        subprocess = await asyncio.create_subprocess_exec(
             sys.executable, *arguments, env={**os.environ, **environment}, stderr=asyncio.subprocess.PIPE
         )
-        process = Process(name, started)
-        self._reading.append(asyncio.create_task(process.read()))
+        process = Process(name, subprocess)
+        self._log_readers.append(asyncio.create_task(process.read()))
         return process
 
-    def _toml(self, name: str, zone: str, up: list[Process], **values: object) -> str:
+    def _write_settings(self, name: str, zone: str, upstreams: list[Process], **values: object) -> str:
         values = {"cluster": CLUSTER, "name": name, "region": "north", "zone": zone, **values}
         text = "[feed]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items())
         text += 'publishers = {north = "p"}\nhome = "north"\n'
-        text += "".join(f'[[feed.upstreams]]\naddress = "{u.listens}"\nzone = "{u.name}"\n' for u in up)
+        text += "".join(
+            f'[[feed.upstreams]]\naddress = "{upstream.listens}"\nzone = "{upstream.name}"\n'
+            for upstream in upstreams
+        )
         path = self.folder / f"{name}.toml"
         path.write_text(text)
         return str(path)
 
-    async def _hub(self, name: str, up: list[Process], **values: object) -> Process:
-        file = self._toml(name, name, up, listen=f"{HOST}:0", **values)
+    async def _start_server(self, name: str, upstreams: list[Process], **values: object) -> Process:
+        file = self._write_settings(name, name, upstreams, listen=f"{HOST}:0", **values)
         process = await self._start(name, "-m", "crowpost.feed", file)
-        if not await process.until("listens", START_S):
+        if not await process.until("listens", START_TIMEOUT_S):
             raise RuntimeError(f"{name} did not start")
         return process
 
     async def start(self) -> None:
         """Start all processes, and wait until each node is connected to two relays."""
         directory = str(self.folder / "ledger")
-        self.publisher = await self._hub("p", [], role="publisher", directory=directory)
+        self.publisher = await self._start_server("p", [], role="publisher", directory=directory)
         for number in range(RELAYS):
-            self.relays.append(await self._hub(f"z{number}", [self.publisher], role="relay"))
+            self.relays.append(await self._start_server(f"z{number}", [self.publisher], role="relay"))
         config = self.folder / "node.json"
         raw = {"seed": "1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}}
         known = {"generation": 1, "reset": True, "instances": []}
         config.write_text(json.dumps({**raw, "known": known, "settings": SETTINGS}))
-        gate = asyncio.Semaphore(STARTS_AT_ONCE)
+        semaphore = asyncio.Semaphore(STARTS_AT_ONCE)
 
-        async def one(number: int) -> Process:
+        async def start_node(number: int) -> Process:
             name = f"n{number}"
             environment = {
                 "NODE_NAME": name,
@@ -154,53 +163,56 @@
                 "NODE_MANAGEMENT": f"{HOST}:0",
                 "NODE_DISCOVERY": f"{HOST}:9",
                 "NODE_CONFIG": str(config),
-                "NODE_FEED": self._toml(
+                "NODE_FEED": self._write_settings(
                     name, f"z{number % RELAYS}", self.relays, directory=str(self.folder / f"{name}-feed")
                 ),
             }
-            async with gate:
+            async with semaphore:
                 process = await self._start(name, "-m", "crowpost", **environment)
                 self.nodes.append(process)
-                if not await process.until("linked", START_S):
-                    raise RuntimeError(f"{name} found no two relays")
+                if not await process.until("linked", START_TIMEOUT_S):
+                    raise RuntimeError(f"{name} did not connect to two relays")
             return process
 
-        await asyncio.gather(*(one(number) for number in range(self.count)))
+        await asyncio.gather(*(start_node(number) for number in range(self.count)))
 
     async def publish(self) -> int:
-        """A document of about SIZE bytes, of which one value is new; its version."""
+        """Publish a document of about DOCUMENT_BYTES bytes in which one value is new; return its version."""
         assert self.publisher is not None
         limits = {"connectTimeoutMs": 50.0 + round(100.0 * self.rng.random(), 6)}
         body = json.dumps({"settings": {**SETTINGS, "policyLimits": limits}}).encode()
-        answer = await request_reply(
-            self.publisher.listens, PublishRequest(1, "all", body, "lab", "a trial"), CLUSTER, WAIT_S
+        reply = await request_reply(
+            self.publisher.listens,
+            PublishRequest(1, "all", body, "lab", "a trial"),
+            CLUSTER,
+            CHANGE_TIMEOUT_S,
         )
-        if not isinstance(answer, PublishAccepted):
-            raise RuntimeError(f"not published: {answer}")
-        return answer.header.version
+        if not isinstance(reply, PublishAccepted):
+            raise RuntimeError(f"not published: {reply}")
+        return reply.header.version
 
     async def bytes_of(self, distribution_server: Process) -> float:
-        """Bytes that a relay or publisher has sent and got from those that watch it."""
-        answer = await request_reply(distribution_server.listens, StatusRequest(1), CLUSTER, 2.0)
-        assert isinstance(answer, StatusResponse)
-        return float(sum(answer.value["counts"].get(f"bytes_{way}", 0) for way in ("in", "out")))
+        """Return the bytes that a relay or publisher has exchanged with its followers, both ways."""
+        reply = await request_reply(distribution_server.listens, StatusRequest(1), CLUSTER, 2.0)
+        assert isinstance(reply, StatusResponse)
+        return float(sum(reply.value["counts"].get(f"bytes_{direction}", 0) for direction in ("in", "out")))
 
     async def node_bytes(self) -> tuple[float, float, float]:
-        """Return the bytes of the feed, both ways, of all nodes, and two times of one document in ms.
+        """Return the bytes of the feed of all nodes, both ways, and two maxima over documents in ms.
 
-        The times are the longest that it held up an event loop, and the most processor time that it took.
+        The maxima are the time that one document blocked an event loop, and the processor time that it took.
         """
-        total = longest = most = 0.0
+        total = longest_ms = max_cpu_ms = 0.0
         for node in self.nodes:
-            host, _, port = node.managed.rpartition(":")
+            host, _, port = node.management_address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /api/telemetry HTTP/1.1\r\nHost: n\r\n\r\n")
             text = (await asyncio.wait_for(reader.read(), 5.0)).decode()
             writer.close()
-            total += sum(float(n) for n in re.findall(r"edge_node_feed_bytes\{[^}]*\} (\d+)", text))
-            longest = max(longest, float(re.findall(r"feed_longest_us (\d+)", text)[0]) / 1000.0)
-            most = max(most, float(re.findall(r"feed_most_cpu_us (\d+)", text)[0]) / 1000.0)
-        return total, longest, most
+            total += sum(float(value) for value in re.findall(r"edge_node_feed_bytes\{[^}]*\} (\d+)", text))
+            longest_ms = max(longest_ms, float(re.findall(r"feed_longest_us (\d+)", text)[0]) / 1000.0)
+            max_cpu_ms = max(max_cpu_ms, float(re.findall(r"feed_most_cpu_us (\d+)", text)[0]) / 1000.0)
+        return total, longest_ms, max_cpu_ms
 
     async def end(self) -> None:
         """Kill all processes."""
@@ -208,12 +220,12 @@
             if process is not None and process.process.returncode is None:
                 process.process.kill()
                 await process.process.wait()
-        await asyncio.gather(*self._reading)
+        await asyncio.gather(*self._log_readers)
 
 
 @dataclass(frozen=True)
 class Case:
-    """A number of changes, with a mean gap between them; one relay may be killed after the first."""
+    """A number of changes with a mean gap between them; one relay may be killed after the first change."""
 
     name: str
     changes: int
@@ -231,40 +243,42 @@
 
 @dataclass
 class Usage:
-    """Bytes and processor time so far, at one moment."""
+    """Bytes and processor time up to one moment."""
 
-    at: float  # s of the event loop's clock
+    at: float  # in s of the event loop's clock
     cpu_s: list[float]  # of each node
     server_bytes: dict[str, float]  # by name
     node_bytes: float
 
 
 async def play(folder: Path, nodes: int, seed: int) -> list[dict[str, Any]]:
-    """Start one fleet, play the cases on it in turn, and return a run for each."""
+    """Start one fleet, run the cases on it in turn, and return the results of each."""
     fleet = Fleet(folder, nodes, seed)
     try:
         await fleet.start()
         await asyncio.sleep(SETTLE_S)
-        return [await _play_case(fleet, case, nodes, seed) for case in CASES]
+        return [await _run_case(fleet, case, nodes, seed) for case in CASES]
     finally:
         await fleet.end()
 
 
-async def _play_case(fleet: Fleet, case: Case, nodes: int, seed: int) -> dict[str, Any]:
+async def _run_case(fleet: Fleet, case: Case, nodes: int, seed: int) -> dict[str, Any]:
     before = await _usage(fleet)
     requested_at = await _publish_changes(fleet, case)
-    last = max(requested_at, default=0)
-    reached = [await node.until("in force", WAIT_S, last) for node in fleet.nodes]
+    last_version = max(requested_at, default=0)
+    reached = [await node.until("in force", CHANGE_TIMEOUT_S, last_version) for node in fleet.nodes]
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(max(0.0, CASE_S - (loop.time() - before.at)))
+    await asyncio.sleep(max(0.0, MIN_CASE_S - (loop.time() - before.at)))
     elapsed_s = loop.time() - before.at
     server_rates = {
         server.name: (await fleet.bytes_of(server) - before.server_bytes[server.name]) / elapsed_s
         for server in _running_servers(fleet)
     }
-    latencies = [_first(node, version) - at for version, at in requested_at.items() for node in fleet.nodes]
+    latencies = [
+        _applied_at_ms(node, version) - at for version, at in requested_at.items() for node in fleet.nodes
+    ]
     seconds = sorted(latency / 1000.0 for latency in latencies if math.isfinite(latency))
-    node_bytes, longest_ms, longest_cpu_ms = await fleet.node_bytes()
+    node_bytes, longest_ms, max_cpu_ms = await fleet.node_bytes()
     cpu_percent = [
         100.0 * (node.cpu_s() - cpu_s) / elapsed_s
         for node, cpu_s in zip(fleet.nodes, before.cpu_s, strict=True)
@@ -277,14 +291,14 @@
         "changes": case.changes,
         "seconds": round(elapsed_s, 1),
         "in_force_s": {
-            "p50": _figure(seconds, 0.5),
-            "p99": _figure(seconds, 0.99),
-            "worst": _figure(seconds, 1.0),
+            "p50": _quantile(seconds, 0.5),
+            "p99": _quantile(seconds, 0.99),
+            "worst": _quantile(seconds, 1.0),
         },
         "unreached": reached.count(False),
         "node_bytes_per_s": round((node_bytes - before.node_bytes) / elapsed_s / nodes, 1),
-        "node_held_up_ms": round(longest_ms, 2),  # by one document, since its start
-        "node_document_cpu_ms": round(longest_cpu_ms, 2),
+        "node_held_up_ms": round(longest_ms, 2),  # by one document, since the start of the node
+        "node_document_cpu_ms": round(max_cpu_ms, 2),
         "node_core_percent": round(sum(cpu_percent) / nodes, 3),
         "node_memory_mb": round(sum(node.memory_mb() for node in fleet.nodes) / nodes, 1),
         "relay_bytes_per_s": round(max(rate for name, rate in server_rates.items() if name != "p"), 1),
@@ -321,17 +335,17 @@
     return [fleet.publisher, *relays]
 
 
-def _first(node: Process, version: int) -> float:
-    """Return when a node had applied this version or a newer one, in ms; infinity if it has not."""
-    return min((at for v, at in node.taken.items() if v >= version), default=math.inf)
+def _applied_at_ms(node: Process, version: int) -> float:
+    """Return when a node had applied this version or a newer one, in ms, or infinity if it has not."""
+    return min((at for applied, at in node.applied_at_ms.items() if applied >= version), default=math.inf)
 
 
-def _figure(seconds: list[float], part: float) -> float | None:
-    return round(seconds[min(len(seconds) - 1, int(part * len(seconds)))], 3) if seconds else None
+def _quantile(seconds: list[float], fraction: float) -> float | None:
+    return round(seconds[min(len(seconds) - 1, int(fraction * len(seconds)))], 3) if seconds else None
 
 
 def main() -> int:
-    """Print each run; exit code 1 if any node was not reached."""
+    """Print the results of each case; return exit code 1 if any node was not reached."""
     parser = argparse.ArgumentParser(prog="python -m crowpost.lab.feed.real_processes", description=__doc__)
     parser.add_argument("--nodes", type=int, default=60, choices=range(1, 151), metavar="1..150")
     parser.add_argument("--seed", type=int, default=1)
--- a/crowpost/lab/feed/records.py
+++ b/crowpost/lab/feed/records.py
@@ -1,4 +1,4 @@
-"""Records of runs, as docs/capacity/feed.json holds them."""
+"""Reads and writes records of runs, in the format of docs/capacity/feed.json."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from crowpost.config_feed.errors import FeedError
 from crowpost.lab.feed.gossip_cost import cost
 
-GOSSIP_MEMBERS = (50, 200, 790, 1_580)  # for which the cost of gossip is computed
+GOSSIP_MEMBERS = (50, 200, 790, 1_580)  # sizes for which the cost of gossip is computed
 
 
 def read_record(path: Path) -> dict[str, Any]:
-    """Return a record of runs.  Raise FeedError where the file is none."""
+    """Return a record of runs.  Raise FeedError if the file is not one."""
     try:
         record: dict[str, Any] = json.loads(path.read_text())
         for run in record["runs"]:
@@ -24,13 +24,13 @@
 
 
 def put_into(path: Path, run: dict[str, Any]) -> None:
-    """Put a run into a record, in place of one of the same case, size, seed and source.
+    """Add a run to a record; replace one of the same case, size, seed and source.
 
-    Raise FeedError where the file exists and is no record.
+    Raise FeedError if the file exists and is not a record.
     """
     record = read_record(path) if path.exists() else {"schema": 1, "runs": []}
-    runs = [old for old in record.pop("runs") if _key(old) != _key(run)]
-    lines = ",\n".join(json.dumps(one, sort_keys=True) for one in sorted([*runs, run], key=_key))
+    runs = [other for other in record.pop("runs") if _key(other) != _key(run)]
+    lines = ",\n".join(json.dumps(entry, sort_keys=True) for entry in sorted([*runs, run], key=_key))
     record["gossip"] = [cost(members) for members in GOSSIP_MEMBERS]
     start = json.dumps(record, sort_keys=True)[:-1]
     path.write_text(f'{start}, "runs": [\n{lines}\n]}}\n')
--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -1,6 +1,6 @@
-"""A simulated fleet: how long a change of configuration takes to be applied, with and without faults.
+"""Measures how long a simulated fleet takes to apply a change of configuration, with and without faults.
 
-The fleet is laid out as the operators' target: 2 regions with 4 and 3 zones, 76 services of skewed sizes, a
+The layout of the fleet is the operators' target: 2 regions with 4 and 3 zones, 76 services of skewed sizes, a
 relay in each zone and a publisher in each region.  Equal arguments give an equal run.
 """
 
@@ -27,11 +27,11 @@
 SERVICES = 76
 BODY_BYTES = 2_000  # of a change
 WARM_UP_MS = 15_000.0
-WINDOW_S = 10  # of the busiest interval, shown beside the mean
+WINDOW_S = 10  # length of the busiest interval, reported beside the mean
 
 
 class Fleet:
-    """Publishers, relays and nodes in one world."""
+    """Publishers, relays and nodes in one simulation."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         return [name for name, spec in self.world.specs.items() if spec.zone == zone]
 
     def body(self, size: int = BODY_BYTES) -> bytes:
-        """Return the body of a change, no two alike."""
+        """Return a random body of a change."""
         return self.rng.randbytes(size)
 
     def publish(self, scope: str, by: str = "p-east", size: int = BODY_BYTES, crash: str = "") -> None:
@@ -99,7 +99,7 @@
         self.publishing.publish(by, scope, self.body(size), crash=crash)
 
     def scope(self) -> tuple[str, str]:
-        """Return a scope for a change of an ordinary day, and its publisher; half of them are `all`."""
+        """Return the scope and the publisher of a routine change; half of the scopes are `all`."""
         region, _ = self.rng.choice(self.regions)
         kind = self.rng.choice(("all", "all", "all", "region", "service", "node"))
         if kind == "all":
@@ -114,7 +114,7 @@
         )
 
     def day(self, count: int, over_ms: float) -> None:
-        """Publish changes of an ordinary day, spread evenly from now on."""
+        """Publish routine changes, spread evenly from now on."""
         for i in range(count):
             scope, by = self.scope()
             self.world.engine.after(over_ms * (i + 1) / count, self.publish, scope, by)
@@ -122,13 +122,13 @@
 
 @dataclass
 class Meter:
-    """Records the bytes of each process second by second."""
+    """Records the total bytes of each process every second."""
 
     fleet: Fleet
     series: dict[str, list[int]] = field(default_factory=dict)
 
     def start(self) -> None:
-        """Record each second from now on."""
+        """Start recording."""
         self._sample()
 
     def _sample(self) -> None:
@@ -138,17 +138,17 @@
         world.engine.after(1_000.0, self._sample)
 
     def rates(self, role: str) -> tuple[float, float, float]:
-        """Return bytes a second of a role: mean, mean of the busiest process, and its busiest interval."""
+        """Return bytes per second of a role: mean, mean of the busiest process, and busiest interval."""
         means: list[float] = []
-        most = 0.0
+        max_rate = 0.0
         for name, spec in self.fleet.world.specs.items():
             if spec.role == role:
-                seen = self.series[name]
-                means.append((seen[-1] - seen[0]) / (len(seen) - 1))
-                width = min(WINDOW_S, len(seen) - 1)
-                steps = [b - a for a, b in zip(seen, seen[width:], strict=False)]
-                most = max(most, max(steps) / width)
-        return float(np.mean(means)), max(means), most
+                totals = self.series[name]
+                means.append((totals[-1] - totals[0]) / (len(totals) - 1))
+                width = min(WINDOW_S, len(totals) - 1)
+                increases = [end - start for start, end in zip(totals, totals[width:], strict=False)]
+                max_rate = max(max_rate, max(increases) / width)
+        return float(np.mean(means)), max(means), max_rate
 
 
 Case = Callable[[Fleet], None]
@@ -170,7 +170,7 @@
     fleet.world.run(80_000.0)
 
 
-def _relay(fleet: Fleet, fault: Callable[[], None]) -> None:
+def _with_relay_fault(fleet: Fleet, fault: Callable[[], None]) -> None:
     fleet.day(24, 48_000.0)
     fleet.world.engine.after(12_050.0, fault)
     fleet.world.engine.after(12_060.0, fleet.publish, "all")
@@ -180,27 +180,27 @@
 def _relay_dies(fleet: Fleet) -> None:
     world = fleet.world
     world.engine.after(40_000.0, world.restart_process, "r-e2")
-    _relay(fleet, lambda: world.kill("r-e2"))
+    _with_relay_fault(fleet, lambda: world.kill("r-e2"))
 
 
-def _relay_dark(fleet: Fleet) -> None:
+def _relay_unreachable(fleet: Fleet) -> None:
     world = fleet.world
     world.engine.after(40_000.0, world.restart_process, "r-e2")
-    _relay(fleet, lambda: world.kill("r-e2", unreachable=True))
+    _with_relay_fault(fleet, lambda: world.kill("r-e2", unreachable=True))
 
 
 def _relay_stalls(fleet: Fleet) -> None:
-    _relay(fleet, lambda: fleet.world.suspend("r-e2", 15_000.0))
+    _with_relay_fault(fleet, lambda: fleet.world.suspend("r-e2", 15_000.0))
 
 
-def _relay_half(fleet: Fleet) -> None:
+def _relay_truncates(fleet: Fleet) -> None:
     process = fleet.world.processes["r-e2"]
 
-    def truncates_bodies(on: bool) -> None:
-        process.truncates_bodies = on
+    def set_truncation(enabled: bool) -> None:
+        process.truncates_bodies = enabled
 
-    fleet.world.engine.after(40_000.0, truncates_bodies, False)
-    _relay(fleet, lambda: truncates_bodies(True))
+    fleet.world.engine.after(40_000.0, set_truncation, False)
+    _with_relay_fault(fleet, lambda: set_truncation(True))
 
 
 def _publisher_killed(fleet: Fleet) -> None:
@@ -215,27 +215,27 @@
     world.run(75_000.0)
 
 
-def _zone(fleet: Fleet) -> None:
-    """Make a zone next to the home publisher's unreachable for half a minute."""
+def _zone_unreachable(fleet: Fleet) -> None:
+    """Make a zone in the region of the home publisher unreachable for half a minute."""
     world = fleet.world
 
-    def lose() -> None:
+    def make_unreachable() -> None:
         for name in fleet.in_zone("e3"):
             world.kill(name, unreachable=True)
 
-    def back() -> None:
+    def restart() -> None:
         for name in fleet.in_zone("e3"):
             world.restart(name)
 
     fleet.day(24, 48_000.0)
-    world.engine.after(10_050.0, lose)
+    world.engine.after(10_050.0, make_unreachable)
     world.engine.after(10_060.0, fleet.publish, "all")
-    world.engine.after(40_000.0, back)
+    world.engine.after(40_000.0, restart)
     world.run(75_000.0)
 
 
 def _one_relay(fleet: Fleet) -> None:
-    """Kill all relays but one within a second, for good."""
+    """Kill all relays but one within a second, without a restart."""
     world = fleet.world
     for i, (_, zone) in enumerate(fleet.zones[1:]):
         world.engine.after(10_000.0 + 150.0 * i, world.kill, f"r-{zone}")
@@ -243,8 +243,8 @@
     world.run(75_000.0)
 
 
-def _all_back(fleet: Fleet) -> None:
-    """Kill all nodes, publish changes meanwhile, and restart all within a second."""
+def _restart_all_nodes(fleet: Fleet) -> None:
+    """Kill all nodes, publish changes while they are down, and restart all within a second."""
     world = fleet.world
     for name in fleet.nodes:
         world.kill(name)
@@ -256,8 +256,8 @@
     world.run(40_000.0)
 
 
-def _cut(fleet: Fleet, for_ms: float) -> None:
-    """Partition the regions; both change their own scopes, and the home region also what applies to all."""
+def _partition_regions(fleet: Fleet, for_ms: float) -> None:
+    """Partition the regions; both change their own scopes, and the home region also the scope `all`."""
     world = fleet.world
     world.network.partition("east", "west")
     for i in range(8):
@@ -268,7 +268,8 @@
     world.run(for_ms)
     world.network.heal("east", "west")
     now = world.engine.now
-    for change in world.changes:  # they could not be reached before
+    # Latency counts from the end of the partition for nodes that could not be reached before.
+    for change in world.changes:
         for name in change.pending:
             if world.specs[name].region == "west":
                 change.pending[name] = now
@@ -284,20 +285,20 @@
     "burst-mixed": (_burst_mixed, NetworkConditions()),
     "burst-loss": (_burst_mixed, NetworkConditions(loss_fraction=0.1, starved_fraction=0.05)),
     "relay-dies": (_relay_dies, NetworkConditions()),
-    "relay-dark": (_relay_dark, NetworkConditions()),
+    "relay-dark": (_relay_unreachable, NetworkConditions()),
     "relay-stalls": (_relay_stalls, NetworkConditions()),
-    "relay-half": (_relay_half, NetworkConditions()),
+    "relay-half": (_relay_truncates, NetworkConditions()),
     "publisher-killed": (_publisher_killed, NetworkConditions()),
-    "zone": (_zone, NetworkConditions()),
+    "zone": (_zone_unreachable, NetworkConditions()),
     "one-relay": (_one_relay, NetworkConditions()),
-    "all-back": (_all_back, NetworkConditions()),
-    "cut": (lambda fleet: _cut(fleet, 60_000.0), NetworkConditions()),
-    "cut-hour": (lambda fleet: _cut(fleet, 3_600_000.0), NetworkConditions()),
+    "all-back": (_restart_all_nodes, NetworkConditions()),
+    "cut": (lambda fleet: _partition_regions(fleet, 60_000.0), NetworkConditions()),
+    "cut-hour": (lambda fleet: _partition_regions(fleet, 3_600_000.0), NetworkConditions()),
 }
 
 
 def play(case: str, nodes: int, seed: int, tuning: Tuning | None = None) -> dict[str, Any]:
-    """Return one run of a case, as docs/capacity/feed.json keeps it.  Raise FeedError for an unknown case."""
+    """Return one run of a case, as docs/capacity/feed.json has it.  Raise FeedError for an unknown case."""
     if case not in CASES:
         raise FeedError(f"no case {case!r}; there are {', '.join(CASES)}")
     run_case, conditions = CASES[case]
@@ -308,12 +309,12 @@
     fleet.publish("region/west", "p-west")
     world.run(WARM_UP_MS)
     world.start_starvation()
-    first = len(world.changes)
+    first_change = len(world.changes)
     meter = Meter(fleet)
     meter.start()
-    began = world.engine.now
+    started_at = world.engine.now
     gc.collect()
-    gc.freeze()  # nothing of the fleet is freed before the run is over
+    gc.freeze()  # no object of the fleet is freed before the run ends
     run_case(fleet)
     gc.unfreeze()
     return {
@@ -322,21 +323,24 @@
         "seed": seed,
         "source": "simulated",
         "command": f"crowpost lab feed {case} --nodes {nodes} --seed {seed}",
-        "simulated_s": round((world.engine.now - began) / 1000.0, 1),
-        **_results(fleet, meter, first),
+        "simulated_s": round((world.engine.now - started_at) / 1000.0, 1),
+        **_results(fleet, meter, first_change),
     }
 
 
-def _results(fleet: Fleet, meter: Meter, first: int) -> dict[str, Any]:
-    """Return what a run showed of the changes from a first one on."""
+def _results(fleet: Fleet, meter: Meter, first_change: int) -> dict[str, Any]:
+    """Return the results of a run, leaving out the changes before the first measured one."""
     world = fleet.world
-    latencies_s = sorted(ms / 1000.0 for change in world.changes[first:] for ms in change.latency_ms.values())
+    latencies_s = sorted(
+        ms / 1000.0 for change in world.changes[first_change:] for ms in change.latency_ms.values()
+    )
     node, relay, publisher = (meter.rates(role) for role in ("node", "relay", "publisher"))
     return {
-        "changes": len(world.changes) - first,
+        "changes": len(world.changes) - first_change,
         "taken": len(latencies_s),
         "in_force_s": {
-            name: _figure(latencies_s, q) for name, q in (("p50", 50), ("p99", 99), ("worst", 100))
+            name: _percentile(latencies_s, percent)
+            for name, percent in (("p50", 50), ("p99", 99), ("worst", 100))
         },
         "node_bytes_per_s": round(node[1]),
         "node_bytes_per_s_mean": round(node[0]),
@@ -365,5 +369,5 @@
     return dict(sorted(counts.items()))
 
 
-def _figure(seconds: list[float], percent: int) -> float | None:
+def _percentile(seconds: list[float], percent: int) -> float | None:
     return round(float(np.percentile(seconds, percent)), 3) if seconds else None
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -1,8 +1,8 @@
 """Publishers, relays and nodes of the configuration feed in simulated time.
 
-The cores are the real ones, the connections are simulated.
+The protocol cores are real, the connections are simulated.  Equal arguments give an equal run.
 
-Equal arguments give an equal run.  How publishers publish is in `publishing`.
+The publication of documents is in `publishing`.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from crowpost.lab.feed.process import Change, Process, ProcessSpec, Side, new_instance
 
 CLUSTER = "world"
-MAX_IMMEDIATE_TICKS = 1_000  # in a row, before a core counts as looping
-TRUNCATE_ABOVE_BYTES = 600  # larger frames hold a body
-TIMER_DELAY_MS = 0.001  # of a timer after its time; also covers the rounding of clocks
-APPLY_MS = (0.5, 3.0)  # range of the time in which a node applies a document
+MAX_IMMEDIATE_TICKS = 1_000  # more consecutive ticks count as an endless loop
+TRUNCATE_ABOVE_BYTES = 600  # larger frames contain a body
+TIMER_DELAY_MS = 0.001  # delay of a timer; also covers the rounding of clocks
+APPLY_MS = (0.5, 3.0)  # range of the time that a node takes to apply a document
 
 
 class World:
-    """Processes on one simulated network, and what they have applied."""
+    """Processes on one simulated network, and the documents that they have applied."""
 
     def __init__(
         self, seed: int, conditions: NetworkConditions | None = None, tuning: Tuning | None = None
@@ -45,19 +45,19 @@
         self.processes: dict[str, Process] = {}
         self.by_address: dict[str, Process] = {}
         self.changes: list[Change] = []
-        self._open: dict[str, dict[Change, None]] = {}  # by scope, those not applied by all
-        self.faults: list[str] = []  # invariants that were broken
-        self.rejection_of: Callable[[str, Document], str] | None = None  # by name and document
+        self._open: dict[str, dict[Change, None]] = {}  # changes that not all nodes have applied, by scope
+        self.faults: list[str] = []  # violated invariants
+        self.rejection_of: Callable[[str, Document], str] | None = None  # of a process name and a document
         self._trace = hashlib.sha256()
-        self.history: dict[str, list[Document]] = {}  # what each node applied, in order
+        self.history: dict[str, list[Document]] = {}  # documents that each node applied, in order
         self.on_killed: Callable[[str], None] | None = None
 
     def note(self, *values: object) -> None:
-        """Add values to the trace by which two runs are compared."""
+        """Add values to the trace that identifies equal runs."""
         self._trace.update(f"{self.engine.now!r} {values!r}\n".encode())
 
     def trace(self) -> str:
-        """Return a digest of all that happened."""
+        """Return a digest of all events so far."""
         return self._trace.hexdigest()
 
     # ------------------------------------------------------------ processes
@@ -87,7 +87,10 @@
         return process
 
     def kill(self, name: str, unreachable: bool = False) -> None:
-        """Kill a process; unreachable: with its machine, so that no peer notices a closed connection."""
+        """Kill a process.
+
+        unreachable: its machine fails too, so that no peer notices a closed connection.
+        """
         process = self.processes[name]
         if not process.up:
             return
@@ -103,21 +106,21 @@
             change.pending.pop(name, None)
 
     def restart(self, name: str) -> Process:
-        """Start a new instance with the old one's disk; it is to apply all documents that are still valid."""
+        """Start a new instance on the same disk; it has to apply every current document that it lacks."""
         self.kill(name)
         spec = self.specs[name]
         now = self.engine.now
         process = self._start_instance(spec)
         latest = {change.header.scope: change for change in self.changes}
         for scope, change in latest.items():
-            held = spec.disk.get(scope)
-            if self.meant(spec, scope) and (held is None or held.header.rank < change.header.rank):
+            stored = spec.disk.get(scope)
+            if self.applies_to(spec, scope) and (stored is None or stored.header.rank < change.header.rank):
                 change.pending[name] = now
                 self._open[scope][change] = None
         return process
 
     def restart_process(self, name: str) -> None:
-        """Restart a process, as a timed action without a result."""
+        """Restart a process; a callback for timers, without a result."""
         self.restart(name)
 
     def suspend(self, name: str, for_ms: float) -> None:
@@ -128,32 +131,32 @@
 
     def _resume(self, process: Process) -> None:
         process.suspended = False
-        waiting = process.inbox
+        calls = process.inbox
         process.inbox = []
-        # Which comes first, the timer or the socket, is the operating system's choice.
+        # The operating system decides whether the timer or the socket comes first.
         if self.rng.random() < 0.5:
             self._tick(process)
-        for i, call in enumerate(waiting):
+        for i, call in enumerate(calls):
             if process.suspended:
-                process.inbox = waiting[i:] + process.inbox
+                process.inbox = calls[i:] + process.inbox
                 return
             if process.up:
                 call()
         self._tick(process)
 
     def start_starvation(self) -> None:
-        """Suspend a fraction of the processes again and again."""
+        """Suspend a fraction of the processes repeatedly."""
         names = list(self.processes)
         for name in self.rng.sample(names, round(self.conditions.starved_fraction * len(names))):
             self.engine.after(self.rng.uniform(0.0, self.conditions.running_ms[1]), self._starve, name)
 
     def _starve(self, name: str) -> None:
-        still = self.rng.uniform(*self.conditions.suspension_ms)
-        self.suspend(name, still)
-        self.engine.after(still + self.rng.uniform(*self.conditions.running_ms), self._starve, name)
+        suspension_ms = self.rng.uniform(*self.conditions.suspension_ms)
+        self.suspend(name, suspension_ms)
+        self.engine.after(suspension_ms + self.rng.uniform(*self.conditions.running_ms), self._starve, name)
 
     def jump_clock(self, name: str, by_ms: float) -> None:
-        """Shift the clock of a process, though a monotonic one never jumps."""
+        """Shift the clock of a process; a real monotonic clock never jumps."""
         process = self.processes[name]
         process.offset += by_ms
         self._tick(process)
@@ -165,7 +168,7 @@
         self.engine.run(self.engine.now + for_ms)
 
     def call(self, process: Process, call: Callable[[], None]) -> None:
-        """Call a core of a process now, or once the process is resumed."""
+        """Call a core of a process now, or when the process is resumed."""
         if not process.up:
             return
         if process.suspended:
@@ -187,7 +190,7 @@
         self.after(process)
 
     def after(self, process: Process) -> None:
-        """Do what the cores of a process ask for, and set its timer."""
+        """Perform the output of the cores of a process, and set its timer."""
         due = float("inf")
         if process.follower is not None:
             self._perform_follower_output(process, process.follower)
@@ -198,7 +201,7 @@
         due += TIMER_DELAY_MS - process.offset
         process.immediate_ticks = process.immediate_ticks + 1 if due <= self.engine.now else 0
         if process.immediate_ticks > MAX_IMMEDIATE_TICKS:
-            raise RuntimeError(f"{process.name} is due again and again at {self.engine.now}")
+            raise RuntimeError(f"{process.name} is due repeatedly at {self.engine.now}")
         if due < process.timer_at:
             if process.timer is not None:
                 self.engine.cancel(process.timer)
@@ -239,12 +242,12 @@
         def close() -> None:
             self.call(process, partial(self._lost, process, side, connection_id))
 
-        def full(blocked: bool) -> None:
+        def set_blocked(blocked: bool) -> None:
             if side == Side.SERVER:
                 self.call(process, partial(self._blocked, process, connection_id, blocked))
 
         end = process.ends[side, connection_id] = ConnectionEnd(
-            spec.name, spec.region, spec.zone, receive, close, full
+            spec.name, spec.region, spec.zone, receive, close, set_blocked
         )
         return end
 
@@ -263,9 +266,9 @@
         def up(connection: Connection) -> None:
             target = self.by_address[address]
             target.accepted_connections += 1
-            taken = self._end(target, Side.SERVER, target.accepted_connections)
-            taken.connection = connection
-            connection.ends = (end, taken)
+            accepted_end = self._end(target, Side.SERVER, target.accepted_connections)
+            accepted_end.connection = connection
+            connection.ends = (end, accepted_end)
             self.call(target, partial(self._accepted, target, target.accepted_connections))
             self.call(process, partial(self._connected, process, connection_id))
 
@@ -276,7 +279,7 @@
         if end is None:
             return
         if process.truncates_bodies and side == Side.SERVER and len(data) > TRUNCATE_ABOVE_BYTES:
-            data = data[: len(data) // 2]  # half a body, then nothing any more
+            data = data[: len(data) // 2]  # half a body, then nothing more
             process.ends.pop((side, connection_id))
         self.network.send(end, data)
 
@@ -317,46 +320,46 @@
         follower = process.follower
         header = document.header
         assert follower is not None
-        taken = self.history.setdefault(process.name, [])
+        applied = self.history.setdefault(process.name, [])
         before = process.spec.disk.get(header.scope)
         if not document.is_intact:
-            self.faults.append(f"{process.name} was given a body that is not the head's: {header}")
+            self.faults.append(f"{process.name} was given a body that does not match its header: {header}")
         if before is not None and before.header.rank >= header.rank:
             self.faults.append(f"{process.name} went back from {before.header} to {header}")
-        why = "" if self.rejection_of is None else self.rejection_of(process.name, document)
-        if not why:
+        rejection = "" if self.rejection_of is None else self.rejection_of(process.name, document)
+        if not rejection:
             process.spec.disk[header.scope] = document
-            taken.append(document)
+            applied.append(document)
             self.note("in force", process.name, header.scope, header.epoch, header.version)
             for change in list(self._open.get(header.scope, ())):
                 if change.header.rank <= header.rank and process.name in change.pending:
                     change.latency_ms[process.name] = self.engine.now - change.pending.pop(process.name)
                     if not change.pending:
                         del self._open[header.scope][change]
-        follower.apply_finished(header, why, self.engine.now + process.offset)
+        follower.apply_finished(header, rejection, self.engine.now + process.offset)
 
     @staticmethod
-    def meant(spec: ProcessSpec, scope: str) -> bool:
-        """Return whether a document of a scope applies to a process."""
+    def applies_to(spec: ProcessSpec, scope: str) -> bool:
+        """Return whether documents of a scope apply to a process."""
         return spec.role == "node" and Subscription(spec.region, spec.service, spec.name).includes(scope)
 
     # ------------------------------------------------------------ results
 
     def acknowledged(self, header: DocumentHeader) -> None:
-        """Record that a document was acknowledged; all running nodes in its scope are to apply it."""
+        """Record that a document was acknowledged; all running nodes in its scope have to apply it."""
         now = self.engine.now
         self.note("acknowledged", header.scope, header.epoch, header.version)
         pending = {
             name: now
             for name, spec in self.specs.items()
-            if self.meant(spec, header.scope) and self.processes[name].up
+            if self.applies_to(spec, header.scope) and self.processes[name].up
         }
         change = Change(header, now, pending)
         self.changes.append(change)
         self._open.setdefault(header.scope, {})[change] = None
 
     def unreached(self) -> dict[str, list[str]]:
-        """Return by scope and version the nodes that have not applied a document and should."""
+        """Return by scope and version the nodes that have yet to apply a document."""
         return {
             f"{change.header.scope} {change.header.version}": list(change.pending)
             for change in self.changes
@@ -364,7 +367,7 @@
         }
 
     def traffic(self, name: str) -> int:
-        """Return the bytes of a process both ways, with packet headers."""
+        """Return the bytes sent and received by a process, with packet headers."""
         return self.network.sent_bytes.get(name, 0) + self.network.received_bytes.get(name, 0)
 
     def converged(self) -> bool:
@@ -374,4 +377,4 @@
 
 
 def _nothing(*_: object) -> None:
-    """Do nothing: the end only names its place."""
+    """Do nothing; this end only gives the region and zone of the listening process."""
--- a/crowpost/lab/membership/__init__.py
+++ b/crowpost/lab/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership in simulated time, and among the front nodes of a simulated platform."""
+"""Membership in simulated time: stand-alone clusters, and the front nodes of a simulated platform."""
--- a/crowpost/lab/membership/front_nodes.py
+++ b/crowpost/lab/membership/front_nodes.py
@@ -1,4 +1,4 @@
-"""Membership among the front nodes of a simulated platform: the real cores, in the platform's own time."""
+"""Membership among the front nodes of a simulated platform: real protocol cores in the platform's time."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from crowpost.membership.model import StateChange
 from crowpost.membership.work_share import INDEX_FACT, STAGE_FACT, WorkShare, WorkShareTracker
 
-CHECK_INTERVAL_MS = 250.0  # as on a real node
+CHECK_INTERVAL_MS = 250.0  # equal to that of a real node
 CONDITIONS = NetworkConditions(loss_rate=0.01, delay_ms=(0.2, 1.0))
 ROLE = "node"
 MAX_CONTACTS = 3
 
 
 class FrontMembership:
-    """Makes each front node a member, and tells its decision module how many nodes share the work."""
+    """Makes each front node a member, and notifies its decision module of how many nodes share the work."""
 
     def __init__(self, platform: Platform, seed: int) -> None:
         self._platform = platform
@@ -40,7 +40,7 @@
         self._cluster.start(node.name, contacts, facts=facts)
 
     def _check(self) -> None:
-        """Follow the nodes that died or came back on the platform, and update shares that are due."""
+        """Kill and restart members as the platform's nodes were, and update the work shares that are due."""
         self._platform.engine.after(CHECK_INTERVAL_MS, self._check)
         for node in self._platform.nodes[0]:
             known = self._nodes[node.name]
--- a/crowpost/lab/membership/measurement.py
+++ b/crowpost/lab/membership/measurement.py
@@ -1,7 +1,7 @@
 """Measures failure detection in simulated time.
 
-What is measured: when a death is first held and when all know it, members that are held dead though they
-live, and the bytes that each member sends.
+Measured are the times until a death is first detected and until all members know it, false deaths (running
+members that are declared dead), and the bytes that each member sends.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 
 @dataclass
 class KilledProcess:
-    """A process that was killed: when, and when the others held it dead."""
+    """A process that was killed, and when the other processes declared it dead."""
 
     name: str
     killed_at_ms: float
-    unaware: set[str]  # processes that have yet to hold it dead
+    unaware: set[str]  # processes that have yet to declare it dead
     first_known_ms: float | None = None
     known_to_all_ms: float | None = None
 
 
 @dataclass(frozen=True)
 class FalseDeath:
-    """A member that was held dead though it lived; of all observers the first."""
+    """A running member that was declared dead, with the first observer that did so."""
 
     at_ms: float
     observer: str
@@ -51,15 +51,15 @@
     simulated_s: float
     deaths: list[KilledProcess]
     false_deaths: list[FalseDeath]
-    mean_bytes_per_s: float  # that a member sends
+    mean_bytes_per_s: float  # sent by a member
     max_bytes_per_s: float
     suspicions: int
     counts: Counter[str] = field(default_factory=Counter)
 
     def percentiles(self) -> dict[str, float]:
-        """Return the seconds until a death was first held and until all knew it, median and 99%.
+        """Return the seconds until a death was first detected and until all knew it, median and 99%.
 
-        They are NaN if not all deaths were known.
+        They are NaN if some death was not known to all.
         """
         if not self.deaths:
             return {}
@@ -87,7 +87,7 @@
     kills: int,
     jobs: int,
 ) -> dict[str, object]:
-    """Return the figures of runs with seeds from 1 on, together; the runs are made in worker processes."""
+    """Return the combined results of runs with seeds from 1 on, which worker processes execute."""
     run_one = partial(_measure_seed, members, seconds, loss, starved, kills)
     with ProcessPoolExecutor(jobs) as pool:
         results = list(pool.map(run_one, range(1, seeds + 1)))
@@ -135,7 +135,7 @@
     kills: int,
     settings: ProtocolSettings | None = None,
 ) -> RunResult:
-    """Run members that know each other under steady conditions; kill some, one after another."""
+    """Run members that know each other under constant conditions, and kill some one after another."""
     conditions = NetworkConditions(loss_rate=loss, starved_fraction=starved)
     cluster = SimulatedCluster(seed, conditions, settings)
     cluster.keep_history = False
@@ -144,9 +144,9 @@
     observer = _DeathObserver(cluster)
     cluster.on_change = observer.on_change
     victims = cluster.rng.sample([name for name in cluster.processes if name not in starved_names], kills)
-    span = seconds * 1000.0 - WARM_UP_MS - COOL_DOWN_MS
+    span_ms = seconds * 1000.0 - WARM_UP_MS - COOL_DOWN_MS
     for index, name in enumerate(victims):
-        at_ms = WARM_UP_MS + span * (index + cluster.rng.random()) / max(kills, 1)
+        at_ms = WARM_UP_MS + span_ms * (index + cluster.rng.random()) / max(kills, 1)
         cluster.engine.at(at_ms, observer.kill, name)
     cluster.run(seconds * 1000.0)
     counts: Counter[str] = Counter()
@@ -166,7 +166,7 @@
 
 
 class _DeathObserver:
-    """Kills processes, and records who holds whom dead."""
+    """Kills processes, and records which process declares which other dead."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
--- a/crowpost/lab/membership/simulation.py
+++ b/crowpost/lab/membership/simulation.py
@@ -1,7 +1,7 @@
-"""Membership in simulated time: the real protocol cores on a simulated network.
+"""Membership in simulated time: real protocol cores on a simulated network.
 
-The network loses, delays and duplicates datagrams and can be partitioned; processes can be killed, paused,
-or starved of CPU time again and again.  Equal arguments give an equal run.
+The network loses, delays and duplicates datagrams and can be partitioned; processes can be killed, paused, or
+starved of CPU time repeatedly.  Equal arguments give an equal run.
 """
 
 from __future__ import annotations
@@ -18,27 +18,32 @@
 from crowpost.membership.settings import ProtocolSettings
 
 CLUSTER = "swarm"
-MAX_WAITING_DATAGRAMS = 400  # for a process that does not run; further ones are lost
+MAX_WAITING_DATAGRAMS = 400  # for a paused process; further datagrams are lost
 MAX_STRAGGLER_DELAY_MS = 500.0
 SYNC_LEGS = 3  # one-way delays before the frames of a sync are handled
-SYNC_OVERHEAD_BYTES = 12  # of length prefixes, for each end
+SYNC_OVERHEAD_BYTES = 12  # length prefixes that each side sends
 
 
 @dataclass(frozen=True)
 class NetworkConditions:
-    """The conditions of network and machines; times are in ms, rates and fractions from 0 to 1."""
+    """Conditions of the network and the machines; rates and fractions are from 0 to 1.
+
+    straggler_rate: share of datagrams that take up to half a second longer.
+    starved_fraction: share of members that are paused repeatedly.
+    run_ms: range of the time between two pauses.
+    """
 
     loss_rate: float = 0.0
     delay_ms: tuple[float, float] = (0.1, 1.0)
     duplicate_rate: float = 0.0
-    straggler_rate: float = 0.0  # of datagrams that take up to half a second longer
-    starved_fraction: float = 0.0  # of members that are paused again and again
+    straggler_rate: float = 0.0
+    starved_fraction: float = 0.0
     pause_ms: tuple[float, float] = (100.0, 1_500.0)
-    run_ms: tuple[float, float] = (300.0, 3_000.0)  # between two pauses
+    run_ms: tuple[float, float] = (300.0, 3_000.0)
 
 
 class SimulatedProcess:
-    """A core, and whether its process runs."""
+    """A simulated process: its protocol core, and whether it is up or paused."""
 
     def __init__(self, name: str, core: MembershipCore) -> None:
         self.name = name
@@ -52,10 +57,10 @@
 
 
 class SimulatedCluster:
-    """Many processes in one simulated world.
+    """Processes on one simulated network.
 
-    may_pass: whether datagrams pass from one named process to another.
-    on_change: is called with each change of a process's view.
+    may_pass: whether datagrams get from one named process to another.
+    on_change: called with each change of a process's view.
     """
 
     def __init__(
@@ -72,7 +77,7 @@
         self.processes: dict[str, SimulatedProcess] = {}
         self.by_address: dict[str, SimulatedProcess] = {}
         self.may_pass: Callable[[str, str], bool] = _always_passes
-        self.history: list[tuple[str, StateChange]] = []  # with the name of the observer
+        self.history: list[tuple[str, StateChange]] = []  # with the observer of each change
         self.keep_history = True
         self.on_change: Callable[[SimulatedProcess, StateChange], None] = _ignore_change
 
@@ -81,7 +86,7 @@
     def start(
         self, name: str, contacts: Iterable[str] = (), address: str = "", **profile_fields: object
     ) -> SimulatedProcess:
-        """Start a process, also one that comes back under its name; contacts are addresses."""
+        """Start a process, or restart one under its name; contacts are addresses."""
         address = address or f"10.0.{len(self.by_address) >> 8}.{len(self.by_address) & 255}:7000"
         profile = Profile(name, address, **profile_fields)  # type: ignore[arg-type]
         core = MembershipCore(
@@ -101,29 +106,29 @@
         return process
 
     def start_joined(self, count: int) -> None:
-        """Start so many members that know each other, as long after their start."""
+        """Start a number of members that already know each other, as in a long-running cluster."""
         for index in range(count):
             self.start(f"n{index}")
         self.preload_views()
 
     def preload_views(self) -> None:
-        """Let all processes know each other, as long after their start."""
+        """Make all processes know each other, as in a long-running cluster."""
         updates = [process.core.own_update for process in self.processes.values()]
         for process in self.processes.values():
             process.core.preload_members(updates, 0.0)
 
     def kill(self, name: str) -> None:
-        """Kill a process, as by SIGKILL: it does not leave."""
+        """Kill a process, as SIGKILL does: it does not leave the cluster first."""
         self.processes[name].up = False
 
     def pause(self, name: str, duration_ms: float) -> None:
-        """Pause a process, as by SIGSTOP, and resume it after so long."""
+        """Pause a process, as SIGSTOP does, and resume it after the given time."""
         process = self.processes[name]
         process.paused = True
         self.engine.after(duration_ms, self._resume, process)
 
     def starve(self) -> set[str]:
-        """Pause a part of the members again and again; return their names."""
+        """Pause a fraction of the members repeatedly; return their names."""
         count = round(self.conditions.starved_fraction * len(self.processes))
         names = self.rng.sample(list(self.processes), count)
         for name in names:
@@ -131,9 +136,9 @@
         return set(names)
 
     def _starve_once(self, name: str) -> None:
-        duration = self.rng.uniform(*self.conditions.pause_ms)
-        self.pause(name, duration)
-        self.engine.after(duration + self.rng.uniform(*self.conditions.run_ms), self._starve_once, name)
+        duration_ms = self.rng.uniform(*self.conditions.pause_ms)
+        self.pause(name, duration_ms)
+        self.engine.after(duration_ms + self.rng.uniform(*self.conditions.run_ms), self._starve_once, name)
 
     def _resume(self, process: SimulatedProcess) -> None:
         process.paused = False
@@ -141,7 +146,7 @@
             return
         datagrams = process.waiting_datagrams
         process.waiting_datagrams = []
-        # Whether the timer or the datagrams come first is the operating system's choice.
+        # The operating system decides whether the timer or the datagrams come first.
         if self.rng.random() < 0.5:
             self._tick(process)
         for data in datagrams:
@@ -151,7 +156,7 @@
     # ------------------------------------------------------------ time and the network
 
     def run(self, duration_ms: float) -> None:
-        """Run the simulation for so long."""
+        """Run the simulation for the given time."""
         self.engine.run(self.engine.now + duration_ms)
 
     def _tick(self, process: SimulatedProcess) -> None:
@@ -162,7 +167,7 @@
             self.process_output(process)
 
     def process_output(self, process: SimulatedProcess) -> None:
-        """Do what a core asks for, and plan its next tick."""
+        """Perform the output of a core, and schedule its next tick."""
         output = process.core.take_output()
         for address, data in output.datagrams:
             self.send(process, address, data)
@@ -184,14 +189,14 @@
 
     def _draw_delay_ms(self) -> float:
         low, high = self.conditions.delay_ms
-        delay = low + (high - low) * self.rng.random()
+        delay_ms = low + (high - low) * self.rng.random()
         rate = self.conditions.straggler_rate
         if rate and self.rng.random() < rate:
-            delay += MAX_STRAGGLER_DELAY_MS * self.rng.random()
-        return delay
+            delay_ms += MAX_STRAGGLER_DELAY_MS * self.rng.random()
+        return delay_ms
 
     def send(self, process: SimulatedProcess, address: str, data: bytes) -> None:
-        """Send a datagram, which may be lost, duplicated or late."""
+        """Send a datagram, which may be lost, duplicated or delayed."""
         target = self.by_address.get(address)
         if target is None or not self.may_pass(process.name, target.name):
             return
@@ -202,7 +207,7 @@
                 self.engine.after(self._draw_delay_ms(), self.deliver, address, data)
 
     def deliver(self, address: str, data: bytes) -> None:
-        """Hand a datagram to the process at an address; it waits while that is paused."""
+        """Deliver a datagram to the process at an address; it waits if the process is paused."""
         process = self.by_address.get(address)
         if process is None or not process.up:
             return
@@ -247,7 +252,7 @@
         return [process for process in self.processes.values() if process.up]
 
     def views_agree(self) -> bool:
-        """Return whether all running processes hold exactly the running ones to be present."""
+        """Return whether the view of each running process has exactly the running ones as present."""
         observers = [process for process in self.running() if not process.core.left]
         names = {process.name for process in observers}
         return all(_present_names(process) == names for process in observers)
