--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -107,10 +107,10 @@
     listener.bind((HOST, 0))  # connections are refused until the socket listens
     server = await asyncio.start_server(outage.serve, sock=listener, start_serving=fault != "refused")
     guarantees = settings()["guarantees"] | {"mustAskInMs": 30_000.0}
-    async with world(row("a", f"{HOST}:9"), registryMode=mode, guarantees=guarantees) as w:
-        discovery = w.node._discovery
+    async with world(row("a", f"{HOST}:9"), registryMode=mode, guarantees=guarantees) as site:
+        discovery = site.node._discovery
         discovery._random.seed(seed)
-        w.node._balancer._context.rng.seed(seed)
+        site.node._balancer._context.rng.seed(seed)
         discovery.close()
         discovery.address = listener.getsockname()
         if mode == "pushed":
@@ -163,8 +163,8 @@
         loop = asyncio.get_running_loop()
         server = await asyncio.start_server(serve_no_changes, HOST, 0)
         guarantees = settings()["guarantees"] | {"mustAskInMs": 10_000.0}
-        async with world(row("a", f"{HOST}:9"), guarantees=guarantees) as w:
-            w.node._discovery.address = server.sockets[0].getsockname()
+        async with world(row("a", f"{HOST}:9"), guarantees=guarantees) as site:
+            site.node._discovery.address = server.sockets[0].getsockname()
             await asyncio.sleep(60.0)
         server.close()
         assert len(calls) == 1
@@ -194,18 +194,18 @@
 
         server = await asyncio.start_server(record_first_byte, HOST, 0)
         host, port = server.sockets[0].getsockname()
-        async with world(row("a", f"{host}:{port}"), policyLimits=limits()) as w:
+        async with world(row("a", f"{host}:{port}"), policyLimits=limits()) as site:
 
             def decide(event: Event, now: float) -> list[Action]:
                 trigger = RequestArrived if waits_for == "connection" else NodesPresent
                 return [Send(1, b"a")] if isinstance(event, trigger) else []
 
-            w.node._listener._sweeper.cancel()
-            dials, recorder = HeldDials(w), Told(w, decide)
-            client = await w.client()
+            site.node._listener._sweeper.cancel()
+            dials, recorder = HeldDials(site), Told(site, decide)
+            client = await site.client()
             client.writer.write(request("book", body=b"x" * (8 * MAX_BODY))[: 2 * MAX_BODY])
             await recorder.first(RequestArrived)
-            (connection,) = w.node._listener._connections
+            (connection,) = site.node._listener._connections
             while connection._transport is None or connection._transport.is_reading():
                 await asyncio.sleep(0)
             if closing == "abort":
@@ -214,14 +214,14 @@
                 client.writer.close()
             while not connection.client_has_left():
                 await asyncio.sleep(0)
-            w.node._events.post(NodesPresent(1, 0))
+            site.node._events.post(NodesPresent(1, 0))
             dials.release.set()
             ended: AttemptEnded = await recorder.first(AttemptEnded)
             assert ended.outcome in (Outcome.NOT_SENT, Outcome.CANCELLED)
             assert any(isinstance(event, RequestAbandoned) for event in recorder.events)
-            while w.node._pool._dial_tasks:
+            while site.node._pool._dial_tasks:
                 await asyncio.sleep(0)
-            assert not w.node._requests.pending and not w.node._requests.calls
+            assert not site.node._requests.pending and not site.node._requests.calls
         server.close()
         await asyncio.sleep(0)
         assert b"P" not in first_bytes, "an attempt was sent"
@@ -242,10 +242,10 @@
         async with (
             StubServer([after_50_ms]) as one,
             StubServer([after_50_ms]) as two,
-            world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=cancel)) as w,
+            world(row("a", one.address), row("b", two.address), policyLimits=limits(cancel=cancel)) as site,
         ):
             servers = (one, two)
-            client = await w.client()
+            client = await site.client()
             for _ in range(40):
                 assert (await client.ask("look")).status == 200
             for server in servers:
@@ -270,14 +270,14 @@
     """Holds for first attempts and retries alike, which the decision module keeps in one queue."""
 
     async def main() -> None:
-        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as w:
-            queue, recorder = w.node._balancer._queue, Told(w)
+        async with StubServer([held(reply("200 OK"))]) as server, world(row("a", server.address)) as site:
+            queue, recorder = site.node._balancer._queue, Told(site)
             clients: list[Client] = []
             while not queue:
-                client = await w.client()
+                client = await site.client()
                 client.writer.write(request("look", target=f"/api/{len(clients)}"))
                 clients.append(client)
-                while len(w.node._requests.pending) < len(clients):
+                while len(site.node._requests.pending) < len(clients):
                     await asyncio.sleep(0)
             if disconnects:
                 clients[-1].close()
@@ -302,14 +302,14 @@
         async with (
             StubServer([reply("200 OK")]) as one,
             StubServer([reply("200 OK")]) as two,
-            world(row("a", one.address), row("b", two.address), registryMode="pushed") as w,
+            world(row("a", one.address), row("b", two.address), registryMode="pushed") as site,
         ):
-            client = await w.client()
+            client = await site.client()
             while not one.received:
                 assert (await client.ask("look")).status == 200
             before = len(one.received)
-            tell(await w.discovery.watch(), listing(2, row("b", two.address)))
-            while w.node._discovery._version != 2:
+            tell(await site.discovery.watch(), listing(2, row("b", two.address)))
+            while site.node._discovery._version != 2:
                 await asyncio.sleep(0)
             for _ in range(20):
                 assert (await client.ask("look")).status == 200
@@ -328,8 +328,10 @@
         servers = [StubServer([late_reset]), StubServer([late_reset])]
         async with servers[0] as one, servers[1] as two:
             policy_limits = settings()["policyLimits"] | {"mayDuplicate": False, "tryLimit": 2}
-            async with world(row("a", one.address), row("b", two.address), policyLimits=policy_limits) as w:
-                client = await w.client()
+            async with world(
+                row("a", one.address), row("b", two.address), policyLimits=policy_limits
+            ) as site:
+                client = await site.client()
                 await client.ask("look", deadline="3.0")
             deadlines_s = [
                 float(received.headers["x-deadline"]) for server in servers for received in server.received
