--- a/crowpost/lab/feed/network.py
+++ b/crowpost/lab/feed/network.py
@@ -115,9 +115,9 @@
         max_wait_ms = min(max(self.engine.now - since, RTO_MS), MAX_RTO_MS)
         for connection in list(self._connections):
             if connection.delayed:
-                self.engine.after(self.rng.uniform(0.0, max_wait_ms), self._release, connection)
+                self.engine.after(self.rng.uniform(0.0, max_wait_ms), self._deliver_delayed, connection)
 
-    def _release(self, connection: Connection) -> None:
+    def _deliver_delayed(self, connection: Connection) -> None:
         if not self.is_connected(*connection.ends):
             return
         delayed = connection.delayed
@@ -138,30 +138,32 @@
     def dial(
         self,
         initiator: ConnectionEnd,
-        find: Callable[[], ConnectionEnd | None],
-        up: Callable[[Connection], None],
+        find_target: Callable[[], ConnectionEnd | None],
+        on_open: Callable[[Connection], None],
     ) -> None:
         """Open a connection.
 
-        find: returns the listening end, or None if the connection is refused.
-        up: called once the connection is open.
+        find_target: returns the listening end, or None if the connection is refused.
+        on_open: called once the connection is open.
         """
-        target = find()
+        target = find_target()
         wait_ms = self._wait_ms(SYN_TIMEOUT_MS)
         if target is None:
             self.engine.after(1.0 + wait_ms, initiator.close)
             return
         if not self.is_connected(initiator, target):
             return  # no response: the follower has its own timeout
-        self.engine.after(wait_ms + 2.0 * self._delay(initiator, target), self._connect, initiator, find, up)
+        self.engine.after(
+            wait_ms + 2.0 * self._delay(initiator, target), self._connect, initiator, find_target, on_open
+        )
 
     def _connect(
         self,
         initiator: ConnectionEnd,
-        find: Callable[[], ConnectionEnd | None],
-        up: Callable[[Connection], None],
+        find_target: Callable[[], ConnectionEnd | None],
+        on_open: Callable[[Connection], None],
     ) -> None:
-        target = find()
+        target = find_target()
         if target is None:
             if not initiator.closed:
                 initiator.close()
@@ -171,7 +173,7 @@
         connection = Connection((initiator, target))
         initiator.connection = target.connection = connection
         self._connections[connection] = None
-        up(connection)
+        on_open(connection)
 
     def send(self, end: ConnectionEnd, data: bytes) -> None:
         """Send bytes from an end to the other."""
--- a/crowpost/lab/feed/publishing.py
+++ b/crowpost/lab/feed/publishing.py
@@ -85,7 +85,7 @@
         except FeedError as error:
             world.faults.append(f"{process.name} cannot store a document that it acknowledged: {error}")
         if crash == "announced":
-            world.after(process)
+            world.perform_output(process)
             world.kill(process.name)
 
 
--- a/crowpost/lab/feed/simulation.py
+++ b/crowpost/lab/feed/simulation.py
@@ -113,7 +113,7 @@
             else (f"node/{node.name}", f"p-{node.region}")
         )
 
-    def day(self, count: int, over_ms: float) -> None:
+    def publish_routine_changes(self, count: int, over_ms: float) -> None:
         """Publish routine changes, spread evenly from now on."""
         for i in range(count):
             scope, by = self.scope()
@@ -155,7 +155,7 @@
 
 
 def _calm(fleet: Fleet) -> None:
-    fleet.day(24, 48_000.0)
+    fleet.publish_routine_changes(24, 48_000.0)
     fleet.world.run(60_000.0)
 
 
@@ -166,12 +166,12 @@
 
 
 def _burst_mixed(fleet: Fleet) -> None:
-    fleet.day(100, 60_000.0)
+    fleet.publish_routine_changes(100, 60_000.0)
     fleet.world.run(80_000.0)
 
 
 def _with_relay_fault(fleet: Fleet, fault: Callable[[], None]) -> None:
-    fleet.day(24, 48_000.0)
+    fleet.publish_routine_changes(24, 48_000.0)
     fleet.world.engine.after(12_050.0, fault)
     fleet.world.engine.after(12_060.0, fleet.publish, "all")
     fleet.world.run(75_000.0)
@@ -227,7 +227,7 @@
         for name in fleet.in_zone("e3"):
             world.restart(name)
 
-    fleet.day(24, 48_000.0)
+    fleet.publish_routine_changes(24, 48_000.0)
     world.engine.after(10_050.0, make_unreachable)
     world.engine.after(10_060.0, fleet.publish, "all")
     world.engine.after(40_000.0, restart)
@@ -239,7 +239,7 @@
     world = fleet.world
     for i, (_, zone) in enumerate(fleet.zones[1:]):
         world.engine.after(10_000.0 + 150.0 * i, world.kill, f"r-{zone}")
-    fleet.day(24, 48_000.0)
+    fleet.publish_routine_changes(24, 48_000.0)
     world.run(75_000.0)
 
 
--- a/crowpost/lab/feed/world.py
+++ b/crowpost/lab/feed/world.py
@@ -83,7 +83,7 @@
         self.by_address[spec.address] = process
         self.network.unreachable.pop(spec.name, None)
         self.note("live", spec.name)
-        self.after(process)
+        self.perform_output(process)
         return process
 
     def kill(self, name: str, unreachable: bool = False) -> None:
@@ -175,7 +175,7 @@
             process.inbox.append(call)
             return
         call()
-        self.after(process)
+        self.perform_output(process)
 
     def _tick(self, process: Process) -> None:
         process.timer = None
@@ -187,9 +187,9 @@
             process.follower.tick(now)
         if process.distribution_server is not None and process.distribution_server.next_at() <= now:
             process.distribution_server.tick(now)
-        self.after(process)
+        self.perform_output(process)
 
-    def after(self, process: Process) -> None:
+    def perform_output(self, process: Process) -> None:
         """Perform the output of the cores of a process, and set its timer."""
         due = float("inf")
         if process.follower is not None:
@@ -254,16 +254,16 @@
     def _connect(self, process: Process, connection_id: int, address: str) -> None:
         end = self._end(process, Side.FOLLOWER, connection_id)
 
-        def find() -> ConnectionEnd | None:
+        def find_target() -> ConnectionEnd | None:
             target = self.by_address.get(address)
             if target is None or target.distribution_server is None:
                 return None
             if not target.up and not self.network.unreachable.get(target.name):
                 return None
             spec = target.spec
-            return ConnectionEnd(spec.name, spec.region, spec.zone, _nothing, _nothing, _nothing)
+            return ConnectionEnd(spec.name, spec.region, spec.zone, _do_nothing, _do_nothing, _do_nothing)
 
-        def up(connection: Connection) -> None:
+        def on_open(connection: Connection) -> None:
             target = self.by_address[address]
             target.accepted_connections += 1
             accepted_end = self._end(target, Side.SERVER, target.accepted_connections)
@@ -272,7 +272,7 @@
             self.call(target, partial(self._accepted, target, target.accepted_connections))
             self.call(process, partial(self._connected, process, connection_id))
 
-        self.network.dial(end, find, up)
+        self.network.dial(end, find_target, on_open)
 
     def _write(self, process: Process, side: Side, connection_id: int, data: bytes) -> None:
         end = process.ends.get((side, connection_id))
@@ -376,5 +376,5 @@
         return have_converged([process.follower for process in running if process.follower is not None])
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     """Do nothing; this end only gives the region and zone of the listening process."""
--- a/crowpost/lab/rig/plan.py
+++ b/crowpost/lab/rig/plan.py
@@ -104,7 +104,7 @@
     for i, fault in enumerate(schedule.bad):
         if fault.at_s + fault.for_s > schedule.duration_s:
             raise ScenarioError(
-                f"{path}: bad[{i}].for_s: it ends after the schedule, at {schedule.duration_s} s"
+                f"{path}: bad[{i}].for_s: the fault ends after the schedule of {schedule.duration_s} s"
             )
         if fault.kind in ("loss", "duplicate", "reorder", "starve") and fault.size > 1.0:
             raise ScenarioError(f"{path}: bad[{i}].size: a share of {fault.size} is more than 1")
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -41,7 +41,10 @@
         (HEAD.replace("1", "2", 1), "schema: 2 is not known, this version reads 1"),
         (HEAD.replace("4", "1", 1), "Expected `int` >= 2"),
         (HEAD + '[[bad]]\nkind = "flood"\nat_s = 1.0\n', "Invalid enum value 'flood'"),
-        (HEAD + '[[bad]]\nkind = "kill"\nat_s = 1.0\n', "bad[0].for_s: it ends after the schedule, at 5.0 s"),
+        (
+            HEAD + '[[bad]]\nkind = "kill"\nat_s = 1.0\n',
+            "bad[0].for_s: the fault ends after the schedule of 5.0 s",
+        ),
         (
             HEAD + '[[bad]]\nkind = "loss"\nat_s = 1.0\nfor_s = 1.0\nsize = 2.0\n',
             "bad[0].size: a share of 2.0 is more than 1",
