--- a/crowpost/lab/overhead/platform.py
+++ b/crowpost/lab/overhead/platform.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from crowpost.lab.live.processes import NodeProcess
-from crowpost.lab.live.stand import HOST, Books, LiveDiscovery
+from crowpost.lab.live.stand import HOST, LiveDiscovery, RequestRegistry
 from crowpost.lab.overhead import profile
 from crowpost.lab.overhead.caller import Plan
 from crowpost.lab.overhead.stub_servers import CLASSES
@@ -218,7 +218,7 @@
         self.first_tier_ports = ports[0]
         discoveries = []
         for tier in ports:
-            discovery = LiveDiscovery(Books())
+            discovery = LiveDiscovery(RequestRegistry())
             await discovery.start([_list_row(index, port) for index, port in enumerate(tier)])
             self._stack.push_async_callback(discovery.stop)
             discoveries.append(discovery)
--- a/crowpost/lab/scale/real.py
+++ b/crowpost/lab/scale/real.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from crowpost.lab.live.processes import NodeProcess, settings_json
-from crowpost.lab.live.stand import HOST, Books, Errand, LiveDiscovery, LiveServer, now_ms
+from crowpost.lab.live.stand import HOST, LiveDiscovery, LiveServer, RequestRegistry, TrackedRequest, now_ms
 from crowpost.lab.node_settings import node_settings
 from crowpost.lab.scale.places import Place
 from crowpost.lab.scale.proc import core_ms, memory_bytes
@@ -78,8 +78,8 @@
             self.environment["NODE_MEMBERS"] = str(file)
         await self.start()
 
-    def _hear(self, line: str) -> None:
-        super()._hear(line)
+    def _handle_line(self, line: str) -> None:
+        super()._handle_line(line)
         if (match := MANAGEMENT_PATTERN.search(line)) is not None:
             self.management_address = match[1], int(match[2])
         elif (match := MEMBER_ADDRESS_PATTERN.search(line)) is not None:
@@ -146,9 +146,9 @@
     def __init__(self, folder: Path, seed: int, nodes: int, calls_per_s: float) -> None:
         self._folder, self._rng, self._calls_per_s = folder, Random(f"calls {seed}"), calls_per_s
         self._scenario = scenario(nodes, calls_per_s * nodes)
-        self._books = Books()
+        self._registry = RequestRegistry()
         self._servers: list[LiveServer] = []
-        self._discovery = LiveDiscovery(self._books)
+        self._discovery = LiveDiscovery(self._registry)
         self._session: aiohttp.ClientSession | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._last_id = 0
@@ -160,7 +160,7 @@
         tier = self._scenario.tiers[0]
         for position in range(tier.servers):
             server = LiveServer(
-                self._books,
+                self._registry,
                 tier,
                 0,
                 tier.kinds[0],
@@ -232,8 +232,8 @@
         self._last_id += 1
         number, started_ms = f"{self._last_id:016x}", now_ms()
         deadline = started_ms + kind.deadline_ms
-        self._books.errands[number] = Errand(
-            number, kind.name, kind.effect, kind.work_ms, (0,), deadline, "all", kind.work_ms, top=number
+        self._registry.requests[number] = TrackedRequest(
+            number, kind.name, kind.effect, kind.work_ms, (0,), deadline, "all", kind.work_ms, root_id=number
         )
         headers = {"X-Request-Id": number, "X-Class": kind.name, "X-Tenant": "all", "X-Deadline": "2.000"}
         stats = self.call_stats[node.name]
@@ -250,7 +250,7 @@
         except (TimeoutError, aiohttp.ClientError):
             stats.other += 1
         finally:
-            del self._books.errands[number]
+            del self._registry.requests[number]
 
     # ------------------------------------------------------------ measurements
 
--- a/tests/decisions/test_scale.py
+++ b/tests/decisions/test_scale.py
@@ -16,7 +16,7 @@
 from crowpost.decisions.learning_automaton import FLOOR_FRACTION, NEWCOMER_FRACTION
 from crowpost.decisions.share_vector import with_floor
 from crowpost.decisions.timers import Timers
-from crowpost.lab.bench import Drive, _settings, rows
+from crowpost.lab.bench import LoadDriver, _settings, rows
 
 
 class PlainAutomaton:
@@ -138,7 +138,7 @@
 
 def _function_calls_per_request(servers: int, settings: Settings) -> float:
     """Return the calls of Python functions per request, a cost that does not depend on other load."""
-    drive = Drive(Balancer(settings, 1), 1)
+    drive = LoadDriver(Balancer(settings, 1), 1)
     drive.feed(EndpointList(ListKind.FULL, rows(servers)))
     drive.requests(100)
     count = 0
