--- a/crowpost/__init__.py
+++ b/crowpost/__init__.py
@@ -1,4 +1,4 @@
-"""crowpost: a load balancer node; this package exports its decision logic, which does no I/O."""
+"""crowpost: a load balancer node; this module exports its decision logic, which does no I/O."""
 
 from crowpost.decisions import Balancer, LearningAutomaton
 
--- a/crowpost/drill.py
+++ b/crowpost/drill.py
@@ -1,4 +1,4 @@
-"""python -m crowpost.drill: the former name of `python -m crowpost.simulator`."""
+"""Former name of `python -m crowpost.simulator`, kept as `python -m crowpost.drill`."""
 
 import sys
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The suite gives the same verdict at every run: hypothesis draws no fresh examples and keeps no files."""
+"""Make the suite deterministic: Hypothesis uses fixed examples and stores no example database."""
 
 from hypothesis import settings
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""What must not change: frames, files on disk, texts and numbers are those of revision 878089b."""
+"""Frames, stored files, texts and results must match the golden files of revision 878089b."""
 
 from __future__ import annotations
 
@@ -25,22 +25,24 @@
 from tests.golden.build import HERE, ROOT
 
 
-def recorded(name: str) -> dict[str, bytes]:
-    lines: dict[str, str] = json.loads((HERE / name).read_text())
-    return {key: bytes.fromhex(line) for key, line in lines.items()}
+def read_frames(name: str) -> dict[str, bytes]:
+    hex_frames: dict[str, str] = json.loads((HERE / name).read_text())
+    return {key: bytes.fromhex(text) for key, text in hex_frames.items()}
 
 
-def tree(folder: Path) -> dict[str, bytes]:
+def file_contents(folder: Path) -> dict[str, bytes]:
     return {path.name: path.read_bytes() for path in folder.iterdir()}
 
 
-def test_frames_of_members_are_written_as_before() -> None:
-    assert build.member_frames() == recorded("frames-members.json")
+def test_encoded_membership_frames_match_golden_files() -> None:
+    assert build.member_frames() == read_frames("frames-members.json")
 
 
-def test_datagrams_of_members_are_read_and_written_again_as_before() -> None:
+def test_membership_datagrams_survive_decoding_and_encoding() -> None:
     cluster = member_wire.cluster_tag(build.CLUSTER)
-    frames = [frame for key, frame in recorded("frames-members.json").items() if key.startswith("datagram")]
+    frames = [
+        frame for key, frame in read_frames("frames-members.json").items() if key.startswith("datagram")
+    ]
     assert len(frames) == 5
     for frame in frames:
         message = member_wire.decode_datagram(frame, cluster, 2_000)
@@ -48,31 +50,31 @@
         assert member_wire.encode_datagram(message, cluster, rows) == frame
 
 
-def test_frames_of_the_feed_are_written_as_before() -> None:
-    assert build.feed_frames() == recorded("frames-feed.json")
+def test_encoded_feed_frames_match_golden_files() -> None:
+    assert build.feed_frames() == read_frames("frames-feed.json")
 
 
-def test_frames_of_the_feed_are_read_and_written_again_as_before() -> None:
-    frames = recorded("frames-feed.json")
+def test_feed_frames_survive_decoding_and_encoding() -> None:
+    frames = read_frames("frames-feed.json")
     assert len(frames) == 13
     for frame in frames.values():
         message = feed_wire.decode(frame[4:], feed_wire.cluster_tag(build.CLUSTER))
         assert feed_wire.encode(message, feed_wire.cluster_tag(build.CLUSTER)) == frame
 
 
-def test_the_module_answers_the_simulator_as_before() -> None:
+def test_simulator_replies_match_golden_file() -> None:
     replies = build.simulator_replies()
     assert build.reply_count(replies) > 100
     assert replies == (HERE / "simulator-replies.bin").read_bytes()
 
 
-def test_a_state_directory_is_read_as_before(tmp_path: Path) -> None:
+def test_state_show_output_matches_golden_file(tmp_path: Path) -> None:
     shutil.copytree(HERE / "state", tmp_path / "state")
     printed = build.command_output(("state", "show", str(tmp_path / "state"), "--json"))
     assert json.loads(printed) == json.loads((HERE / "state.json").read_text())
 
 
-def test_a_state_directory_gives_the_snapshot_that_it_holds(tmp_path: Path) -> None:
+def test_golden_state_directory_yields_its_records_and_snapshot(tmp_path: Path) -> None:
     shutil.copytree(HERE / "state", tmp_path / "state")
     opened = open_store(tmp_path / "state", build.OWNER)
     try:
@@ -83,36 +85,36 @@
         opened.disk.close()
 
 
-def test_a_publishers_ledger_is_read_as_before(tmp_path: Path) -> None:
+def test_golden_publication_log_yields_its_records_and_snapshot(tmp_path: Path) -> None:
     shutil.copytree(HERE / "ledger", tmp_path / "ledger")
-    found = inspect_store(tmp_path / "ledger", "pub-n")
+    stored = inspect_store(tmp_path / "ledger", "pub-n")
     records, snapshot = build.ledger_records()
-    assert found.snapshot == snapshot
-    assert [record.payload for record in found.records] == records
-    writers = WriteAuthority("pub-n", "north", {"north": "pub-n"})
-    ledger = PublicationLog(writers, lambda scope, body: None, found.snapshot)
-    assert list(ledger.snapshot()) == snapshot
+    assert stored.snapshot == snapshot
+    assert [record.payload for record in stored.records] == records
+    authority = WriteAuthority("pub-n", "north", {"north": "pub-n"})
+    publication_log = PublicationLog(authority, lambda scope, body: None, stored.snapshot)
+    assert list(publication_log.snapshot()) == snapshot
 
 
-def test_a_followers_cache_is_read_and_written_again_as_before(tmp_path: Path) -> None:
+def test_golden_document_cache_survives_reading_and_writing(tmp_path: Path) -> None:
     shutil.copytree(HERE / "follower", tmp_path / "read")
     documents, notes = DocumentCache(tmp_path / "read", (build.CLUSTER, build.OWNER)).load()
     assert documents == build.shelf_documents() and notes == []
-    again = DocumentCache(tmp_path / "again", (build.CLUSTER, build.OWNER))
-    again.load()
+    rewritten_cache = DocumentCache(tmp_path / "rewritten", (build.CLUSTER, build.OWNER))
+    rewritten_cache.load()
     for document in documents:
-        again.store(document)
-    assert tree(tmp_path / "again") == tree(HERE / "follower")
+        rewritten_cache.store(document)
+    assert file_contents(tmp_path / "rewritten") == file_contents(HERE / "follower")
     with pytest.raises(FeedError, match="belongs to"):
-        DocumentCache(tmp_path / "again", (build.CLUSTER, "n4")).load()
+        DocumentCache(tmp_path / "rewritten", (build.CLUSTER, "n4")).load()
 
 
-def test_the_telemetry_text_is_as_before() -> None:
+def test_telemetry_text_matches_golden_file() -> None:
     assert build.telemetry() == (HERE / "telemetry.txt").read_bytes()
 
 
 @pytest.mark.parametrize("page", build.PAGES)
-def test_the_toml_examples_of_the_pages_say_the_same(page: str) -> None:
+def test_toml_examples_of_pages_match_golden_files(page: str) -> None:
     blocks = build.toml_blocks(ROOT / page)
     files = sorted((HERE / "toml").glob(f"{Path(page).stem}-*.toml"))
     assert blocks and len(blocks) == len(files)
@@ -120,7 +122,7 @@
         assert tomllib.loads(block) == tomllib.loads(file.read_text())
 
 
-def test_every_toml_example_is_still_understood() -> None:
+def test_golden_toml_examples_load() -> None:
     examples = HERE / "toml"
     members = load_members(str(examples / "membership-1.toml"), "n0")
     assert members.cluster == "caerdydd"
@@ -130,11 +132,11 @@
     assert load_scenario(str(examples / "lab-1.toml")).duration_s == 30.0
 
 
-def test_a_config_json_is_read_as_before() -> None:
+def test_golden_config_json_yields_the_same_settings() -> None:
     assert build.settings_of(HERE / "config.json") == json.loads((HERE / "config-read.json").read_text())
 
 
 @pytest.mark.parametrize("name", build.RUNS)
-def test_equal_seeds_give_the_numbers_of_before(name: str) -> None:
+def test_lab_results_of_fixed_seeds_match_golden_files(name: str) -> None:
     printed = build.command_output(build.RUNS[name])
     assert build.numbers(printed) == json.loads((HERE / f"{name}.json").read_text())
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The README's example runs and prints the output that it shows."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 
-def test_the_example_runs() -> None:
+def test_readme_example_runs() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     code = re.findall(r"```python\n(.*?)```", text, re.S)
     assert len(code) == 1
