--- a/crowpost/cli/feed.py
+++ b/crowpost/cli/feed.py
@@ -176,7 +176,7 @@
     make_document(request.scope, 0, 1, b"", author=request.author, reason=request.reason, writer="")
     limit = Tuning().max_document_bytes
     if len(request.body) > limit:
-        raise FeedError(f"{request.scope}: {len(request.body)} bytes, {limit} at the most")
+        raise FeedError(f"{request.scope}: {len(request.body)} bytes, {limit} at most")
 
 
 @app.command("status")
--- a/crowpost/cli/scale.py
+++ b/crowpost/cli/scale.py
@@ -39,7 +39,7 @@
 ) -> None:
     """Measure the costs of duties with 95% intervals, and the effects of faults over time.
 
-    The nodes are simulated ones beside real ones.
+    Simulated nodes run together with real ones.
 
     Examples: crowpost lab scale --short --out results
     crowpost lab scale --duties membership --sizes 790 --troubles none --out results --add
--- a/crowpost/config_feed/apply_status.py
+++ b/crowpost/config_feed/apply_status.py
@@ -30,5 +30,5 @@
 
 
 def shorten_reason(why: str) -> str:
-    """Return a rejection reason cut to MAX_REJECTION_BYTES."""
+    """Return a rejection reason truncated to MAX_REJECTION_BYTES."""
     return why.encode()[:MAX_REJECTION_BYTES].decode(errors="ignore")
--- a/crowpost/config_feed/document_table.py
+++ b/crowpost/config_feed/document_table.py
@@ -58,7 +58,7 @@
         if not document.is_intact:
             raise FeedError(f"{header.scope} version {header.version}: the body does not match its header")
         if header.size > tuning.max_document_bytes:
-            raise FeedError(f"{header.scope}: {header.size} bytes, {tuning.max_document_bytes} at the most")
+            raise FeedError(f"{header.scope}: {header.size} bytes, {tuning.max_document_bytes} at most")
         added_bytes = header.size - (current.header.size if current is not None else 0)
         no_scope_left = current is None and len(self.documents) >= tuning.max_documents
         if no_scope_left or self.bytes + added_bytes > tuning.max_table_bytes:
--- a/crowpost/config_feed/frames.py
+++ b/crowpost/config_feed/frames.py
@@ -95,7 +95,7 @@
         while len(self._buffer) - offset >= FRAME_LENGTH.size:
             (length,) = FRAME_LENGTH.unpack_from(self._buffer, offset)
             if length > self._max_frame_bytes:
-                text = f"a frame of {length} bytes, {self._max_frame_bytes} at the most"
+                text = f"a frame of {length} bytes, {self._max_frame_bytes} at most"
                 found.append((FrameError("oversized", text), FRAME_LENGTH.size))
                 self._broken = True
                 break
--- a/crowpost/decisions/concurrency_limiter.py
+++ b/crowpost/decisions/concurrency_limiter.py
@@ -53,7 +53,7 @@
         self.load.peak_rate *= before / self.sharers
 
     def admits(self, in_flight: int, fraction: float) -> bool:
-        """Return whether the limit admits one more attempt beside those in flight.
+        """Return whether the limit admits one more attempt in addition to those in flight.
 
         If many nodes share few requests, the limit of each is a few or less than one.  Rounding it would
         admit far too many or too few over all nodes, so each request carries a random `fraction` in [0, 1),
@@ -62,7 +62,7 @@
         return in_flight + fraction < self.limit or self._has_unused_capacity(fraction)
 
     def _has_unused_capacity(self, fraction: float) -> bool:
-        """Return whether fresh load reports show that endpoints hold less than all nodes together may send.
+        """Return whether fresh load reports show that less is in flight than all nodes together may send.
 
         This applies only until the baseline is known.  Until then the limit is this node's part of an
         estimate for all nodes.  The part of a peer that drains or restarts goes unused, while its requests
@@ -70,13 +70,13 @@
         """
         if self.sharers == 1 or self.load.load_ratio > 1.0 or self.load.is_baseline_known():
             return False
-        return 0.0 < self._endpoints.reports.held < INITIAL_LIMIT * self._capacity - fraction
+        return 0.0 < self._endpoints.reports.in_flight < INITIAL_LIMIT * self._capacity - fraction
 
     def follow_capacity(self) -> None:
         """Keep the limit in proportion to the capacity of the endpoints as they come, go and warm up.
 
         When the set loses half of its capacity, latencies show it only once the remaining endpoints are
-        overloaded, as they then hold all that was admitted for the whole set.
+        overloaded, as all that was admitted for the whole set is then in flight there.
         """
         capacity = self._endpoints.capacity
         if not capacity:
@@ -86,7 +86,7 @@
         if before:
             self.limit = self.limit * capacity / before
         else:
-            # All nodes of the first tier start alike, and each takes its part of what the set may hold.  A
+            # All nodes of the first tier start alike, and each gets its part of what may be in flight.  A
             # node of an inner tier uses the limit of the whole set: its requests were admitted at the first
             # tier, and rejecting one there would waste all the work done for it so far.
             self.limit = INITIAL_LIMIT * max(1.0, capacity / self.sharers)
@@ -109,7 +109,7 @@
         load.update(latency_ratio, in_flight)
         now = self._context.now
         # The mean latency alone would not do: in an overload it grows to the clients' deadline, so that the
-        # limit was decreased only every five seconds, while four hundred nodes went on sending requests that
+        # limit was decreased only every five seconds, while four hundred nodes kept sending requests that
         # were already lost.
         pause = min(
             self._expected.mean, BASELINE_FACTOR * load.baseline_latency, self._context.latency_objective_ms
@@ -134,7 +134,7 @@
         self._has_been_overloaded = True
         # Decrease at most to what is in flight at the best recent rate without a queue, times a margin.
         # Repeated decreases without such a bound rejected requests at random, and those admitted again
-        # afterwards overloaded the endpoints anew.
+        # afterwards overloaded the endpoints again.
         needed = DECREASE_MARGIN_FACTOR * load.peak_rate * load.peak_decay()
         needed *= min(load.baseline_latency, load.mean_latency)
         factor = min(MAX_DECREASE_FACTOR, max(MIN_DECREASE_FACTOR, 1.0 / load.load_ratio))
--- a/crowpost/decisions/endpoint_selection.py
+++ b/crowpost/decisions/endpoint_selection.py
@@ -15,7 +15,7 @@
 from crowpost.decisions.outlier_detection import OutlierDetector
 from crowpost.decisions.request_state import Request
 
-# An endpoint is skipped once it holds more of this node's attempts than its share of all in flight, times
+# An endpoint is skipped once more of this node's attempts are in flight there than its share of all, times
 # SHARE_FACTOR, plus SHARE_EXTRA.
 SHARE_FACTOR = 1.25
 SHARE_EXTRA = 0.5
@@ -139,7 +139,7 @@
         in_scope = self._endpoints.in_scope(self.scope_of(request))
         allowed = [index for index in in_scope if self._is_allowed(request, listed[index])]
         if in_panic:
-            fit = allowed  # The cause is common to all endpoints, so their health says nothing
+            fit = allowed  # The cause is common to all endpoints, so their health shows nothing
         elif last_resort:
             # This is the last attempt: an overloaded endpoint may still answer in time, an unresponsive one
             # will not.
@@ -205,7 +205,7 @@
         return self._has_capacity(endpoint, in_flight)
 
     def _has_capacity(self, endpoint: Endpoint, in_flight: int) -> bool:
-        """Return whether the endpoint holds less than its share of all requests in flight allows."""
+        """Return whether the endpoint has less in flight than its share of all in-flight requests allows."""
         endpoints = self._endpoints
         average = endpoints.automaton.averages[endpoint.index]
         if average and in_flight * (1.0 - self._limiter.load.baseline_latency / average) > self._max_queued:
@@ -217,7 +217,9 @@
             share *= self._mean_latency / average
         if in_flight > SHARE_EXTRA + SHARE_FACTOR * share * self._in_flight:
             return False
-        held = endpoints.reports.held
-        if not held or not endpoints.reports.is_fresh(endpoint, self._context.now):
+        total_in_flight = endpoints.reports.in_flight
+        if not total_in_flight or not endpoints.reports.is_fresh(endpoint, self._context.now):
             return True
-        return in_flight + endpoint.in_flight_elsewhere <= SHARE_EXTRA + SHARE_FACTOR * share * held
+        return (
+            in_flight + endpoint.in_flight_elsewhere <= SHARE_EXTRA + SHARE_FACTOR * share * total_in_flight
+        )
--- a/crowpost/decisions/endpoint_set.py
+++ b/crowpost/decisions/endpoint_set.py
@@ -21,9 +21,9 @@
 from crowpost.decisions.slow_start import SlowStart
 from crowpost.decisions.subsetting import choose_subset
 
-# The column of a load report with the number of requests that the endpoint holds.  Load reports cover the
+# The column of a load report with the number of requests in flight at the endpoint.  Load reports cover the
 # requests of all nodes: where many nodes share an endpoint, each alone sees too few of them for a limit.
-HELD_COLUMN = "outstanding"
+IN_FLIGHT_COLUMN = "outstanding"
 MAX_REPORT_AGE_OBJECTIVES = 1.0  # Greatest age of a load report that is used, in latency objectives
 REFRESH_FRACTION = 0.02  # Time between refreshes of time-dependent state, as a part of the latency objective
 # Departed endpoints are dropped once this many times the listed endpoints, plus the extra, are known.
@@ -57,7 +57,7 @@
         self._refresh_at = -math.inf
         self._by_scope: dict[Scope, list[int]] = {}
         columns = settings.load_report_columns
-        column = columns.index(HELD_COLUMN) if HELD_COLUMN in columns else None
+        column = columns.index(IN_FLIGHT_COLUMN) if IN_FLIGHT_COLUMN in columns else None
         self.reports = LoadReports(column, MAX_REPORT_AGE_OBJECTIVES * context.latency_objective_ms)
 
     # ------------------------------------------------------------ the list
@@ -160,9 +160,9 @@
             if not same_zone_only or endpoint.entry.zone == settings.zone
         ]
         chosen = choose_subset(self.listed, candidates, self.node_count, self.node_index)
-        is_whole = len(chosen) in (0, len(self.listed))
-        self.subset = None if is_whole else sorted(chosen)
-        self.in_subset = [is_whole and bool(chosen)] * len(self.listed)
+        is_full_set = len(chosen) in (0, len(self.listed))
+        self.subset = None if is_full_set else sorted(chosen)
+        self.in_subset = [is_full_set and bool(chosen)] * len(self.listed)
         for index in self.subset or ():
             self.in_subset[index] = True
         self.automaton.restrict_to(self.subset)
--- a/crowpost/decisions/list_polling.py
+++ b/crowpost/decisions/list_polling.py
@@ -63,8 +63,9 @@
     def _schedule_poll(self, pause_ms: float) -> None:
         """Schedule a poll in place of the one that is scheduled, if any.
 
-        Polls would multiply otherwise while discovery is unreachable: a timer for each failed poll, beside
-        the timer that repeats a poll without a reply, doubled them with every backoff, on all nodes at once.
+        Polls would multiply otherwise while discovery is unreachable: a timer for each failed poll, added
+        to the timer that repeats a poll without a reply, doubled them with every backoff, on all nodes at
+        once.
         """
         self._poll_at = self._context.now + pause_ms
         self._context.timers.at(self._poll_at, TimerKind.POLL_LIST)
--- a/crowpost/decisions/load_reports.py
+++ b/crowpost/decisions/load_reports.py
@@ -1,4 +1,4 @@
-"""The number of requests that endpoints hold, from the load reports in their responses."""
+"""The number of requests in flight at endpoints, from the load reports in their responses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LoadReports:
-    """The number of requests of all nodes that endpoints hold, by reports no older than `max_age_ms`.
+    """The number of requests of all nodes in flight at endpoints, by reports no older than `max_age_ms`.
 
     column: position of that number in a report; None if reports do not contain it.
     """
@@ -18,13 +18,13 @@
         self._column = column
         self._max_age_ms = max_age_ms
         self._reporting: dict[EndpointId, Endpoint] = {}  # Endpoints with a fresh report
-        self._held = 0.0  # Requests that these endpoints hold
+        self._in_flight = 0.0  # Requests in flight at these endpoints
         self._share = 0.0  # Sum of their shares in the vector
 
     @property
-    def held(self) -> float:
-        """Requests of all nodes that all endpoints hold, scaled up by share; 0 if no report is fresh."""
-        return self._held / self._share if self._share else 0.0
+    def in_flight(self) -> float:
+        """Requests of all nodes in flight at all endpoints, scaled up by share; 0 if no report is fresh."""
+        return self._in_flight / self._share if self._share else 0.0
 
     def is_fresh(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether the endpoint's last report is recent enough to be used."""
@@ -39,17 +39,19 @@
             if endpoint.index >= 0 and endpoint.reported_at >= oldest
         }
         reporting = self._reporting.values()
-        self._held = sum([len(endpoint.in_flight) + endpoint.in_flight_elsewhere for endpoint in reporting])
+        self._in_flight = sum(
+            [len(endpoint.in_flight) + endpoint.in_flight_elsewhere for endpoint in reporting]
+        )
         self._share = sum([share(endpoint.index) for endpoint in reporting])
 
     def count(self, endpoint: Endpoint, change: int) -> None:
         """Count an attempt of this node that has started (1) or ended (-1) at an endpoint."""
-        self._held += change if endpoint.entry.server in self._reporting else 0
+        self._in_flight += change if endpoint.entry.server in self._reporting else 0
 
     def record(
         self, endpoint: Endpoint, load: Sequence[float], now: float, share: Callable[[int], float]
     ) -> None:
-        """Record a report: what the endpoint holds, less what this node has in flight there."""
+        """Record a report: what is in flight at the endpoint, except the requests of this node."""
         if self._column is None or self._column >= len(load):
             return
         before = endpoint.in_flight_elsewhere
@@ -57,8 +59,8 @@
         endpoint.in_flight_elsewhere = max(0.0, load[self._column] - len(endpoint.in_flight))
         endpoint.reported_at = now
         if name in self._reporting:
-            self._held += endpoint.in_flight_elsewhere - before
+            self._in_flight += endpoint.in_flight_elsewhere - before
         elif endpoint.index >= 0:
             self._reporting[name] = endpoint
-            self._held += endpoint.in_flight_elsewhere + len(endpoint.in_flight)
+            self._in_flight += endpoint.in_flight_elsewhere + len(endpoint.in_flight)
             self._share += share(endpoint.index)
--- a/crowpost/decisions/outcome_scoring.py
+++ b/crowpost/decisions/outcome_scoring.py
@@ -1,4 +1,4 @@
-"""Scoring of outcomes: what each one says about its endpoint, its request class and the load."""
+"""Scoring of outcomes: what each one shows about its endpoint, its request class and the load."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
         if request is not None:
             self.class_expected[request.class_index].observe(elapsed)
             objective_ms = request.request_class.latency_objective_ms
-        # The latency of heavy work says little about the endpoint or the load, so the part of it that the
+        # The latency of heavy work shows little about the endpoint or the load, so the part of it that the
         # cost hint explains is divided out.
         normalized = elapsed / latency_factor(attempt.units)
         self._limiter.load.observe_response(normalized)
--- a/crowpost/decisions/outlier_detection.py
+++ b/crowpost/decisions/outlier_detection.py
@@ -33,7 +33,7 @@
 
 
 def _may_exclude_one_more(unavailable: int, endpoints: int) -> bool:
-    """Return whether one more endpoint may be excluded beside those that are unavailable already."""
+    """Return whether one more endpoint may be excluded in addition to those that are unavailable already."""
     return unavailable + 1 <= max(1.0, MAX_EJECTED_FRACTION * endpoints)
 
 
--- a/crowpost/decisions/subsetting.py
+++ b/crowpost/decisions/subsetting.py
@@ -41,8 +41,8 @@
 
     Without subsets a node would call each endpoint too rarely to learn anything while a fault lasts, and the
     number of connections would grow with nodes times endpoints.  The endpoints of each kind are assigned to
-    shards by hash, anew for each round of nodes.  Each endpoint is in one subset of a round, so that all
-    endpoints are called by about as many nodes.
+    shards by hash, separately for each round of nodes.  Each endpoint is in one subset of a round, so that
+    all endpoints are called by about as many nodes.
     """
     # The number of shards is a power of two, since all subsets depend on it and it must not change with every
     # change of the list.  Few nodes use larger subsets: with none, each would connect to every endpoint.
--- a/crowpost/lab/baselines.py
+++ b/crowpost/lab/baselines.py
@@ -159,7 +159,7 @@
         return self._warm_enough(state)
 
     def _warm_enough(self, state: EndpointState) -> bool:
-        """Return whether a cold server has under half the mean in flight, so that none is overloaded."""
+        """Return whether a server that warms up has less than half the mean in flight, to avoid overload."""
         start = state.entry.started_ms
         if not start or self.now - start >= self.settings.warm_up_ms:
             return True
@@ -253,7 +253,7 @@
     def _expected(self, state: EndpointState, request: OpenRequest) -> float:
         server: SimServer = self.platform.servers[state.entry.server]
         rate = server.rate() * (1.0 - server.faults.errors) * server.kind.cores
-        if rate <= 0.0 or server.faults.cut or not server.up:
+        if rate <= 0.0 or server.faults.unresponsive or not server.up:
             return math.inf
         work = request.work_hint * server.tier.work_part
         waiting = server.backlog() + 0.5 * work * max(0, server.outstanding() - server.kind.cores)
@@ -261,7 +261,7 @@
         return math.inf if full else (waiting + work) / rate
 
     def _warm_enough(self, state: EndpointState) -> bool:
-        # The true rate of a cold server is known, and no more is sent than it soon completes.
+        # The true rate of a server that warms up is known, and no more is sent than it soon completes.
         return True
 
     def admits(self, allowed: list[EndpointState], request: OpenRequest) -> bool:
--- a/crowpost/lab/capacity/demand.py
+++ b/crowpost/lab/capacity/demand.py
@@ -200,15 +200,17 @@
         if slopes is None or measured is None:
             return Cost(duty)
         if "change" in measured.unit:
-            x = self.changes(scale)
+            quantity = self.changes(scale)
         elif measured.unit == "member":
-            x = self.servers(scale)
+            quantity = self.servers(scale)
         elif measured.unit == "process":
             # In the run one machine held more than one node.
-            x = self.from_code(1.0, "one node on a server")
+            quantity = self.from_code(1.0, "one node on a server")
         else:
             raise RecordError(f"slopes.json, {duty}: no such unit: {measured.unit!r}")
-        core, memory, byte_rate, messages = (cost_at(slopes, duty, measure, x.mid) for measure in MEASURES)
+        core, memory, byte_rate, messages = (
+            cost_at(slopes, duty, measure, quantity.mid) for measure in MEASURES
+        )
         return Cost(duty, core, memory, byte_rate, messages)
 
     def _event_cost(self, duty: str, name: str, rate: Figure, scale: float) -> Cost:
--- a/crowpost/lab/capacity/machines.py
+++ b/crowpost/lab/capacity/machines.py
@@ -65,7 +65,8 @@
     """Return for each required function a check whether it works with only the given machines left."""
     regions = sorted({machine.region for machine in machines})
     home_region = max(
-        regions, key=lambda r: (len({machine.zone for machine in machines if machine.region == r}), -r)
+        regions,
+        key=lambda region: (len({machine.zone for machine in machines if machine.region == region}), -region),
     )
     replicas = len(_with_duty(machines, LIST))
     return {
--- a/crowpost/lab/faults.py
+++ b/crowpost/lab/faults.py
@@ -21,7 +21,7 @@
             "errors": lambda fault: self._set(fault, "errors", fault.size),
             "spoilt": lambda fault: self._set(fault, "spoilt", fault.size),
             "slow": lambda fault: self._set(fault, "slower", max(fault.size, 1e-3)),
-            "silent": lambda fault: self._set(fault, "cut", True),
+            "silent": lambda fault: self._set(fault, "unresponsive", True),
             "early_close": lambda fault: self._set(fault, "idle_ms", fault.pause_ms),
             "neighbour": self._neighbour,
             "pauses": self._pauses,
@@ -122,17 +122,17 @@
         platform.start_server(platform.new_server(gone.stage, gone.kind_index, gone.place))
 
     def _zone_loss(self, fault: Fault) -> None:
-        """Make the servers of the last zone unresponsive; afterwards each starts as a new, cold process."""
+        """Make the servers of the last zone unresponsive; later each starts as a new process and warms up."""
         platform = self._platform
         zone = platform.scenario.network.zones - 1
         for servers in platform.tiers:
             for server in servers:
                 if server.zone == zone and server.up:
-                    server.faults.cut = True
+                    server.faults.unresponsive = True
                     platform.engine.after(fault.for_s * 1000.0, self._restore_server, server)
 
     def _restore_server(self, server: SimServer) -> None:
-        server.faults.cut = False
+        server.faults.unresponsive = False
         if server.up:
             self._platform.stop_server(server)
         self._platform.start_server(server)
--- a/crowpost/lab/live/__init__.py
+++ b/crowpost/lab/live/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios on loopback sockets: stand-in servers, discovery and clients around real node processes."""
+"""Scenarios on loopback sockets: stub servers, discovery and clients around real node processes."""
--- a/crowpost/lab/live/play.py
+++ b/crowpost/lab/live/play.py
@@ -22,7 +22,7 @@
 from crowpost.lab.scenario import Fault, Scenario
 from crowpost.lab.traffic import PlannedRequest, choose_node, draw, record_end, retry_delay
 
-# Faults that the stand-ins cannot produce on real sockets.
+# Faults that the stub servers cannot produce on real sockets.
 SIMULATED_ONLY: frozenset[str] = frozenset({"reports_late"})
 ANSWER_SLACK_MS = 500.0  # an answer later than this after its deadline is lost
 DRAIN_MS = 2500.0
@@ -30,7 +30,7 @@
 FAULT_FIELDS = {
     "errors": "errors",
     "slow": "slower",
-    "silent": "cut",
+    "silent": "unresponsive",
     "spoilt": "spoilt",
     "early_close": "idle_ms",
 }
@@ -96,8 +96,8 @@
         self.tiers[stage].append(server)
         return server
 
-    async def _start_server(self, server: LiveServer, cold: bool) -> None:
-        await server.start(cold)
+    async def _start_server(self, server: LiveServer, warming_up: bool) -> None:
+        await server.start(warming_up)
         if server.stage + 1 < len(self.tiers) and server.up:
             node = self.server_nodes.get(server)
             if node is None:
@@ -352,7 +352,7 @@
         if fault.kind in FAULT_FIELDS:
             name = FAULT_FIELDS[fault.kind]
             normal = getattr(faults, name)
-            value = {"cut": True, "idle_ms": fault.pause_ms}.get(name, fault.size)
+            value = {"unresponsive": True, "idle_ms": fault.pause_ms}.get(name, fault.size)
             setattr(faults, name, value)
             await asyncio.sleep(fault.for_s)
             setattr(faults, name, normal)
@@ -371,9 +371,9 @@
             await self._announce(replacement, self.scenario.discovery.add_ms)
         elif fault.kind == "zone_loss":
             if server.zone == self.scenario.network.zones - 1:
-                faults.cut = True
+                faults.unresponsive = True
                 await asyncio.sleep(fault.for_s)
-                faults.cut = False
+                faults.unresponsive = False
                 await self._crash(server, 0.0)
         else:
             while self.clock() < end:
--- a/crowpost/lab/live/stand.py
+++ b/crowpost/lab/live/stand.py
@@ -1,4 +1,4 @@
-"""Stand-ins that follow the published protocol: servers that sleep as work, and a delayed discovery."""
+"""Stubs that follow the published protocol: servers that sleep as work, and a delayed discovery."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from aiohttp import ClientError, web
 
-from crowpost.lab.machines import OVERLOAD_SLACK, ActiveFaults, ColdServerLoad, ServerCounts
+from crowpost.lab.machines import OVERLOAD_SLACK, ActiveFaults, ServerCounts, WarmingServerLoad
 from crowpost.lab.scenario import Kind, Limits, Tier
 
 HOST = "127.0.0.1"
@@ -74,7 +74,7 @@
 
 
 class LiveServer:
-    """One stand-in server. It keeps its name and its port over restarts."""
+    """One stub server. It keeps its name and its port over restarts."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         self.in_flight = 0
         self.port = 0
         self._started = 0.0  # time on the clock of now_ms; 0: before the run, so it is warm
-        self._cold_load = ColdServerLoad()
+        self._warming_load = WarmingServerLoad()
         self._errors: list[float] = []
         self._server: asyncio.Server | None = None
         self._web: web.Server | None = None
@@ -115,7 +115,7 @@
 
     # ------------------------------------------------------------ process
 
-    async def start(self, cold: bool) -> None:
+    async def start(self, warming_up: bool) -> None:
         """Listen, on a free port at the first start and on the same one afterwards."""
         if self.overloaded:
             return
@@ -124,9 +124,9 @@
         self._server = await loop.create_server(self._accept, HOST, self.port, reuse_address=True)
         self.port = self._server.sockets[0].getsockname()[1]
         self.up, self.draining, self.drain_notified_ms = True, False, None
-        if cold:
+        if warming_up:
             self._started, self.started_unix_ms = now_ms(), time.time() * 1000.0
-            self._cold_load = ColdServerLoad()
+            self._warming_load = WarmingServerLoad()
 
     def _accept(self) -> asyncio.Protocol:
         self.connections += 1
@@ -185,7 +185,7 @@
             self.registry.record_breach(2, f"{self.name} got request {number}, which no client sent")
             return web.Response(status=400)
         await request.read()
-        if self.faults.cut:
+        if self.faults.unresponsive:
             await self._never_answer()
         self._check_drain_rule(tracked)
         work = tracked.work * self.tier.work_part * (0.8 + 0.4 * self.rng.random())
@@ -202,7 +202,7 @@
             self.counts.rejected += 1
             return self._reply(503, {"X-Not-Run": "1"})
         served = await self._work(tracked, work)
-        if self.faults.cut:
+        if self.faults.unresponsive:
             await self._never_answer()
         if served and self.faults.spoilt and self.rng.random() < self.faults.spoilt and request.transport:
             request.transport.write(b"HTTP/1.1 2oo Spoilt\r\nContent-Length: 4x\r\n\r\n")
@@ -223,7 +223,7 @@
         if not self._started or self.warm_up_fraction() >= 1.0:
             return False
         span = self.limits.overload_window_ms
-        self._cold_load.add(now_ms(), work, True, span)
+        self._warming_load.add(now_ms(), work, True, span)
         budget = (
             OVERLOAD_SLACK
             * self.limits.overload_factor
@@ -232,7 +232,7 @@
             * self.warm_up_fraction()
             * span
         )
-        if self._cold_load.total <= budget:
+        if self._warming_load.total <= budget:
             return False
         self.overloaded = True
         self.registry.record_breach(4, f"cold server {self.name} was overloaded")
--- a/crowpost/lab/machines.py
+++ b/crowpost/lab/machines.py
@@ -51,7 +51,7 @@
     slower: float = 1.0
     taken: float = 0.0  # share of the machine that a neighbour uses
     paused: bool = False
-    cut: bool = False  # the machine is unresponsive
+    unresponsive: bool = False
     idle_ms: float | None = None  # closes idle connections after this long
 
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class ColdServerLoad:
+class WarmingServerLoad:
     """Work sent to a server that is warming up within the last window, for rule 4."""
 
     window: deque[tuple[float, float, bool]] = field(default_factory=deque)
@@ -121,7 +121,7 @@
         self._errors = deque[float]()
         self._slots: set[Call] = set()
         self._queue: deque[Call] = deque()
-        self._cold_load = ColdServerLoad()
+        self._warming_load = WarmingServerLoad()
         self.contention = Contention(engine, tier.crowding, kind.cores, self.retime)
         self._cores = Cores(engine, kind.cores, self.rate, self._update_contention)
 
@@ -177,7 +177,7 @@
         if call.epoch != self.epoch or not self.up:
             self.on_answer(call, Outcome.RESET)
             return
-        if self.faults.cut:
+        if self.faults.unresponsive:
             self.connections -= 1  # the call is never answered
             return
         self.counts.calls += 1
@@ -205,12 +205,12 @@
     def _overloads(self, call: Call, work: float) -> bool:
         """Return whether a call overloads a server that is warming up (rule 4); it then stops permanently."""
         limits = self.limits
-        self._cold_load.add(self.engine.now, work, call.informed, limits.overload_window_ms)
+        self._warming_load.add(self.engine.now, work, call.informed, limits.overload_window_ms)
         capacity = self.speed * self.kind.cores * self.warm_up_fraction()
         budget = OVERLOAD_SLACK * limits.overload_factor * capacity * limits.overload_window_ms
-        if self._cold_load.total <= budget:
+        if self._warming_load.total <= budget:
             return False
-        informed = self._cold_load.from_informed / self._cold_load.total
+        informed = self._warming_load.from_informed / self._warming_load.total
         self.overloaded = True
         self.stop()
         self.on_overload(self, informed)
@@ -256,7 +256,7 @@
             waiting = self._queue.popleft()
             if not (waiting.cancelled and self.tier.drops_cancelled):
                 self._start(waiting, waiting.work)
-        if self.faults.cut:
+        if self.faults.unresponsive:
             self.connections -= 1
         else:
             self.on_answer(call, outcome)
@@ -301,12 +301,12 @@
         return unfinished
 
     def start(self) -> None:
-        """Start a new process, which is cold."""
+        """Start a new process, which warms up."""
         if self.overloaded:
             return
         self.up, self.draining = True, False
         self.started = self.engine.now
-        self._cold_load = ColdServerLoad()
+        self._warming_load = WarmingServerLoad()
         self.retime()
         for step in range(1, WARM_UP_STEPS + 1):
             self.engine.after(step * self.kind.warm_up_ms / WARM_UP_STEPS, self._warm, self.epoch)
--- a/crowpost/lab/nodes.py
+++ b/crowpost/lab/nodes.py
@@ -290,7 +290,7 @@
             engine.after(one_way, self._deliver, call, True)
             return
         network = self.platform.scenario.network
-        if server.faults.cut:
+        if server.faults.unresponsive:
             engine.after(network.connect_timeout_ms, self._ended, call, Outcome.CONNECT_FAILED, ())
         elif not server.up or server.connections >= server.kind.connections:
             engine.after(2.0 * one_way, self._ended, call, Outcome.CONNECT_FAILED, ())
@@ -381,9 +381,9 @@
         self.counts.health_checks += 1
         server = self.platform.servers[name]
         one_way = self.platform.one_way(self.zone, server.zone, self.rng)
-        if server.faults.cut or not server.up:
-            delay = HEALTH_CHECK_TIMEOUT_MS if server.faults.cut else 2.0 * one_way
-            end = Outcome.TIMEOUT if server.faults.cut else Outcome.CONNECT_FAILED
+        if server.faults.unresponsive or not server.up:
+            delay = HEALTH_CHECK_TIMEOUT_MS if server.faults.unresponsive else 2.0 * one_way
+            end = Outcome.TIMEOUT if server.faults.unresponsive else Outcome.CONNECT_FAILED
             self.engine.after(delay, self._health_check_ended, name, end, now, ())
             return
         timeout: Planned = self.engine.after(
--- a/crowpost/lab/overhead/caller.py
+++ b/crowpost/lab/overhead/caller.py
@@ -45,7 +45,7 @@
     callers: int  # Concurrent clients in a closed loop.
     slice_s: float  # Length of a round in an open loop, of each arm in a round of a closed loop.
     rounds: int
-    turns: bool  # Whether each round of an open loop has only one version beside the direct arms.
+    turns: bool  # Whether each round of an open loop has only one version in addition to the direct arms.
     warm_s: float  # Warm-up before the first round, not counted.
     kind: int  # Index of the request class.
     seed: int
--- a/crowpost/lab/overhead/runner.py
+++ b/crowpost/lab/overhead/runner.py
@@ -87,7 +87,7 @@
 
 
 def _loop(case: Case) -> str:
-    return f"{case.rate:g} a second" if case.rate else f"{case.callers} callers in a closed loop"
+    return f"{case.rate:g} a second" if case.rate else f"{case.callers} clients in a closed loop"
 
 
 def run_cases(
--- a/crowpost/lab/platform.py
+++ b/crowpost/lab/platform.py
@@ -118,7 +118,7 @@
     # ------------------------------------------------------------ server processes
 
     def start_server(self, server: SimServer) -> None:
-        """Start a cold process, with a node of its own if there is a next tier, and announce it."""
+        """Start a process that warms up, with a node of its own if there is a next tier, and announce it."""
         server.start()
         if not server.up:
             return
--- a/crowpost/lab/rules.py
+++ b/crowpost/lab/rules.py
@@ -142,7 +142,10 @@
     def check_overload(
         self, node_names: str, server: EndpointId, informed: float, now: float, node: SimNode
     ) -> None:
-        """Check an overload of a cold server: a breach if two thirds of its load came from informed nodes."""
+        """Check an overload of a server that warms up.
+
+        It is a breach if two thirds of the load came from informed nodes.
+        """
         if informed >= 2 / 3:
             text = (
                 f"cold server {server.decode()} overloaded, {informed:.0%} by informed nodes ({node_names})"
--- a/crowpost/lab/scale/simulated_nodes.py
+++ b/crowpost/lab/scale/simulated_nodes.py
@@ -104,7 +104,7 @@
             transport.handle_datagram(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an ICMP error: nobody listens at the address."""
+        """Ignore an ICMP error: no process listens at the address."""
 
 
 class SimulatedNodeTransport(MembershipTransport):
--- a/crowpost/membership/view.py
+++ b/crowpost/membership/view.py
@@ -53,7 +53,7 @@
         return member
 
     def apply(self, member: Member, update: StateUpdate, now: float) -> None:
-        """Set the state of a member to that of an update, whatever its recorded state is."""
+        """Set the state of a member to that of an update, regardless of its recorded state."""
         before = member.state
         was_alive = member.alive
         self._count(member, -1)
--- a/crowpost/node/configuration_overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -19,7 +19,7 @@
 
 # Validation blocks the event loop, which must not be blocked for 5 ms.
 MAX_DOCUMENT_BYTES = 32_768
-MAX_KEY_CHARACTERS = 120  # longer keys are cut in error messages
+MAX_KEY_CHARACTERS = 120  # longer keys are truncated in error messages
 CONNECT_TIMEOUT_KEY = "settings.policyLimits.connectTimeoutMs"
 DISCOVERY_KEY = "discovery"
 DISCOVERY_VARIABLE = "NODE_DISCOVERY"
@@ -197,7 +197,7 @@
     """Return the JSON object in the body of a document.  Raise ConfigError for anything else."""
     if len(body) > MAX_DOCUMENT_BYTES:
         raise ConfigError(
-            f"the document has {len(body)} bytes, and a node takes {MAX_DOCUMENT_BYTES} at the most"
+            f"the document has {len(body)} bytes, and a node accepts at most {MAX_DOCUMENT_BYTES}"
         )
     try:
         overlay = json.loads(body, parse_constant=_reject_constant)
--- a/crowpost/node/downstream/listener.py
+++ b/crowpost/node/downstream/listener.py
@@ -116,7 +116,7 @@
         ):
             victim = min(
                 (c for c in self._connections if c is not newest and may_close(c)),
-                key=lambda c: c.state_since,
+                key=lambda connection: connection.state_since,
                 default=None,
             )
             if victim is not None:
--- a/crowpost/node/drain.py
+++ b/crowpost/node/drain.py
@@ -19,7 +19,7 @@
 # An evacuated node closes idle connections only after this time: new ones arrive for 0.3 s after it is no
 # longer ready.
 EVACUATION_KEEP_S = 1.0
-# The longest time that clients of a terminating node may go on using their connections: while another node
+# The longest time that clients of a terminating node may continue using their connections: while another node
 # also restarts, there may be no other node for them.  The last requests must still be answered in time.
 MAX_SERVE_S = 2.0
 # The part of the longest deadline that is reserved for answering the last requests.
--- a/crowpost/node/node.py
+++ b/crowpost/node/node.py
@@ -42,7 +42,7 @@
 # Timeout of a request for the endpoint list, as a fraction of the interval between two of them: a request has
 # failed before the next one starts.
 LIST_CALL_FRACTION = 0.4
-# Upper bound of `list_poll_ms`, whatever the settings allow after a failed call.  A change of the list must
+# Upper bound of `list_poll_ms`, regardless of the settings after a failed call.  A change of the list must
 # be known 6 s after discovery becomes reachable; by then a request that times out (FIRST_LINE_TIMEOUT_S) and
 # the longest pause, which is half of this interval, must be over.
 MAX_LIST_POLL_MS = 5_200.0
@@ -268,7 +268,10 @@
         return serving and self._listener.listening() and self._pool.has_endpoints()
 
     def stop(self) -> None:
-        """End now, whatever is open; stop reading from clients, since no new request would get a response."""
+        """End now, even with open connections.
+
+        Stop reading from clients, since no new request would get a response.
+        """
         self._listener.close()
         self._done.set()
 
--- a/crowpost/node/state/node_state.py
+++ b/crowpost/node/state/node_state.py
@@ -1,7 +1,7 @@
 """The state that the next process of a node starts from: the result of applying the records in order.
 
 A record with a future time, as after the clock was set back, has an unknown age and is not used; the endpoint
-list and the evacuation are used whatever their age.
+list and the evacuation are used regardless of their age.
 """
 
 from __future__ import annotations
--- a/crowpost/node/upstream/pool.py
+++ b/crowpost/node/upstream/pool.py
@@ -253,7 +253,7 @@
         if self.discarding:
             next(iter(self.discarding)).abort()
             return True
-        oldest = min(self._idle_connections(), key=lambda c: c.idle_since, default=None)
+        oldest = min(self._idle_connections(), key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
             return False
         self._abort_idle([oldest])
--- a/crowpost/storage/log_segment.py
+++ b/crowpost/storage/log_segment.py
@@ -84,7 +84,7 @@
 def truncate_torn_tail(
     state: RecoveredState, segment: StoredFile, data: bytes, content: LogContent, *, is_last: bool
 ) -> None:
-    """Note a torn tail, which is cut off when the segment is rewritten.
+    """Note a torn tail, which is truncated when the segment is rewritten.
 
     A power loss may leave any part of the unsynced data, even later bytes without earlier ones.  Raise
     CorruptionError if a valid frame after the gap marks the missing record as synced, or if this is not the
@@ -102,4 +102,6 @@
         raise CorruptionError(segment.name, position, f"record {missing} is not as written, and was durable")
     lost = f", {len(following)} valid records among them" if following else ""
     size = len(data) - position
-    state.notes.append(f"{segment.name}: a torn tail of {size} bytes from byte {position} on was cut{lost}")
+    state.notes.append(
+        f"{segment.name}: a torn tail of {size} bytes from byte {position} on was truncated{lost}"
+    )
--- a/crowpost/storage/runner.py
+++ b/crowpost/storage/runner.py
@@ -29,7 +29,7 @@
 
 
 def inspect_store(path: Path, owner: str = "") -> RecoveredState:
-    """Return the content of a directory without locking or changing it; a torn tail is not cut off.
+    """Return the content of a directory without locking or changing it; a torn tail is not truncated.
 
     A process that writes to the directory may remove a file while it is being read, so recovery is attempted
     up to INSPECT_ATTEMPTS times.
--- a/tests/config_feed/test_command.py
+++ b/tests/config_feed/test_command.py
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(
     ("arguments", "expected_error"),
     [
-        (["publish", "large.json", "--scope", "all"], "all: 262145 bytes, 262144 at the most"),
+        (["publish", "large.json", "--scope", "all"], "all: 262145 bytes, 262144 at most"),
         (["status", "--at", "h"], "not an address and a port: 'h'"),
         (["publish", "none", "--scope", "all"], "none: No such file or directory"),
         (["back", "zone/a"], "not a scope (all, region/R, service/S or node/N): 'zone/a'"),
--- a/tests/config_feed/test_frames.py
+++ b/tests/config_feed/test_frames.py
@@ -43,7 +43,7 @@
 ]
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
 def test_messages_are_decoded_as_encoded_and_damaged_frames_are_rejected(message: Message) -> None:
     frame = encode(message, CLUSTER_TAG)
     reader = FrameReader(CLUSTER_TAG)
--- a/tests/config_feed/test_simulation.py
+++ b/tests/config_feed/test_simulation.py
@@ -227,7 +227,7 @@
     world.network.partition("east", "west")
     world.run(6_000.0)
     fleet.publish("all", "p-east")
-    # A configuration error: both publishers take their own region for the home region.
+    # A configuration error: both publishers use their own region as the home region.
     fleet.publishing.authorities["p-west"] = replace(
         fleet.publishing.authorities["p-west"], home_region="west"
     )
--- a/tests/decisions/fleet.py
+++ b/tests/decisions/fleet.py
@@ -53,7 +53,7 @@
     received: list[tuple[float, float]] = field(default_factory=list)  # Arrival times in ms and units of work
 
     def restart(self, now: float, warm_up_ms: float, initial_fraction: float) -> None:
-        """Start a new process, which is cold and holds no attempts."""
+        """Start a new process, which warms up and has no attempts in flight."""
         self.started, self.warm_up_ms, self.initial_fraction = now, warm_up_ms, initial_fraction
 
     def speed(self, now: float) -> float:
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -485,8 +485,8 @@
     assert not any(text.startswith("admission limit on") for text in log_texts(host))
 
 
-def _report_held_elsewhere(host: SimulatedHost, held: dict[bytes, float]) -> None:
-    """Serve until every endpoint has reported what it holds for other nodes."""
+def _report_in_flight_elsewhere(host: SimulatedHost, in_flight: dict[bytes, float]) -> None:
+    """Serve until every endpoint has reported its in-flight requests of other nodes."""
     reported: set[bytes] = set()
     while len(reported) < len(host.balancer._endpoints.automaton.endpoints):
         request = host.arrive()
@@ -494,13 +494,13 @@
         for number in host.open_attempts(request):
             server = host.requests[request].attempts[number].entry.server
             reported.add(server)
-            host.end(request, number, Outcome.OK, load=(1.0 + held.get(server, 2.0),))
+            host.end(request, number, Outcome.OK, load=(1.0 + in_flight.get(server, 2.0),))
 
 
 def test_endpoint_loaded_by_other_nodes_gets_no_requests() -> None:
     host = make(load_report_columns=("outstanding",), node_count=8)
     overloaded = b"\x02"
-    _report_held_elsewhere(host, {overloaded: 15.0})
+    _report_in_flight_elsewhere(host, {overloaded: 15.0})
     start = len(host.actions)
     for _ in range(40):
         end_all(host, [host.arrive()])
@@ -511,7 +511,7 @@
 def test_outdated_load_report_is_ignored() -> None:
     host = make(load_report_columns=("outstanding",), node_count=8)
     overloaded = b"\x02"
-    _report_held_elsewhere(host, {overloaded: 15.0})
+    _report_in_flight_elsewhere(host, {overloaded: 15.0})
     host.advance(1.5 * SAFE.latency_objective_ms)
     start = len(host.actions)
     serve(host, 200, latency=2.0)
--- a/tests/decisions/test_list_polling.py
+++ b/tests/decisions/test_list_polling.py
@@ -28,7 +28,7 @@
                 host.feed(EndpointList(ListKind.FAILED))
         polls_per_second.append(host.subscriptions - before)
     assert max(polls_per_second) <= 3, polls_per_second
-    assert sum(polls_per_second[-20:]) >= 5  # Polling goes on during the outage
+    assert sum(polls_per_second[-20:]) >= 5  # Polling continues during the outage
 
 
 def test_poll_without_reply_is_repeated() -> None:
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Rule 4 over thirty nodes: what they send a cold endpoint, though each sees only its own requests."""
+"""Rule 4 with thirty nodes, each of which sees only its own requests to an endpoint that warms up."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Warm endpoints, cold ones that start together, and their capacity.
+    """Warm endpoints, others that start together and warm up, and their capacity.
 
     Load and burst are multiples of the capacity of all endpoints.
     """
 
     warm: int
-    cold: int
+    warming: int
     slots: int
     mean_ms: float
     max_queued: int  # Attempts that may wait at an endpoint before it rejects more
@@ -67,11 +67,11 @@
 
     def per_ms(self) -> float:
         """Return the requests per ms of all nodes before the burst."""
-        return (self.warm + self.cold) * self.load * self.slots / self.mean_ms
+        return (self.warm + self.warming) * self.load * self.slots / self.mean_ms
 
     def excess_work(self, server: SimServer) -> float:
-        """Return the most work at a cold endpoint beyond its budget and a margin; below 0 if none."""
-        assert server.received, "a cold endpoint got no attempts"
+        """Return the most work beyond the budget and a margin at an endpoint that warms up; below 0 if none."""
+        assert server.received, "an endpoint that is warming up got no attempts"
         span_ms = self.overload_window_ms
         return max_excess_work(
             server.received,
@@ -107,7 +107,7 @@
 
 
 def _excess_work(scenario: Scenario, seed: int) -> float:
-    names = [b"s%d" % i for i in range(scenario.warm + scenario.cold)]
+    names = [b"s%d" % i for i in range(scenario.warm + scenario.warming)]
     servers = {name: SimServer(scenario.slots, scenario.mean_ms, scenario.max_queued) for name in names}
     node_settings = Settings(
         classes=(RequestClass("look", 1000.0, 2000.0),),
@@ -134,14 +134,14 @@
 
         fleet.at(rng.expovariate(per_ms), send_request)
 
-    def start_cold_endpoints() -> None:
+    def start_warming_endpoints() -> None:
         for name in names[scenario.warm :]:
             servers[name].restart(fleet.now, WARM_UP_MS, scenario.slow_start_fraction)
         fleet.feed_list(*[EndpointEntry(name, started_ms=fleet.now) for name in names[scenario.warm :]])
 
     for node, weight in enumerate(scenario.weights()):
         start_client(node, scenario.per_ms() * weight)
-    fleet.at(START_MS, start_cold_endpoints)
+    fleet.at(START_MS, start_warming_endpoints)
     fleet.run(END_MS if scenario is not TIGHT_BUDGET else START_MS + 3000.0)
     return max(scenario.excess_work(servers[name]) for name in names[scenario.warm :])
 
@@ -209,7 +209,7 @@
                 "NODE_DISCOVERY": discovery.address,
                 "NODE_CONFIG": str(config),
             }
-            # The log is a file, as a pipe that nobody reads would block the node.
+            # The log is a file, as a pipe without a reader would block the node.
             with paths[i].open("wb") as log:
                 command = (sys.executable, "-m", "crowpost")
                 started.append(await asyncio.create_subprocess_exec(*command, env=environment, stderr=log))
@@ -248,7 +248,7 @@
         async with contextlib.AsyncExitStack() as stack:
             machines = [
                 SimServerOnSocket(TIGHT_BUDGET.slots, TIGHT_BUDGET.mean_ms, TIGHT_BUDGET.max_queued)
-                for _ in range(TIGHT_BUDGET.warm + TIGHT_BUDGET.cold)
+                for _ in range(TIGHT_BUDGET.warm + TIGHT_BUDGET.warming)
             ]
             servers = []
             for machine in machines:
@@ -268,17 +268,17 @@
                 send_line(watch, b"")
             await asyncio.sleep(2.0)
             burst.set()
-            cold = machines[-1]
-            cold.restart(1000.0 * time.time(), WARM_UP_MS, TIGHT_BUDGET.slow_start_fraction)
+            warming = machines[-1]
+            warming.restart(1000.0 * time.time(), WARM_UP_MS, TIGHT_BUDGET.slow_start_fraction)
             for watch in watches:
                 send_line(
-                    watch, listing(2, row("cold", servers[-1].address, started=cold.started), reset=False)
+                    watch, listing(2, row("cold", servers[-1].address, started=warming.started), reset=False)
                 )
             await asyncio.sleep(3.0)
             assert not any(task.done() for task in load)
             for task in load:
                 task.cancel()
             await asyncio.gather(*load, return_exceptions=True)
-            assert TIGHT_BUDGET.excess_work(cold) < 0.0
+            assert TIGHT_BUDGET.excess_work(warming) < 0.0
 
     run(asyncio.wait_for(main(), 2 * WAIT_TIMEOUT_S))
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -278,7 +278,7 @@
 
 def test_a_one_way_link_causes_no_death() -> None:
     cluster = joined_cluster(10)
-    cluster.may_pass = lambda a, b: (a, b) != ("n2", "n3")
+    cluster.may_pass = lambda sender, receiver: (sender, receiver) != ("n2", "n3")
     cluster.run(60_000)
     assert observed_deaths(cluster) == [] and cluster.views_agree()
 
@@ -290,12 +290,12 @@
     """
     cluster = joined_cluster(count, 2)
     side = {f"n{i}" for i in range(side_size)}
-    cluster.may_pass = lambda a, b: (a in side) == (b in side)
+    cluster.may_pass = lambda sender, receiver: (sender in side) == (receiver in side)
     cluster.run(1_000 * for_s)
     for process in cluster.running():
         alive = {n for n, s in states_seen_by(process).items() if s == "present"}
         assert alive == (side if process.name in side else set(cluster.processes) - side)
-    cluster.may_pass = lambda a, b: True
+    cluster.may_pass = lambda sender, receiver: True
     cluster.history.clear()
     run_until_views_agree(cluster, 30_000)
     assert observed_deaths(cluster) == [], "no member is declared dead when the sides rejoin"
@@ -308,12 +308,12 @@
     """
     cluster = joined_cluster(40, seed)
     side = {f"n{i}" for i in range(6)}
-    cluster.may_pass = lambda a, b: (a in side) == (b in side)
+    cluster.may_pass = lambda sender, receiver: (sender in side) == (receiver in side)
     for _ in range(200):  # Until the smaller side has declared a death that is still being broadcast
         cluster.run(500)
         if any(o in side for o, c in cluster.history if c.after == "dead" and c.name not in side):
             break
-    cluster.may_pass = lambda a, b: True
+    cluster.may_pass = lambda sender, receiver: True
     cluster.history.clear()
     cluster.run(30_000)
     false_deaths = [(o, name) for o, name in observed_deaths(cluster) if (o in side) == (name in side)]
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -90,7 +90,7 @@
 
 
 async def read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
-    """Return a body in the transfer coding of its head; raise IncompleteReadError if it is cut short."""
+    """Return a body in the transfer coding of its head; raise IncompleteReadError if it is truncated."""
     if headers.get("transfer-encoding", "").lower() != "chunked":
         return await reader.readexactly(int(headers.get("content-length", 0)))
     parts = []
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -456,8 +456,8 @@
 
         async with StubServer([echo_body]) as server, running_node(row("a", server.address)) as running:
 
-            async def echo(i: int) -> None:
-                body = LONG[i:] if i % 2 else b"%d" % i
+            async def echo(index: int) -> None:
+                body = LONG[index:] if index % 2 else b"%d" % index
                 client = await running.client()
                 assert (await client.ask("move", body=body)).body == body
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -68,7 +68,7 @@
 
 
 def test_scenario_on_sockets_is_served_without_breaches(small_scenario: str) -> None:
-    """Real nodes and stand-in servers of two tiers, one of which fails half of its calls."""
+    """Real nodes and stub servers of two tiers, one of which fails half of its calls."""
     done = crowpost("lab", "live", small_scenario, "--json")
     assert done.returncode == 0, done.stderr
     result = json.loads(done.stdout)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -198,7 +198,7 @@
 
 
 class RetriesUnsafely(LeastOutstanding):
-    """Retries whatever failed, even if it may have run."""
+    """Retries every failed attempt, even if it may have run."""
 
     def _permitted(self, request: Any, state: Any) -> bool:
         return True
@@ -231,7 +231,7 @@
         return actions
 
 
-class PrefersColdServers(LeastOutstanding):
+class PrefersWarmingServers(LeastOutstanding):
     """Sends all that it can to servers that have just started."""
 
     def choose(self, allowed: list[Any], request: Any) -> Any:
@@ -248,7 +248,7 @@
         (IgnoresDrain, Fault("release", 0.5, part=0.4, for_s=1.0, steps=1), "rule 3"),
         (NeverAnswersFailures, Fault("errors", 0.5, part=0.5, size=0.6, for_s=4.0), "rule 1"),
         (SendsAfterFail, None, "rule 0"),
-        (PrefersColdServers, Fault("crash", 0.5, tier="front", part=0.1, down_ms=200.0), "rule 4"),
+        (PrefersWarmingServers, Fault("crash", 0.5, tier="front", part=0.1, down_ms=200.0), "rule 4"),
     ],
 )
 def test_rule_breaches_are_detected(
