--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -70,7 +70,7 @@
         return (self.warm + self.warming) * self.load * self.slots / self.mean_ms
 
     def excess_work(self, server: SimServer) -> float:
-        """Return the most work beyond the budget and a margin at an endpoint that warms up; below 0 if none."""
+        """Return the most work beyond budget and margin at an endpoint that warms up; below 0 if none."""
         assert server.received, "an endpoint that is warming up got no attempts"
         span_ms = self.overload_window_ms
         return max_excess_work(
