--- a/crowpost/lab/scale/simulated_nodes.py
+++ b/crowpost/lab/scale/simulated_nodes.py
@@ -232,7 +232,7 @@
 
 
 def _create_follower(place: Place, partition: RegionPartition) -> Duty:
-    # Imported only where the duty is enabled, so that nodes with other duties do not bear its cost.
+    # Imported only where the duty is enabled, so that nodes with other duties do not incur its cost.
     from crowpost.lab.scale.follow import SimulatedFollower
 
     return SimulatedFollower(place, partition)
--- a/crowpost/lab/scale/worker.py
+++ b/crowpost/lab/scale/worker.py
@@ -195,7 +195,7 @@
 
 def main() -> int:
     """Run the worker; the only argument is a JSON list with the region of each zone."""
-    # Real nodes log a line for each change; simulated nodes bear the same cost, but the lines are discarded.
+    # Real nodes log a line for each change; simulated nodes incur the same cost, but the lines are discarded.
     null_stream = open(os.devnull, "w", encoding="utf-8")  # noqa: SIM115 - open until the process exits
     logging.basicConfig(
         stream=null_stream, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
