--- a/crowpost/decisions/concurrency_limiter.py
+++ b/crowpost/decisions/concurrency_limiter.py
@@ -120,8 +120,7 @@
         settings = self._context.settings
         # An endpoint holds its slot while it waits for the tiers behind it, and needs a request for each of
         # those tiers to keep its core busy.  With a minimum limit of one request for each endpoint, a first
-        # tier whose baseline latency came from a few fast first responses rejected 40% of the requests all
-        # day.
+        # tier whose baseline latency was low by chance at the start rejected 40% of the requests all day.
         min_limit = (settings.tiers - settings.tier) * len(self._endpoints.listed) / self.sharers
         if load.load_ratio > 1.0:
             self._decrease(min_limit)
