--- a/crowpost/config_feed/distribution_server.py
+++ b/crowpost/config_feed/distribution_server.py
@@ -51,7 +51,7 @@
 MAX_QUEUED_FETCHES = 64  # limit for each connection
 MIN_FRAME_LIMIT_BYTES = 524_288  # large enough for a version vector of all scopes
 PUBLISH_OVERHEAD_BYTES = 65_536  # allowance for the fields of a publish request other than its body
-RELAY_REJECTION = "a relay accepts no documents; publish to a publisher"
+RELAY_REJECTION = "a relay takes no documents; publish to a publisher"
 
 
 class DistributionServer:
--- a/crowpost/config_feed/publication_log.py
+++ b/crowpost/config_feed/publication_log.py
@@ -97,7 +97,7 @@
         tuning = self._tuning
         documents = {**table.documents, **self._current}
         if len(body) > tuning.max_document_bytes:
-            raise FeedError(f"{scope}: {len(body)} bytes, {tuning.max_document_bytes} at most")
+            raise FeedError(f"{scope}: {len(body)} bytes, {tuning.max_document_bytes} at the most")
         others = [document.header.size for other, document in documents.items() if other != scope]
         total = sum(others) + len(body)
         if total > tuning.max_table_bytes or len(documents.keys() | {scope}) > tuning.max_documents:
--- a/crowpost/config_feed/publisher.py
+++ b/crowpost/config_feed/publisher.py
@@ -131,7 +131,7 @@
         failed = self._store_runner.store.failure
         if failed:
             self._mark_stopped()
-            raise StoreError(f"writing has stopped: {failed}; documents in force are still distributed")
+            raise StoreError(f"writing has stopped: {failed}; what is in force goes on being told")
 
     def _mark_stopped(self) -> None:
         """Show in the status that documents are served but no longer accepted."""
--- a/crowpost/node/configuration_overlays.py
+++ b/crowpost/node/configuration_overlays.py
@@ -197,7 +197,7 @@
     """Return the JSON object in the body of a document.  Raise ConfigError for anything else."""
     if len(body) > MAX_DOCUMENT_BYTES:
         raise ConfigError(
-            f"the document has {len(body)} bytes, and a node accepts at most {MAX_DOCUMENT_BYTES}"
+            f"the document has {len(body)} bytes, and a node takes {MAX_DOCUMENT_BYTES} at the most"
         )
     try:
         overlay = json.loads(body, parse_constant=_reject_constant)
--- a/crowpost/storage/log_segment.py
+++ b/crowpost/storage/log_segment.py
@@ -102,6 +102,4 @@
         raise CorruptionError(segment.name, position, f"record {missing} is not as written, and was durable")
     lost = f", {len(following)} valid records among them" if following else ""
     size = len(data) - position
-    state.notes.append(
-        f"{segment.name}: a torn tail of {size} bytes from byte {position} on was truncated{lost}"
-    )
+    state.notes.append(f"{segment.name}: a torn tail of {size} bytes from byte {position} on was cut{lost}")
--- a/tests/config_feed/test_distribution_server.py
+++ b/tests/config_feed/test_distribution_server.py
@@ -139,7 +139,7 @@
     harness = ServerHarness()
     harness.distribution_server.accepted(1, 0.0)
     harness.send(1, PublishRequest(8, "all", b"", "me", ""))
-    assert harness.sent[1] == [PublishRejected(8, "a relay accepts no documents; publish to a publisher")]
+    assert harness.sent[1] == [PublishRejected(8, "a relay takes no documents; publish to a publisher")]
     harness = ServerHarness(accepts_publishes=True)
     harness.distribution_server.accepted(1, 0.0)
     harness.distribution_server.received(1, encode(PublishRequest(8, "all", b"", "me", ""), CLUSTER_TAG), 0.0)
--- a/tests/config_feed/test_node.py
+++ b/tests/config_feed/test_node.py
@@ -110,7 +110,7 @@
         (b'{"discovery": "\xff"}', "the document is no JSON: "),
         (b'{"settings": {"tickMs": NaN}}', "the document is no JSON: NaN"),
         (b'{"a":' * 5_000 + b"1" + b"}" * 5_000, "the document is no JSON: "),
-        (b" " * 32_767 + b"{}", "the document has 32769 bytes, and a node accepts at most 32768"),
+        (b" " * 32_767 + b"{}", "the document has 32769 bytes, and a node takes 32768 at the most"),
         (b'{"a":' * 600 + b"1" + b"}" * 600, "a cannot change while the node runs"),
     ],
 )
--- a/tests/config_feed/test_publication_log.py
+++ b/tests/config_feed/test_publication_log.py
@@ -153,7 +153,7 @@
 def test_bodies_that_no_table_could_hold_are_rejected_before_they_are_written() -> None:
     tuning = Tuning(max_document_bytes=100, max_documents=2, max_table_bytes=150)
     log, table = open_log(tuning=tuning), DocumentTable(tuning)
-    assert rejection_reason(log, table, "all", bytes(101)) == "all: 101 bytes, 100 at most"
+    assert rejection_reason(log, table, "all", bytes(101)) == "all: 101 bytes, 100 at the most"
     publish(log, table, "all", bytes(100))
     assert "would be 160 bytes" in rejection_reason(log, table, "service/a", bytes(60))
     publish(log, table, "service/a", bytes(50))
