--- a/crowpost/lab/scale/simulated_nodes.py
+++ b/crowpost/lab/scale/simulated_nodes.py
@@ -104,7 +104,7 @@
             transport.handle_datagram(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an ICMP error: nobody listens at the address."""
+        """Ignore an ICMP error: no process listens at the address."""
 
 
 class SimulatedNodeTransport(MembershipTransport):
@@ -232,7 +232,7 @@
 
 
 def _create_follower(place: Place, partition: RegionPartition) -> Duty:
-    # Imported only where the duty is enabled, so that nodes with other duties do not bear its cost.
+    # Imported only where the duty is enabled, so that nodes with other duties do not incur its cost.
     from crowpost.lab.scale.follow import SimulatedFollower
 
     return SimulatedFollower(place, partition)
--- a/crowpost/storage/log_segment.py
+++ b/crowpost/storage/log_segment.py
@@ -84,7 +84,7 @@
 def truncate_torn_tail(
     state: RecoveredState, segment: StoredFile, data: bytes, content: LogContent, *, is_last: bool
 ) -> None:
-    """Note a torn tail, which is cut off when the segment is rewritten.
+    """Note a torn tail, which is truncated when the segment is rewritten.
 
     A power loss may leave any part of the unsynced data, even later bytes without earlier ones.  Raise
     CorruptionError if a valid frame after the gap marks the missing record as synced, or if this is not the
