--- a/crowpost/cli/feed_status.py
+++ b/crowpost/cli/feed_status.py
@@ -165,14 +165,14 @@
 
 
 def _problems(name: str, follower: StatusMap) -> list[str]:
-    lines = [f"{name} rejected {scope}: {why}" for scope, why in follower["refused"].items()]
+    lines = [f"{name} refused {scope}: {why}" for scope, why in follower["refused"].items()]
     lagging = [scope for scope in follower["lags"] if scope not in follower["refused"]]
     if lagging:
         versions = {status["scope"]: status["version"] for status in follower["standings"]}
         lags = ", ".join(f"{scope} (has {versions.get(scope, 0)})" for scope in lagging)
         lines.append(f"{name} lags: {lags}")
     if follower["unheard"]:
-        lines.append(f"{name} has had no contact for {_duration(follower['age_ms'])}")
+        lines.append(f"{name} was not heard of for {_duration(follower['age_ms'])}")
     return lines
 
 
